--- a/bench/fleet_log.py
+++ b/bench/fleet_log.py
@@ -1,14 +1,14 @@
-"""Counts across a fleet: the logs of all proxies of one run, joined on time and provider.
+"""Counts across a fleet: the logs of all proxies of one run, joined on time and endpoint.
 
     python bench/fleet_log.py DIRECTORY [--step 0.1] [--busiest 8]
     python bench/fleet_log.py DIRECTORY --follow ID
     python bench/fleet_log.py DIRECTORY --classes [--step 5]
 
-The second prints all that became of one consumer, at whichever proxy it came up, in the order of time: ID is
-what an OPEN line began with, or the key after it, which stays the same when the consumer comes back. The
-third tells class by class and step by step what consumers came to: how many came, and how those ended.
+The second prints all that became of one client, at whichever proxy it came up, in the order of time: ID is
+what an OPEN line began with, or the key after it, which stays the same when the client comes back. The
+third tells class by class and step by step what clients came to: how many came, and how those ended.
 
-Each file of the directory is one proxy's log, named for it. A line is the program's own; where a time in
+Each file of discovery is one proxy's log, named for it. A line is the program's own; where a time in
 seconds stands before it that is taken, else times count from the first line of all.
 """
 
@@ -26,8 +26,8 @@
 
 PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
 PREFIX = re.compile(r"\[?(\d+\.\d+)\]?\s")
-COLD_S = 10.0  # how long after its start a provider is taken for cold
-FAILED_ATTEMPTS = ("unreachable", "timed-out", "error", "turned-away", "provider-reset")
+COLD_S = 10.0  # how long after its start an endpoint is taken for cold
+FAILED_ATTEMPTS = ("unreachable", "timed-out", "error", "endpoint-full", "endpoint-reset")
 
 
 class Line(NamedTuple):
@@ -57,7 +57,7 @@
 
 
 def follow(lines: Iterable[Line], word: str) -> list[Line]:
-    """The lines on one consumer: those of its key, and those of the invocations that had it."""
+    """The lines on one client: those of its key, and those of the requests that had it."""
     lines, wanted = list(lines), f"{int(word, 16):x}"
     keys = {wanted} | {
         line.pairs["key"] for line in lines if "key" in line.pairs and line.pairs.get("open") == wanted
@@ -65,21 +65,21 @@
     starts: Counter[str] = Counter()
     numbered, theirs = [], set()
     for line in lines:
-        starts[line.proxy] += line.event == "started"  # each process counts its invocations anew
-        invocation = line.proxy, starts[line.proxy], line.pairs.get("id", "0")
-        numbered.append((invocation, line))
+        starts[line.proxy] += line.event == "process-started"  # each process counts its requests anew
+        request = line.proxy, starts[line.proxy], line.pairs.get("id", "0")
+        numbered.append((request, line))
         if line.pairs.get("key") in keys:
-            theirs.add(invocation)
-    return [line for invocation, line in numbered if invocation in theirs]
+            theirs.add(request)
+    return [line for request, line in numbered if request in theirs]
 
 
-# How a consumer's connection ended, in the order of the columns; any other reason stands under the last.
+# How a client's connection ended, in the order of the columns; any other reason stands under the last.
 ENDS = (
     "served",
-    "moved",
-    "silent",
-    "sent-away",
-    "provider-reset",
+    "migrated",
+    "unresponsive",
+    "endpoint-migrated",
+    "endpoint-reset",
     "rejected",
     "failed",
     "withdrawn",
@@ -88,7 +88,7 @@
 
 
 def by_class(lines: Iterable[Line], step: float) -> Iterator[str]:
-    """Each class in each step: consumers that came, attempts that began, and why connections ended."""
+    """Each class in each step: clients that came, attempts that began, and why connections ended."""
     came: Counter[tuple[int, str]] = Counter()
     opened: Counter[tuple[int, str]] = Counter()
     ended: dict[tuple[int, str], Counter[str]] = defaultdict(Counter)
@@ -97,9 +97,9 @@
         if klass is None:
             continue
         here = int(line.at / step), klass
-        if line.event == "opened":
+        if line.event == "attempt-started":
             opened[here] += 1
-        elif line.event == "ended" and line.pairs.get("side") == "consumer":
+        elif line.event == "connection-ended" and line.pairs.get("side") == "client":
             reason = line.pairs["reason"]
             ended[here][reason if reason in ENDS else "other"] += 1
             came[int((line.at - int(line.pairs.get("ms") or 0) / 1000) / step), klass] += 1
@@ -134,25 +134,25 @@
     def take(self, line: Line) -> None:
         pairs = line.pairs
         match line.event:
-            case "started":
+            case "process-started":
                 self.waiting[line.proxy] = line.at - int(pairs.get("start_ms") or 0) / 1000
-            case "opened":
-                self.opened[pairs["provider"]].append(line.at)
-            case "listed":
+            case "attempt-started":
+                self.opened[pairs["endpoint"]].append(line.at)
+            case "endpoint-list-received":
                 self.lists[line.proxy].append(line.at)
                 self.calls.append((line.at, True))
-                for name, boot in (one.split("@") for one in pairs.get("cold", "").split(",") if one):
+                for name, boot in (one.split("@") for one in pairs.get("warming_up", "").split(",") if one):
                     self.boots.setdefault(name, line.at - float(boot) / 1000)
-            case "directory-call-failed":
+            case "discovery-call-failed":
                 self.calls.append((line.at, False))
-            case "ended" if pairs.get("side") == "probe":
-                self.probes[pairs["provider"]][pairs["reason"]] += 1
-            case "ended" if pairs.get("side") == "provider":
-                self.outcomes[pairs["provider"]][pairs["reason"]] += 1
-            case "ended" if pairs.get("side") == "consumer":
-                self.consumer(line)
-
-    def consumer(self, line: Line) -> None:
+            case "connection-ended" if pairs.get("side") == "health-check":
+                self.probes[pairs["endpoint"]][pairs["reason"]] += 1
+            case "connection-ended" if pairs.get("side") == "endpoint":
+                self.outcomes[pairs["endpoint"]][pairs["reason"]] += 1
+            case "connection-ended" if pairs.get("side") == "client":
+                self.client(line)
+
+    def client(self, line: Line) -> None:
         reason = line.pairs["reason"]
         if reason == "probed":
             if line.proxy in self.waiting:
@@ -162,22 +162,22 @@
         if reason == "rejected":
             tried, wait = int(line.pairs.get("attempts") or 0), int(line.pairs.get("wait_ms") or 0)
             self.rejections.append((line.at, tried, wait))
-        elif reason in ("moved", "silent"):
+        elif reason in ("migrated", "unresponsive"):
             self.moves[reason] += 1
 
-    def cold(self, provider: str, at: float) -> bool:
-        boot = self.boots.get(provider)
+    def cold(self, endpoint: str, at: float) -> bool:
+        boot = self.boots.get(endpoint)
         return boot is not None and boot <= at < boot + COLD_S
 
     def busiest(self, step: float, most: int) -> list[tuple[int, float, str, int]]:
-        """The steps in which one provider was opened most: how often, when, where, how often cold."""
+        """The steps in which one endpoint was opened most: how often, when, where, how often cold."""
         counts: Counter[tuple[int, str]] = Counter()
-        for provider, times in self.opened.items():
-            counts.update((int(at / step), provider) for at in times)
+        for endpoint, times in self.opened.items():
+            counts.update((int(at / step), endpoint) for at in times)
         rows = []
-        for (slot, provider), count in counts.most_common(most):
-            cold = sum(self.cold(provider, at) for at in self.opened[provider] if int(at / step) == slot)
-            rows.append((count, slot * step, provider, cold))
+        for (slot, endpoint), count in counts.most_common(most):
+            cold = sum(self.cold(endpoint, at) for at in self.opened[endpoint] if int(at / step) == slot)
+            rows.append((count, slot * step, endpoint, cold))
         return rows
 
     def list_ages(self) -> list[float]:
@@ -198,20 +198,20 @@
             yield f"start to ready  median {statistics.median(ready):.3f} s  longest {max(ready):.3f} s"
         failed = sum(not fine for _, fine in self.calls)
         peak = self.most_in_a_second(at for at, _ in self.calls)
-        yield f"directory answers {len(self.calls)}  failed {failed}  most in a second {peak}"
+        yield f"discovery answers {len(self.calls)}  failed {failed}  most in a second {peak}"
         if ages := self.list_ages():
             yield f"age of lists  median {statistics.median(ages):.1f} s  oldest {max(ages):.1f} s"
         opened = sum(map(len, self.opened.values()))
-        cold = sum(self.cold(provider, at) for provider, times in self.opened.items() for at in times)
-        yield f"connections opened {opened}  to cold providers {cold}"
-        for count, at, provider, chilly in self.busiest(step, most):
-            yield f"  {at:7.1f} s  {provider:<14} opened {count} within {step:g} s, {chilly} of them cold"
-        yield "attempts per invocation " + " ".join(f"{n}:{c}" for n, c in sorted(self.attempts.items()))
-        for provider in sorted(self.outcomes):
-            ended = self.outcomes[provider]
+        cold = sum(self.cold(endpoint, at) for endpoint, times in self.opened.items() for at in times)
+        yield f"connections opened {opened}  to cold endpoints {cold}"
+        for count, at, endpoint, chilly in self.busiest(step, most):
+            yield f"  {at:7.1f} s  {endpoint:<14} opened {count} within {step:g} s, {chilly} of them cold"
+        yield "attempts per request " + " ".join(f"{n}:{c}" for n, c in sorted(self.attempts.items()))
+        for endpoint in sorted(self.outcomes):
+            ended = self.outcomes[endpoint]
             bad = sum(ended[reason] for reason in FAILED_ATTEMPTS)
             words = " ".join(f"{reason}:{count}" for reason, count in ended.most_common())
-            yield f"  {provider:<14} failed {bad} of {sum(ended.values())}  {words}"
+            yield f"  {endpoint:<14} failed {bad} of {sum(ended.values())}  {words}"
         untried = sum(tried == 0 for _, tried, _ in self.rejections)
         peak = self.most_in_a_second(at for at, _, _ in self.rejections)
         back = self.most_in_a_second(at + wait / 1000 for at, _, wait in self.rejections)
@@ -220,9 +220,9 @@
             f"  most in a second {peak}, due back in one {back}"
         )
         yield "moves " + (" ".join(f"{why}:{n}" for why, n in sorted(self.moves.items())) or "none")
-        for provider in sorted(self.probes):
-            words = " ".join(f"{reason}:{count}" for reason, count in self.probes[provider].most_common())
-            yield f"  probes of {provider:<14} {words}"
+        for endpoint in sorted(self.probes):
+            words = " ".join(f"{reason}:{count}" for reason, count in self.probes[endpoint].most_common())
+            yield f"  health checks of {endpoint:<14} {words}"
 
 
 def main() -> None:
--- a/bench/hostile_memory.py
+++ b/bench/hostile_memory.py
@@ -1,7 +1,7 @@
-"""Memory after so many hostile connections on each front, as a table.
+"""Memory after so many hostile connections on each frontend, as a table.
 
 Run from the repository's root: .venv/bin/python bench/hostile_memory.py [--collector off] [--program DIR]
-Each front gets a program of its own. The collector is the program's cyclic garbage collector: with it off,
+Each frontend gets a program of its own. The collector is the program's cyclic garbage collector: with it off,
 what counting references does not free stays, and shows. `--program` measures another checkout.
 """
 
@@ -28,7 +28,7 @@
 
 
 def garbage(rng: random.Random, port: int, front: str) -> Input:
-    """Seeded bytes; on the channels front half of them come after a good identification."""
+    """Seeded bytes; on the channels frontend half of them come after a good identification."""
     body = rng.randbytes(rng.randrange(1, 400))
     if front == "channels" and rng.random() < 0.5:
         body = b"SSH-2.0-x\r\n" + body
--- a/bench/open_cost.py
+++ b/bench/open_cost.py
@@ -22,17 +22,17 @@
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from proxy import Listener, Proxy, proxy  # noqa: E402
+from proxy import Listener, RunningProxy, proxy  # noqa: E402
 
 from rig.crowd import Input, play  # noqa: E402
 
 
-def booked_ns(running: Proxy) -> int:
+def booked_ns(running: RunningProxy) -> int:
     return int(Path(f"/proc/{running.process.pid}/schedstat").read_text().split()[0])
 
 
-def serve(running: Proxy) -> None:
-    """Each provider of the program answers and ends every connection at once."""
+def serve(running: RunningProxy) -> None:
+    """Each endpoint of the program answers and ends every connection at once."""
 
     def accept(listener: Listener) -> None:
         listener.sock.settimeout(None)
@@ -70,7 +70,7 @@
         programs = {}
         for name, program in (("before", old), ("after", ROOT)):
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-            programs[name] = stack.enter_context(proxy(folder, providers=8, program=program))
+            programs[name] = stack.enter_context(proxy(folder, endpoints=8, program=program))
             serve(programs[name])
         rng, costs = random.Random(1), {name: list[float]() for name in programs}
         for at in range(asked.rounds + 1):
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,8 +1,9 @@
-"""Ordinary connections by the ten thousand on both fronts: memory, objects, timers, descriptors as a table.
+"""Ordinary connections by the ten thousand on both frontends: memory, objects, timers, descriptors as a
+table.
 
 Run from the repository's root: .venv/bin/python bench/soak.py [--connections 100000] [--collector off]
-They are served to their end, left, reset by either side, turned away, timed out, sent away by their provider,
-and moved while providers drain in turns. What a provider does with one stands in its tenant's name.
+They are served to their end, left, reset by either side, turned away, timed out, sent away by their endpoint,
+and moved while endpoints drain in turns. What an endpoint does with one stands in its tenant's name.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from proxy import Proxy, proxy  # noqa: E402
+from proxy import RunningProxy, proxy  # noqa: E402
 
 from rig.crowd import RESET, Input, play  # noqa: E402
 
@@ -50,9 +51,9 @@
 
 
 class Gateways(threading.Thread):
-    """All providers of the program, in one thread."""
+    """All endpoints of the program, in one thread."""
 
-    def __init__(self, running: Proxy) -> None:
+    def __init__(self, running: RunningProxy) -> None:
         super().__init__(daemon=True)
         self.selector = selectors.DefaultSelector()
         for listener in running.listeners:
@@ -102,7 +103,7 @@
     return struct.pack(">I", len(text)) + text
 
 
-def made(rng: random.Random, front: str, running: Proxy, count: int) -> Iterator[Input]:
+def made(rng: random.Random, front: str, running: RunningProxy, count: int) -> Iterator[Input]:
     for story in rng.choices(list(STORIES), list(STORIES.values()), k=count):
         key, wait = rng.getrandbits(64), 120 if story == "silent" else 1000
         until: tuple[bytes, ...] = (b"UP r1",) if story in ("left", "broken") else ()
@@ -119,25 +120,25 @@
         )
 
 
-def drains(running: Proxy, stop: threading.Event) -> None:
-    """One provider after the other drains for a while, so that what stands there is moved."""
+def drains(running: RunningProxy, stop: threading.Event) -> None:
+    """One endpoint after the other drains for a while, so that what stands there is moved."""
     uids = [each.uid for each in running.listeners]
     at = 0
     while not stop.wait(1.0):
         at += 1
-        running.directory.change(
+        running.discovery.change(
             **{uid: "DRAINING" if n == at % len(uids) else "SERVING" for n, uid in enumerate(uids)}
         )
 
 
-def row(running: Proxy, front: str, played: int, ended: Counter[str]) -> str:
+def row(running: RunningProxy, front: str, played: int, ended: Counter[str]) -> str:
     with open(running.config.parent / "objects") as pipe:
         objects = int(pipe.read())
-    census = running.census()
+    usage = running.resource_usage()
     told = " ".join(f"{name} {count}" for name, count in sorted(ended.items()))
     return (
         f"| {front} | {played:,} | {running.resident_mib():.1f} | {objects:,} "
-        f"| {census['loop.timers']['size']} | {census['loop.dead-timers']['size']} "
+        f"| {usage['loop.timers']['size']} | {usage['loop.dead-timers']['size']} "
         f"| {running.descriptors()} | {told} |"
     )
 
@@ -154,7 +155,7 @@
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     with tempfile.TemporaryDirectory() as name:
         os.mkfifo(Path(name) / "objects")
-        with proxy(Path(name), providers=6, own=OWN, door=True, command=start) as running:
+        with proxy(Path(name), endpoints=6, own=OWN, admin_server=True, command=start) as running:
             threading.Thread(
                 target=lambda: [None for line in iter(running.lines.get, None)], daemon=True
             ).start()
@@ -168,7 +169,7 @@
                 for result in play(made(rng, front, running, step), at_once=100, limit_s=30.0):
                     ended[f"{result.input.origin}:{result.ended}"] += 1
                 settled = time.monotonic() + 5.0  # what lingers goes within half a second
-                while running.census()["broker.invocations"]["size"] and time.monotonic() < settled:
+                while running.resource_usage()["broker.invocations"]["size"] and time.monotonic() < settled:
                     time.sleep(0.1)
                 time.sleep(1.0)
                 print(row(running, front, (at + 1) * step, ended), flush=True)
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,8 +1,8 @@
-"""Two toy gateways and a toy directory on loopback, for trying linnetshift out.
+"""Two toy gateways and a toy discovery on loopback, for trying linnetshift out.
 
     python example/toy_server.py
 
-A gateway serves whoever opens, sends every line back, and tells a load of its own making. The directory
+A gateway serves whoever opens, sends every line back, and tells a load of its own making. Discovery
 lists both. Type `drain 1`, `ready 1` (or 2) to change a gateway's state, `quit` to end.
 """
 
@@ -17,7 +17,7 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from urllib.parse import parse_qs, urlsplit
 
-DIRECTORY = ("127.0.0.1", 8500)
+DISCOVERY = ("127.0.0.1", 8500)
 GATEWAYS = {"1": ("127.0.0.1", 8101), "2": ("127.0.0.1", 8102)}
 states = dict.fromkeys(GATEWAYS, "SERVING")
 revision = 1
@@ -41,7 +41,7 @@
                 self.wfile.write(line)
 
 
-class Directory(BaseHTTPRequestHandler):
+class Discovery(BaseHTTPRequestHandler):
     def do_GET(self) -> None:
         asked = parse_qs(urlsplit(self.path).query)
         with news:
@@ -78,10 +78,10 @@
 def main() -> None:
     global revision
     servers: list[socketserver.BaseServer] = [Server(address, Gateway) for address in GATEWAYS.values()]
-    servers.append(ThreadingHTTPServer(DIRECTORY, Directory))
+    servers.append(ThreadingHTTPServer(DISCOVERY, Discovery))
     for server in servers:
         threading.Thread(target=server.serve_forever, daemon=True).start()
-    print(f"gateways {GATEWAYS}, directory {DIRECTORY}", flush=True)
+    print(f"gateways {GATEWAYS}, directory {DISCOVERY}", flush=True)
     for words in map(str.split, sys.stdin):
         if words == ["quit"]:
             return
--- a/linnetshift/__main__.py
+++ b/linnetshift/__main__.py
@@ -13,11 +13,11 @@
 
 from linnetshift.core.bans import MOST_LISTED
 from linnetshift.core.broker import Broker
-from linnetshift.core.census import Held
-from linnetshift.core.memory import recall
-from linnetshift.interface import HostList, HostState, ListForm
+from linnetshift.core.census import ResourceUsage
+from linnetshift.core.memory import export_state
+from linnetshift.interface import EndpointList, EndpointState, ListForm
 from linnetshift.net import log
-from linnetshift.net.channels import MOST_OPEN, ChannelsFront
+from linnetshift.net.channels import MOST_OPEN, ChannelsFrontend
 from linnetshift.net.config import (
     BrokerFile,
     Config,
@@ -26,21 +26,21 @@
     read_broker_file,
     read_config,
 )
-from linnetshift.net.directory import Directory, Pace, Roster, describe
+from linnetshift.net.directory import Discovery, EndpointListUpdate, WatchTimeouts, describe
 from linnetshift.net.handover import Holdings, Inherited, Legacy, Place, Succession, meet, spent
-from linnetshift.net.limits import Strangers
+from linnetshift.net.limits import ConnectionLimiter
 from linnetshift.net.loop import MS, Loop, S
 from linnetshift.net.module import Departure, Module, Mover
-from linnetshift.net.ops import Door
-from linnetshift.net.platform import Acceptor, Front, PlatformFront
-from linnetshift.net.provider import ProviderGate
+from linnetshift.net.ops import AdminServer
+from linnetshift.net.platform import Acceptor, Frontend, LineProtocolFrontend
+from linnetshift.net.provider import EndpointConnector
 from linnetshift.net.vrrp import State, Vrrp
 
-COLD_NS = 60 * S  # providers that started so lately are told in the log, with their age
+COLD_NS = 60 * S  # endpoints that started so lately are told in the log, with their age
 DROPPED_NS = 30 * S  # how long a class that is dropped can still be asked for
 
 
-class Program:
+class Proxy:
     """All parts of one proxy, wired."""
 
     def __init__(
@@ -54,95 +54,101 @@
         """`given` is the platform's listening socket, `legacy` what the process before handed over."""
         self.loop = loop = Loop()
         self.config, self.names, self.own = config, config.names, own
-        self.gate = ProviderGate(loop)
+        self.connector = EndpointConnector(loop)
         inherited = Inherited(legacy, self.names)
-        known = inherited.roster or config.known
-        pushed = not config.settings.must_ask
+        known = inherited.list_update or config.known
+        pushed = not config.settings.must_poll
         # What the agent of pushed lists has counts as told from the start, whatever the file says.
         self.module = Module(loop, waiting=pushed)
-        self.directory = Directory(
+        self.discovery = Discovery(
             loop,
-            config.directory,
+            config.discovery,
             self.names,
             known,
             self.listed,
-            Pace.of(config.settings),
+            WatchTimeouts.of(config.settings),
             config.seed,
             self.module.informed,
         )
-        self.broker = self.module.broker = self.gate.broker = Broker(
-            config.settings, config.seed, loop.now, self.module, self.directory, self.gate, own.contracts
+        self.broker = self.module.broker = self.connector.broker = Broker(
+            config.settings, config.seed, loop.now, self.module, self.discovery, self.connector, own.contracts
         )
-        self.module.start(self.module.live())
-        self.directory.start(self.directory.live())
+        self.module.start(self.module.run())
+        self.discovery.start(self.discovery.run())
         if pushed:
             # Pushed lists stop at the agent on this machine, and the module never asks for them.
-            self.directory.watch(True)
-        self.strangers = Strangers(loop, config.sockets)
+            self.discovery.watch(True)
+        self.connection_limiter = ConnectionLimiter(loop, config.sockets)
         inherited.restore(self.broker)
         self.moved_beside = inherited.holdings.moved  # by the other process, so far
         self.holds_beside(inherited.holdings)
         self.listed(known)
-        inherited.remember(self.broker)
-        self.front = PlatformFront(loop, self.broker, self.names, self.strangers)
+        inherited.import_state(self.broker)
+        self.frontend = LineProtocolFrontend(loop, self.broker, self.names, self.connection_limiter)
         self.given = given
-        self.front.listen(config.listen, given)
-        self.channels = ChannelsFront(loop, self.broker, self.names, self.strangers)
+        self.frontend.listen(config.listen, given)
+        self.channels = ChannelsFrontend(loop, self.broker, self.names, self.connection_limiter)
         self.vrrp: Vrrp | None = None
         self.passed = inherited.sockets
         if own.vrrp is not None:
             socket_before = self.passed.pop("vrrp", None)
             self.vrrp = Vrrp(loop, own.vrrp, self.elected, socket_before, inherited.active)
-            self.vrrp.start(self.vrrp.live())
+            self.vrrp.start(self.vrrp.run())
         elif own.channels is not None:
             self.channels.listen(own.channels, self.passed.pop("channels", None))
         for unused in self.passed.values():  # else what connects there would wait for nobody
             unused.close()
         self.departure: Departure | None = None
         self.departing = False  # by a signal
-        self.door = Door(loop, self)
+        self.admin_server = AdminServer(loop, self)
         if config.admin is not None:
-            self.door.follow(self.door.open(config.admin))
+            self.admin_server.follow(self.admin_server.open(config.admin))
         self.succession = Succession(loop, self, place, legacy)
 
-    def listed(self, roster: Roster) -> None:
-        event = self.broker.bans.bounded(roster.event)
+    def listed(self, list_update: EndpointListUpdate) -> None:
+        event = self.broker.administrative_drains.bounded(list_update.event)
         if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
-            log.note("listed", **self.told_of(event))
-        if left_out := len(roster.event.entries) - len(event.entries):
-            log.note("too-many-providers", left_out=left_out)
-        self.gate.listed(event, {entry.host: roster.endpoints[entry.host] for entry in event.entries})
+            log.note("endpoint-list-received", **self.told_of(event))
+        if left_out := len(list_update.event.entries) - len(event.entries):
+            log.note("endpoint-limit-exceeded", left_out=left_out)
+        self.connector.listed(
+            event, {entry.endpoint: list_update.addresses[entry.endpoint] for entry in event.entries}
+        )
         self.broker.listed(event)
 
-    def told_of(self, event: HostList) -> dict[str, object]:
+    def told_of(self, event: EndpointList) -> dict[str, object]:
         """A list or its changes in the words of the log; with it a run's logs tell how old each list was."""
         now = self.loop.now()
-        cold = [(e.host, (now - e.started_ns) // MS) for e in event.entries if now - e.started_ns < COLD_NS]
+        cold = [
+            (e.endpoint, (now - e.started_ns) // MS) for e in event.entries if now - e.started_ns < COLD_NS
+        ]
         return {
             "form": ListForm(event.form).name.lower(),
             "rev": event.version,
             "entries": len(event.entries),
-            "draining": sum(entry.state == HostState.DRAINING for entry in event.entries),
-            "gone": sum(entry.state == HostState.GONE for entry in event.entries),
-            "cold": ",".join(f"{host.decode('utf-8', 'replace')}@{age}" for host, age in cold),
+            "draining": sum(entry.state == EndpointState.DRAINING for entry in event.entries),
+            "removed": sum(entry.state == EndpointState.REMOVED for entry in event.entries),
+            "warming_up": ",".join(f"{endpoint.decode('utf-8', 'replace')}@{age}" for endpoint, age in cold),
         }
 
-    def census(self) -> dict[str, Held]:
+    def resource_usage(self) -> dict[str, ResourceUsage]:
         """Every container that lives as long as the program; docs/memory.md says the same bounds."""
-        connections = self.strangers.descriptors + MOST_OPEN
+        connections = self.connection_limiter.descriptors + MOST_OPEN
         return {
-            **self.loop.held(connections),
-            **self.broker.held(connections),
-            **self.gate.held(MOST_LISTED),
-            **self.strangers.held(connections),
-            **self.front.held(connections),
-            **self.channels.held(connections),
-            **self.door.held(),
-            **self.succession.held(),
+            **self.loop.resource_usage(connections),
+            **self.broker.resource_usage(connections),
+            **self.connector.resource_usage(MOST_LISTED),
+            **self.connection_limiter.resource_usage(connections),
+            **self.frontend.resource_usage(connections),
+            **self.channels.resource_usage(connections),
+            **self.admin_server.resource_usage(),
+            **self.succession.resource_usage(),
         }
 
-    def crowded(self, provider: bytes) -> bool:
-        return self.broker.bans.full() and not self.broker.bans.holds(provider)
+    def crowded(self, endpoint: bytes) -> bool:
+        return self.broker.administrative_drains.full() and not self.broker.administrative_drains.holds(
+            endpoint
+        )
 
     # ---- what operators ask -----------------------------------------------------------------
 
@@ -153,30 +159,32 @@
             return "replaced by another process"
         if self.succession.joining:
             return "taking over"
-        if not self.broker.bans.listed:
+        if not self.broker.administrative_drains.listed:
             return "waiting for the list of providers"
-        return "" if self.front.address is not None else "not listening"
+        return "" if self.frontend.address is not None else "not listening"
 
-    def set_out(self, provider: bytes, out: bool, done: Callable[[bool], None]) -> None:
-        known = self.broker.bans.knows(provider)
+    def set_out(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
+        known = self.broker.administrative_drains.knows(endpoint)
         if known:
-            self.succession.ban(provider, out, lambda: done(True))
+            self.succession.ban(endpoint, out, lambda: done(True))
         else:
             done(False)
 
     # ---- the process before or after this one -----------------------------------------------
 
-    def ban(self, provider: bytes, out: bool, done: Callable[[], None]) -> None:
-        known = self.broker.take_out(provider) if out else self.broker.call_back(provider)
-        log.note("provider-set", provider=provider.decode(errors="replace"), out=out, known=known)
+    def ban(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+        known = self.broker.take_out(endpoint) if out else self.broker.call_back(endpoint)
+        log.note(
+            "administrative-drain-changed", endpoint=endpoint.decode(errors="replace"), out=out, known=known
+        )
         self.module.settled(done)
 
     def state(self) -> tuple[dict[str, Any], list[int]]:
-        bans, gate = self.broker.bans, self.gate
+        administrative_drains, connector = self.broker.administrative_drains, self.connector
         targets = [
-            describe(entry, gate.endpoints[host], self.names)
-            for host, entry in bans.listed.items()
-            if host in gate.endpoints
+            describe(entry, connector.addresses[endpoint], self.names)
+            for endpoint, entry in administrative_drains.listed.items()
+            if endpoint in connector.addresses
         ]
         passing = {
             "channels": self.channels.acceptor.listener.fileno() if self.channels.acceptor else -1,
@@ -184,11 +192,11 @@
         }
         passing = {what: fd for what, fd in passing.items() if fd >= 0}
         state = {
-            "list": {"rev": self.directory.version, "all": True, "targets": targets},
-            "bans": bans.state(),
+            "list": {"rev": self.discovery.version, "all": True, "targets": targets},
+            "bans": administrative_drains.state(),
             "budgets": spent(self.own.contracts, self.names),
             "holdings": self.holdings(),
-            "memory": recall(self.broker.balancer, self.broker.gauge),
+            "memory": export_state(self.broker.balancer, self.broker.latency_estimator),
             "active": self.vrrp is not None and self.vrrp.router.state is State.ACTIVE,
             "passed": list(passing),
         }
@@ -198,7 +206,7 @@
         """Leave all that arrives to the new process and move what is here to it; or take it on again."""
         if self.departing and not back:
             return  # nobody will be here in a moment
-        self.front.pause(back)
+        self.frontend.pause(back)
         self.channels.pause(back)
         if self.departing:
             return  # and on its way as it is
@@ -211,24 +219,24 @@
 
     def holdings(self) -> dict[str, Any]:
         loads = {
-            provider.decode(): [(one.load, one.group) for one in held]
-            for provider, held in self.broker.loads().items()
+            endpoint.decode(): [(one.load, one.group) for one in held]
+            for endpoint, held in self.broker.loads().items()
         }
         return {"streams": self.loop.streams, "loads": loads, "moved": self.broker.moved}
 
     def holds_beside(self, holdings: Holdings) -> None:
-        self.strangers.beside = holdings.streams
-        self.broker.gauge.elsewhere = dict(holdings.loads)
+        self.connection_limiter.beside = holdings.streams
+        self.broker.latency_estimator.elsewhere = dict(holdings.loads)
         # It comes back here, and was this proxy's before.
-        for _ in range(min(holdings.moved - self.moved_beside, self.strangers.descriptors)):
-            self.broker.gauge.guest(False, self.loop.now())
+        for _ in range(min(holdings.moved - self.moved_beside, self.connection_limiter.descriptors)):
+            self.broker.latency_estimator.guest(False, self.loop.now())
         self.moved_beside = holdings.moved
         self.broker.balancer.elsewhere = sum(map(len, holdings.loads.values()))
 
     # ---- what happens to the program --------------------------------------------------------
 
     def elected(self, active: bool) -> None:
-        """The channels front listens only while active; its channels move once it no longer is."""
+        """The channels frontend listens only while active; its channels move once it no longer is."""
         if active and self.own.channels is not None:
             self.channels.listen(self.own.channels, self.passed.pop("channels", None))
         elif not active:
@@ -237,11 +245,11 @@
     def move_channels(self) -> None:
         self.channels.leave()
         mover = Mover(self.loop, self.broker, self.channels)
-        mover.start(mover.live())
+        mover.start(mover.run())
 
     def held(self) -> int:
         """Connections that are owed something: who says nothing must not keep a proxy that leaves."""
-        return len(self.front.consumers) + len(self.channels.sessions) - self.strangers.idle()
+        return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle()
 
     def heed_signals(self, reader: int) -> None:
         self.signals = reader
@@ -263,42 +271,44 @@
 
         Whatever is wrong with them, the program runs on with what it had.
         """
-        bound: list[tuple[Front, Acceptor]] = []
-        door: Acceptor | None = None
+        bound: list[tuple[Frontend, Acceptor]] = []
+        admin_server: Acceptor | None = None
         try:
             config, own = read_files(self.config, self.classes_in_use())
             if own.vrrp != self.own.vrrp:
                 raise ConfigError("a change of [vrrp] needs a restart")
-            if config.admin is not None and config.admin != self.door.address:
-                door = self.door.open(config.admin)
-            wanted = [(self.front, config.listen), (self.channels, own.channels)]
-            for front, address in () if self.front.leaving else wanted:
-                if front is self.front and self.given is not None:
+            if config.admin is not None and config.admin != self.admin_server.address:
+                admin_server = self.admin_server.open(config.admin)
+            wanted = [(self.frontend, config.listen), (self.channels, own.channels)]
+            for frontend, address in () if self.frontend.leaving else wanted:
+                if frontend is self.frontend and self.given is not None:
                     continue  # the platform's own: it is where it is
-                idle = front is self.channels and own.vrrp is not None and front.address is None
-                if address is not None and address != front.address and not idle:
-                    bound.append((front, Acceptor(self.loop, address, front.take)))
+                idle = frontend is self.channels and own.vrrp is not None and frontend.address is None
+                if address is not None and address != frontend.address and not idle:
+                    bound.append((frontend, Acceptor(self.loop, address, frontend.take)))
         except (ConfigError, OSError) as error:
-            for acceptor in [acceptor for _, acceptor in bound] + ([door] if door is not None else []):
+            for acceptor in [acceptor for _, acceptor in bound] + (
+                [admin_server] if admin_server is not None else []
+            ):
                 acceptor.close()
-            log.note("reload-refused", error=str(error))
+            log.note("configuration-rejected", error=str(error))
             return
-        for front, acceptor in bound:
-            front.follow(acceptor)
-        if door is not None or config.admin is None:
-            self.door.follow(door)
+        for frontend, acceptor in bound:
+            frontend.follow(acceptor)
+        if admin_server is not None or config.admin is None:
+            self.admin_server.follow(admin_server)
         if own.channels is None and self.channels.address is not None:
             self.move_channels()
         self.config, self.own = config, own
         dropped = self.names.follow(config.names)
         self.broker.configure(config.settings, own.contracts)
         self.loop.call_later(DROPPED_NS, lambda: self.names.forget(dropped, self.config.settings.numbers))
-        if config.known.event.version > self.directory.version:
+        if config.known.event.version > self.discovery.version:
             self.listed(config.known)
-        self.directory.relocate(config.directory, Pace.of(config.settings))
+        self.discovery.relocate(config.discovery, WatchTimeouts.of(config.settings))
         log.note(
-            "reloaded",
-            directory=f"{config.directory[0]}:{config.directory[1]}",
+            "configuration-reloaded",
+            discovery=f"{config.discovery[0]}:{config.discovery[1]}",
             classes=",".join(klass.name for klass in config.settings.offered),
             dropped=",".join(dropped),
         )
@@ -308,24 +318,26 @@
         """What was made of the settings, for staff to compare with what they meant."""
         settings = self.config.settings
         log.note(
-            "reckoned",
+            "settings-applied",
             proxies=settings.balancers,
-            far_weight=f"{settings.far_weight:.3f}",
+            cross_zone_weight=f"{settings.cross_zone_weight:.3f}",
             weights="sizes" if settings.weights_are_sizes else "no-sizes",
-            lists="asked-for" if settings.must_ask else "pushed",
-            probes=",".join(settings.report_columns) or "plain" if settings.may_probe else "none",
+            lists="asked-for" if settings.must_poll else "pushed",
+            health_checks=",".join(settings.report_columns) or "plain"
+            if settings.may_health_check
+            else "none",
             attempts=min(c.max_attempts for c in settings.offered),
-            aim_ms=min(c.aim_ns for c in settings.offered) // MS,
+            aim_ms=min(c.latency_objective_ns for c in settings.offered) // MS,
             cold_from=settings.cold_from,
             warm_ms=settings.warm_up_ns // MS,
         )
 
     def classes_in_use(self) -> set[int]:
-        """By open invocations, and by clients that have not heard of the last change."""
-        return {i.klass for i in self.broker.invocations.values()} | {*self.names.classes.values()}
+        """By open requests, and by clients that have not heard of the last change."""
+        return {i.klass for i in self.broker.requests.values()} | {*self.names.classes.values()}
 
     def depart(self, replaced: bool) -> None:
-        self.front.leaving = True
+        self.frontend.leaving = True
         if self.vrrp is not None and not replaced:
             self.vrrp.stop()
         self.departure = Departure(
@@ -333,14 +345,14 @@
             self.broker,
             self.stop_listening,
             self.held,
-            lambda: [each.stream for each in (*self.front.consumers, *self.channels.sessions)],
-            self.front.send_off,
+            lambda: [each.stream for each in (*self.frontend.clients, *self.channels.sessions)],
+            self.frontend.send_off,
             replaced,
         )
-        self.departure.start(self.departure.live())
+        self.departure.start(self.departure.run())
 
     def stop_listening(self) -> None:
-        self.front.close()
+        self.frontend.close()
         self.channels.leave()
 
 
@@ -372,7 +384,7 @@
         config, own = read_files()
         given = inherited_listener()
         place = Place(config.name) if given is not None else None
-        program = Program(config, own, given, place, meet(place) if place is not None else None)
+        program = Proxy(config, own, given, place, meet(place) if place is not None else None)
     except ConfigError as error:
         print(f"linnetshift: {error}", file=sys.stderr)
         return 2
@@ -381,7 +393,7 @@
         return 2
     program.heed_signals(signals)
     log.note(
-        "started",
+        "process-started",
         name=config.name,
         listen=f"{config.listen[0]}:{config.listen[1]}",
         start_ms=int(time.process_time() * 1000),
--- a/linnetshift/contracts.py
+++ b/linnetshift/contracts.py
@@ -66,7 +66,7 @@
         self.teams = dict(teams or {})
 
     def admit(self, team: int, service: int, flags: int, now: int) -> Breach | None:
-        """None, or the limit that this invocation would break; what is admitted is released later."""
+        """None, or the limit that this request would break; what is admitted is released later."""
         if not self.teams:
             return None
         contract = self.teams.get(team)
--- a/linnetshift/coordination/groups.py
+++ b/linnetshift/coordination/groups.py
@@ -1,8 +1,8 @@
 """How large groups are, as one of many nodes can tell from the clients that come to it.
 
-Every host that holds any of a group pays for it. Where crossing zones has a price, a group has a place in
-each zone. With few large groups that spreads what no host could bear alone; with many small ones each host
-holds some of several, and the places weigh more than the connections that stand there.
+Every endpoint that holds any of a group pays for it. Where crossing zones has a price, a group has a place in
+each zone. With few large groups that spreads what no endpoint could bear alone; with many small ones each
+endpoint holds some of several, and the places weigh more than the connections that stand there.
 """
 
 from __future__ import annotations
@@ -41,9 +41,10 @@
         return (self.alike + PRIOR_ALIKE) / (pairs + PRIOR_PAIRS)
 
     def worth_places(self, zones: Collection[int]) -> float:
-        """From 1, where there are hosts for a place of each group in each zone, down to 0, where far too few.
+        """From 1, where there are endpoints for a place of each group in each zone, down to 0, where far too
+        few.
 
-        `zones` are those of the hosts.
+        `zones` are those of the endpoints.
         So many groups as would be, were all alike: one over the chance that two clients are of one.
         """
         return min(1.0, len(zones) * self.likeness() / len(set(zones))) if self.met and zones else 1.0
--- a/linnetshift/coordination/load_shedding.py
+++ b/linnetshift/coordination/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: which share of the keys a node admits while most of its hosts miss their aims.
+"""Load shedding: which share of the keys a node admits while most of its endpoints miss their aims.
 
 Which keys those are is a matter of the key, so nodes shed the same groups, and a client that returns meets
 the same answer wherever it comes.
@@ -10,8 +10,8 @@
 
 from linnetshift.coordination.rendezvous import MASK, mix64
 
-# Once a second, while messages are late at more than the first share of the hosts, fewer keys are admitted;
-# under the second share, slowly more.
+# Once a second, while messages are late at more than the first share of the endpoints, fewer keys are
+# admitted; under the second share, slowly more.
 SHED_OVER, ADMIT_UNDER, SHED_STEP, ADMIT_STEP, ADMIT_LEAST = 0.4, 0.15, 0.35, 0.05, 0.2
 EVERY_NS = 1_000_000_000
 SALT = 0x9E3779B97F4A7C15  # splitmix64's increment: a draw per key that is independent of its ranking
@@ -21,17 +21,17 @@
 class LoadShedding:
     admit: float = 1.0  # the share of the keys
     at: int = 0
-    jammed: bool = False  # messages are late at most hosts: moves would only carry the jam about
+    jammed: bool = False  # messages are late at most endpoints: moves would only carry the jam about
 
     def due(self, now: int) -> bool:
         return now - self.at >= EVERY_NS
 
-    def review(self, now: int, late: int, hosts: int) -> None:
+    def review(self, now: int, late: int, endpoints: int) -> None:
         self.at = now
-        self.jammed = late > max(1.0, SHED_OVER * hosts)  # one alone can be left for the others
+        self.jammed = late > max(1.0, SHED_OVER * endpoints)  # one alone can be left for the others
         if self.jammed:
             self.admit = max(self.admit * (1.0 - SHED_STEP), ADMIT_LEAST)
-        elif late <= ADMIT_UNDER * hosts:
+        elif late <= ADMIT_UNDER * endpoints:
             self.admit = min(self.admit + ADMIT_STEP, 1.0)
 
     def admits(self, key_hash: int) -> bool:
--- a/linnetshift/coordination/rendezvous.py
+++ b/linnetshift/coordination/rendezvous.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous hashing: one key's cost at each of many hosts, the same at every node."""
+"""Weighted rendezvous hashing: one key's cost at each of many endpoints, the same at every node."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     return x ^ (x >> 31)
 
 
-def host_hash(host: bytes) -> int:
-    return int.from_bytes(blake2b(host, digest_size=8).digest(), "big")
+def endpoint_hash(endpoint: bytes) -> int:
+    return int.from_bytes(blake2b(endpoint, digest_size=8).digest(), "big")
 
 
 def costs(key_hash: int, hashes: npt.NDArray[np.uint64]) -> npt.NDArray[np.float64]:
-    """-log(h) for one key at each host, h strictly inside (0, 1): top 52 bits plus a half."""
+    """-log(h) for one key at each endpoint, h strictly inside (0, 1): top 52 bits plus a half."""
     x = hashes ^ np.uint64((key_hash * 3) & MASK)
     x ^= x >> S30
     x *= NP_MIX_A
@@ -37,6 +37,6 @@
 
 
 def in_order(key_hash: int, hashes: npt.NDArray[np.uint64], reciprocal: npt.NDArray[np.float64]) -> list[int]:
-    """Hosts by their scores for a key, best first; a stable sort, so the order given settles ties."""
+    """Endpoints by their scores for a key, best first; a stable sort, so the order given settles ties."""
     order: list[int] = np.argsort(costs(key_hash, hashes) * reciprocal, kind="stable").tolist()
     return order
--- a/linnetshift/coordination/returns.py
+++ b/linnetshift/coordination/returns.py
@@ -2,8 +2,8 @@
 
 A client that comes back says that its connection broke or was moved, and not which. All nodes together see
 as many drops as returns that come of them, so a node's own drops beside the returns that it meets tell how
-likely each was dropped. Then the host that its key comes to first may be the one that dropped it, and would
-again.
+likely each was dropped. Then the endpoint that its key comes to first may be the one that dropped it, and
+would again.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
         self.drops, self.returns, self.at = self.drops * left, self.returns * left, now
 
     def dropped(self, now: int) -> None:
-        """A connection that stood was reset by its host."""
+        """A connection that stood was reset by its endpoint."""
         self._fade(now)
         self.drops += 1.0
 
--- a/linnetshift/coordination/slow_start.py
+++ b/linnetshift/coordination/slow_start.py
@@ -1,10 +1,11 @@
-"""Slow start of cold hosts: how many requests all nodes together may place there, shared without a word.
-
-A fleet's budget at a cold host over its number of nodes is far less than one connection in the time that the
-budget is counted over: nodes that each saved up for a whole one had it when no request came, and cold hosts
-stood idle beside jammed ones. So a node's budget is counted in requests that *may* go to a cold host, and
-which of those does is a draw by the host's share of the whole fleet. That part of the traffic which goes to a
-host is then the same at every node, however uneven their traffic, and the sums are bounded by the nodes' sum.
+"""Slow start of cold endpoints: how many requests all nodes together may place there, shared without a word.
+
+A fleet's budget at a cold endpoint over its number of nodes is far less than one connection in the time that
+the budget is counted over: nodes that each saved up for a whole one had it when no request came, and cold
+endpoints stood idle beside jammed ones. So a node's budget is counted in requests that *may* go to a cold
+endpoint, and which of those does is a draw by the endpoint's share of the whole fleet. That part of the
+traffic which goes to a endpoint is then the same at every node, however uneven their traffic, and the sums
+are bounded by the nodes' sum.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 # Share of rule 4's budget for placements; the rest is for chance and heavy connections.
 SAFETY = 0.5
-# Hosts stand about so full where no load is told: a fleet nearer its sum would fail at any fault.
+# Endpoints stand about so full where no load is told: a fleet nearer its sum would fail at any fault.
 LOADED = 0.7
 # What may be saved up, in the time that rule 4 counts over: a wave may find all nodes with that much at hand.
 SAVED = 1.0
@@ -44,11 +45,11 @@
 
 @dataclass(slots=True)
 class SlowStart:
-    """A node's part of what cold hosts bear."""
+    """A node's part of what cold endpoints bear."""
 
     bucket: TokenBucket = field(default_factory=TokenBucket)
     rate: float = 0.0  # requests a second that may be drawn for
-    shares: dict[bytes, float] = field(default_factory=dict)  # of these, by cold host
+    shares: dict[bytes, float] = field(default_factory=dict)  # of these, by cold endpoint
     fresh: float = 0.0  # connections a second that came to stand, as first arrivals
     fresh_at: int = 0
 
@@ -60,7 +61,7 @@
         return self.fresh * max(0.0, 1.0 - (now - self.fresh_at) / RATE_NS)
 
     def draw(self, now: int, window_ns: int, random: Callable[[], float]) -> bytes | None:
-        """The cold host that one more request goes to, if any."""
+        """The cold endpoint that one more request goes to, if any."""
         if not self.shares:
             self.bucket = TokenBucket(at=now)  # nothing is saved up for when the first one starts
             return None
@@ -68,32 +69,35 @@
         if not self.bucket.take(random()):
             return None
         at = random()
-        for host, part in self.shares.items():
+        for endpoint, part in self.shares.items():
             at -= part
             if at < 0.0:
-                return host
+                return endpoint
         return None
 
-    def wait_ns(self, hosts: Collection[bytes], ahead: int) -> float:
+    def wait_ns(self, endpoints: Collection[bytes], ahead: int) -> float:
         """How long until one more than those `ahead` is drawn for one of these."""
-        rate = self.rate * sum(self.shares.get(host, 0.0) for host in hosts)
+        rate = self.rate * sum(self.shares.get(endpoint, 0.0) for endpoint in endpoints)
         owed = max(0.0, ahead + 1 - self.bucket.level)
         return owed / rate * 1e9 if rate > 0.0 else math.inf
 
 
-def pace(settings: Settings, fresh: float, standing: int, told: float, hosts: int) -> float:
-    """How many requests a second one node may draw for cold hosts.
+def pace(settings: Settings, fresh: float, standing: int, told: float, endpoints: int) -> float:
+    """How many requests a second one node may draw for cold endpoints.
 
-    What fills the fleet, over the warm-up, fills a cold host in that time. A node's part is `told`, by the
-    loads that it was told, else by what stands through it; `fresh`, its first arrivals a second, may be more.
-    Where nothing is known yet, as if all nodes sent each host one in the time that rule 4 counts over.
+    What fills the fleet, over the warm-up, fills a cold endpoint in that time. A node's part is `told`, by
+    the loads that it was told, else by what stands through it; `fresh`, its first arrivals a second, may be
+    more. Where nothing is known yet, as if all nodes sent each endpoint one in the time that rule 4 counts
+    over.
     """
     fill = (max(standing, told) if told else standing / LOADED) * 1e9 / settings.warm_up_ns
-    least = hosts * 1e9 / (settings.tip_after_ns or settings.warm_up_ns) / settings.balancers
+    least = endpoints * 1e9 / (settings.tip_after_ns or settings.warm_up_ns) / settings.balancers
     return SAFETY * max(max(fresh, fill) * settings.fall_multiple, least)
 
 
 def warmth(settings: Settings, started: int, now: int) -> float:
-    """The share of its capacity that a host which started then surely has by now; 0: it has long been up."""
+    """The share of its capacity that an endpoint which started then surely has by now; 0: it has long been
+    up.
+    """
     age = (now - started) / settings.warm_up_ns if started else 1.0
     return 1.0 if age >= 1.0 else settings.cold_from + (1.0 - settings.cold_from) * max(age, 0.0)
--- a/linnetshift/coordination/window.py
+++ b/linnetshift/coordination/window.py
@@ -21,15 +21,15 @@
     def jammed(self) -> bool:
         return self.failing >= JAMMED
 
-    def count(self, now: int, aim_ns: int, elapsed_ns: int, failed: bool, most: float) -> None:
-        """One set-up ended. Slow everywhere (a shared store past its rate) is not cured by another host.
+    def count(self, now: int, latency_objective_ns: int, elapsed_ns: int, failed: bool, most: float) -> None:
+        """One set-up ended. Slow everywhere (a shared store past its rate) is not cured by another endpoint.
 
         Without a window, returning clients and retries queue up behind work that nobody waits for.
         """
-        slow = failed or elapsed_ns > aim_ns
+        slow = failed or elapsed_ns > latency_objective_ns
         self.failing += MEMORY * (slow - self.failing)
-        if slow and self.failing > JAMMED and now >= self.cut_at + aim_ns:
+        if slow and self.failing > JAMMED and now >= self.cut_at + latency_objective_ns:
             self.size, self.cut_at = max(self.size * CUT, LEAST), now
-        elif not slow and elapsed_ns < aim_ns // 2:
+        elif not slow and elapsed_ns < latency_objective_ns // 2:
             self.size += 1.0 / self.size if self.failing > JAMMED / 2 else 1.0
             self.size = min(self.size, most)
--- a/linnetshift/core/broker.py
+++ b/linnetshift/core/broker.py
@@ -1,6 +1,6 @@
 """Requests, attempts and outcomes: what happens goes to the decision module, what it says is done.
 
-The broker knows no wire and no socket. Fronts hand it invocations; providers tell it what became of
+The broker knows no wire and no socket. Fronts hand it requests; endpoints tell it what became of
 attempts. Everything that comes in waits in one inbox and is decided in one `step`.
 """
 
@@ -12,19 +12,19 @@
 
 from linnetshift import interface as api
 from linnetshift.contracts import Contracts
-from linnetshift.core.bans import MOST_KNOWN, MOST_OUT, Bans
-from linnetshift.core.census import Held
-from linnetshift.core.gauge import MessageGauge, Standing
-from linnetshift.core.invocation import Attempt, Consumer, Invocation, Link
-from linnetshift.core.learned import Learned
-from linnetshift.core.ports import Directory, Providers, Timers
+from linnetshift.core.bans import MOST_KNOWN, MOST_OUT, AdministrativeDrains
+from linnetshift.core.census import ResourceUsage
+from linnetshift.core.gauge import LatencyEstimator, Standing
+from linnetshift.core.invocation import ActiveRequest, Attempt, Client, UpstreamConnection
+from linnetshift.core.learned import DeploymentFacts
+from linnetshift.core.ports import Connector, Discovery, Timers
 from linnetshift.interface import ListForm, Outcome
 from linnetshift.policy import Balancer
 
 # A connection that brings nothing back must be ended or moved within 7 s.
 STALLED_NS = 4_000_000_000
-# A sound provider answers a line at once, a jammed one too: one that owes an answer for so long, and from
-# which nothing has come on any connection since, has vanished, and all of its consumers are moved.
+# A sound endpoint answers a line at once, a jammed one too: one that owes an answer for so long, and from
+# which nothing has come on any connection since, has vanished, and all of its clients are moved.
 SILENT_NS = 400_000_000
 # The module's own answer comes by the deadline; this long after it the broker answers in its place.
 OVERDUE_NS = 8_000_000
@@ -40,32 +40,32 @@
         seed: int,
         clock: Callable[[], int],
         timers: Timers,
-        directory: Directory,
-        providers: Providers,
+        discovery: Discovery,
+        connector: Connector,
         contracts: Contracts,
     ) -> None:
         self.settings, self.contracts = settings, contracts
         self.balancer = Balancer(settings, seed)
-        self.clock, self.timers, self.directory, self.providers = clock, timers, directory, providers
+        self.clock, self.timers, self.discovery, self.connector = clock, timers, discovery, connector
         self.started = clock()
         self.inbox: list[api.Event] = []
-        self.invocations: dict[int, Invocation] = {}
+        self.requests: dict[int, ActiveRequest] = {}
         self.ids = count(1)
         self.zones: dict[bytes, int] = {}
         self.starts: dict[bytes, int] = {}
-        self.gauge = MessageGauge()
-        self.learned = Learned()
-        self.moved = 0  # consumers told to move, ever
-        self.bans = Bans(clock)
+        self.latency_estimator = LatencyEstimator()
+        self.deployment_facts = DeploymentFacts()
+        self.moved = 0  # clients told to move, ever
+        self.administrative_drains = AdministrativeDrains(clock)
         self.configure(settings, contracts)
 
     def configure(self, settings: api.Settings, contracts: Contracts) -> None:
         """Also while running: what is known and under way stays."""
         self.settings = settings
         self.balancer.configure(settings)
-        aim = min(c.message_aim_ns for c in settings.offered)
-        self.gauge.configure(aim, settings.balancers, settings.weights_are_sizes)
-        contracts.follow(self.contracts, Counter(i.tenant for i in self.invocations.values()))
+        aim = min(c.message_latency_objective_ns for c in settings.offered)
+        self.latency_estimator.configure(aim, settings.balancers, settings.weights_are_sizes)
+        contracts.follow(self.contracts, Counter(i.tenant for i in self.requests.values()))
         self.contracts = contracts
 
     def post(self, event: api.Event) -> None:
@@ -77,31 +77,31 @@
         events, self.inbox = self.inbox, []
         if not events:
             return
-        # News of hosts goes first: what came in the same turn is not to be placed by an older list.
-        events.sort(key=lambda event: type(event) is not api.HostList)
+        # News of endpoints goes first: what came in the same turn is not to be placed by an older list.
+        events.sort(key=lambda event: type(event) is not api.EndpointList)
         for action in self.balancer.step(self.clock(), events):
             self.perform(action)
 
     def perform(self, action: api.Action) -> None:
         match action:
-            case api.Send(request, host, timeout_ns):
-                self.send(request, host, timeout_ns)
-            case api.Refuse(request, retry_after_ns):
-                self.reject(request, retry_after_ns)
-            case api.Fail(request):
-                self.fail(request)
-            case api.Move(request):
-                self.move(request, "moved")
-            case api.Cancel(request, number):
-                self.cancel(request, number)
+            case api.Send(request_id, endpoint, timeout_ns):
+                self.send(request_id, endpoint, timeout_ns)
+            case api.Reject(request_id, retry_after_ns):
+                self.reject(request_id, retry_after_ns)
+            case api.Fail(request_id):
+                self.fail(request_id)
+            case api.Migrate(request_id):
+                self.move(request_id, "migrated")
+            case api.Cancel(request_id, number):
+                self.cancel(request_id, number)
             case api.SetTimer(delay_ns, token):
                 self.timers.wake(delay_ns, token)
             case api.Watch(on):
-                self.directory.watch(on)
+                self.discovery.watch(on)
             case api.FetchList():
-                self.directory.fetch()
-            case api.Probe(host):
-                self.providers.probe(host)
+                self.discovery.fetch()
+            case api.HealthCheck(endpoint):
+                self.connector.check_health(endpoint)
             case _:
                 pass  # there are no peers to tell, and the module's log lines are the bench's
 
@@ -110,201 +110,209 @@
     def timer_fired(self, token: int) -> None:
         self.post(api.TimerFired(token))
 
-    def listed(self, event: api.HostList) -> None:
-        self.told(self.bans.lay_over(event))
-        for name in self.bans.trim():
-            self.gauge.forget(name)
+    def listed(self, event: api.EndpointList) -> None:
+        self.told(self.administrative_drains.lay_over(event))
+        for name in self.administrative_drains.trim():
+            self.latency_estimator.forget(name)
             self.zones.pop(name, None)
             self.starts.pop(name, None)
 
-    def take_out(self, provider: bytes) -> bool:
+    def take_out(self, endpoint: bytes) -> bool:
         """Send nothing new there until it is called back; whether it was ever listed and is out now."""
-        if self.bans.full() and not self.bans.holds(provider):
+        if self.administrative_drains.full() and not self.administrative_drains.holds(endpoint):
             return False
-        if self.bans.knows(provider) and not self.bans.holds(provider):
-            self.bans.take_out(provider)
-            self.told(self.bans.change(provider))
-        return self.bans.knows(provider)
+        if self.administrative_drains.knows(endpoint) and not self.administrative_drains.holds(endpoint):
+            self.administrative_drains.take_out(endpoint)
+            self.told(self.administrative_drains.change(endpoint))
+        return self.administrative_drains.knows(endpoint)
 
-    def call_back(self, provider: bytes) -> bool:
+    def call_back(self, endpoint: bytes) -> bool:
         """Use it again at once; whether it was ever listed."""
-        if self.bans.holds(provider):
-            self.bans.call_back(provider)
-            self.told(self.bans.change(provider))
-        return self.bans.knows(provider)
+        if self.administrative_drains.holds(endpoint):
+            self.administrative_drains.call_back(endpoint)
+            self.told(self.administrative_drains.change(endpoint))
+        return self.administrative_drains.knows(endpoint)
 
-    def told(self, event: api.HostList) -> None:
+    def told(self, event: api.EndpointList) -> None:
         if event.form in (ListForm.FULL, ListForm.CACHED):
-            self.zones, self.gauge.weights = {}, {}
-            named = {entry.host for entry in event.entries}
-            self.starts = {host: at for host, at in self.starts.items() if host in named}
+            self.zones, self.latency_estimator.weights = {}, {}
+            named = {entry.endpoint for entry in event.entries}
+            self.starts = {endpoint: at for endpoint, at in self.starts.items() if endpoint in named}
         for entry in event.entries:
-            if self.starts.get(entry.host, entry.started_ns) != entry.started_ns:
-                self.gauge.restarted(entry.host)
-            self.starts[entry.host] = entry.started_ns
-            self.zones[entry.host] = entry.zone
+            if self.starts.get(entry.endpoint, entry.started_ns) != entry.started_ns:
+                self.latency_estimator.restarted(entry.endpoint)
+            self.starts[entry.endpoint] = entry.started_ns
+            self.zones[entry.endpoint] = entry.zone
             if entry.weight > 0.0:
-                self.gauge.weights[entry.host] = entry.weight
-        self.learned.listed(event.entries, event.form in (ListForm.FULL, ListForm.CACHED), self.clock())
+                self.latency_estimator.weights[entry.endpoint] = entry.weight
+        self.deployment_facts.listed(
+            event.entries, event.form in (ListForm.FULL, ListForm.CACHED), self.clock()
+        )
         self.post(event)
 
-    def probed(self, provider: bytes, outcome: Outcome, elapsed_ns: int, report: tuple[float, ...]) -> None:
+    def health_checked(
+        self, endpoint: bytes, outcome: Outcome, elapsed_ns: int, report: tuple[float, ...]
+    ) -> None:
         if outcome == Outcome.OK and self.settings.report_columns:
-            self.learned.reported(bool(report))
-        self.post(api.ProbeResult(provider, outcome, elapsed_ns, report))
+            self.deployment_facts.reported(bool(report))
+        self.post(api.HealthCheckResult(endpoint, outcome, elapsed_ns, report))
 
-    def invoke(self, invocation: Invocation) -> None:
+    def submit(self, request: ActiveRequest) -> None:
         """One final answer is owed from here on."""
-        invocation.id, invocation.began = next(self.ids), self.clock()
-        breach = self.contracts.admit(invocation.tenant, invocation.klass, invocation.flags, invocation.began)
+        request.id, request.began = next(self.ids), self.clock()
+        breach = self.contracts.admit(request.tenant, request.klass, request.flags, request.began)
         if breach is not None:
-            invocation.release().reject(breach.wait_ns, breach.limit)
+            request.release().reject(breach.wait_ns, breach.limit)
             return
-        self.invocations[invocation.id] = invocation
-        if invocation.adopt and invocation.began - self.started > ADOPT_NS:
-            # Whoever still names a provider would choose it past the module, a draining one too.
-            self.fail(invocation.id)
+        self.requests[request.id] = request
+        if request.adopt and request.began - self.started > ADOPT_NS:
+            # Whoever still names an endpoint would choose it past the module, a draining one too.
+            self.fail(request.id)
             return
-        if invocation.adopt:
-            self.adopt(invocation)
+        if request.adopt:
+            self.adopt(request)
             return
-        left = max(1, invocation.deadline - invocation.began)
-        number = invocation.id  # the invocation itself would be held until then, answered or not
-        invocation.overdue = self.timers.later(left + OVERDUE_NS, lambda: self.overdue(number))
+        left = max(1, request.deadline - request.began)
+        number = request.id  # the request itself would be held until then, answered or not
+        request.overdue = self.timers.later(left + OVERDUE_NS, lambda: self.overdue(number))
         self.post(
             api.Request(
-                invocation.id,
-                invocation.klass,
-                invocation.group,
-                invocation.key,
-                invocation.hint,
-                invocation.flags,
-                invocation.tenant,
+                request.id,
+                request.klass,
+                request.group,
+                request.key,
+                request.hint,
+                request.flags,
+                request.tenant,
                 left,
             )
         )
 
-    def overdue(self, request: int) -> None:
-        """Whatever keeps the module from it, an answer is owed before the consumer gives up."""
-        if (consumer := self.answer(request)) is not None:
-            self.post(api.Withdrawn(request))
-            consumer.fail()
+    def overdue(self, request_id: int) -> None:
+        """Whatever keeps the module from it, an answer is owed before the client gives up."""
+        if (client := self.answer(request_id)) is not None:
+            self.post(api.Withdrawn(request_id))
+            client.fail()
 
     def up(self, attempt: Attempt, receipt: memoryview) -> None:
-        """The provider serves: the final answer, and the start of the standing connection."""
-        invocation, now = attempt.invocation, self.clock()
+        """The endpoint serves: the final answer, and the start of the standing connection."""
+        request, now = attempt.request, self.clock()
         attempt.standing = True
-        invocation.settle()
-        if invocation.flags & api.RETURNED:
-            self.gauge.guest(True, now)
-        if invocation.adopt:
+        request.settle()
+        if request.flags & api.RETURNED:
+            self.latency_estimator.guest(True, now)
+        if request.adopt:
             self.post(
                 api.Adopted(
-                    invocation.id,
-                    invocation.klass,
-                    invocation.group,
-                    invocation.key,
-                    invocation.hint,
-                    invocation.flags,
-                    invocation.tenant,
-                    attempt.provider,
+                    request.id,
+                    request.klass,
+                    request.group,
+                    request.key,
+                    request.hint,
+                    request.flags,
+                    request.tenant,
+                    attempt.endpoint,
                 )
             )
         else:
-            self.post(api.Established(invocation.id, attempt.number, attempt.provider, now - attempt.began))
-        invocation.consumer.up(receipt)
+            self.post(api.Established(request.id, attempt.number, attempt.endpoint, now - attempt.began))
+        request.client.up(receipt)
 
     def ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
         """The link is closed: before the connection stood the module may try again, afterwards it is over."""
-        invocation = attempt.invocation
-        if invocation.out is not attempt:
+        request = attempt.request
+        if request.out is not attempt:
             return
-        invocation.part()
+        request.part()
         if outcome not in api.NEVER_RAN:
-            invocation.ran_at = invocation.ran_at or attempt.began
-        if attempt.standing or invocation.answered:
-            consumer = self.forget(invocation)
+            request.ran_at = request.ran_at or attempt.began
+        if attempt.standing or request.answered:
+            client = self.forget(request)
             if attempt.standing:
-                if outcome == Outcome.RESET and self.bans.knows(attempt.provider):
-                    self.gauge.dropped(attempt.provider, self.clock())
+                if outcome == Outcome.RESET and self.administrative_drains.knows(attempt.endpoint):
+                    self.latency_estimator.dropped(attempt.endpoint, self.clock())
                 if outcome != Outcome.OK:
-                    self.gauge.guest(False, self.clock())
+                    self.latency_estimator.guest(False, self.clock())
                 if outcome == Outcome.CANCELLED:
-                    self.learned.sent_away()
-                consumer.provider_ended(outcome, reset)
-        elif invocation.adopt:
-            self.adopt_again(invocation, outcome)
+                    self.deployment_facts.sent_away()
+                client.endpoint_ended(outcome, reset)
+        elif request.adopt:
+            self.adopt_again(request, outcome)
             return
         self.tell_ended(attempt, outcome)
 
-    def adopt_again(self, invocation: Invocation, outcome: Outcome) -> None:
-        """Only one provider will do: while it cannot be reached, it is asked again."""
-        if outcome not in api.NEVER_RAN or self.clock() + ADOPT_AGAIN_NS >= invocation.deadline:
-            self.fail(invocation.id)
+    def adopt_again(self, request: ActiveRequest, outcome: Outcome) -> None:
+        """Only one endpoint will do: while it cannot be reached, it is asked again."""
+        if outcome not in api.NEVER_RAN or self.clock() + ADOPT_AGAIN_NS >= request.deadline:
+            self.fail(request.id)
             return
-        invocation.overdue = self.timers.later(ADOPT_AGAIN_NS, lambda: self.adopt(invocation))
+        request.overdue = self.timers.later(ADOPT_AGAIN_NS, lambda: self.adopt(request))
 
-    def adopt(self, invocation: Invocation) -> None:
-        if self.bans.holds(invocation.adopt):  # this goes past the module, which would not send there
-            self.fail(invocation.id)
-        elif not invocation.answered:
-            self.open(invocation, invocation.adopt, invocation.deadline)
+    def adopt(self, request: ActiveRequest) -> None:
+        if self.administrative_drains.holds(
+            request.adopt
+        ):  # this goes past the module, which would not send there
+            self.fail(request.id)
+        elif not request.answered:
+            self.open(request, request.adopt, request.deadline)
 
     def tell_ended(self, attempt: Attempt, outcome: int) -> None:
         elapsed = self.clock() - attempt.began
-        invocation = attempt.invocation
+        request = attempt.request
         self.post(
             api.AttemptEnded(
-                invocation.id, attempt.number, attempt.provider, invocation.answered, elapsed, outcome, ()
+                request.id, attempt.number, attempt.endpoint, request.answered, elapsed, outcome, ()
             )
         )
 
-    def consumer_ended(self, invocation: Invocation, reset: bool) -> None:
-        """The consumer left, or has been sent away."""
-        if invocation.id not in self.invocations:
+    def client_ended(self, request: ActiveRequest, reset: bool) -> None:
+        """The client left, or has been sent away."""
+        if request.id not in self.requests:
             return
-        attempt, waiting = invocation.out, not invocation.answered
-        link = invocation.part()
-        self.forget(invocation)
-        if waiting and not invocation.adopt:
-            self.post(api.Withdrawn(invocation.id))
+        attempt, waiting = request.out, not request.answered
+        link = request.part()
+        self.forget(request)
+        if waiting and not request.adopt:
+            self.post(api.Withdrawn(request.id))
         if attempt is None:
             return
         if link is not None:
             if attempt.standing:
-                link.consumer_ended(reset)
+                link.client_ended(reset)
             else:
                 link.abandon()
-        if attempt.standing or not invocation.adopt:
+        if attempt.standing or not request.adopt:
             self.tell_ended(attempt, attempt.verdict)
 
     def answered_in(self, attempt: Attempt, elapsed_ns: int) -> None:
-        """A provider's reply to a consumer's message came after so long."""
-        if not self.bans.knows(attempt.provider):
+        """An endpoint's reply to a client's message came after so long."""
+        if not self.administrative_drains.knows(attempt.endpoint):
             return  # trimmed: nothing is kept under its name any more
-        zone = self.zones.get(attempt.provider)
+        zone = self.zones.get(attempt.endpoint)
         far = zone if zone != self.settings.zone else None
-        self.gauge.answered(attempt.provider, far, elapsed_ns, self.clock())
+        self.latency_estimator.answered(attempt.endpoint, far, elapsed_ns, self.clock())
 
     def load_told(self, attempt: Attempt, load: float) -> None:
-        """The connection's load, or the time that messages take at the provider: the figure tells which."""
-        provider = attempt.provider
-        if not self.bans.knows(provider):
+        """The connection's load, or the time that messages take at the endpoint: the figure tells which."""
+        endpoint = attempt.endpoint
+        if not self.administrative_drains.knows(endpoint):
             return  # trimmed: nothing is kept under its name any more
-        if self.settings.tells_delay and self.gauge.tells_time(provider, load, self.clock()):
-            self.learned.found("message-times", "told")
+        if self.settings.reports_message_time and self.latency_estimator.tells_time(
+            endpoint, load, self.clock()
+        ):
+            self.deployment_facts.found("message-times", "told")
             self.note(attempt, api.SLOW_NOTE, load)
             return
         attempt.load = load
         self.note(attempt, api.LOAD_NOTE, load)
 
-    def linked(self) -> dict[bytes, list[tuple[Attempt, Link]]]:
-        """What stands, by provider."""
-        held: dict[bytes, list[tuple[Attempt, Link]]] = {}
-        for invocation in self.standing():
-            attempt = invocation.out
+    def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
+        """What stands, by endpoint."""
+        held: dict[bytes, list[tuple[Attempt, UpstreamConnection]]] = {}
+        for request in self.standing():
+            attempt = request.out
             if attempt is not None and attempt.link is not None:
-                held.setdefault(attempt.provider, []).append((attempt, attempt.link))
+                held.setdefault(attempt.endpoint, []).append((attempt, attempt.link))
         return held
 
     def review_silence(self) -> None:
@@ -316,153 +324,155 @@
             for attempt, link in held:
                 if attempt.verdict == Outcome.CANCELLED and (vanished or link.waiting_ns() > STALLED_NS):
                     attempt.verdict = Outcome.RESET
-                    self.move(attempt.invocation.id, "silent")
+                    self.move(attempt.request.id, "unresponsive")
 
     def review_messages(self) -> None:
-        """Once a second: note the providers whose messages are slow, each on one connection."""
+        """Once a second: note the endpoints whose messages are slow, each on one connection."""
         linked = self.linked()
-        self.learned.review(linked.keys(), self.clock())
-        if self.settings.tells_delay:
-            first = {provider: held[0][0] for provider, held in linked.items()}
-            for provider, ms in self.gauge.review(self.loads(), self.clock()):
-                self.note(first[provider], api.SLOW_NOTE, ms)
+        self.deployment_facts.review(linked.keys(), self.clock())
+        if self.settings.reports_message_time:
+            first = {endpoint: held[0][0] for endpoint, held in linked.items()}
+            for endpoint, ms in self.latency_estimator.review(self.loads(), self.clock()):
+                self.note(first[endpoint], api.SLOW_NOTE, ms)
 
     def loads(self) -> dict[bytes, list[Standing]]:
-        """What stands asks of each provider."""
+        """What stands asks of each endpoint."""
         return {
-            provider: [
-                Standing(attempt.load, attempt.invocation.group, link.waiting_ns()) for attempt, link in held
+            endpoint: [
+                Standing(attempt.load, attempt.request.group, link.waiting_ns()) for attempt, link in held
             ]
-            for provider, held in self.linked().items()
+            for endpoint, held in self.linked().items()
         }
 
     def note(self, attempt: Attempt, kind: int, value: float) -> None:
-        self.post(api.Note(attempt.invocation.id, attempt.number, attempt.provider, kind, value))
+        self.post(api.Note(attempt.request.id, attempt.number, attempt.endpoint, kind, value))
 
     # ---- what the module says ---------------------------------------------------------------
 
-    def send(self, request: int, provider: bytes, timeout_ns: int) -> None:
-        invocation = self.invocations.get(request)
-        if invocation is None or invocation.answered or invocation.out is not None:
+    def send(self, request_id: int, endpoint: bytes, timeout_ns: int) -> None:
+        request = self.requests.get(request_id)
+        if request is None or request.answered or request.out is not None:
             # Withdrawn in the meantime. Two attempts of one request must never be out together.
-            number = 0 if invocation is None else invocation.attempts
-            self.post(api.AttemptEnded(request, number, provider, True, 0, Outcome.MOOT, ()))
+            number = 0 if request is None else request.attempts
+            self.post(api.AttemptEnded(request_id, number, endpoint, True, 0, Outcome.MOOT, ()))
             return
-        if not invocation.consumer.present:  # its end is about to be read
-            self.post(api.AttemptEnded(request, invocation.attempts, provider, True, 0, Outcome.MOOT, ()))
+        if not request.client.present:  # its end is about to be read
+            self.post(api.AttemptEnded(request_id, request.attempts, endpoint, True, 0, Outcome.MOOT, ()))
             return
-        left = invocation.deadline - self.clock()
+        left = request.deadline - self.clock()
         within = min(timeout_ns, left) if timeout_ns > 0 else left
-        self.open(invocation, provider, self.clock() + within)
+        self.open(request, endpoint, self.clock() + within)
 
-    def open(self, invocation: Invocation, provider: bytes, deadline: int) -> None:
-        attempt = Attempt(invocation, invocation.attempts, provider, self.clock(), deadline)
-        invocation.attempts += 1
-        invocation.out = attempt
-        self.providers.open(attempt)
+    def open(self, request: ActiveRequest, endpoint: bytes, deadline: int) -> None:
+        attempt = Attempt(request, request.attempts, endpoint, self.clock(), deadline)
+        request.attempts += 1
+        request.out = attempt
+        self.connector.open(attempt)
 
     def may_send(self, attempt: Attempt) -> bool:
         """Whether the attempt's line may go out now. Asked at that instant, and by whoever sends.
 
         Its connection took a while to come up, since the module decided: meanwhile the list may have told
-        that the provider leaves, operators may have taken it out, the consumer may have left, its time or the
+        that the endpoint leaves, operators may have taken it out, the client may have left, its time or the
         time for repeats may be over.
         """
-        invocation, provider, now = attempt.invocation, attempt.provider, self.clock()
-        if invocation.out is not attempt or invocation.answered or not invocation.consumer.present:
+        request, endpoint, now = attempt.request, attempt.endpoint, self.clock()
+        if request.out is not attempt or request.answered or not request.client.present:
             return False
-        if self.bans.holds(provider) or not (invocation.adopt or self.bans.ready(provider)):
+        if self.administrative_drains.holds(endpoint) or not (
+            request.adopt or self.administrative_drains.ready(endpoint)
+        ):
             return False
-        klass, first = self.settings.classes[invocation.klass], invocation.ran_at
-        return now < attempt.deadline and (not first or klass.may_run_again(first, now))
+        klass, first = self.settings.classes[request.klass], request.ran_at
+        return now < attempt.deadline and (not first or klass.may_retry(first, now))
 
-    def harmless(self, invocation: Invocation) -> bool:
-        """Whether the consumer may be told that coming again is harmless."""
-        out = invocation.out
-        first = invocation.ran_at or (out.began if out is not None and out.sent else 0)
+    def harmless(self, request: ActiveRequest) -> bool:
+        """Whether the client may be told that coming again is harmless."""
+        out = request.out
+        first = request.ran_at or (out.began if out is not None and out.sent else 0)
         klass, again_by = (
-            self.settings.classes[invocation.klass],
+            self.settings.classes[request.klass],
             self.clock() + self.settings.max_retry_after_ns,
         )
-        return not first or klass.may_come_again(first, again_by)
+        return not first or klass.client_may_retry(first, again_by)
 
-    def dismiss(self, invocation: Invocation) -> None:
+    def dismiss(self, request: ActiveRequest) -> None:
         """Answer it now, past the module: rejected where coming again is harmless, else failed."""
-        if self.harmless(invocation):
-            self.reject(invocation.id)
+        if self.harmless(request):
+            self.reject(request.id)
         else:
-            self.fail(invocation.id)
+            self.fail(request.id)
 
-    def reject(self, request: int, retry_after_ns: int = 0) -> None:
-        if (consumer := self.answer(request)) is not None:
-            consumer.reject(retry_after_ns, "")
+    def reject(self, request_id: int, retry_after_ns: int = 0) -> None:
+        if (client := self.answer(request_id)) is not None:
+            client.reject(retry_after_ns, "")
 
-    def fail(self, request: int) -> None:
-        if (consumer := self.answer(request)) is not None:
-            consumer.fail()
+    def fail(self, request_id: int) -> None:
+        if (client := self.answer(request_id)) is not None:
+            client.fail()
 
-    def answer(self, request: int) -> Consumer | None:
-        """The consumer to give its one final answer, unless it has had it."""
-        invocation = self.invocations.get(request)
-        if invocation is None or invocation.answered:
+    def answer(self, request_id: int) -> Client | None:
+        """The client to give its one final answer, unless it has had it."""
+        request = self.requests.get(request_id)
+        if request is None or request.answered:
             return None
-        attempt, link = invocation.out, invocation.part()
-        consumer = self.forget(invocation)
+        attempt, link = request.out, request.part()
+        client = self.forget(request)
         if link is not None:
             link.abandon()
         if attempt is not None:
             self.tell_ended(attempt, Outcome.CANCELLED)
-        return consumer
+        return client
 
-    def cancel(self, request: int, number: int) -> None:
-        invocation = self.invocations.get(request)
-        attempt = invocation.out if invocation is not None else None
+    def cancel(self, request_id: int, number: int) -> None:
+        request = self.requests.get(request_id)
+        attempt = request.out if request is not None else None
         if attempt is None or attempt.number != number or attempt.standing:
             return
         if attempt.link is not None:
             attempt.link.abandon()
         self.ended(attempt, Outcome.CANCELLED)
 
-    def move(self, request: int, reason: str) -> None:
-        invocation = self.invocations.get(request)
-        if invocation is not None and invocation.out is not None and invocation.out.standing:
-            self.gauge.guest(False, self.clock())
+    def move(self, request_id: int, reason: str) -> None:
+        request = self.requests.get(request_id)
+        if request is not None and request.out is not None and request.out.standing:
+            self.latency_estimator.guest(False, self.clock())
             self.moved += 1
-            invocation.consumer.move(reason)
+            request.client.move(reason)
 
-    def forget(self, invocation: Invocation) -> Consumer:
-        """It is over; its consumer, which it holds no longer."""
-        if self.invocations.pop(invocation.id, None) is not None:
-            self.contracts.release(invocation.tenant)
-        return invocation.release()
+    def forget(self, request: ActiveRequest) -> Client:
+        """It is over; its client, which it holds no longer."""
+        if self.requests.pop(request.id, None) is not None:
+            self.contracts.release(request.tenant)
+        return request.release()
 
-    def held(self, connections: int) -> dict[str, Held]:
+    def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
         """What is held; `connections` is the most that may be open or waiting at once."""
         names, balancer = MOST_KNOWN + MOST_OUT, self.balancer
         return {
-            "broker.invocations": Held(len(self.invocations), connections),
-            "broker.inbox": Held(len(self.inbox), 8 * connections + names),
-            "broker.zones": Held(len(self.zones), names),
-            "broker.starts": Held(len(self.starts), names),
-            "module.hosts": Held(len(balancer.hosts), names),
-            "module.hung": Held(len(balancer.hung), names),
-            "module.pending": Held(len(balancer.pending), connections),
-            "module.held": Held(len(balancer.held), connections),
-            "settings.classes": Held(
+            "broker.invocations": ResourceUsage(len(self.requests), connections),
+            "broker.inbox": ResourceUsage(len(self.inbox), 8 * connections + names),
+            "broker.zones": ResourceUsage(len(self.zones), names),
+            "broker.starts": ResourceUsage(len(self.starts), names),
+            "module.hosts": ResourceUsage(len(balancer.endpoints), names),
+            "module.hung": ResourceUsage(len(balancer.hung), names),
+            "module.pending": ResourceUsage(len(balancer.pending), connections),
+            "module.held": ResourceUsage(len(balancer.held), connections),
+            "settings.classes": ResourceUsage(
                 len(self.settings.classes), connections + 2 * len(self.settings.offered)
             ),
-            **self.bans.held(),
-            **self.gauge.held(names),
-            **self.learned.held(names),
+            **self.administrative_drains.resource_usage(),
+            **self.latency_estimator.resource_usage(names),
+            **self.deployment_facts.resource_usage(names),
         }
 
     # ---- leaving ----------------------------------------------------------------------------
 
-    def standing(self) -> list[Invocation]:
-        return [i for i in self.invocations.values() if i.out is not None and i.out.standing]
+    def standing(self) -> list[ActiveRequest]:
+        return [i for i in self.requests.values() if i.out is not None and i.out.standing]
 
-    def unanswered(self) -> list[Invocation]:
-        return [i for i in self.invocations.values() if not i.answered]
+    def unanswered(self) -> list[ActiveRequest]:
+        return [i for i in self.requests.values() if not i.answered]
 
 
-__all__ = ["Attempt", "Broker", "Consumer", "Invocation"]
+__all__ = ["ActiveRequest", "Attempt", "Broker", "Client"]
--- a/linnetshift/core/census.py
+++ b/linnetshift/core/census.py
@@ -10,13 +10,13 @@
 from typing import NamedTuple
 
 
-class Held(NamedTuple):
+class ResourceUsage(NamedTuple):
     """A container's size and the most that it may ever hold, both in entries."""
 
     size: int
     bound: int
 
 
-def over(census: Mapping[str, Held]) -> list[str]:
+def over(resource_usage: Mapping[str, ResourceUsage]) -> list[str]:
     """The names of those that hold more than they may."""
-    return [name for name, held in census.items() if held.size > held.bound]
+    return [name for name, held in resource_usage.items() if held.size > held.bound]
--- a/linnetshift/core/invocation.py
+++ b/linnetshift/core/invocation.py
@@ -1,4 +1,4 @@
-"""An invocation asks for one connection; an attempt tries to have one provider serve it."""
+"""A request asks for one connection; an attempt tries to have one endpoint serve it."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from linnetshift.interface import Outcome
 
 
-class Alarm(Protocol):
+class TimerHandle(Protocol):
     """What a timer is held by."""
 
     def cancel(self) -> None: ...
 
 
-class Consumer(Protocol):
+class Client(Protocol):
     """The side that asked. Messages are slices that hold only until the call returns."""
 
     @property
     def congested(self) -> bool:
-        """Whether messages should wait; `Link.resume` is called once they need not."""
+        """Whether messages should wait; `UpstreamConnection.resume` is called once they need not."""
 
     @property
     def present(self) -> bool:
@@ -38,15 +38,15 @@
     def fail(self) -> None: ...
 
     def move(self, reason: str) -> None:
-        """Send the consumer away politely, between two messages."""
+        """Send the client away politely, between two messages."""
 
-    def provider_ended(self, outcome: int, reset: bool) -> None: ...
+    def endpoint_ended(self, outcome: int, reset: bool) -> None: ...
 
 
-class Nobody:
-    """The consumer of an invocation that is over: whoever still holds that says its last word to nobody.
+class DetachedClient:
+    """The client of a request that is over: whoever still holds that says its last word to nobody.
 
-    Without it invocation and consumer would hold each other for as long as no collector comes.
+    Without it request and client would hold each other for as long as no collector comes.
     """
 
     congested = False
@@ -64,14 +64,14 @@
 
     def move(self, reason: str) -> None: ...
 
-    def provider_ended(self, outcome: int, reset: bool) -> None: ...
+    def endpoint_ended(self, outcome: int, reset: bool) -> None: ...
 
 
-NOBODY = Nobody()
+DETACHED_CLIENT = DetachedClient()
 
 
-class Link(Protocol):
-    """The connection to a provider that an attempt uses."""
+class UpstreamConnection(Protocol):
+    """The connection to an endpoint that an attempt uses."""
 
     @property
     def congested(self) -> bool: ...
@@ -84,18 +84,18 @@
         """How long the oldest message that wants a reply has waited for it."""
 
     def quiet_ns(self) -> int:
-        """How long ago anything last came from the provider."""
+        """How long ago anything last came from the endpoint."""
 
-    def consumer_ended(self, reset: bool) -> None:
-        """End it the way the consumer ended its own."""
+    def client_ended(self, reset: bool) -> None:
+        """End it the way the client ended its own."""
 
     def abandon(self) -> None:
         """Close it now and report nothing more."""
 
 
 @dataclass(slots=True, eq=False)
-class Invocation:
-    consumer: Consumer
+class ActiveRequest:
+    client: Client
     klass: int
     tenant: int
     key: int
@@ -103,21 +103,23 @@
     flags: int
     hint: int
     deadline: int  # on the broker's clock
-    opening: Callable[[int], bytes]  # what the provider is told first, given the ms it will be waited for
-    adopt: bytes = b""  # the provider that held this connection before the start
+    request_line: Callable[
+        [int], bytes
+    ]  # what the endpoint is told first, given the ms it will be waited for
+    adopt: bytes = b""  # the endpoint that held this connection before the start
     id: int = 0
     began: int = 0
     attempts: int = 0
     ran_at: int = 0  # when the first attempt that may have run was begun; 0 while none may have
     out: Attempt | None = None  # the attempt that is under way or stands
     answered: bool = False
-    overdue: Alarm | None = None  # until it is answered: what then answers in the module's place
+    overdue: TimerHandle | None = None  # until it is answered: what then answers in the module's place
 
-    def release(self) -> Consumer:
-        """It is over, and holds nobody from now on; the consumer, to be told so."""
-        consumer, self.consumer = self.consumer, NOBODY
+    def release(self) -> Client:
+        """It is over, and holds nobody from now on; the client, to be told so."""
+        client, self.client = self.client, DETACHED_CLIENT
         self.settle()
-        return consumer
+        return client
 
     def settle(self) -> None:
         """It has its answer."""
@@ -126,7 +128,7 @@
             self.overdue.cancel()
             self.overdue = None
 
-    def part(self) -> Link | None:
+    def part(self) -> UpstreamConnection | None:
         """No attempt is out or stands any more; its link, which the attempt holds no longer."""
         attempt, self.out = self.out, None
         if attempt is None:
@@ -137,13 +139,13 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    invocation: Invocation
+    request: ActiveRequest
     number: int
-    provider: bytes
+    endpoint: bytes
     began: int
     deadline: int
-    link: Link | None = None
+    link: UpstreamConnection | None = None
     standing: bool = False
     sent: bool = False  # its line has gone out, or part of it: from now on it may run
-    load: float | None = None  # as the provider last told
-    verdict: int = Outcome.CANCELLED  # how it ends when the consumer's side ends it
+    load: float | None = None  # as the endpoint last told
+    verdict: int = Outcome.CANCELLED  # how it ends when the client's side ends it
--- a/linnetshift/core/learned.py
+++ b/linnetshift/core/learned.py
@@ -1,24 +1,24 @@
 """What the program found out of its deployment by itself, which no setting tells.
 
-Facts for staff and their log: decisions rest on the settings and on what single providers show.
+Facts for staff and their log: decisions rest on the settings and on what single endpoints show.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
-from linnetshift.core.census import Held
-from linnetshift.interface import HostEntry, HostState
+from linnetshift.core.census import ResourceUsage
+from linnetshift.interface import EndpointEntry, EndpointState
 
-# A provider that sends its consumers away does so as it begins to drain, seconds before the list tells of it.
+# An endpoint that sends its clients away does so as it begins to drain, seconds before the list tells of it.
 SETTLED_NS = 1_000_000_000
 
 
-class Learned:
+class DeploymentFacts:
     def __init__(self) -> None:
         self.known: dict[str, str] = {}
         self.news: list[tuple[str, str]] = []  # not told yet
-        self.drains: dict[bytes, int] = {}  # when the list first told that a provider drains
+        self.drains: dict[bytes, int] = {}  # when the list first told that an endpoint drains
 
     def found(self, what: str, value: str) -> None:
         """A fact about the deployment; told once, and again when it changes."""
@@ -31,29 +31,29 @@
         news, self.news = self.news, []
         return news
 
-    def listed(self, entries: Collection[HostEntry], whole: bool, now: int) -> None:
+    def listed(self, entries: Collection[EndpointEntry], whole: bool, now: int) -> None:
         """A list, or its changes; one that operators took out (it has a time to leave) says nothing."""
-        told = {entry.host for entry in entries}
-        draining = {e.host for e in entries if e.state == HostState.DRAINING and not e.leave_ns}
+        told = {entry.endpoint for entry in entries}
+        draining = {e.endpoint for e in entries if e.state == EndpointState.DRAINING and not e.leave_ns}
         self.drains = {
-            host: at
-            for host, at in self.drains.items()
-            if host in draining or (host not in told and not whole)
+            endpoint: at
+            for endpoint, at in self.drains.items()
+            if endpoint in draining or (endpoint not in told and not whole)
         }
         self.drains.update(dict.fromkeys(draining - self.drains.keys(), now))
 
     def review(self, standing: Collection[bytes], now: int) -> None:
-        """`standing`: the providers at which consumers stand."""
-        if any(now - at > SETTLED_NS and host in standing for host, at in self.drains.items()):
+        """`standing`: the endpoints at which clients stand."""
+        if any(now - at > SETTLED_NS and endpoint in standing for endpoint, at in self.drains.items()):
             self.found("drain", "serves-on")
 
     def sent_away(self) -> None:
-        """A provider told a consumer to go elsewhere."""
+        """An endpoint told a client to go elsewhere."""
         self.found("drain", "sends-away")
 
     def reported(self, figures: bool) -> None:
-        """A probe that asked for a report was answered."""
+        """A health check that asked for a report was answered."""
         self.found("reports", "figures" if figures else "none")
 
-    def held(self, names: int) -> dict[str, Held]:
-        return {"learned.drains": Held(len(self.drains), names)}
+    def resource_usage(self, names: int) -> dict[str, ResourceUsage]:
+        return {"learned.drains": ResourceUsage(len(self.drains), names)}
--- a/linnetshift/core/memory.py
+++ b/linnetshift/core/memory.py
@@ -1,6 +1,6 @@
-"""What a node has learned of its providers, in a form that the process that replaces it can take over.
+"""What a node has learned of its endpoints, in a form that the process that replaces it can take over.
 
-Without it the new process would send consumers back to the providers that the old one had just moved them
+Without it the new process would send clients back to the endpoints that the old one had just moved them
 off, and would learn of each jam anew.
 """
 
@@ -8,10 +8,10 @@
 
 from typing import Any
 
-from linnetshift.core.gauge import MessageGauge
+from linnetshift.core.gauge import LatencyEstimator
 from linnetshift.policy import Balancer
 
-OF_HOST = (
+OF_ENDPOINT = (
     "hot_until",
     "slow_ns",
     "late_until",
@@ -32,7 +32,7 @@
 OF_SHEDDING = ("admit", "at", "jammed")
 
 
-def recall(balancer: Balancer, gauge: MessageGauge) -> dict[str, Any]:
+def export_state(balancer: Balancer, latency_estimator: LatencyEstimator) -> dict[str, Any]:
     return {
         "node": {key: getattr(balancer, key) for key in OF_NODE},
         "window": {key: getattr(balancer.window, key) for key in OF_WINDOW},
@@ -40,16 +40,19 @@
         "slow_start": {key: getattr(balancer.slow_start, key) for key in OF_SLOW_START},
         "bucket": {key: getattr(balancer.slow_start.bucket, key) for key in OF_BUCKET},
         "hosts": {
-            host.id.hex(): {key: getattr(host, key) for key in OF_HOST} for host in balancer.hosts.values()
+            endpoint.id.hex(): {key: getattr(endpoint, key) for key in OF_ENDPOINT}
+            for endpoint in balancer.endpoints.values()
         },
-        "guests": [gauge.guests, gauge.guests_at],
-        "shed": {provider.hex(): at for provider, at in gauge.shed_at.items()},
+        "guests": [latency_estimator.guests, latency_estimator.guests_at],
+        "shed": {endpoint.hex(): at for endpoint, at in latency_estimator.shed_at.items()},
     }
 
 
-def remember(balancer: Balancer, gauge: MessageGauge, memory: dict[str, Any]) -> None:
-    """Once the list is known; a host that is not listed any more is left out."""
-    learned = [(balancer.hosts.get(bytes.fromhex(name)), host) for name, host in memory["hosts"].items()]
+def import_state(balancer: Balancer, latency_estimator: LatencyEstimator, memory: dict[str, Any]) -> None:
+    """Once the list is known; an endpoint that is not listed any more is left out."""
+    deployment_facts = [
+        (balancer.endpoints.get(bytes.fromhex(name)), endpoint) for name, endpoint in memory["hosts"].items()
+    ]
     window = memory.get("window", {})  # an earlier version's had its place among the node's
     bucket, shedding = memory.get("bucket", {}), memory.get("shedding", {})
     of_all = [
@@ -59,10 +62,15 @@
         (balancer.slow_start.bucket, OF_BUCKET, bucket),
         (balancer.shedding, OF_SHEDDING, shedding),
     ]
-    for known, keys, told in of_all + [(host, OF_HOST, told) for host, told in learned if host is not None]:
+    for known, keys, told in of_all + [
+        (endpoint, OF_ENDPOINT, told) for endpoint, told in deployment_facts if endpoint is not None
+    ]:
         for key in keys:
             kind = type(getattr(known, key))  # a figure of another kind is another version's
             if isinstance(told.get(key), kind):
                 setattr(known, key, told[key])
-    gauge.guests, gauge.guests_at = float(memory["guests"][0]), int(memory["guests"][1])
-    gauge.shed_at.update({bytes.fromhex(name): int(at) for name, at in memory["shed"].items()})
+    latency_estimator.guests, latency_estimator.guests_at = (
+        float(memory["guests"][0]),
+        int(memory["guests"][1]),
+    )
+    latency_estimator.shed_at.update({bytes.fromhex(name): int(at) for name, at in memory["shed"].items()})
--- a/linnetshift/core/ports.py
+++ b/linnetshift/core/ports.py
@@ -1,31 +1,31 @@
-"""What the broker asks of the parts around it; fronts and peers implement these."""
+"""What the broker asks of the parts around it; frontends and peers implement these."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-from linnetshift.core.invocation import Alarm, Attempt
+from linnetshift.core.invocation import Attempt, TimerHandle
 
 
 class Timers(Protocol):
     def wake(self, delay_ns: int, token: int) -> None:
         """Have `Broker.timer_fired` called with the token after the delay."""
 
-    def later(self, delay_ns: int, fire: Callable[[], None]) -> Alarm: ...
+    def later(self, delay_ns: int, fire: Callable[[], None]) -> TimerHandle: ...
 
     def soon(self) -> None:
         """Have `Broker.drain` called once the events at hand are all in."""
 
 
-class Directory(Protocol):
+class Discovery(Protocol):
     def watch(self, on: bool) -> None: ...
 
     def fetch(self) -> None: ...
 
 
-class Providers(Protocol):
+class Connector(Protocol):
     def open(self, attempt: Attempt) -> None:
         """Start an attempt and set its link; what becomes of it is told to the broker."""
 
-    def probe(self, provider: bytes) -> None: ...
+    def check_health(self, endpoint: bytes) -> None: ...
--- a/linnetshift/interface.py
+++ b/linnetshift/interface.py
@@ -1,6 +1,6 @@
 """Types that pass between a node and the decision module: settings, events in, actions out.
 
-Times are whole nanoseconds of the caller's clock. A host id is an opaque byte string that
+Times are whole nanoseconds of the caller's clock. An endpoint id is an opaque byte string that
 can be compared and sorted; a request id is an opaque integer, never used twice.
 """
 
@@ -18,22 +18,22 @@
 class Effect(IntEnum):
     """What a second run of a request of a class would do."""
 
-    REPEATABLE = 0
-    KEYED = 1
-    ONCE = 2
+    IDEMPOTENT = 0
+    IDEMPOTENT_BY_KEY = 1
+    NOT_IDEMPOTENT = 2
 
 
 class Scope(IntEnum):
-    """Which hosts discard a keyed request's repeats together."""
+    """Which endpoints discard a keyed request's repeats together."""
 
     ALL = 0
     ZONE = 1
     CELL = 2
 
 
-class HostState(IntEnum):
+class EndpointState(IntEnum):
     READY = 0
-    GONE = 1
+    REMOVED = 1
     DRAINING = 2
 
 
@@ -72,8 +72,8 @@
     """A required setting is missing or has the wrong type; the text names its key."""
 
 
-FEE_STEP = 0.056
-"""The price of crossing data centres at which a host of another one has 1/e of its weight.
+CROSS_ZONE_COST_SCALE = 0.056
+"""The price of crossing data centres at which an endpoint of another one has 1/e of its weight.
 
 Measured once, where a crossing costs 0.13 of a request: a tenth of the weight served best there.
 """
@@ -82,25 +82,25 @@
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    aim_ns: int
+    latency_objective_ns: int
     deadline_ns: int
-    message_aim_ns: int
+    message_latency_objective_ns: int
     effect: Effect
     scope: Scope
-    window_ns: int
-    worth: float
+    idempotency_window_ns: int
+    priority_weight: float
     max_attempts: int
 
-    def may_run_again(self, first_ns: int, at_ns: int) -> bool:
+    def may_retry(self, first_ns: int, at_ns: int) -> bool:
         """Whether one more run then has no further effect; `first_ns`: when what may have run was sent."""
-        if self.effect == Effect.KEYED:
-            return at_ns < first_ns + self.window_ns
-        return self.effect == Effect.REPEATABLE
+        if self.effect == Effect.IDEMPOTENT_BY_KEY:
+            return at_ns < first_ns + self.idempotency_window_ns
+        return self.effect == Effect.IDEMPOTENT
 
-    def may_come_again(self, first_ns: int, at_ns: int) -> bool:
-        """Whether it is harmless to come again until then, wherever the consumer comes."""
-        everywhere = self.effect == Effect.REPEATABLE or self.scope == Scope.ALL
-        return everywhere and self.may_run_again(first_ns, at_ns)
+    def client_may_retry(self, first_ns: int, at_ns: int) -> bool:
+        """Whether it is harmless to come again until then, wherever the client comes."""
+        everywhere = self.effect == Effect.IDEMPOTENT or self.scope == Scope.ALL
+        return everywhere and self.may_retry(first_ns, at_ns)
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,8 +124,8 @@
     classes: tuple[RequestClass, ...]
     numbers: tuple[int, ...]  # of the classes that are offered
     tenants: tuple[Tenant, ...]
-    must_ask: bool
-    must_ask_in_ns: int
+    must_poll: bool
+    must_poll_within_ns: int
     answer_slack_ns: int
     drain_grace_ns: int
     cold_from: float
@@ -133,18 +133,18 @@
     fall_multiple: float
     tip_after_ns: int
     connect_timeout_ns: int
-    parallel_tries: bool
-    may_probe: bool
-    may_tell_peers: bool
+    parallel_attempts: bool
+    may_health_check: bool
+    may_message_peers: bool
     may_cancel: bool
     max_retry_after_ns: int
-    weights_are_sizes: bool  # in standard cores; live ones fall with what a host holds
+    weights_are_sizes: bool  # in standard cores; live ones fall with what an endpoint holds
     pass_through: bool
-    over_share_worth: float
+    over_share_weight: float
     report_columns: tuple[str, ...]
-    tells_delay: bool
+    reports_message_time: bool
     step_ns: int
-    far_fee: float  # what crossing data centres costs; 0 where it costs nothing
+    cross_zone_cost: float  # what crossing data centres costs; 0 where it costs nothing
 
     @classmethod
     def parse(cls, raw: Mapping[str, Any]) -> Settings:
@@ -158,22 +158,27 @@
         classes = tuple(
             RequestClass(
                 name=str(c.get("name", i)),
-                aim_ns=_positive(c, "aimNs", f"services[{i}]."),
+                latency_objective_ns=_positive(c, "aimNs", f"services[{i}]."),
                 deadline_ns=_positive(c, "hardLimitNs", f"services[{i}]."),
                 # One added without an aim of its own shares the shortest; where none is told, that of the
-                # set-up serves: at 0 every provider is slow.
-                message_aim_ns=(int(_optional(aims[i], 0)) if i < len(aims) else shortest) or int(c["aimNs"]),
+                # set-up serves: at 0 every endpoint is slow.
+                message_latency_objective_ns=(int(_optional(aims[i], 0)) if i < len(aims) else shortest)
+                or int(c["aimNs"]),
                 effect=_word(
                     c,
                     "effect",
-                    {"repeatable": Effect.REPEATABLE, "by_key": Effect.KEYED, "once": Effect.ONCE},
+                    {
+                        "repeatable": Effect.IDEMPOTENT,
+                        "by_key": Effect.IDEMPOTENT_BY_KEY,
+                        "once": Effect.NOT_IDEMPOTENT,
+                    },
                     f"services[{i}].",
                 ),
                 scope=Scope[str(c.get("group", "all")).upper()]
                 if str(c.get("group", "all")).upper() in Scope.__members__
                 else _bad(f"services[{i}].group"),
-                window_ns=int(_optional(c.get("windowNs"), 0)),
-                worth=_optional(c.get("worth"), 1.0),
+                idempotency_window_ns=int(_optional(c.get("windowNs"), 0)),
+                priority_weight=_optional(c.get("worth"), 1.0),
                 max_attempts=max_attempts,
             )
             for i, c in enumerate(_get(raw, "services", list))
@@ -198,8 +203,8 @@
             classes=classes,
             numbers=tuple(range(len(classes))),
             tenants=tenants,
-            must_ask=_word(raw, "discovery", {"push": False, "ask": True}),
-            must_ask_in_ns=int(_optional(rules.get("mustAskInNs"), 10_000_000_000)),
+            must_poll=_word(raw, "discovery", {"push": False, "ask": True}),
+            must_poll_within_ns=int(_optional(rules.get("mustAskInNs"), 10_000_000_000)),
             answer_slack_ns=_get(rules, "answerSlackNs", int, "rules."),
             drain_grace_ns=_get(rules, "drainGraceNs", int, "rules."),
             cold_from=_get(rules, "coldFrom", float, "rules."),
@@ -207,26 +212,26 @@
             fall_multiple=_get(rules, "fallMultiple", float, "rules."),
             tip_after_ns=_get(rules, "tipAfterNs", int, "rules."),
             connect_timeout_ns=_positive(allowed, "connectTimeoutNs", "allowed."),
-            parallel_tries=_get(allowed, "parallelTries", bool, "allowed."),
-            may_probe=_get(allowed, "probing", bool, "allowed."),
-            may_tell_peers=_get(allowed, "peerMessages", bool, "allowed."),
+            parallel_attempts=_get(allowed, "parallelTries", bool, "allowed."),
+            may_health_check=_get(allowed, "probing", bool, "allowed."),
+            may_message_peers=_get(allowed, "peerMessages", bool, "allowed."),
             may_cancel=_get(allowed, "mayCancel", bool, "allowed."),
             max_retry_after_ns=int(_optional(allowed.get("maxRetryAfterNs"), 0))
             if allowed.get("retryAfter")
             else 0,
             weights_are_sizes=raw.get("weightSource") not in ("silent", "live"),
             pass_through=family.get("mode") == "pass",
-            over_share_worth=_optional(raw.get("overShareWorth"), 1.0),
+            over_share_weight=_optional(raw.get("overShareWorth"), 1.0),
             report_columns=tuple(str(c) for c in report.get("columns") or []),
-            tells_delay=bool(family.get("tellsDelay", False)),
+            reports_message_time=bool(family.get("tellsDelay", False)),
             step_ns=int(_optional(raw.get("stepNs"), 0)),
-            far_fee=_optional((raw.get("fees") or {}).get("crossZone"), 0.0),
+            cross_zone_cost=_optional((raw.get("fees") or {}).get("crossZone"), 0.0),
         )
 
     @property
-    def far_weight(self) -> float:
-        """Share of its weight that a host of another data centre has; 1.0 where crossing is free."""
-        return math.exp(-self.far_fee / FEE_STEP)
+    def cross_zone_weight(self) -> float:
+        """Share of its weight that an endpoint of another data centre has; 1.0 where crossing is free."""
+        return math.exp(-self.cross_zone_cost / CROSS_ZONE_COST_SCALE)
 
     @property
     def offered(self) -> list[RequestClass]:
@@ -291,10 +296,10 @@
 # ---- events ------------------------------------------------------------------------------------
 
 
-class HostEntry(NamedTuple):
-    """One line of the list of hosts."""
+class EndpointEntry(NamedTuple):
+    """One line of the list of endpoints."""
 
-    host: bytes
+    endpoint: bytes
     zone: int
     kind: int
     cell: int
@@ -304,16 +309,16 @@
     leave_ns: int = 0  # while it drains: how soon its connections must be gone, where that is known
 
 
-class HostList(NamedTuple):
+class EndpointList(NamedTuple):
     form: int
     version: int
-    entries: tuple[HostEntry, ...]
+    entries: tuple[EndpointEntry, ...]
 
 
 class Request(NamedTuple):
     """A client asks for a connection; one final answer is owed."""
 
-    request: int
+    request_id: int
     klass: int
     group: int
     key: int
@@ -326,37 +331,37 @@
 class Adopted(NamedTuple):
     """A connection that was open through this node when it started."""
 
-    request: int
+    request_id: int
     klass: int
     group: int
     key: int
     load_hint: int
     flags: int
     tenant: int
-    host: bytes
+    endpoint: bytes
 
 
 class Established(NamedTuple):
     """The attempt's connection stands; only its end is still to come."""
 
-    request: int
+    request_id: int
     attempt: int
-    host: bytes
+    endpoint: bytes
     elapsed_ns: int
 
 
 class Note(NamedTuple):
-    request: int
+    request_id: int
     attempt: int
-    host: bytes
+    endpoint: bytes
     kind: int
     value: float
 
 
 class AttemptEnded(NamedTuple):
-    request: int
+    request_id: int
     attempt: int
-    host: bytes
+    endpoint: bytes
     closed: bool
     elapsed_ns: int
     outcome: int
@@ -364,15 +369,15 @@
 
 
 class Withdrawn(NamedTuple):
-    request: int
+    request_id: int
 
 
 class TimerFired(NamedTuple):
     token: int
 
 
-class ProbeResult(NamedTuple):
-    host: bytes
+class HealthCheckResult(NamedTuple):
+    endpoint: bytes
     outcome: int
     elapsed_ns: int
     report: tuple[float, ...]
@@ -384,7 +389,7 @@
 
 
 Event = (
-    HostList
+    EndpointList
     | Request
     | Adopted
     | Established
@@ -392,7 +397,7 @@
     | AttemptEnded
     | Withdrawn
     | TimerFired
-    | ProbeResult
+    | HealthCheckResult
     | PeerMessage
 )
 
@@ -403,33 +408,33 @@
 class Send(NamedTuple):
     """Start an attempt; it ends by itself after `timeout_ns`."""
 
-    request: int
-    host: bytes
+    request_id: int
+    endpoint: bytes
     timeout_ns: int
 
 
-class Refuse(NamedTuple):
+class Reject(NamedTuple):
     """Final answer: not done, and a retry does no harm."""
 
-    request: int
+    request_id: int
     retry_after_ns: int
 
 
 class Fail(NamedTuple):
     """Final answer: not served, without a promise as to effects."""
 
-    request: int
+    request_id: int
 
 
 class Cancel(NamedTuple):
-    request: int
+    request_id: int
     attempt: int
 
 
-class Move(NamedTuple):
+class Migrate(NamedTuple):
     """End an open connection politely; its client comes again."""
 
-    request: int
+    request_id: int
 
 
 class SetTimer(NamedTuple):
@@ -437,11 +442,11 @@
     token: int
 
 
-class Probe(NamedTuple):
-    host: bytes
+class HealthCheck(NamedTuple):
+    endpoint: bytes
 
 
-class Tell(NamedTuple):
+class SendPeerMessage(NamedTuple):
     """Message to one peer by number, or to all with `ALL_PEERS`."""
 
     peer: int
@@ -453,7 +458,7 @@
 
 
 class Watch(NamedTuple):
-    """Ask to be told of changes to the list of hosts."""
+    """Ask to be told of changes to the list of endpoints."""
 
     on: bool
 
@@ -464,4 +469,16 @@
 
 ALL_PEERS = 0xFFFF
 
-Action = Send | Refuse | Fail | Cancel | Move | SetTimer | Probe | Tell | Log | Watch | FetchList
+Action = (
+    Send
+    | Reject
+    | Fail
+    | Cancel
+    | Migrate
+    | SetTimer
+    | HealthCheck
+    | SendPeerMessage
+    | Log
+    | Watch
+    | FetchList
+)
--- a/linnetshift/net/__init__.py
+++ b/linnetshift/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, fronts and peers around the broker."""
+"""Sockets, frontends and peers around the broker."""
--- a/linnetshift/net/channels.py
+++ b/linnetshift/net/channels.py
@@ -1,7 +1,7 @@
-"""The channels front: many invocations in one connection, as channels of SSH's connection protocol.
+"""The channels frontend: many requests in one connection, as channels of SSH's connection protocol.
 
-RFC 4254 over RFC 4253's packets, without the cryptography. Each CHANNEL_OPEN is an invocation that the
-broker decides like any other; each served channel has a connection of its own to its provider.
+RFC 4254 over RFC 4253's packets, without the cryptography. Each CHANNEL_OPEN is a request that the
+broker decides like any other; each served channel has a connection of its own to its endpoint.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 
 from linnetshift import interface as api
 from linnetshift.core.broker import Broker
-from linnetshift.core.census import Held
-from linnetshift.core.invocation import Invocation, Link
+from linnetshift.core.census import ResourceUsage
+from linnetshift.core.invocation import ActiveRequest, UpstreamConnection
 from linnetshift.interface import Outcome
 from linnetshift.net import log, ssh
-from linnetshift.net.limits import DRAIN_NS, MOST_WAIT_MS, OPENER_NS, Reading, Strangers
+from linnetshift.net.limits import DRAIN_NS, MOST_WAIT_MS, REQUEST_LINE_TIMEOUT_NS, ConnectionLimiter, Reading
 from linnetshift.net.log import MOST_TOLD, Reason
-from linnetshift.net.loop import MS, Io, Loop, S, Script, Timeout, Timer
-from linnetshift.net.platform import ANSWER_NS, UNKNOWN, Front, Names
-from linnetshift.net.provider import Endpoint, Steps, Stop, linger
+from linnetshift.net.loop import MS, ActorCoroutine, Io, Loop, S, Timeout, Timer
+from linnetshift.net.platform import ANSWER_NS, UNKNOWN, Frontend, NameRegistry
+from linnetshift.net.provider import Address, Steps, Stop, linger
 from linnetshift.net.ssh import Disconnect, Fields, Malformed, Message, OpenFailure, message, string
 from linnetshift.net.stream import End, LineTooLong, Stream
 
 CHANNEL_TYPE = "invocation@linnetshift"
 MOVE_REQUEST, RESET_REQUEST = b"move@linnetshift", b"reset@linnetshift"
 KEEPALIVE_REQUEST = b"keepalive@linnetshift"
-WINDOW = 32_768  # what a consumer may have under way on a channel, and so what is kept for a slow provider
+WINDOW = 32_768  # what a client may have under way on a channel, and so what is kept for a slow endpoint
 PACKET_DATA = 16_384
 MOST_CHANNELS = 256
 MOST_OPEN = 8192  # of all sessions together
 CROWDED_MS = 1000
-MOST_UNSENT = 65_536  # with more than this unread by the consumer, nothing more is read from it
-HELD_NS = S  # what a consumer grants no window for is given up after this when the channel must end
+MOST_UNSENT = 65_536  # with more than this unread by the client, nothing more is read from it
+HELD_NS = S  # what a client grants no window for is given up after this when the channel must end
 KEEPALIVE_NS, SILENT_BEATS = 15 * S, 3
 RETRY_FLAG, RETURNED_FLAG = 1, 2
 
@@ -48,25 +48,25 @@
 
 
 class Channel:
-    """One invocation inside a session; a consumer to the broker."""
+    """One request inside a session; a client to the broker."""
 
     def __init__(self, session: Session, number: int, remote: int, window: int, most: int) -> None:
         self.session, self.number, self.remote = session, number, remote
         self.window, self.most = window, max(1, min(most, PACKET_DATA))
-        self.granted = WINDOW  # what the consumer may still send
+        self.granted = WINDOW  # what the client may still send
         self.owed = 0  # what it sent and has not been granted again
         self.pending = bytearray()  # whole lines that wait for window or for their turn
         self.queued = False
-        self.held = False  # the provider waits until nothing is pending
+        self.held = False  # the endpoint waits until nothing is pending
         self.open = False  # confirmed
         self.closing: bytes | None = None  # the request that goes before CLOSE; b"" for none
         self.close_sent = False
         self.reason = Reason.CHANNEL_CLOSED
         self.began = session.loop.now()
-        self.provider = b""
-        self.invocation: Invocation
+        self.endpoint = b""
+        self.request: ActiveRequest
 
-    # ---- the broker's and the provider's side -----------------------------------------------
+    # ---- the broker's and the endpoint's side -----------------------------------------------
 
     @property
     def congested(self) -> bool:
@@ -80,8 +80,8 @@
 
     def up(self, receipt: memoryview) -> None:
         self.open = True
-        if self.invocation.out is not None:
-            self.provider = self.invocation.out.provider
+        if self.request.out is not None:
+            self.endpoint = self.request.out.endpoint
         opened = message(
             Message.CHANNEL_OPEN_CONFIRMATION, "IIII", self.remote, self.number, WINDOW, PACKET_DATA
         )
@@ -93,7 +93,7 @@
         self.held = bool(self.pending)
 
     def resume(self) -> None:
-        """The provider takes messages again: the consumer may send as much as has gone."""
+        """The endpoint takes messages again: the client may send as much as has gone."""
         if self.owed and self.open and not self.close_sent:
             self.granted += self.owed
             self.session.write(message(Message.CHANNEL_WINDOW_ADJUST, "II", self.remote, self.owed))
@@ -116,22 +116,22 @@
         self.session.drop(self)
 
     def move(self, reason: str) -> None:
-        self.session.broker.consumer_ended(self.invocation, False)
+        self.session.broker.client_ended(self.request, False)
         self.end(Reason(reason), MOVE_REQUEST)
 
-    def provider_ended(self, outcome: int, reset: bool) -> None:
+    def endpoint_ended(self, outcome: int, reset: bool) -> None:
         if reset:
-            self.end(Reason.PROVIDER_RESET, RESET_REQUEST)
+            self.end(Reason.ENDPOINT_RESET, RESET_REQUEST)
         elif outcome == Outcome.OK:
             self.end(Reason.SERVED, b"")
         else:
-            self.end(Reason.SENT_AWAY if outcome == Outcome.CANCELLED else Reason.PROVIDER_LEFT, b"")
+            self.end(Reason.ENDPOINT_MIGRATED if outcome == Outcome.CANCELLED else Reason.ENDPOINT_LEFT, b"")
 
-    # ---- the consumer's side ----------------------------------------------------------------
+    # ---- the client's side ----------------------------------------------------------------
 
     @property
-    def link(self) -> Link | None:
-        return self.invocation.out.link if self.invocation.out is not None else None
+    def link(self) -> UpstreamConnection | None:
+        return self.request.out.link if self.request.out is not None else None
 
     def received(self, data: memoryview) -> None:
         if len(data) > self.granted:
@@ -162,13 +162,13 @@
             self.held = False
             self.link.resume()
 
-    def end(self, reason: Reason, request: bytes) -> None:
-        """Close between two lines: what is pending goes first, if the consumer takes it in time."""
+    def end(self, reason: Reason, channel_request: bytes) -> None:
+        """Close between two lines: what is pending goes first, if the client takes it in time."""
         if self.closing is not None or self.close_sent:
             return
-        self.reason, self.closing = reason, request
+        self.reason, self.closing = reason, channel_request
         if self.pending:
-            self.session.alarm(HELD_NS, Overdue(self))
+            self.session.set_timer(HELD_NS, Overdue(self))
         else:
             self.finish()
 
@@ -176,8 +176,10 @@
         if self.close_sent:
             return
         if self.closing:
-            request = message(Message.CHANNEL_REQUEST, "I", self.remote) + string(self.closing) + b"\0"
-            self.session.write(request)
+            channel_request = (
+                message(Message.CHANNEL_REQUEST, "I", self.remote) + string(self.closing) + b"\0"
+            )
+            self.session.write(channel_request)
         elif self.closing is not None:
             self.session.write(message(Message.CHANNEL_EOF, "I", self.remote))
         self.close_sent = True
@@ -188,9 +190,9 @@
 class Session(Reading):
     """One terminal's connection and its channels."""
 
-    def __init__(self, front: ChannelsFront, sock: socket.socket, peer: Endpoint) -> None:
-        super().__init__(front.loop)
-        self.front, self.broker, self.peer = front, front.broker, peer
+    def __init__(self, frontend: ChannelsFrontend, sock: socket.socket, peer: Address) -> None:
+        super().__init__(frontend.loop)
+        self.frontend, self.broker, self.peer = frontend, frontend.broker, peer
         self.stream = Stream(self.loop, sock, self.ready, size=ssh.MOST_PACKET + ssh.BLOCK)
         self.channels: dict[int, Channel] = {}
         self.numbers = count()
@@ -203,9 +205,9 @@
         self.reason: Reason | None = None
         self.began = self.loop.now()
 
-    def shed(self) -> None:
+    def evict(self) -> None:
         self.stream.close()
-        self.reason = self.reason or Reason.SHED
+        self.reason = self.reason or Reason.EVICTED
         self.post(Stop())
 
     def ready(self, mask: int) -> None:
@@ -213,21 +215,21 @@
 
     # ---- the script -------------------------------------------------------------------------
 
-    def live(self) -> Script:
-        self.front.sessions.add(self)
+    def run(self) -> ActorCoroutine:
+        self.frontend.sessions.add(self)
         self.stream.arm()
-        self.front.strangers.add(self)
+        self.frontend.connection_limiter.add(self)
         try:
             yield from self.identify()
             yield from self.serve()
         except Malformed as error:
             self.reason = Reason.PROTOCOL_ERROR
-            log.note("malformed", peer=self.peer[0], error=log.words(error))
+            log.note("packet-malformed", peer=self.peer[0], error=log.words(error))
             self.disconnect(error.code, str(error))
-        self.end_channels(self.reason is Reason.CONSUMER_RESET)
+        self.end_channels(self.reason is Reason.CLIENT_RESET)
         if not self.stream.broken and not self.stream.closed and self.reason is not Reason.STALLED:
             self.stream.finish()
-            self.front.strangers.add(self)
+            self.frontend.connection_limiter.add(self)
             yield from linger(self, self.stream, self.began + DRAIN_NS)
         self.stream.close()
         self.report()
@@ -243,17 +245,17 @@
     def end_channels(self, reset: bool) -> None:
         for channel in list(self.channels.values()):
             if channel.closing is None and not channel.close_sent:
-                channel.reason = self.reason or Reason.CONSUMER_LEFT
-            self.broker.consumer_ended(channel.invocation, reset)
+                channel.reason = self.reason or Reason.CLIENT_LEFT
+            self.broker.client_ended(channel.request, reset)
             self.drop(channel)
         self.turns.clear()
 
     def report(self) -> None:
-        self.front.sessions.discard(self)
-        self.front.strangers.remove(self)
+        self.frontend.sessions.discard(self)
+        self.frontend.connection_limiter.remove(self)
         log.ended(
             "session",
-            self.reason or Reason.CONSUMER_LEFT,
+            self.reason or Reason.CLIENT_LEFT,
             peer=f"{self.peer[0]}:{self.peer[1]}",
             channels=self.opened,
         )
@@ -261,7 +263,7 @@
     def identify(self) -> Steps:
         """Each side opens with its identification; lines before the other's are passed over."""
         self.stream.send(ssh.IDENTIFICATION)
-        timer = self.alarm(OPENER_NS, "opener")
+        timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, "opener")
         while self.reason is None:
             match (yield):
                 case Io(mask):
@@ -270,8 +272,8 @@
                         timer.cancel()
                         return
                 case Timeout(tag="opener"):
-                    self.reason = Reason.SLOW_OPENER
-                case Timeout(tag="leave") if self.front.leaving:
+                    self.reason = Reason.REQUEST_TIMEOUT
+                case Timeout(tag="leave") if self.frontend.leaving:
                     self.leave()
 
     def identified(self) -> bool:
@@ -287,7 +289,7 @@
         return False
 
     def serve(self) -> Steps:
-        self.alarm(KEEPALIVE_NS, "keepalive")
+        self.set_timer(KEEPALIVE_NS, "keepalive")
         self.read_packets()
         while self.reason is None:
             match (yield):
@@ -302,7 +304,7 @@
                     self.part_overdue()
                 case Timeout(tag="stalled") if self.stalled():
                     self.reason = Reason.STALLED
-            if self.front.leaving and not self.channels and self.reason is None:
+            if self.frontend.leaving and not self.channels and self.reason is None:
                 self.leave()
 
     def turn(self, mask: int) -> None:
@@ -314,22 +316,22 @@
             held = self.stream.stop - self.stream.start
             end = self.stream.fill()
             if self.stream.stop > held:
-                self.front.strangers.talks(self)
+                self.frontend.connection_limiter.talks(self)
             self.beats = 0
             if end is not None:
-                self.reason = Reason.CONSUMER_RESET if end is End.RESET else Reason.CONSUMER_LEFT
+                self.reason = Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
         if self.stream.broken:
-            self.reason = Reason.CONSUMER_RESET
+            self.reason = Reason.CLIENT_RESET
         self.stream.want(len(self.stream.out) < MOST_UNSENT)
 
     def keep_alive(self) -> None:
         """A half-open peer is quiet for ever; one that lives answers, if only that it will not."""
         self.beats += 1
         if self.beats > SILENT_BEATS:
-            self.reason = Reason.SILENT
+            self.reason = Reason.UNRESPONSIVE
             return
         self.write(message(Message.GLOBAL_REQUEST) + string(KEEPALIVE_REQUEST) + b"\1")
-        self.alarm(KEEPALIVE_NS, "keepalive")
+        self.set_timer(KEEPALIVE_NS, "keepalive")
 
     # ---- writing ----------------------------------------------------------------------------
 
@@ -371,15 +373,18 @@
                 self.part = None
             self.heed(Fields(payload))
         if self.part is None and self.stream.stop > self.stream.start and self.reason is None:
-            self.part, self.part_at = self.alarm(OPENER_NS, "part"), self.loop.now()
+            self.part, self.part_at = self.set_timer(REQUEST_LINE_TIMEOUT_NS, "part"), self.loop.now()
 
     def part_overdue(self) -> None:
         """Half a packet hides all that comes after it, and its session would never be known to be idle."""
-        if self.part is None or self.loop.now() - self.part_at < OPENER_NS:
+        if self.part is None or self.loop.now() - self.part_at < REQUEST_LINE_TIMEOUT_NS:
             return  # from a packet that has ended since
         if self.stream.reading:
             raise Malformed("a packet that does not end")
-        self.part, self.part_at = self.alarm(OPENER_NS, "part"), self.loop.now()  # it waits for us
+        self.part, self.part_at = (
+            self.set_timer(REQUEST_LINE_TIMEOUT_NS, "part"),
+            self.loop.now(),
+        )  # it waits for us
 
     def heed(self, fields: Fields) -> None:
         kind = fields.byte()
@@ -393,7 +398,7 @@
             case Message.CHANNEL_CLOSE:
                 self.closed(self.channel(fields))
             case Message.CHANNEL_EOF:
-                # Not passed on: to a provider the end of our sending abandons the connection.
+                # Not passed on: to an endpoint the end of our sending abandons the connection.
                 self.channel(fields)
             case Message.CHANNEL_EXTENDED_DATA:
                 self.extended(fields)
@@ -407,7 +412,7 @@
                 if fields.boolean():
                     self.write(message(Message.REQUEST_FAILURE))
             case Message.DISCONNECT:
-                self.reason = Reason.CONSUMER_LEFT
+                self.reason = Reason.CLIENT_LEFT
             case (
                 Message.IGNORE
                 | Message.DEBUG
@@ -430,7 +435,7 @@
         return channel
 
     def extended(self, fields: Fields) -> None:
-        """There is no second stream to a provider: the data is counted and let go."""
+        """There is no second stream to an endpoint: the data is counted and let go."""
         channel = self.channel(fields)
         fields.uint32()
         size = len(fields.string())
@@ -455,15 +460,15 @@
         klass, tenant = fields.text(), fields.text()
         key, group, wait_ms = fields.uint64(), fields.uint64(), fields.uint32()
         flags = fields.uint32() if fields.rest else 0
-        place = self.front.names.classes.get(klass)
+        place = self.frontend.names.classes.get(klass)
         odd = len(tenant) > MOST_TOLD or any(c <= " " or c in ",=\x7f" for c in tenant)
         if place is None or odd or wait_ms > MOST_WAIT_MS:
             self.refuse(remote, OpenFailure.CONNECT_FAILED, "unknown class, impossible tenant or deadline")
             return
-        if self.front.leaving or len(self.channels) >= MOST_CHANNELS:
+        if self.frontend.leaving or len(self.channels) >= MOST_CHANNELS:
             self.refuse(remote, OpenFailure.RESOURCE_SHORTAGE, "come again after 0 ms")
             return
-        if self.front.open >= MOST_OPEN:
+        if self.frontend.open >= MOST_OPEN:
             # A channel costs its opener nothing: without a bound, those that wait would fill memory.
             self.refuse(remote, OpenFailure.RESOURCE_SHORTAGE, f"come again after {CROWDED_MS} ms")
             return
@@ -473,8 +478,8 @@
         marks = f",g={group:016x}" if group else ""
         marks += ",r=1" if flags & RETRY_FLAG else ""
         marks += ",again=1" if flags & RETURNED_FLAG else ""
-        names = self.front.names.tenants
-        channel.invocation = Invocation(
+        names = self.frontend.names.tenants
+        channel.request = ActiveRequest(
             channel,
             place,
             names.get(tenant, UNKNOWN),
@@ -486,33 +491,33 @@
             lambda left_ms: f"{head}{left_ms}{marks}\r\n".encode(),
         )
         self.channels[channel.number] = channel
-        self.front.open += 1
-        self.front.strangers.remove(self)
+        self.frontend.open += 1
+        self.frontend.connection_limiter.remove(self)
         self.opened += 1
-        self.broker.invoke(channel.invocation)
+        self.broker.submit(channel.request)
 
     def closed(self, channel: Channel) -> None:
-        """The consumer closes, or confirms our own close."""
+        """The client closes, or confirms our own close."""
         if not channel.close_sent:
             channel.close_sent = True
             self.write(message(Message.CHANNEL_CLOSE, "I", channel.remote))
-            self.broker.consumer_ended(channel.invocation, False)
+            self.broker.client_ended(channel.request, False)
         self.drop(channel)
 
     def drop(self, channel: Channel) -> None:
         if self.channels.pop(channel.number, None) is None:
             return
-        self.front.open -= 1
+        self.frontend.open -= 1
         channel.pending.clear()
         if not self.channels and not self.stream.closed:
-            self.front.strangers.add(self)  # until it asks for another
+            self.frontend.connection_limiter.add(self)  # until it asks for another
         log.ended(
             "channel",
             channel.reason,
-            id=channel.invocation.id,
+            id=channel.request.id,
             channel=channel.number,
-            provider=channel.provider.decode("utf-8", "replace"),
-            attempts=channel.invocation.attempts,
+            endpoint=channel.endpoint.decode("utf-8", "replace"),
+            attempts=channel.request.attempts,
             ms=(self.loop.now() - channel.began) // MS,
         )
 
@@ -521,17 +526,19 @@
         self.disconnect(Disconnect.BY_APPLICATION, "this proxy is leaving")
 
 
-class ChannelsFront(Front):
+class ChannelsFrontend(Frontend):
     """Accepts sessions where the broker's own file says, while it is told to."""
 
-    def __init__(self, loop: Loop, broker: Broker, names: Names, strangers: Strangers) -> None:
-        super().__init__(loop, broker, names, strangers)
+    def __init__(
+        self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
+    ) -> None:
+        super().__init__(loop, broker, names, connection_limiter)
         self.sessions: set[Session] = set()
         self.open = 0  # channels of all sessions
 
-    def take(self, sock: socket.socket, peer: Endpoint) -> None:
+    def take(self, sock: socket.socket, peer: Address) -> None:
         session = Session(self, sock, peer)
-        session.start(session.live())
+        session.start(session.run())
 
     def leave(self) -> None:
         """Take no new session; those there are end once their channels have."""
@@ -548,10 +555,10 @@
         for session in self.sessions:
             session.post(Timeout("leave"))
 
-    def held(self, connections: int) -> dict[str, Held]:
+    def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
         return {
-            "channels.sessions": Held(len(self.sessions), connections),
-            "channels.open": Held(self.open, MOST_OPEN),
+            "channels.sessions": ResourceUsage(len(self.sessions), connections),
+            "channels.open": ResourceUsage(self.open, MOST_OPEN),
         }
 
     def channels(self) -> list[Channel]:
--- a/linnetshift/net/config.py
+++ b/linnetshift/net/config.py
@@ -14,9 +14,9 @@
 
 from linnetshift import interface as api
 from linnetshift.contracts import Budget, Contract, Contracts
-from linnetshift.net.directory import Roster, read_list
-from linnetshift.net.platform import Names
-from linnetshift.net.provider import Endpoint, parse_endpoint
+from linnetshift.net.directory import EndpointListUpdate, read_list
+from linnetshift.net.platform import NameRegistry
+from linnetshift.net.provider import Address, parse_address
 from linnetshift.net.vrrp import VrrpConfig
 
 OWN_FILE = Path(__file__).parent.parent.parent / "deploy" / "broker.toml"
@@ -31,14 +31,14 @@
 
 class Config(NamedTuple):
     name: str
-    listen: Endpoint
-    directory: Endpoint
+    listen: Address
+    discovery: Address
     seed: int
-    known: Roster
+    known: EndpointListUpdate
     settings: api.Settings
-    names: Names
+    names: NameRegistry
     sockets: int  # the platform's limit; 0 where it gives none
-    admin: Endpoint | None  # where operators call, if they do
+    admin: Address | None  # where operators call, if they do
     keys: Keys  # that the file has
 
 
@@ -75,24 +75,24 @@
     admin = os.environ.get("GW_ADMIN_ADDR") or raw.get("admin_addr")
     try:
         check_keys(raw, former.keys if former is not None else {})
-        listen, directory = parse_endpoint(str(raw["listen"])), parse_endpoint(str(raw["discovery"]))
+        listen, discovery = parse_address(str(raw["listen"])), parse_address(str(raw["discovery"]))
         settings = api.Settings.parse(raw["settings"])
         if former is not None:
             settings = settings.following(former.settings, in_use)
-        names = Names(raw["settings"], settings, former.names if former is not None else None)
+        names = NameRegistry(raw["settings"], settings, former.names if former is not None else None)
         zones = names.told(raw["settings"].get("zones"))
         if 0 <= settings.zone < len(zones):
             settings = replace(settings, zone=names.zones[zones[settings.zone]])
         return Config(
             name=str(raw.get("name", "")),
             listen=listen,
-            directory=directory,
+            discovery=discovery,
             seed=int(str(raw.get("seed", "0")), 16),
             known=read_list(raw.get("known", {"targets": []}), names, cached=True),
             settings=settings,
             names=names,
             sockets=int((raw.get("limits") or {}).get("sockets") or 0),
-            admin=parse_endpoint(str(admin)) if admin else None,
+            admin=parse_address(str(admin)) if admin else None,
             keys=keys_of(raw),
         )
     except KeyError as error:
@@ -119,12 +119,12 @@
 class BrokerFile(NamedTuple):
     """The parts that are off unless the broker's own file turns them on."""
 
-    channels: Endpoint | None = None
+    channels: Address | None = None
     vrrp: VrrpConfig | None = None
     contracts: Contracts = Contracts()
 
 
-def read_broker_file(path: str | None, names: Names, settings: api.Settings) -> BrokerFile:
+def read_broker_file(path: str | None, names: NameRegistry, settings: api.Settings) -> BrokerFile:
     """`deploy/broker.toml`, or the file that the environment names instead."""
     place = Path(path) if path else OWN_FILE
     if not path and not place.exists():
@@ -138,7 +138,7 @@
     try:
         channels, vrrp = raw.get("channels", {}), raw.get("vrrp", {})
         return BrokerFile(
-            channels=parse_endpoint(str(channels["listen"])) if channels.get("enabled") else None,
+            channels=parse_address(str(channels["listen"])) if channels.get("enabled") else None,
             vrrp=read_vrrp(vrrp) if vrrp.get("enabled") else None,
             contracts=read_contracts(raw.get("contract", []), names, settings),
         )
@@ -154,8 +154,8 @@
         priority=int(raw.get("priority", 100)),
         interval=int(raw.get("interval_cs", 100)),
         preempt=bool(raw.get("preempt", True)),
-        listen=parse_endpoint(str(raw["listen"])),
-        peers=tuple(parse_endpoint(str(peer)) for peer in raw["peers"]),
+        listen=parse_address(str(raw["listen"])),
+        peers=tuple(parse_address(str(peer)) for peer in raw["peers"]),
         addresses=tuple(str(ipaddress.IPv4Address(address)) for address in raw.get("addresses", [])),
     )
     if not 1 <= config.vrid <= 255 or not 1 <= config.priority <= 255:
@@ -165,7 +165,7 @@
     return config
 
 
-def read_contracts(raw: list[dict[str, Any]], names: Names, settings: api.Settings) -> Contracts:
+def read_contracts(raw: list[dict[str, Any]], names: NameRegistry, settings: api.Settings) -> Contracts:
     """Services go by name: whatever rules a class of that name has or had."""
     numbers: dict[str, set[int]] = {}
     for number, klass in enumerate(settings.classes):
--- a/linnetshift/net/directory.py
+++ b/linnetshift/net/directory.py
@@ -1,4 +1,4 @@
-"""The directory: its list of providers, asked for over HTTP and watched for changes."""
+"""Discovery: its list of endpoints, asked for over HTTP and watched for changes."""
 
 from __future__ import annotations
 
@@ -12,29 +12,33 @@
 import h11
 
 from linnetshift import interface as api
-from linnetshift.interface import HostState, ListForm
+from linnetshift.interface import EndpointState, ListForm
 from linnetshift.net import log
 from linnetshift.net.log import MOST_TOLD
-from linnetshift.net.loop import MS, Actor, Io, Loop, S, Script, Timeout
-from linnetshift.net.platform import UNKNOWN, Names
-from linnetshift.net.provider import Dialing, Endpoint, Steps, parse_endpoint
+from linnetshift.net.loop import MS, Actor, ActorCoroutine, Io, Loop, S, Timeout
+from linnetshift.net.platform import UNKNOWN, NameRegistry
+from linnetshift.net.provider import Address, OutboundConnection, Steps, parse_address
 from linnetshift.net.stream import End
 
 SOON_NS = 50 * MS  # before an agent on this machine is asked again that refused or failed a call
 # What discovery has counts as told 6 s after it could be reached, whatever a failed or silent call may wait
 # for: connection, news and answer of the next call stay well under it together, and so does each back-off.
 CONNECT_NS, SOON_WAIT_MS, MOST_CALL_NS = 1 * S, 1000, 4 * S
-MOST_PATIENCE = 2  # how often the patience with a silent directory is doubled
+MOST_PATIENCE = 2  # how often the patience with a silent discovery is doubled
 SPREAD = 0.75  # waits are drawn from this share up: proxies whose watches ended together call one by one
 DOUBT_NS = 30 * S  # how long an answer that contradicts what is known must hold to be believed
 AGAIN_NS = 2 * S  # after an answer with unreadable entries
-MOST_BODY = 1 << 20  # thousands of providers; read, it takes some ten times as much memory
+MOST_BODY = 1 << 20  # thousands of endpoints; read, it takes some ten times as much memory
 PATH = "/catalog/members"
-STATES = {"SERVING": HostState.READY, "DRAINING": HostState.DRAINING, "DELETED": HostState.GONE}
+STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
+}
 
 
-class Pace(NamedTuple):
-    """How long the directory is waited for: some time after it falls silent, its news counts as told."""
+class WatchTimeouts(NamedTuple):
+    """How long discovery is waited for: some time after it falls silent, its news counts as told."""
 
     pushed: bool  # the lists come to an agent on this machine, which answers at once and at no cost
     wait_ms: int  # how long a watch may stay without news
@@ -42,27 +46,27 @@
     call_ns: int  # for the whole list
 
     @classmethod
-    def of(cls, settings: api.Settings) -> Pace:
-        """A silent directory's news counts as told 2 s past the wait, at the soonest after 6 s of silence.
+    def of(cls, settings: api.Settings) -> WatchTimeouts:
+        """A silent discovery's news counts as told 2 s past the wait, at the soonest after 6 s of silence.
 
         An agent's counts from the moment it has them, watch or no watch, so a silent one is asked again while
-        the grace still lasts. One call at a shared directory costs as much as tens of lines.
+        the grace still lasts. One call at a shared discovery costs as much as tens of lines.
         """
-        if settings.must_ask:
+        if settings.must_poll:
             return cls(False, 10_000, 750 * MS, 2200 * MS)
         grace = max(100 * MS, min(settings.drain_grace_ns, 4 * S))
         return cls(True, grace // 2 // MS, grace // 4, grace // 2)
 
 
-class Roster(NamedTuple):
-    """A list or its changes, as the module wants it, and where the providers listen."""
+class EndpointListUpdate(NamedTuple):
+    """A list or its changes, as the module wants it, and where the endpoints listen."""
 
-    event: api.HostList
-    endpoints: dict[bytes, Endpoint]
+    event: api.EndpointList
+    addresses: dict[bytes, Address]
     unread: int  # entries that made no sense
 
 
-def read_list(document: Any, names: Names, cached: bool = False) -> Roster:
+def read_list(document: Any, names: NameRegistry, cached: bool = False) -> EndpointListUpdate:
     """Raises ValueError where the document is no list; an entry that makes no sense is left out.
 
     What a whole list with such an entry does not name may be what could not be read, so it counts as
@@ -73,26 +77,26 @@
     version = document.get("rev", 0 if cached else None)
     if not isinstance(version, int) or version < 0:
         raise ValueError("no version")
-    entries, endpoints, errors = [], {}, []
+    entries, addresses, errors = [], {}, []
     for target in document["targets"]:
         try:
-            entry, endpoint = read_entry(target, names)
+            entry, address = read_entry(target, names)
         except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
             errors.append(f"{type(error).__name__}: {error}")
             continue
         entries.append(entry)
-        endpoints[entry.host] = endpoint
+        addresses[entry.endpoint] = address
     if errors:
-        log.note("bad-targets", count=len(errors), first=errors[0][:MOST_TOLD])
+        log.note("endpoint-entries-invalid", count=len(errors), first=errors[0][:MOST_TOLD])
     whole = document.get("all") and not errors
     form = ListForm.CACHED if cached else ListForm.FULL if whole else ListForm.DELTA
-    return Roster(api.HostList(form, version, tuple(entries)), endpoints, len(errors))
+    return EndpointListUpdate(api.EndpointList(form, version, tuple(entries)), addresses, len(errors))
 
 
-def read_entry(target: dict[str, Any], names: Names) -> tuple[api.HostEntry, Endpoint]:
+def read_entry(target: dict[str, Any], names: NameRegistry) -> tuple[api.EndpointEntry, Address]:
     weight = float(target.get("capacity_hint", 1.0))
-    entry = api.HostEntry(
-        host=str(target["uid"]).encode(),
+    entry = api.EndpointEntry(
+        endpoint=str(target["uid"]).encode(),
         zone=names.zones.get(str(target.get("az")), UNKNOWN),
         kind=names.kinds.get(str(target.get("model")), UNKNOWN),
         cell=int(target.get("pod_group") or 0),
@@ -100,18 +104,18 @@
         weight=weight if math.isfinite(weight) else 1.0,
         started_ns=int(target.get("boot_ms") or 0) * MS,
     )
-    return entry, parse_endpoint(target["endpoint"])
+    return entry, parse_address(target["endpoint"])
 
 
-def describe(entry: api.HostEntry, endpoint: Endpoint, names: Names) -> dict[str, Any]:
-    """The entry as the directory would list it: what `read_entry` reads."""
+def describe(entry: api.EndpointEntry, address: Address, names: NameRegistry) -> dict[str, Any]:
+    """The entry as discovery would list it: what `read_entry` reads."""
 
     def named(places: dict[str, int], place: int) -> str:
         return next((name for name, at in places.items() if at == place), "")
 
     return {
-        "uid": entry.host.decode(),
-        "endpoint": f"{endpoint[0]}:{endpoint[1]}",
+        "uid": entry.endpoint.decode(),
+        "endpoint": f"{address[0]}:{address[1]}",
         "az": named(names.zones, entry.zone),
         "model": named(names.kinds, entry.kind),
         "pod_group": entry.cell,
@@ -127,18 +131,18 @@
     silent: bool = False  # for want of an answer
 
 
-class Call(Dialing):
+class Call(OutboundConnection):
     """One GET. It fails on any status but 200, on a reset, and on silence past its wait."""
 
-    def __init__(self, loop: Loop, endpoint: Endpoint, path: str, limit_ns: int, directory: Actor) -> None:
+    def __init__(self, loop: Loop, address: Address, path: str, limit_ns: int, discovery: Actor) -> None:
         super().__init__(loop)
-        self.endpoint, self.path, self.limit_ns, self.directory = endpoint, path, limit_ns, directory
+        self.address, self.path, self.limit_ns, self.discovery = address, path, limit_ns, discovery
 
-    def live(self) -> Script:
+    def run(self) -> ActorCoroutine:
         until = self.loop.now() + self.limit_ns
         document, error = None, "unreachable"
-        if (yield from self.connect(self.endpoint, min(CONNECT_NS, self.limit_ns))):
-            timer = self.alarm(until - self.loop.now(), "call")
+        if (yield from self.connect(self.address, min(CONNECT_NS, self.limit_ns))):
+            timer = self.set_timer(until - self.loop.now(), "call")
             try:
                 document, error = (yield from self.exchange()), ""
             except (h11.RemoteProtocolError, ValueError, ConnectionError, TimeoutError) as failure:
@@ -147,19 +151,19 @@
         if self.stream is not None:
             self.stream.close()
         if document is None:
-            log.note("directory-call-failed", path=self.path, error=error[:MOST_TOLD])
-        self.directory.post(Answer(self, document, document is None and self.loop.now() >= until))
+            log.note("discovery-call-failed", path=self.path, error=error[:MOST_TOLD])
+        self.discovery.post(Answer(self, document, document is None and self.loop.now() >= until))
 
     def gave_up(self) -> None:
-        self.directory.post(Answer(self, None))
+        self.discovery.post(Answer(self, None))
 
     def exchange(self) -> Steps:
         stream = self.stream
         assert stream is not None
         http = h11.Connection(h11.CLIENT)
-        host = f"{self.endpoint[0]}:{self.endpoint[1]}"
+        endpoint = f"{self.address[0]}:{self.address[1]}"
         request = h11.Request(
-            method="GET", target=self.path, headers=[("Host", host), ("Connection", "close")]
+            method="GET", target=self.path, headers=[("Host", endpoint), ("Connection", "close")]
         )
         stream.send(http.send(request) + (http.send(h11.EndOfMessage()) or b""))
         body = bytearray()
@@ -203,11 +207,11 @@
 
 
 class Relocate(NamedTuple):
-    endpoint: Endpoint
-    pace: Pace
+    address: Address
+    pace: WatchTimeouts
 
 
-class Directory(Actor):
+class Discovery(Actor):
     """Keeps the watch that the module asked for and reports lists, changes and failures.
 
     It alone knows how old the list is: a watch that fell silent is opened anew at once, and one that failed
@@ -217,17 +221,17 @@
     def __init__(
         self,
         loop: Loop,
-        endpoint: Endpoint,
-        names: Names,
-        known: Roster,
-        told: Callable[[Roster], None],
-        pace: Pace,
+        address: Address,
+        names: NameRegistry,
+        known: EndpointListUpdate,
+        told: Callable[[EndpointListUpdate], None],
+        pace: WatchTimeouts,
         seed: int = 0,
         heard: Callable[[], None] = lambda: None,
     ) -> None:
         """`heard` is called once the first call has ended, with an answer or without."""
         super().__init__(loop)
-        self.endpoint, self.names, self.told, self.pace, self.heard = endpoint, names, told, pace, heard
+        self.address, self.names, self.told, self.pace, self.heard = address, names, told, pace, heard
         self.random = random.Random(seed)
         self.version, self.some = known.event.version, bool(known.event.entries)
         self.whole = False  # owed from an address that has not answered yet
@@ -238,9 +242,9 @@
         self.watching: Call | None = None
         self.former: Call | None = None  # the watch at an address that was left
 
-    def relocate(self, endpoint: Endpoint, pace: Pace) -> None:
+    def relocate(self, address: Address, pace: WatchTimeouts) -> None:
         """What it has counts as told soon after, so it is asked at once, whether or not it moved."""
-        self.post(Relocate(endpoint, pace))
+        self.post(Relocate(address, pace))
 
     def watch(self, on: bool) -> None:
         self.post(Watch(on))
@@ -248,7 +252,7 @@
     def fetch(self) -> None:
         self.post(Fetch())
 
-    def live(self) -> Script:
+    def run(self) -> ActorCoroutine:
         while True:
             match (yield):
                 case Watch(on=True) if self.watching is None:
@@ -257,15 +261,15 @@
                     self.watching = None  # its answer is ignored
                 case Fetch():
                     self.call(PATH, self.pace.call_ns)
-                case Relocate(endpoint, pace):
+                case Relocate(address, pace):
                     self.pace = pace
-                    if endpoint == self.endpoint and self.watching is not None:
+                    if address == self.address and self.watching is not None:
                         self.watching.end()  # it may have fallen silent
-                    elif endpoint != self.endpoint:
+                    elif address != self.address:
                         # The old address falls silent: nothing may wait for the watch there to end. Its last
                         # answer still counts, if it brings one before the new address does.
                         self.former = self.watching or self.former
-                        self.endpoint, self.whole = endpoint, True
+                        self.address, self.whole = address, True
                     self.watch_on()
                 case Timeout(tag="again"):
                     self.asking_again = False
@@ -277,13 +281,13 @@
                     self.heard()
 
     def call(self, path: str, limit_ns: int) -> Call:
-        call = Call(self.loop, self.endpoint, path, limit_ns, self)
-        call.start(call.live())
+        call = Call(self.loop, self.address, path, limit_ns, self)
+        call.start(call.run())
         return call
 
     def watch_on(self) -> None:
         """The next call follows the last answer at once: after 200 ms it would be a new watch."""
-        # A shared directory that is slow under too many callers is not cured by calls that are cut short.
+        # A shared discovery that is slow under too many callers is not cured by calls that are cut short.
         patience = 0 if self.pace.pushed else min(self.silences, MOST_PATIENCE)
         if self.whole:
             self.watching = self.call(PATH, min(self.pace.call_ns << patience, MOST_CALL_NS))
@@ -299,26 +303,26 @@
             self.watching, self.silences = None, self.silences + 1 if silent else 0
         elif former:
             self.former = None
-        elif call.path != PATH or call.endpoint != self.endpoint:
+        elif call.path != PATH or call.address != self.address:
             return
         try:
-            roster = read_list(document, self.names)
-            self.doubt(roster.event, kept)
+            list_update = read_list(document, self.names)
+            self.doubt(list_update.event, kept)
         except ValueError as error:
             if document is not None:
-                log.note("directory-answer-unused", error=str(error)[:MOST_TOLD])
+                log.note("discovery-response-ignored", error=str(error)[:MOST_TOLD])
             if kept:
                 self.shaken = True
                 self.watch_lost(silent)
             return
-        self.version = roster.event.version
-        if roster.event.form == ListForm.FULL:
-            self.some = bool(roster.event.entries)
-        if roster.event.entries or roster.event.form == ListForm.FULL or not self.pace.pushed:
-            self.told(roster)  # an agent is asked some times a second, and mostly has no news
-        if roster.unread and not self.asking_again:
+        self.version = list_update.event.version
+        if list_update.event.form == ListForm.FULL:
+            self.some = bool(list_update.event.entries)
+        if list_update.event.entries or list_update.event.form == ListForm.FULL or not self.pace.pushed:
+            self.told(list_update)  # an agent is asked some times a second, and mostly has no news
+        if list_update.unread and not self.asking_again:
             self.asking_again = True
-            self.alarm(AGAIN_NS, "again")
+            self.set_timer(AGAIN_NS, "again")
         if kept:
             self.whole, self.former, self.shaken = (
                 False,
@@ -331,14 +335,14 @@
         if silent:
             self.watch_on()  # that was wait enough
         elif self.pace.pushed:
-            self.alarm(SOON_NS, "open")
+            self.set_timer(SOON_NS, "open")
         else:
-            self.told(Roster(api.HostList(ListForm.FAILED, 0, ()), {}, 0))
+            self.told(EndpointListUpdate(api.EndpointList(ListForm.FAILED, 0, ()), {}, 0))
 
-    def doubt(self, event: api.HostList, kept: bool) -> None:
+    def doubt(self, event: api.EndpointList, kept: bool) -> None:
         """An older list, or one that is suddenly empty, may be a slip: it is used only if it stays so.
 
-        At once it would end every connection, or send new ones to providers that are known to leave. From
+        At once it would end every connection, or send new ones to endpoints that are known to leave. From
         any call but the watch it is only late.
         """
         older = event.version < self.version
--- a/linnetshift/net/handover.py
+++ b/linnetshift/net/handover.py
@@ -24,14 +24,14 @@
 
 from linnetshift.contracts import Budget, Contracts
 from linnetshift.core.broker import Broker
-from linnetshift.core.census import Held
+from linnetshift.core.census import ResourceUsage
 from linnetshift.core.gauge import Standing
-from linnetshift.core.memory import remember
+from linnetshift.core.memory import import_state
 from linnetshift.net import log
-from linnetshift.net.directory import Roster, read_list
+from linnetshift.net.directory import EndpointListUpdate, read_list
 from linnetshift.net.limits import Reading
-from linnetshift.net.loop import MS, Io, Loop, S, Script, Timeout
-from linnetshift.net.platform import Names
+from linnetshift.net.loop import MS, ActorCoroutine, Io, Loop, S, Timeout
+from linnetshift.net.platform import NameRegistry
 from linnetshift.net.stream import End, Stream
 
 MEET_S = 2.5  # how long a new process waits for the state of one that may hang; then it goes on alone
@@ -95,7 +95,7 @@
             break
         except (OSError, ValueError) as error:
             sock.close()
-            log.note("state-unread", error=str(error))
+            log.note("takeover-state-unreadable", error=str(error))
             time.sleep(AGAIN_S)
     return None
 
@@ -121,7 +121,7 @@
     return json.dumps({"say": say, **more}).encode() + b"\n"
 
 
-def spent(contracts: Contracts, names: Names) -> dict[str, list[list[float] | None]]:
+def spent(contracts: Contracts, names: NameRegistry) -> dict[str, list[list[float] | None]]:
     """What is left of each team's budgets: rate and retries, as level and time."""
     teams = {place: name for name, place in names.tenants.items()}
     return {
@@ -139,11 +139,11 @@
 class Inherited:
     """The legacy, read; what makes no sense is left out, as the other process may be of another version."""
 
-    def __init__(self, legacy: Legacy | None, names: Names) -> None:
+    def __init__(self, legacy: Legacy | None, names: NameRegistry) -> None:
         self.state = legacy.state if legacy is not None else {}
         self.names = names
         self.active = self.state.get("active") is True
-        self.roster: Roster | None = None
+        self.list_update: EndpointListUpdate | None = None
         self.holdings = Holdings()
         descriptors = legacy.descriptors if legacy is not None else []
         passed = self.state.get("passed") or []
@@ -152,36 +152,36 @@
         }
         if self.state:
             try:
-                roster = read_list(self.state.get("list"), names)
-                self.roster = roster if roster.event.entries else None
+                list_update = read_list(self.state.get("list"), names)
+                self.list_update = list_update if list_update.event.entries else None
             except ValueError as error:
-                log.note("inherited-list-unused", error=str(error))
+                log.note("imported-list-rejected", error=str(error))
             try:
                 self.holdings = Holdings.read(self.state.get("holdings", {}))
             except MEANINGLESS as error:
-                log.note("inheritance-unused", error=f"{type(error).__name__}: {log.words(error)}")
+                log.note("imported-state-rejected", error=f"{type(error).__name__}: {log.words(error)}")
 
     def restore(self, broker: Broker) -> None:
         """Before the list is told."""
         try:
             if self.state:
-                broker.bans.restore(self.state["bans"])
+                broker.administrative_drains.restore(self.state["bans"])
                 for team, left in self.state["budgets"].items():
                     contract = broker.contracts.teams.get(self.names.tenants[team])
                     if contract is not None:
                         take_over(contract.rate, left[0])
                         take_over(contract.retries, left[1])
         except (AttributeError, KeyError, TypeError, ValueError) as error:
-            log.note("inheritance-unused", error=f"{type(error).__name__}: {error}")
+            log.note("imported-state-rejected", error=f"{type(error).__name__}: {error}")
 
-    def remember(self, broker: Broker) -> None:
+    def import_state(self, broker: Broker) -> None:
         """After the list is told."""
         broker.drain()
         try:
             if self.state:
-                remember(broker.balancer, broker.gauge, self.state["memory"])
+                import_state(broker.balancer, broker.latency_estimator, self.state["memory"])
         except (AttributeError, KeyError, TypeError, ValueError) as error:
-            log.note("memory-unused", error=f"{type(error).__name__}: {error}")
+            log.note("snapshot-rejected", error=f"{type(error).__name__}: {error}")
 
 
 MEANINGLESS = (AttributeError, KeyError, OverflowError, RecursionError, TypeError, ValueError)
@@ -191,18 +191,18 @@
     """What another process of this proxy holds meanwhile, which counts together with what this one does."""
 
     streams: int = 0  # descriptors
-    moved: int = 0  # consumers told to move, ever
-    loads: Mapping[bytes, list[Standing]] = MappingProxyType({})  # by provider
+    moved: int = 0  # clients told to move, ever
+    loads: Mapping[bytes, list[Standing]] = MappingProxyType({})  # by endpoint
 
     @classmethod
     def read(cls, told: dict[str, Any]) -> Holdings:
         """Raises one of MEANINGLESS where it makes no sense."""
         streams, moved = int(told.get("streams", 0)), int(told.get("moved", 0))
         loads = {
-            provider.encode(): [
+            endpoint.encode(): [
                 Standing(None if load is None else float(load), int(group), 0) for load, group in held
             ]
-            for provider, held in told.get("loads", {}).items()
+            for endpoint, held in told.get("loads", {}).items()
         }
         known = [one.load for held in loads.values() for one in held if one.load is not None]
         if not 0 <= streams <= MOST_STREAMS or not 0 <= moved < 1 << 62:
@@ -216,7 +216,7 @@
     """One line of another process, read whole before anything is done of it."""
 
     say: str
-    provider: bytes = b""
+    endpoint: bytes = b""
     out: bool = False
     number: int = 0
     holdings: Holdings = Holdings()
@@ -237,16 +237,16 @@
         raise ValueError("says nothing")
 
 
-class Program(Protocol):
+class RestartOperations(Protocol):
     """What the process on this side does at the other's word."""
 
     def state(self) -> tuple[dict[str, Any], list[int]]:
         """All that another process needs to take over, and descriptors that pass with it."""
 
     def step_back(self, back: bool) -> None:
-        """Stop accepting and move consumers away, or accept again."""
+        """Stop accepting and move clients away, or accept again."""
 
-    def ban(self, provider: bytes, out: bool, done: Callable[[], None]) -> None:
+    def ban(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
         """Take it out or use it again, in this process alone."""
 
     def holdings(self) -> dict[str, Any]:
@@ -268,10 +268,10 @@
         self.numbers = count()
         self.unanswered: dict[int, Callable[[], None]] = {}
 
-    def live(self) -> Script:
+    def run(self) -> ActorCoroutine:
         self.stream.arm()
-        self.alarm(HELLO_NS, "hello")
-        self.alarm(BEAT_NS, "beat")
+        self.set_timer(HELLO_NS, "hello")
+        self.set_timer(BEAT_NS, "beat")
         end: End | None = None
         while end is None and not self.stream.broken and self.heed_lines():
             match (yield):
@@ -286,7 +286,7 @@
                 case Timeout(tag="beat"):
                     if self.met and not self.stream.congested:  # one that hangs would fill memory with them
                         self.say("beat", **self.program.holdings())
-                    self.alarm(BEAT_NS, "beat")
+                    self.set_timer(BEAT_NS, "beat")
                 case Timeout(tag="hello") if not self.met:
                     break
                 case Timeout(tag="stalled") if self.stalled():
@@ -309,14 +309,14 @@
         self.stream.send(encode(say, **more))
         self.look_for_stall()
 
-    def ban(self, provider: bytes, out: bool, done: Callable[[], None]) -> None:
+    def ban(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
         """Have the other process hold it too; `done` once it does, or is gone."""
-        if self.script is None or not self.met or len(self.unanswered) >= MOST_UNANSWERED:
+        if self.coroutine is None or not self.met or len(self.unanswered) >= MOST_UNANSWERED:
             done()  # it will be in the state, or in that of whoever replaces one that hangs
             return
         number = next(self.numbers)
         self.unanswered[number] = done
-        self.say("ban", provider=provider.decode(), out=out, number=number)
+        self.say("ban", **{"provider": endpoint.decode()}, out=out, number=number)
 
     def heed_lines(self) -> bool:
         """Whether all of it could be read: one that speaks otherwise is of another version."""
@@ -324,7 +324,7 @@
             try:
                 said = Said.read(self.read[:size])
             except MEANINGLESS as error:
-                log.note("beside-unread", error=f"{type(error).__name__}: {log.words(error)}")
+                log.note("peer-message-unreadable", error=f"{type(error).__name__}: {log.words(error)}")
                 return False
             del self.read[:size]
             self.heed(said)
@@ -345,7 +345,7 @@
                 self.succession.joined()
             case "ban":
                 held = partial(self.say, "held", number=said.number)
-                self.succession.ban(said.provider, said.out, held, self)
+                self.succession.ban(said.endpoint, said.out, held, self)
             case "held":
                 if (done := self.unanswered.pop(said.number, None)) is not None:
                     done()
@@ -387,7 +387,9 @@
 class Succession:
     """Which other processes of this proxy there are, and whose turn it is to accept."""
 
-    def __init__(self, loop: Loop, program: Program, place: Place | None, legacy: Legacy | None) -> None:
+    def __init__(
+        self, loop: Loop, program: RestartOperations, place: Place | None, legacy: Legacy | None
+    ) -> None:
         self.loop, self.program, self.place = loop, program, place
         self.besides: list[Beside] = []
         self.heir: Beside | None = None  # accepts in this one's place
@@ -396,7 +398,7 @@
         if legacy is not None:
             older = Beside(self, legacy.sock, legacy)
             self.besides.append(older)
-            older.start(older.live())
+            older.start(older.run())
             older.say("serving")
             loop.call_later(HELLO_NS, self.joined)  # one that hangs accepts nothing either
         self.be_found()
@@ -410,7 +412,7 @@
         try:
             self.meeting = Meeting(self.loop, self.place, self.take)
         except OSError as error:
-            log.note("no-meeting", error=error.strerror)
+            log.note("takeover-socket-unavailable", error=error.strerror)
 
     def take(self, sock: socket.socket) -> None:
         if self.heir is not None or any(not beside.older for beside in self.besides):
@@ -418,13 +420,13 @@
             return
         newer = Beside(self, sock)
         self.besides.append(newer)
-        newer.start(newer.live())
+        newer.start(newer.run())
 
-    def held(self) -> dict[str, Held]:
+    def resource_usage(self) -> dict[str, ResourceUsage]:
         waiting = sum(len(beside.unanswered) for beside in self.besides)
         return {
-            "besides": Held(len(self.besides), 2),
-            "besides.unanswered": Held(waiting, 2 * MOST_UNANSWERED),
+            "besides": ResourceUsage(len(self.besides), 2),
+            "besides.unanswered": ResourceUsage(waiting, 2 * MOST_UNANSWERED),
         }
 
     def joined(self) -> None:
@@ -433,7 +435,7 @@
     def succeeded(self, beside: Beside) -> None:
         if self.heir is None:
             self.heir = beside
-            log.note("replaced")
+            log.note("process-replaced")
             self.program.step_back(True)
 
     def parted(self, beside: Beside) -> None:
@@ -441,16 +443,16 @@
             self.besides.remove(beside)
         self.program.holds_beside(Holdings())
         if beside.older:
-            log.note("older-gone")
+            log.note("predecessor-gone")
             self.joined()
         if beside is self.heir:
             self.heir = None
-            log.note("replacement-gone")
+            log.note("successor-gone")
             self.be_found()
             self.program.step_back(False)
 
     def ban(
-        self, provider: bytes, out: bool, done: Callable[[], None], told_by: Beside | None = None
+        self, endpoint: bytes, out: bool, done: Callable[[], None], told_by: Beside | None = None
     ) -> None:
         """Here and in every other process; `done` once all that live hold it."""
         others = [beside for beside in self.besides if beside is not told_by]
@@ -462,9 +464,9 @@
             if not left:
                 done()
 
-        self.program.ban(provider, out, one_more)
+        self.program.ban(endpoint, out, one_more)
         for beside in others:
-            beside.ban(provider, out, one_more)
+            beside.ban(endpoint, out, one_more)
 
     def end(self) -> None:
         for beside in self.besides:
--- a/linnetshift/net/limits.py
+++ b/linnetshift/net/limits.py
@@ -1,7 +1,7 @@
 """What strangers may cost: those who have asked for nothing yet, and those who stay after their answer.
 
-Both fronts keep to it, so that no number of silent, endless or hasty connections takes what usual consumers
-and their providers need.
+Both frontends keep to it, so that no number of silent, endless or hasty connections takes what usual clients
+and their endpoints need.
 """
 
 from __future__ import annotations
@@ -9,18 +9,18 @@
 import resource
 from typing import Protocol
 
-from linnetshift.core.census import Held
+from linnetshift.core.census import ResourceUsage
 from linnetshift.net.loop import MS, Actor, Loop, S, Timer
 from linnetshift.net.stream import Stream
 
 # A first line comes with its connection; who owes it for longer is answered and closed, within 3 s in all.
-OPENER_NS = 2800 * MS
+REQUEST_LINE_TIMEOUT_NS = 2800 * MS
 # What is still sent after an answer is read and let go, since a close with bytes unread resets the answer
 # away; 60 MB may be on their way, and the close is promised within 6 s.
 DRAIN_NS = 5500 * MS
-STALL_NS = 7 * S  # how long a consumer may leave everything unread
-MOST_WAIT_MS = 600_000  # no consumer waits so long for its answer
-# Descriptors that no stranger gets: for providers, the directory, listeners and the log.
+STALL_NS = 7 * S  # how long a client may leave everything unread
+MOST_WAIT_MS = 600_000  # no client waits so long for its answer
+# Descriptors that no stranger gets: for endpoints, discovery, listeners and the log.
 LEAST_SPARE, SPARE_PART = 24, 6
 
 
@@ -38,7 +38,7 @@
         """After each write and flush."""
         if self.stream.congested and not self.congested_at:
             self.congested_at = self.loop.now()
-            self.stall = self.alarm(STALL_NS, "stalled")
+            self.stall = self.set_timer(STALL_NS, "stalled")
         elif self.congested_at and not self.stream.congested:
             self.congested_at = 0
             if self.stall is not None:
@@ -49,15 +49,15 @@
         return bool(self.congested_at) and self.loop.now() - self.congested_at >= STALL_NS
 
 
-class Stranger(Protocol):
-    def shed(self) -> None:
+class EvictableConnection(Protocol):
+    def evict(self) -> None:
         """Close its socket now."""
 
 
-class Strangers:
-    """Those of both fronts, in the order in which they go when descriptors run short.
+class ConnectionLimiter:
+    """Those of both frontends, in the order in which they go when descriptors run short.
 
-    Consumers on slow lines may take over 2 s for their first line. In a flood they are the oldest of all, but
+    Clients on slow lines may take over 2 s for their first line. In a flood they are the oldest of all, but
     unlike the rest they go on talking.
     """
 
@@ -67,15 +67,15 @@
         known = [limit for limit in (sockets, soft) if limit > 0]  # no limit is told as 0 or -1
         self.most = min(known) - max(LEAST_SPARE, min(known) // SPARE_PART) if known else 1 << 30
         self.descriptors = min(known) if known else 1 << 30
-        self.told: dict[Stranger, None] = {}  # they asked, were answered, and stay
-        self.quiet: dict[Stranger, None] = {}  # the longest quiet first
-        self.talking: dict[Stranger, None] = {}  # their line comes in pieces
+        self.told: dict[EvictableConnection, None] = {}  # they asked, were answered, and stay
+        self.quiet: dict[EvictableConnection, None] = {}  # the longest quiet first
+        self.talking: dict[EvictableConnection, None] = {}  # their line comes in pieces
         self.beside = 0  # descriptors that another process of this proxy holds meanwhile
         loop.make_room = self.make_room
 
-    def add(self, stranger: Stranger) -> None:
-        """A usual consumer's line is there at once, so that under pressure it is never the one to go."""
-        self.quiet[stranger] = None
+    def add(self, connection: EvictableConnection) -> None:
+        """A usual client's line is there at once, so that under pressure it is never the one to go."""
+        self.quiet[connection] = None
         while self.loop.streams + self.beside > self.most and self.count() > 1 and self.make_room():
             pass
 
@@ -86,29 +86,29 @@
         """How many of them want nothing, as far as can be seen."""
         return len(self.told) + len(self.quiet)
 
-    def answered(self, stranger: Stranger) -> None:
+    def answered(self, connection: EvictableConnection) -> None:
         """What it asked it has been told; it may go at any time."""
-        self.remove(stranger)
-        self.told[stranger] = None
+        self.remove(connection)
+        self.told[connection] = None
 
-    def talks(self, stranger: Stranger) -> None:
+    def talks(self, connection: EvictableConnection) -> None:
         """More of its line came after a pause."""
-        if stranger in self.quiet or stranger in self.talking:
-            self.remove(stranger)
-            self.talking[stranger] = None
+        if connection in self.quiet or connection in self.talking:
+            self.remove(connection)
+            self.talking[connection] = None
 
-    def remove(self, stranger: Stranger) -> None:
+    def remove(self, connection: EvictableConnection) -> None:
         for group in (self.told, self.quiet, self.talking):
-            group.pop(stranger, None)
+            group.pop(connection, None)
 
-    def held(self, connections: int) -> dict[str, Held]:
-        return {"strangers": Held(self.count(), connections)}
+    def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
+        return {"strangers": ResourceUsage(self.count(), connections)}
 
     def make_room(self) -> bool:
         """End the one that can best be missed; whether there was one."""
-        stranger = next((one for group in (self.told, self.quiet, self.talking) for one in group), None)
-        if stranger is None:
+        connection = next((one for group in (self.told, self.quiet, self.talking) for one in group), None)
+        if connection is None:
             return False
-        self.remove(stranger)
-        stranger.shed()
+        self.remove(connection)
+        connection.evict()
         return True
--- a/linnetshift/net/log.py
+++ b/linnetshift/net/log.py
@@ -15,26 +15,26 @@
 class Reason(Enum):
     """Why a connection ended; every ended connection leaves one line with one of these."""
 
-    SERVED = "served"  # its provider said BYE
-    CONSUMER_LEFT = "consumer-left"
-    CONSUMER_RESET = "consumer-reset"
-    PROVIDER_LEFT = "provider-left"
-    PROVIDER_RESET = "provider-reset"
-    SENT_AWAY = "sent-away"  # a draining provider said MOVE
-    MOVED = "moved"  # this proxy said MOVE
-    SILENT = "silent"  # moved, since its provider brought nothing back
-    STALLED = "stalled"  # its consumer stopped reading
+    SERVED = "served"  # its endpoint said BYE
+    CLIENT_LEFT = "client-left"
+    CLIENT_RESET = "client-reset"
+    ENDPOINT_LEFT = "endpoint-left"
+    ENDPOINT_RESET = "endpoint-reset"
+    ENDPOINT_MIGRATED = "endpoint-migrated"  # a draining endpoint said MOVE
+    MIGRATED = "migrated"  # this proxy said MOVE
+    UNRESPONSIVE = "unresponsive"  # moved, since its endpoint brought nothing back
+    STALLED = "stalled"  # its client stopped reading
     REJECTED = "rejected"
     FAILED = "failed"
-    WITHDRAWN = "withdrawn"  # the consumer left before the answer
+    WITHDRAWN = "withdrawn"  # the client left before the answer
     BAD_LINE = "bad-line"
-    SLOW_OPENER = "slow-opener"
-    SHED = "shed"  # a stranger, for want of descriptors
-    PROBED = "probed"  # a front asked whether this proxy is ready
+    REQUEST_TIMEOUT = "request-timeout"
+    EVICTED = "evicted"  # a stranger, for want of descriptors
+    PROBED = "probed"  # a frontend asked whether this proxy is ready
     ANSWERED = "answered"  # an operator's call
     EMPTY = "empty"  # ended without a line
     UNREACHABLE = "unreachable"
-    TURNED_AWAY = "turned-away"
+    ENDPOINT_FULL = "endpoint-full"
     ERROR = "error"
     TIMED_OUT = "timed-out"
     ABANDONED = "abandoned"
@@ -78,7 +78,7 @@
 def ended(side: str, reason: Reason, /, **pairs: object) -> None:
     """The one line that an ended connection leaves."""
     own = {"side": side, "reason": reason}
-    note("ended", **(own | pairs | own))  # a report's column may have any name
+    note("connection-ended", **(own | pairs | own))  # a report's column may have any name
 
 
 def words(error: Exception) -> str:
@@ -110,7 +110,7 @@
             return
         if self.left_out:
             left_out, self.left_out = self.left_out, 0
-            note("lines-left-out", count=left_out)
+            note("log-lines-dropped", count=left_out)
         super().emit(record)
 
 
--- a/linnetshift/net/loop.py
+++ b/linnetshift/net/loop.py
@@ -10,9 +10,9 @@
 from itertools import count
 from typing import Any, NamedTuple, Protocol
 
-from linnetshift.core.census import Held
+from linnetshift.core.census import ResourceUsage
 
-Script = Generator[None, Any, None]
+ActorCoroutine = Generator[None, Any, None]
 Handler = Callable[[int], None]
 
 MS = 1_000_000
@@ -43,7 +43,7 @@
     def cancel(self) -> None:
         if self.call is not None:
             self.call = None
-            self.loop.bury()
+            self.loop.compact()
 
     def fire(self) -> None:
         call, self.call = self.call, None
@@ -51,17 +51,17 @@
             call()
 
 
-class Alarm(Timer):
+class ActorTimer(Timer):
     """An actor's timer: it leaves a `Timeout` in the mailbox, and ends with the actor."""
 
     __slots__ = ("actor", "tag")
 
     def __init__(self, actor: Actor, tag: object) -> None:
-        super().__init__(actor.loop, self.ring)
+        super().__init__(actor.loop, self.post_timeout)
         self.actor: Actor | None = actor
         self.tag = tag
 
-    def ring(self) -> None:
+    def post_timeout(self) -> None:
         tag = self.tag
         if (actor := self.let_go()) is not None:
             actor.post(Timeout(tag))
@@ -74,7 +74,7 @@
         """The heap keeps this until its time: it must not keep the actor with it."""
         actor, self.actor, self.tag = self.actor, None, None
         if actor is not None:
-            actor.alarms.discard(self)
+            actor.timers.discard(self)
         return actor
 
 
@@ -96,41 +96,41 @@
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.mailbox: deque[Any] = deque()
-        self.alarms: set[Alarm] = set()
+        self.timers: set[ActorTimer] = set()
         self.scheduled = False
-        self.script: Script | None = None
+        self.coroutine: ActorCoroutine | None = None
 
-    def start(self, script: Script) -> None:
-        self.script = script
+    def start(self, coroutine: ActorCoroutine) -> None:
+        self.coroutine = coroutine
         self._resume(None)
 
     def post(self, message: object) -> None:
-        if self.script is None:
+        if self.coroutine is None:
             return
         self.mailbox.append(message)
         if not self.scheduled:
             self.scheduled = True
             self.loop.ready.append(self)
 
-    def alarm(self, delay_ns: int, tag: object) -> Timer:
-        alarm = Alarm(self, tag)
-        self.alarms.add(alarm)
-        self.loop.schedule(delay_ns, alarm)
-        return alarm
+    def set_timer(self, delay_ns: int, tag: object) -> Timer:
+        set_timer = ActorTimer(self, tag)
+        self.timers.add(set_timer)
+        self.loop.schedule(delay_ns, set_timer)
+        return set_timer
 
-    def run(self) -> None:
+    def process_mailbox(self) -> None:
         self.scheduled = False
-        while self.mailbox and self.script is not None:
+        while self.mailbox and self.coroutine is not None:
             self._resume(self.mailbox.popleft())
 
     def _resume(self, message: object) -> None:
-        assert self.script is not None
+        assert self.coroutine is not None
         try:
-            self.script.send(message)
+            self.coroutine.send(message)
         except StopIteration:
             self.end()
         except Exception as error:
-            self.script = None  # it hears nothing more, not even of what its fault sets off
+            self.coroutine = None  # it hears nothing more, not even of what its fault sets off
             try:
                 self.faulted(error)
             finally:
@@ -138,10 +138,10 @@
 
     def end(self) -> None:
         """Let go of everything at once: waiting for a collector would keep buffers by the thousand."""
-        self.script = None
+        self.coroutine = None
         self.mailbox.clear()
-        while self.alarms:
-            next(iter(self.alarms)).cancel()
+        while self.timers:
+            next(iter(self.timers)).cancel()
         if self.stream is not None:
             self.stream.close()
 
@@ -157,7 +157,7 @@
     """Runs actors until told to stop.
 
     The clock is monotonic and anchored to the wall once, so that it never steps back and yet compares
-    with the start times that the directory lists.
+    with the start times that discovery lists.
     """
 
     def __init__(self) -> None:
@@ -185,7 +185,7 @@
     def schedule(self, delay_ns: int, timer: Timer) -> None:
         heapq.heappush(self.timers, (self.now() + max(0, delay_ns), next(self.sequence), timer))
 
-    def bury(self) -> None:
+    def compact(self) -> None:
         """One in the heap was cancelled. Dead ones never outnumber the living by more than a few."""
         self.dead += 1
         if self.dead > FEW and 2 * self.dead > len(self.timers):
@@ -193,14 +193,14 @@
             heapq.heapify(self.timers)
             self.dead = 0
 
-    def held(self, connections: int) -> dict[str, Held]:
+    def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
         """`connections` is the most that may be open at once; each has a few timers."""
-        live = len(self.timers) - self.dead
+        pending = len(self.timers) - self.dead
         return {
-            "loop.handlers": Held(len(self.handlers), 2 * connections),
-            "loop.ready": Held(len(self.ready), 2 * connections),
-            "loop.timers": Held(live, 8 * connections),
-            "loop.dead-timers": Held(self.dead, max(FEW, live + 1)),
+            "loop.handlers": ResourceUsage(len(self.handlers), 2 * connections),
+            "loop.ready": ResourceUsage(len(self.ready), 2 * connections),
+            "loop.timers": ResourceUsage(pending, 8 * connections),
+            "loop.dead-timers": ResourceUsage(self.dead, max(FEW, pending + 1)),
         }
 
     def watch(self, fd: int, mask: int, handler: Handler) -> None:
@@ -220,7 +220,7 @@
 
     def turn(self) -> None:
         for _ in range(len(self.ready)):
-            self.ready.popleft().run()
+            self.ready.popleft().process_mailbox()
         while self.timers and self.timers[0][2].call is None:  # nobody need be woken for it
             heapq.heappop(self.timers)
             self.dead -= 1
