--- a/linnetshift/net/module.py
+++ b/linnetshift/net/module.py
@@ -8,8 +8,8 @@
 from linnetshift.core.broker import Broker
 from linnetshift.interface import Settings
 from linnetshift.net import log
-from linnetshift.net.channels import ChannelsFront
-from linnetshift.net.loop import MS, Actor, Loop, S, Script, Timeout, Timer
+from linnetshift.net.channels import ChannelsFrontend
+from linnetshift.net.loop import MS, Actor, ActorCoroutine, Loop, S, Timeout, Timer
 from linnetshift.net.stream import Stream
 
 REVIEW_NS = 125 * MS  # how often silence is looked for
@@ -26,7 +26,7 @@
     broker: Broker
 
     def __init__(self, loop: Loop, waiting: bool = False) -> None:
-        """`waiting`: nothing is decided before the directory's first word, or its failure to say any."""
+        """`waiting`: nothing is decided before discovery's first word, or its failure to say any."""
         super().__init__(loop)
         self.waiting = waiting
 
@@ -48,17 +48,17 @@
     def later(self, delay_ns: int, fire: Callable[[], None]) -> Timer:
         return self.loop.call_later(delay_ns, fire)
 
-    def live(self) -> Script:
-        self.alarm(REVIEW_NS, 1)
+    def run(self) -> ActorCoroutine:
+        self.set_timer(REVIEW_NS, 1)
         while True:
             match (yield):
                 case Timeout(tag=int(review)):
-                    self.alarm(REVIEW_NS, review + 1)
+                    self.set_timer(REVIEW_NS, review + 1)
                     self.broker.review_silence()
                     if review % REVIEWS == 0:
                         self.broker.review_messages()
-                        for what, value in self.broker.learned.fresh():
-                            log.note("learned", what=what, value=value)
+                        for what, value in self.broker.deployment_facts.fresh():
+                            log.note("deployment-fact-observed", what=what, value=value)
                 case Settled(done):
                     self.decide()
                     done()
@@ -81,7 +81,7 @@
 MOST_DEADLINE_NS, KILL_NS = 3 * S, 700 * MS
 SPARE_NS = 350 * MS  # kept free before the kill, for the last answers and moves to be written and read
 LAST_NS = 100 * MS  # of that, for the exit itself
-# Proxies are restarted one after the other: the one before may not be back yet, and consumers moved at
+# Proxies are restarted one after the other: the one before may not be back yet, and clients moved at
 # once would find nobody. They are moved between these parts of the time, in hundredths.
 MOVE_FROM, MOVE_UNTIL = 40, 92
 STEP_NS = 50 * MS
@@ -90,19 +90,19 @@
 
 
 class Mover(Actor):
-    """Moves a front's channels at an even pace once it no longer listens."""
+    """Moves a frontend's channels at an even pace once it no longer listens."""
 
-    def __init__(self, loop: Loop, broker: Broker, front: ChannelsFront) -> None:
+    def __init__(self, loop: Loop, broker: Broker, frontend: ChannelsFrontend) -> None:
         super().__init__(loop)
-        self.broker, self.front = broker, front
+        self.broker, self.frontend = broker, frontend
 
-    def live(self) -> Script:
+    def run(self) -> ActorCoroutine:
         steps = LOST_PART_NS // STEP_NS
-        while self.front.leaving and (channels := self.front.channels()):
+        while self.frontend.leaving and (channels := self.frontend.channels()):
             for channel in channels[: -(-len(channels) // max(1, steps))]:
-                self.broker.move(channel.invocation.id, "moved")
+                self.broker.move(channel.request.id, "migrated")
             steps -= 1
-            self.alarm(STEP_NS, "step")
+            self.set_timer(STEP_NS, "step")
             yield
 
 
@@ -111,7 +111,7 @@
 
 
 class Departure(Actor):
-    """Answers everything, moves every consumer away at an even pace, and stops the loop.
+    """Answers everything, moves every client away at an even pace, and stops the loop.
 
     One that is replaced has stopped accepting, and has until the signal comes and then as long as any.
     """
@@ -141,11 +141,11 @@
         self.until = min(self.until, now + time)
         self.paced_until = min(self.paced_until, now + time * MOVE_UNTIL // 100)
 
-    def live(self) -> Script:
-        log.note("leaving", standing=len(self.broker.standing()), replaced=self.replaced)
+    def run(self) -> ActorCoroutine:
+        log.note("shutdown-started", standing=len(self.broker.standing()), replaced=self.replaced)
         accepting, due = not self.replaced, 0.0
         while self.loop.now() < self.until:
-            self.alarm(STEP_NS, "step")
+            self.set_timer(STEP_NS, "step")
             yield
             now = self.loop.now()
             if now < self.accept_until:
@@ -155,25 +155,25 @@
                 self.close()
             standing = self.broker.standing() if now >= self.paced_from else []
             due += len(standing) / max(1, (self.paced_until - now) // STEP_NS)
-            for invocation in standing[: int(due)]:
-                self.broker.move(invocation.id, "moved")
+            for request in standing[: int(due)]:
+                self.broker.move(request.id, "migrated")
             due -= int(due)
             if not self.held():
                 break
-        for invocation in self.broker.unanswered():
-            self.broker.dismiss(invocation)
-        for invocation in self.broker.standing():
-            self.broker.move(invocation.id, "moved")
+        for request in self.broker.unanswered():
+            self.broker.dismiss(request)
+        for request in self.broker.standing():
+            self.broker.move(request.id, "migrated")
         self.send_off()
         # Whoever has its last word is read from until it has ended too: a close over bytes unread, the exit's
         # as well, would reset that word away.
         until = max(self.until, self.loop.now()) + SPARE_NS - LAST_NS
         while True:
-            self.alarm(STEP_NS, "step")
+            self.set_timer(STEP_NS, "step")
             yield
             if not self.open_streams() or self.loop.now() >= until:
                 break
-        log.note("left", held=self.held())
+        log.note("shutdown-finished", held=self.held())
         for stream in self.open_streams():
             stream.drain()
             stream.close()
--- a/linnetshift/net/ops.py
+++ b/linnetshift/net/ops.py
@@ -17,39 +17,39 @@
 
 import h11
 
-from linnetshift.core.census import Held
+from linnetshift.core.census import ResourceUsage
 from linnetshift.net import log
 from linnetshift.net.log import MOST_TOLD, Reason
-from linnetshift.net.loop import MS, Actor, Io, Loop, S, Script, Timeout
+from linnetshift.net.loop import MS, Actor, ActorCoroutine, Io, Loop, S, Timeout
 from linnetshift.net.platform import Acceptor
-from linnetshift.net.provider import Endpoint, Steps, Stop, linger
+from linnetshift.net.provider import Address, Steps, Stop, linger
 from linnetshift.net.stream import End, Stream
 
 # Some callers connect and finish no call for 4 s: they get their no, and never cost anyone else theirs.
 CALL_NS = 3 * S
 ACT_NS = 800 * MS  # a caller waits 1 s for what it asked
 MOST_CALLERS = 24  # at once; one more ends the one that has been unfinished longest
-RESERVED = 4  # descriptors that consumers cannot take
+RESERVED = 4  # descriptors that clients cannot take
 MOST_HEAD, MOST_BODY = 4096, 4096
 READINESS, DOWN, UP = "/ops/readiness", "/ops/servers/down", "/ops/servers/up"
-CENSUS = "/ops/census"
-METHODS = {READINESS: ("GET", "HEAD"), CENSUS: ("GET", "HEAD"), DOWN: ("PUT",), UP: ("PUT",)}
+RESOURCE_USAGE = "/ops/census"
+METHODS = {READINESS: ("GET", "HEAD"), RESOURCE_USAGE: ("GET", "HEAD"), DOWN: ("PUT",), UP: ("PUT",)}
 
 
 class Operations(Protocol):
     """What operators may ask of the program."""
 
     def readiness(self) -> str:
-        """Why no consumer is taken at the moment; empty when they are."""
+        """Why no client is taken at the moment; empty when they are."""
 
-    def census(self) -> dict[str, Held]:
+    def resource_usage(self) -> dict[str, ResourceUsage]:
         """How much the program holds of everything, and how much it may."""
 
-    def crowded(self, provider: bytes) -> bool:
+    def crowded(self, endpoint: bytes) -> bool:
         """Whether so many are out that this one cannot be taken out too."""
 
-    def set_out(self, provider: bytes, out: bool, done: Callable[[bool], None]) -> None:
-        """Take a provider out or call it back; `done` hears, once that is acted on, whether it is known."""
+    def set_out(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
+        """Take an endpoint out or call it back; `done` hears, once that is acted on, whether it is known."""
 
 
 class Answer(NamedTuple):
@@ -62,32 +62,32 @@
     known: bool
 
 
-class Caller(Actor):
+class AdminConnection(Actor):
     """One connection: one call, its answer, and the end."""
 
     stream: Stream
 
-    def __init__(self, door: Door, sock: socket.socket, peer: Endpoint) -> None:
-        super().__init__(door.loop)
-        self.door, self.peer = door, peer
+    def __init__(self, admin_server: AdminServer, sock: socket.socket, peer: Address) -> None:
+        super().__init__(admin_server.loop)
+        self.admin_server, self.peer = admin_server, peer
         self.stream = Stream(self.loop, sock, lambda mask: self.post(Io(mask)), size=MOST_HEAD)
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
         self.asked = ""
         self.began = self.loop.now()
 
-    def live(self) -> Script:
-        self.door.callers[self] = None
+    def run(self) -> ActorCoroutine:
+        self.admin_server.connections[self] = None
         self.stream.arm()
-        timer = self.alarm(CALL_NS, "call")
+        timer = self.set_timer(CALL_NS, "call")
         answer = yield from self.call()
         timer.cancel()
-        self.door.callers.pop(self, None)
+        self.admin_server.connections.pop(self, None)
         reason = Reason.EMPTY
         if answer is not None:
-            reason = Reason.SLOW_OPENER if answer.status == 408 else Reason.ANSWERED
+            reason = Reason.REQUEST_TIMEOUT if answer.status == 408 else Reason.ANSWERED
             self.reply(answer)
             self.stream.finish()
-            self.door.answered(self)
+            self.admin_server.answered(self)
             yield from linger(self, self.stream, self.began + CALL_NS)
         self.stream.close()
         self.report(reason, answer.status if answer is not None else 0)
@@ -95,15 +95,15 @@
     def faulted(self, error: Exception) -> None:
         """A fault met on one call must not end the program."""
         log.fault(error)
-        self.door.callers.pop(self, None)
+        self.admin_server.connections.pop(self, None)
         self.stream.close(End.RESET)
         self.report(Reason.FAULT, 500)
 
     def report(self, reason: Reason, status: int) -> None:
-        self.door.lingering.pop(self, None)
-        self.door.refill()
+        self.admin_server.lingering.pop(self, None)
+        self.admin_server.refill()
         log.ended(
-            "operator",
+            "admin",
             reason,
             peer=f"{self.peer[0]}:{self.peer[1]}",
             call=self.asked[:MOST_TOLD],
@@ -111,9 +111,9 @@
             ms=(self.loop.now() - self.began) // MS,
         )
 
-    def shed(self) -> None:
+    def evict(self) -> None:
         """One caller too many: the one that has been unfinished longest is told to come again."""
-        self.door.callers.pop(self, None)
+        self.admin_server.connections.pop(self, None)
         self.post(Stop())
 
     def leave(self) -> None:
@@ -172,19 +172,21 @@
         if method not in methods:
             return Answer(405, f"use {methods[0]}", (("Allow", ", ".join(methods)),))
         if split.path == READINESS:
-            why_not = self.door.operations.readiness()
+            why_not = self.admin_server.operations.readiness()
             return Answer(503 if why_not else 200, why_not or "taking consumers")
-        if split.path == CENSUS:
-            told = {name: held._asdict() for name, held in self.door.operations.census().items()}
+        if split.path == RESOURCE_USAGE:
+            told = {
+                name: held._asdict() for name, held in self.admin_server.operations.resource_usage().items()
+            }
             return Answer(200, json.dumps(told, indent=1))
         ids = parse_qs(split.query).get("id", [])
         if len(ids) != 1:
             return Answer(400, "give one id, as in ?id=ID")
         out = split.path == DOWN
-        if out and self.door.operations.crowded(ids[0].encode()):
+        if out and self.admin_server.operations.crowded(ids[0].encode()):
             return Answer(507, "too many are out already; call some back first")
-        self.alarm(ACT_NS, "act")
-        self.door.operations.set_out(ids[0].encode(), out, lambda known: self.post(Done(known)))
+        self.set_timer(ACT_NS, "act")
+        self.admin_server.operations.set_out(ids[0].encode(), out, lambda known: self.post(Done(known)))
         while True:
             match (yield):
                 case Done(known):
@@ -217,17 +219,19 @@
         self.stream.send(sent)
 
 
-class Door:
+class AdminServer:
     """Listens for operators while it is told where."""
 
     def __init__(self, loop: Loop, operations: Operations) -> None:
         self.loop, self.operations = loop, operations
-        self.callers: dict[Caller, None] = {}  # those whose call is not finished, the oldest first
-        self.lingering: dict[Caller, None] = {}  # answered, and not gone yet
+        self.connections: dict[
+            AdminConnection, None
+        ] = {}  # those whose call is not finished, the oldest first
+        self.lingering: dict[AdminConnection, None] = {}  # answered, and not gone yet
         self.acceptor: Acceptor | None = None
-        self.reserve: list[int] = []  # descriptors held for callers, whatever consumers take
+        self.reserve: list[int] = []  # descriptors held for callers, whatever clients take
 
-    def open(self, address: Endpoint) -> Acceptor:
+    def open(self, address: Address) -> Acceptor:
         return Acceptor(self.loop, address, self.take, make_room=self.make_room)
 
     def make_room(self) -> bool:
@@ -247,7 +251,7 @@
             pass  # the next caller's end fills it up
 
     @property
-    def address(self) -> Endpoint | None:
+    def address(self) -> Address | None:
         return self.acceptor.address if self.acceptor is not None else None
 
     def follow(self, acceptor: Acceptor | None) -> None:
@@ -258,22 +262,22 @@
         if acceptor is not None:
             self.refill()
 
-    def answered(self, caller: Caller) -> None:
+    def answered(self, connection: AdminConnection) -> None:
         if len(self.lingering) >= MOST_CALLERS:
             oldest = next(iter(self.lingering))
             del self.lingering[oldest]
             oldest.leave()
-        self.lingering[caller] = None
+        self.lingering[connection] = None
 
-    def held(self) -> dict[str, Held]:
+    def resource_usage(self) -> dict[str, ResourceUsage]:
         return {
-            "door.callers": Held(len(self.callers), MOST_CALLERS + 1),
-            "door.lingering": Held(len(self.lingering), MOST_CALLERS),
-            "door.reserve": Held(len(self.reserve), RESERVED),
+            "door.callers": ResourceUsage(len(self.connections), MOST_CALLERS + 1),
+            "door.lingering": ResourceUsage(len(self.lingering), MOST_CALLERS),
+            "door.reserve": ResourceUsage(len(self.reserve), RESERVED),
         }
 
-    def take(self, sock: socket.socket, peer: Endpoint) -> None:
-        if len(self.callers) >= MOST_CALLERS:
-            next(iter(self.callers)).shed()
-        caller = Caller(self, sock, peer)
-        caller.start(caller.live())
+    def take(self, sock: socket.socket, peer: Address) -> None:
+        if len(self.connections) >= MOST_CALLERS:
+            next(iter(self.connections)).evict()
+        connection = AdminConnection(self, sock, peer)
+        connection.start(connection.run())
--- a/linnetshift/net/platform.py
+++ b/linnetshift/net/platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: consumers that open with one line, and fronts that ask whether we are ready."""
+"""The platform's frontend: clients that open with one line, and frontends that ask whether we are ready."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from linnetshift import interface as api
 from linnetshift.core.broker import Broker
-from linnetshift.core.census import Held
-from linnetshift.core.invocation import Invocation
+from linnetshift.core.census import ResourceUsage
+from linnetshift.core.invocation import ActiveRequest
 from linnetshift.interface import Outcome
 from linnetshift.net import log
-from linnetshift.net.limits import DRAIN_NS, MOST_WAIT_MS, OPENER_NS, Reading, Strangers
+from linnetshift.net.limits import DRAIN_NS, MOST_WAIT_MS, REQUEST_LINE_TIMEOUT_NS, ConnectionLimiter, Reading
 from linnetshift.net.log import MOST_TOLD, Reason
-from linnetshift.net.loop import MS, Io, Loop, Script, Timeout
-from linnetshift.net.provider import Endpoint, Resume, Steps, Stop, linger
+from linnetshift.net.loop import MS, ActorCoroutine, Io, Loop, Timeout
+from linnetshift.net.provider import Address, Resume, Steps, Stop, linger
 from linnetshift.net.stream import End, LineTooLong, Stream
 
-ANSWER_NS = 4 * MS  # answers leave this much before the consumer gives up
+ANSWER_NS = 4 * MS  # answers leave this much before the client gives up
 BACKLOG = 1024
 ACCEPTS = 64  # at one turn of the loop
 UNKNOWN = -1  # the place of a name that the settings do not know
@@ -32,13 +32,15 @@
     """A first line that is none of the protocol's."""
 
 
-class Names:
+class NameRegistry:
     """Numbers of classes; places of tenants, zones and kinds, which no later settings give to another name.
 
     What is under way refers to them: a place is a name's for good, wherever later lists have the name.
     """
 
-    def __init__(self, settings: dict[str, object], known: api.Settings, former: Names | None = None) -> None:
+    def __init__(
+        self, settings: dict[str, object], known: api.Settings, former: NameRegistry | None = None
+    ) -> None:
         self.classes = {known.classes[number].name: number for number in known.numbers}
         before: tuple[dict[str, int], ...] = former.lists() if former is not None else ({}, {}, {})
         self.tenants, self.zones, self.kinds = (
@@ -49,7 +51,7 @@
     def lists(self) -> tuple[dict[str, int], ...]:
         return self.tenants, self.zones, self.kinds
 
-    def follow(self, later: Names) -> dict[str, int]:
+    def follow(self, later: NameRegistry) -> dict[str, int]:
         """The classes that are offered no more, which are still known: clients learn of it later."""
         for known, listed in zip(self.lists(), later.lists(), strict=True):
             known.update(listed)
@@ -77,7 +79,7 @@
         return places
 
 
-class Opening(NamedTuple):
+class RequestLine(NamedTuple):
     """A first line, read."""
 
     id: int
@@ -92,7 +94,7 @@
     forward: Callable[[int], bytes]
 
 
-def parse_opening(line: bytes, names: Names) -> Opening:
+def parse_request_line(line: bytes, names: NameRegistry) -> RequestLine:
     words = line[:-2].split(b" ")
     if not line.endswith(b"\r\n") or len(words) not in (3, 4) or words[0] != b"OPEN":
         raise BadLine("not an OPEN line")
@@ -101,7 +103,7 @@
     pairs = [pair.partition(b"=") for pair in words[3].split(b",")] if len(words) == 4 else []
     values = {name: value for name, _, value in pairs}
     if len(values) < len(pairs):
-        raise BadLine("a name twice")  # providers may heed the other one
+        raise BadLine("a name twice")  # endpoints may heed the other one
     klass = names.classes.get(values.get(b"c", b"").decode("utf-8", "replace"))
     if klass is None:
         raise BadLine("unknown class")
@@ -122,7 +124,7 @@
         )
         return b" ".join([*words[:3], told] if pairs else words) + b"\r\n"
 
-    return Opening(
+    return RequestLine(
         id=_hex(words[1]),
         klass=klass,
         tenant=names.tenants.get(tenant, UNKNOWN),
@@ -166,7 +168,7 @@
     reason: str
 
 
-class ProviderEnded(NamedTuple):
+class EndpointEnded(NamedTuple):
     outcome: int
     reset: bool
 
@@ -175,20 +177,20 @@
     """This proxy takes no more requests."""
 
 
-class PlatformConsumer(Reading):
-    """One consumer's connection, from its first line to its end."""
+class ClientConnection(Reading):
+    """One client's connection, from its first line to its end."""
 
-    def __init__(self, front: PlatformFront, sock: socket.socket, peer: Endpoint) -> None:
-        super().__init__(front.loop)
-        self.front, self.broker, self.peer = front, front.broker, peer
+    def __init__(self, frontend: LineProtocolFrontend, sock: socket.socket, peer: Address) -> None:
+        super().__init__(frontend.loop)
+        self.frontend, self.broker, self.peer = frontend, frontend.broker, peer
         self.stream = Stream(self.loop, sock, self.ready)
         self.began = self.loop.now()
-        self.invocation: Invocation | None = None
-        self.provider = b""
-        self.id: int | None = None  # held in the front's set while this is open
+        self.request: ActiveRequest | None = None
+        self.endpoint = b""
+        self.id: int | None = None  # held in the frontend's set while this is open
         self.error, self.wait_ms = "", 0
 
-    def shed(self) -> None:
+    def evict(self) -> None:
         self.stream.drain()  # a close over bytes unread would reset the answer away
         self.stream.send(b"" if self.stream.ending else FAILED)
         self.stream.close()
@@ -197,7 +199,7 @@
     def ready(self, mask: int) -> None:
         self.post(Io(mask))
 
-    # ---- the broker's and the provider's side -----------------------------------------------
+    # ---- the broker's and the endpoint's side -----------------------------------------------
 
     @property
     def congested(self) -> bool:
@@ -209,8 +211,8 @@
         return self.stream.waits
 
     def up(self, receipt: memoryview) -> None:
-        if self.invocation is not None and self.invocation.out is not None:
-            self.provider = self.invocation.out.provider
+        if self.request is not None and self.request.out is not None:
+            self.endpoint = self.request.out.endpoint
         self.stream.send(receipt)
         self.post(Resume())
 
@@ -230,79 +232,79 @@
     def move(self, reason: str) -> None:
         self.post(Moving(reason))
 
-    def provider_ended(self, outcome: int, reset: bool) -> None:
-        self.post(ProviderEnded(outcome, reset))
+    def endpoint_ended(self, outcome: int, reset: bool) -> None:
+        self.post(EndpointEnded(outcome, reset))
 
     # ---- the script -------------------------------------------------------------------------
 
-    def live(self) -> Script:
-        self.front.consumers.add(self)
+    def run(self) -> ActorCoroutine:
+        self.frontend.clients.add(self)
         self.stream.arm()
-        self.front.strangers.add(self)
+        self.frontend.connection_limiter.add(self)
         reason = yield from self.open()
-        self.front.strangers.remove(self)
+        self.frontend.connection_limiter.remove(self)
         if reason is None:
             reason = yield from self.wait()
         if reason is None:
             reason = yield from self.stand()
         how = End.FIN
-        if reason in (Reason.PROVIDER_RESET, Reason.CONSUMER_RESET):
+        if reason in (Reason.ENDPOINT_RESET, Reason.CLIENT_RESET):
             how = End.RESET
         elif reason is not Reason.STALLED and not self.stream.broken and not self.stream.closed:
             self.stream.finish()
-            self.front.strangers.add(self)
+            self.frontend.connection_limiter.add(self)
             yield from linger(self, self.stream, self.began + DRAIN_NS)
         self.stream.close(how)
         self.report(reason)
 
     def faulted(self, error: Exception) -> None:
-        """Other consumers must not pay for a fault met on this one."""
+        """Other clients must not pay for a fault met on this one."""
         log.fault(error)
-        if self.invocation is not None:
-            self.broker.consumer_ended(self.invocation, True)
+        if self.request is not None:
+            self.broker.client_ended(self.request, True)
         self.stream.close(End.RESET)
         self.report(Reason.FAULT)
 
     def report(self, reason: Reason) -> None:
-        self.front.consumers.discard(self)
-        self.front.strangers.remove(self)
+        self.frontend.clients.discard(self)
+        self.frontend.connection_limiter.remove(self)
         if self.id is not None:
-            self.front.ids.discard(self.id)
+            self.frontend.ids.discard(self.id)
         log.ended(
-            "consumer",
+            "client",
             reason,
             **({"error": self.error[:MOST_TOLD]} if self.error else {}),
-            id=self.invocation.id if self.invocation is not None else 0,
+            id=self.request.id if self.request is not None else 0,
             **({"open": f"{self.id:x}"} if self.id is not None else {}),
-            **(self.asked() if self.invocation is not None else {}),
+            **(self.asked() if self.request is not None else {}),
             peer=f"{self.peer[0]}:{self.peer[1]}",
-            provider=self.provider.decode("utf-8", "replace"),
-            attempts=self.invocation.attempts if self.invocation is not None else 0,
+            endpoint=self.endpoint.decode("utf-8", "replace"),
+            attempts=self.request.attempts if self.request is not None else 0,
             **({"wait_ms": self.wait_ms} if reason is Reason.REJECTED else {}),
             ms=(self.loop.now() - self.began) // MS,
         )
 
     def asked(self) -> dict[str, object]:
         """What it asked for, in the words of the log."""
-        invocation = self.invocation
-        assert invocation is not None
-        klass = self.broker.settings.classes[invocation.klass].name
-        return {"key": f"{invocation.key:x}", "class": klass}
+        request = self.request
+        assert request is not None
+        klass = self.broker.settings.classes[request.klass].name
+        return {"key": f"{request.key:x}", "class": klass}
 
     def open(self) -> Steps:
         """Read the first line and hand it in; the reason if nothing comes of it."""
-        timer = self.alarm(OPENER_NS, "opener")
+        timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, "opener")
         arrived, asked = self.loop.since, False
         end = self.stream.fill()  # the line mostly comes with the connection
         while True:
             try:
                 while not self.stream.congested and (line := self.stream.line()) is not None:
                     if bytes(line[:6]).rstrip() not in (b"PING", b"STATS"):
-                        self.hand_in(parse_opening(bytes(line), self.front.names), arrived)
+                        self.hand_in(parse_request_line(bytes(line), self.frontend.names), arrived)
                         timer.cancel()
                         return None
-                    self.stream.send(self.front.readiness(bytes(line[:6])))
-                    self.front.strangers.answered(self)
+                    self.stream.send(self.frontend.readiness(bytes(line[:6])))
+                    self.frontend.connection_limiter.answered(self)
                     asked = True
             except (BadLine, LineTooLong) as error:
                 return self.bad_line(str(error))
@@ -317,9 +319,9 @@
                     arrived, held = self.loop.since, self.stream.stop - self.stream.start
                     end = self.stream.fill()
                     if self.stream.stop > held:
-                        self.front.strangers.talks(self)
+                        self.frontend.connection_limiter.talks(self)
                 case Stop():
-                    return Reason.SHED
+                    return Reason.EVICTED
                 case Leaving():
                     # A request that crosses this on its way finds its answer; nothing read later is sent on.
                     self.stream.fill()
@@ -327,31 +329,31 @@
                     return Reason.SHUT_DOWN
                 case Timeout(tag="opener"):
                     self.stream.send(FAILED)
-                    return Reason.SLOW_OPENER
+                    return Reason.REQUEST_TIMEOUT
 
-    def hand_in(self, opening: Opening, arrived: int) -> None:
+    def hand_in(self, request_line: RequestLine, arrived: int) -> None:
         """`d` counts from the sending, which was before the loop saw it: the budget leaves room for that."""
         if self.stream.stop > self.stream.start:
             raise BadLine(TALKS)
-        if opening.id in self.front.ids:
-            # Providers take it for a second copy of the other's invocation, and say ERR one after the other.
+        if request_line.id in self.frontend.ids:
+            # Endpoints take it for a second copy of the other's request, and say ERR one after the other.
             raise BadLine("the id of an open invocation")
-        self.id = opening.id
-        self.front.ids.add(opening.id)
-        wait = opening.wait_ns or self.broker.settings.classes[opening.klass].deadline_ns
-        self.invocation = Invocation(
+        self.id = request_line.id
+        self.frontend.ids.add(request_line.id)
+        wait = request_line.wait_ns or self.broker.settings.classes[request_line.klass].deadline_ns
+        self.request = ActiveRequest(
             self,
-            opening.klass,
-            opening.tenant,
-            opening.key,
-            opening.group,
-            opening.flags,
-            opening.hint,
+            request_line.klass,
+            request_line.tenant,
+            request_line.key,
+            request_line.group,
+            request_line.flags,
+            request_line.hint,
             arrived + wait - ANSWER_NS,
-            opening.forward,
-            opening.adopt,
+            request_line.forward,
+            request_line.adopt,
         )
-        self.broker.invoke(self.invocation)
+        self.broker.submit(self.request)
 
     def bad_line(self, error: str) -> Reason:
         self.error = error or "too long"
@@ -360,8 +362,8 @@
 
     def wait(self) -> Steps:
         """Until the one answer; None when it is that the connection stands."""
-        invocation = self.invocation
-        assert invocation is not None
+        request = self.request
+        assert request is not None
         while True:
             match (yield):
                 case Resume():
@@ -375,66 +377,66 @@
                     return Reason.FAILED
                 case Io():
                     end = self.stream.fill()
-                    if end is not None and not invocation.answered:
-                        harmless = self.broker.harmless(invocation)
-                        self.broker.consumer_ended(invocation, end is End.RESET)
+                    if end is not None and not request.answered:
+                        harmless = self.broker.harmless(request)
+                        self.broker.client_ended(request, end is End.RESET)
                         # Perhaps it ended only its sending, and still reads.
                         self.stream.send(b"BUSY\r\n" if harmless else FAILED)
                         return Reason.WITHDRAWN
-                    if self.stream.stop > self.stream.start and not invocation.answered:
-                        # Unread, it would hide that the consumer ended; a provider could not use it.
-                        self.broker.consumer_ended(invocation, False)
+                    if self.stream.stop > self.stream.start and not request.answered:
+                        # Unread, it would hide that the client ended; an endpoint could not use it.
+                        self.broker.client_ended(request, False)
                         return self.bad_line(TALKS)
                     self.stream.want(end is None)
 
     def stand(self) -> Steps:
         """Messages both ways until one side ends."""
-        invocation, stream = self.invocation, self.stream
-        assert invocation is not None
+        request, stream = self.request, self.stream
+        assert request is not None
         end: End | None = None
-        self.pass_on(invocation)
+        self.pass_on(request)
         while end is None:
             match (yield):
                 case Io(mask):
                     if mask & select.EPOLLOUT:
                         stream.flush()
                         self.look_for_stall()
-                        if not stream.congested and (out := invocation.out) and out.link is not None:
+                        if not stream.congested and (out := request.out) and out.link is not None:
                             out.link.resume()
                     if mask & ~select.EPOLLOUT:
                         end = stream.fill()
-                        if not self.pass_on(invocation):
+                        if not self.pass_on(request):
                             return Reason.BAD_LINE
                     if stream.broken and end is None:
                         end = End.RESET
                 case Resume():
-                    if not self.pass_on(invocation):
+                    if not self.pass_on(request):
                         return Reason.BAD_LINE
-                case ProviderEnded(outcome, reset):
+                case EndpointEnded(outcome, reset):
                     if reset:
-                        return Reason.PROVIDER_RESET
+                        return Reason.ENDPOINT_RESET
                     if outcome == Outcome.OK:
                         return Reason.SERVED
-                    return Reason.SENT_AWAY if outcome == Outcome.CANCELLED else Reason.PROVIDER_LEFT
+                    return Reason.ENDPOINT_MIGRATED if outcome == Outcome.CANCELLED else Reason.ENDPOINT_LEFT
                 case Moving(reason):
                     stream.send(b"MOVE\r\n")  # what was sent before it were whole lines
-                    self.broker.consumer_ended(invocation, False)
+                    self.broker.client_ended(request, False)
                     return Reason(reason)
                 case Timeout(tag="stalled") if self.stalled():
-                    self.broker.consumer_ended(invocation, False)
+                    self.broker.client_ended(request, False)
                     return Reason.STALLED
-        link = invocation.out.link if invocation.out is not None else None
+        link = request.out.link if request.out is not None else None
         if end is End.FIN and link is not None and (rest := stream.rest()):
             link.deliver(rest)
-        self.broker.consumer_ended(invocation, end is End.RESET)
-        return Reason.CONSUMER_RESET if end is End.RESET else Reason.CONSUMER_LEFT
+        self.broker.client_ended(request, end is End.RESET)
+        return Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
 
-    def pass_on(self, invocation: Invocation) -> bool:
-        """Hand whole lines to the provider while it takes them; stop reading when it does not.
+    def pass_on(self, request: ActiveRequest) -> bool:
+        """Hand whole lines to the endpoint while it takes them; stop reading when it does not.
 
         False once a line is too long to be one: both sides end.
         """
-        link = invocation.out.link if invocation.out is not None else None
+        link = request.out.link if request.out is not None else None
         if link is None:
             return True
         try:
@@ -442,7 +444,7 @@
                 link.deliver(line)
         except LineTooLong:
             self.error = "too long"
-            self.broker.consumer_ended(invocation, False)
+            self.broker.client_ended(request, False)
             return False
         self.stream.want(not link.congested)
         return True
@@ -462,8 +464,8 @@
     def __init__(
         self,
         loop: Loop,
-        address: Endpoint,
-        take: Callable[[socket.socket, Endpoint], None],
+        address: Address,
+        take: Callable[[socket.socket, Address], None],
         given: socket.socket | None = None,
         make_room: Callable[[], bool] | None = None,
     ) -> None:
@@ -521,22 +523,24 @@
             self.listener.close()
 
 
-class Front:
+class Frontend:
     """What takes connections in, at an address that may change while the program runs."""
 
-    def __init__(self, loop: Loop, broker: Broker, names: Names, strangers: Strangers) -> None:
-        self.loop, self.broker, self.names, self.strangers = loop, broker, names, strangers
+    def __init__(
+        self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
+    ) -> None:
+        self.loop, self.broker, self.names, self.connection_limiter = loop, broker, names, connection_limiter
         self.leaving = False
         self.acceptor: Acceptor | None = None
 
     @property
-    def address(self) -> Endpoint | None:
+    def address(self) -> Address | None:
         return self.acceptor.address if self.acceptor is not None else None
 
-    def take(self, sock: socket.socket, peer: Endpoint) -> None:
+    def take(self, sock: socket.socket, peer: Address) -> None:
         raise NotImplementedError
 
-    def listen(self, address: Endpoint, given: socket.socket | None = None) -> None:
+    def listen(self, address: Address, given: socket.socket | None = None) -> None:
         if address != self.address:
             self.follow(Acceptor(self.loop, address, self.take, given))
 
@@ -557,27 +561,29 @@
             self.acceptor = None
 
 
-class PlatformFront(Front):
-    """Accepts consumers on the address that the platform gave."""
+class LineProtocolFrontend(Frontend):
+    """Accepts clients on the address that the platform gave."""
 
-    def __init__(self, loop: Loop, broker: Broker, names: Names, strangers: Strangers) -> None:
-        super().__init__(loop, broker, names, strangers)
-        self.consumers: set[PlatformConsumer] = set()
-        self.ids: set[int] = set()  # as consumers gave them
+    def __init__(
+        self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
+    ) -> None:
+        super().__init__(loop, broker, names, connection_limiter)
+        self.clients: set[ClientConnection] = set()
+        self.ids: set[int] = set()  # as clients gave them
 
-    def take(self, sock: socket.socket, peer: Endpoint) -> None:
-        consumer = PlatformConsumer(self, sock, peer)
-        consumer.start(consumer.live())
+    def take(self, sock: socket.socket, peer: Address) -> None:
+        client = ClientConnection(self, sock, peer)
+        client.start(client.run())
 
     def send_off(self) -> None:
         """Tell those who rest here that this proxy leaves."""
-        for consumer in self.consumers:
-            consumer.post(Leaving())
+        for client in self.clients:
+            client.post(Leaving())
 
-    def held(self, connections: int) -> dict[str, Held]:
+    def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
         return {
-            "platform.consumers": Held(len(self.consumers), connections),
-            "platform.ids": Held(len(self.ids), connections),
+            "platform.consumers": ResourceUsage(len(self.clients), connections),
+            "platform.ids": ResourceUsage(len(self.ids), connections),
         }
 
     def readiness(self, asked: bytes) -> bytes:
--- a/linnetshift/net/provider.py
+++ b/linnetshift/net/provider.py
@@ -1,4 +1,4 @@
-"""Providers: one connection for each attempt, and probes."""
+"""Endpoints: one connection for each attempt, and health checks."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 from linnetshift import interface as api
 from linnetshift.core.broker import Broker
-from linnetshift.core.census import Held
+from linnetshift.core.census import ResourceUsage
 from linnetshift.core.invocation import Attempt
-from linnetshift.interface import HostState, ListForm, Outcome
+from linnetshift.interface import EndpointState, ListForm, Outcome
 from linnetshift.net import log
 from linnetshift.net.limits import STALL_NS
 from linnetshift.net.log import Reason
-from linnetshift.net.loop import MS, Actor, Io, Loop, S, Script, Timeout
+from linnetshift.net.loop import MS, Actor, ActorCoroutine, Io, Loop, S, Timeout
 from linnetshift.net.stream import End, LineTooLong, Stream
 
 LINGER_NS = S // 2  # how long an ended connection waits for the peer's own end
-PROBE_NS = 200 * MS
+HEALTH_CHECK_NS = 200 * MS
 
-Endpoint = tuple[str, int]
+Address = tuple[str, int]
 Steps = Generator[None, Any, Any]
 
 
@@ -33,7 +33,7 @@
 
 
 class Hangup:
-    """The consumer's side has ended."""
+    """The client's side has ended."""
 
     def __init__(self, reset: bool) -> None:
         self.reset = reset
@@ -43,8 +43,8 @@
     """The stream is closed already; only the script is still to end."""
 
 
-class Dialing(Actor):
-    """What connections to providers share: coming up within a limit, writing, and the first line."""
+class OutboundConnection(Actor):
+    """What connections to endpoints share: coming up within a limit, writing, and the first line."""
 
     stream: Stream | None = None
 
@@ -60,7 +60,7 @@
     def gave_up(self) -> None:
         """Report the failure to whoever waits for this peer."""
 
-    def connect(self, endpoint: Endpoint, limit_ns: int) -> Steps:
+    def connect(self, address: Address, limit_ns: int) -> Steps:
         """Whether the connection came up in time."""
         sock = None
         while sock is None:
@@ -68,18 +68,18 @@
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             except OSError as error:  # out of descriptors: the attempt never reached anyone
                 if not self.loop.make_room():
-                    log.note("no-socket", provider=endpoint, error=error.strerror)
+                    log.note("socket-unavailable", endpoint=address, error=error.strerror)
                     return False
         self.stream = stream = Stream(self.loop, sock, self.ready)
         try:
-            code = sock.connect_ex(endpoint)
+            code = sock.connect_ex(address)
         except OSError as error:
             code = error.errno or errno.EINVAL
         if code not in (0, errno.EINPROGRESS):
             return False
         stream.connecting = code != 0
         stream.arm()
-        timer = self.alarm(limit_ns, "connect")
+        timer = self.set_timer(limit_ns, "connect")
         while stream.connecting:
             match (yield):
                 case Io():
@@ -94,19 +94,19 @@
         return True
 
 
-class ProviderLink(Dialing):
+class EndpointConnection(OutboundConnection):
     """One attempt's connection: the opening line, the answer to it, then messages both ways."""
 
-    def __init__(self, loop: Loop, broker: Broker, attempt: Attempt, endpoint: Endpoint) -> None:
+    def __init__(self, loop: Loop, broker: Broker, attempt: Attempt, address: Address) -> None:
         super().__init__(loop)
-        self.broker, self.attempt, self.endpoint = broker, attempt, endpoint
+        self.broker, self.attempt, self.address = broker, attempt, address
         self.asked_at = 0  # when a message went out that has no reply yet
         self.heard_at = loop.now()
         self.last = Outcome.RESET  # what the end of the connection means, by the last line
         self.hung_up = False
         self.reason = Reason.ABANDONED
 
-    # ---- the broker's and the consumer's side -----------------------------------------------
+    # ---- the broker's and the client's side -----------------------------------------------
 
     @property
     def congested(self) -> bool:
@@ -126,10 +126,10 @@
 
     def quiet_ns(self) -> int:
         if self.stream is None or not self.stream.reading:
-            return 0  # its consumer does not take what it may have said
+            return 0  # its client does not take what it may have said
         return self.loop.now() - self.heard_at
 
-    def consumer_ended(self, reset: bool) -> None:
+    def client_ended(self, reset: bool) -> None:
         self.hung_up = True
         self.post(Hangup(reset))
 
@@ -142,7 +142,7 @@
 
     # ---- the script -------------------------------------------------------------------------
 
-    def live(self) -> Script:
+    def run(self) -> ActorCoroutine:
         self.attempt.link = self
         outcome = yield from self.open()
         reset = False
@@ -161,11 +161,11 @@
 
     def report(self, outcome: Outcome, reset: bool) -> None:
         log.ended(
-            "provider",
+            "endpoint",
             self.reason,
-            id=self.attempt.invocation.id,
+            id=self.attempt.request.id,
             attempt=self.attempt.number,
-            provider=self.attempt.provider.decode("utf-8", "replace"),
+            endpoint=self.attempt.endpoint.decode("utf-8", "replace"),
             ms=(self.loop.now() - self.attempt.began) // MS,
         )
         if not self.hung_up:
@@ -175,7 +175,7 @@
     def open(self) -> Steps:
         """The outcome, or None once the connection stands."""
         limit = min(self.broker.settings.connect_timeout_ns, self.attempt.deadline - self.loop.now())
-        up = yield from self.connect(self.endpoint, limit)
+        up = yield from self.connect(self.address, limit)
         if not up:
             self.reason = Reason.ABANDONED if self.hung_up else Reason.UNREACHABLE
             return Outcome.CONNECT_FAILED
@@ -185,12 +185,12 @@
             self.reason = Reason.ABANDONED  # not a byte may reach it; the module places it anew, if it may
             return Outcome.MOOT
         if not stream.present:
-            self.reason = Reason.PROVIDER_LEFT  # closed as soon as it was accepted: nothing can run there
+            self.reason = Reason.ENDPOINT_LEFT  # closed as soon as it was accepted: nothing can run there
             return Outcome.CONNECT_FAILED
         self.attempt.sent = True
         left = self.attempt.deadline - self.loop.now()
-        stream.send(self.attempt.invocation.opening(max(1, left // MS)))
-        timer = self.alarm(left, "answer")
+        stream.send(self.attempt.request.request_line(max(1, left // MS)))
+        timer = self.set_timer(left, "answer")
         outcome = yield from self.first_answer(stream)
         timer.cancel()
         return outcome
@@ -208,7 +208,7 @@
                         if outcome is not NOT_YET:
                             return outcome
                         if end is not None:
-                            self.reason = Reason.PROVIDER_RESET if end is End.RESET else Reason.PROVIDER_LEFT
+                            self.reason = Reason.ENDPOINT_RESET if end is End.RESET else Reason.ENDPOINT_LEFT
                             return Outcome.CONNECT_FAILED if unsent else Outcome.RESET
                 case Timeout(tag="answer"):
                     self.reason = Reason.TIMED_OUT
@@ -236,7 +236,7 @@
         """Messages both ways until one side ends; whether it ended with a reset."""
         stream = self.stream
         assert stream is not None
-        consumer = self.attempt.invocation.consumer
+        client = self.attempt.request.client
         end = self.pass_on(stream)
         while end is None:
             match (yield):
@@ -244,7 +244,7 @@
                     if mask & select.EPOLLOUT:
                         stream.flush()
                         if not stream.congested:
-                            consumer.resume()
+                            client.resume()
                     if mask & ~select.EPOLLOUT:
                         end = stream.fill()
                         end = self.pass_on(stream) or end
@@ -253,38 +253,38 @@
                 case Resume():
                     end = self.pass_on(stream)
                 case Hangup(reset=True):
-                    self.reason = Reason.CONSUMER_RESET
+                    self.reason = Reason.CLIENT_RESET
                     return True
                 case Hangup():
-                    self.reason = Reason.CONSUMER_LEFT
+                    self.reason = Reason.CLIENT_LEFT
                     stream.finish()
                     yield from linger(self, stream)
                     return False
                 case Stop():
                     return False
         if end is End.FIN and (rest := stream.rest()):
-            consumer.deliver(rest)
+            client.deliver(rest)
         if self.last is Outcome.OK:
             self.reason = Reason.SERVED
         elif self.last is Outcome.CANCELLED:
-            self.reason = Reason.SENT_AWAY
+            self.reason = Reason.ENDPOINT_MIGRATED
         else:
-            self.reason = Reason.PROVIDER_RESET if end is End.RESET else Reason.PROVIDER_LEFT
+            self.reason = Reason.ENDPOINT_RESET if end is End.RESET else Reason.ENDPOINT_LEFT
         return end is End.RESET
 
     def pass_on(self, stream: Stream) -> End | None:
-        """Hand whole lines to the consumer while it takes them; stop reading when it does not."""
-        consumer = self.attempt.invocation.consumer
+        """Hand whole lines to the client while it takes them; stop reading when it does not."""
+        client = self.attempt.request.client
         if self.hung_up:
             stream.rest()
             return None
         try:
-            while not consumer.congested and (line := stream.line()) is not None:
+            while not client.congested and (line := stream.line()) is not None:
                 self.heed(line)
-                consumer.deliver(line)
+                client.deliver(line)
         except LineTooLong:
             return End.RESET
-        stream.want(not consumer.congested)
+        stream.want(not client.congested)
         return None
 
     def heed(self, line: memoryview) -> None:
@@ -295,7 +295,7 @@
             try:
                 self.broker.load_told(self.attempt, float(text[5:]))
             except ValueError:
-                log.note("bad-load", provider=self.attempt.provider.decode("utf-8", "replace"))
+                log.note("load-report-invalid", endpoint=self.attempt.endpoint.decode("utf-8", "replace"))
             return
         self.last = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}.get(text, Outcome.RESET)
         if self.asked_at:
@@ -307,14 +307,14 @@
 PROBED = {
     Outcome.OK: Reason.ANSWERED,
     Outcome.ERROR: Reason.ERROR,
-    Outcome.RESET: Reason.PROVIDER_RESET,
+    Outcome.RESET: Reason.ENDPOINT_RESET,
     Outcome.TIMEOUT: Reason.TIMED_OUT,
     Outcome.CONNECT_FAILED: Reason.UNREACHABLE,
 }
 ANSWERS = {
     b"ERR": (Reason.ERROR, Outcome.ERROR),
-    b"BUSY": (Reason.TURNED_AWAY, Outcome.FULL),
-    b"MOVE": (Reason.SENT_AWAY, Outcome.CANCELLED),
+    b"BUSY": (Reason.ENDPOINT_FULL, Outcome.FULL),
+    b"MOVE": (Reason.ENDPOINT_MIGRATED, Outcome.CANCELLED),
 }
 
 
@@ -324,7 +324,7 @@
     A peer that is quiet is waited for LINGER_NS, from when it has taken all that was sent; one that sends on,
     until the time given; one that takes nothing, as long as any that has stopped reading.
     """
-    timer, heard = actor.alarm(LINGER_NS, "linger"), False
+    timer, heard = actor.set_timer(LINGER_NS, "linger"), False
     taken_by = actor.loop.now() + STALL_NS
     stream.want(True)
     while not stream.broken:
@@ -338,33 +338,33 @@
                     if got < 0:
                         break
             case Timeout(tag="linger") if stream.congested and actor.loop.now() < taken_by:
-                timer = actor.alarm(LINGER_NS, "linger")  # a close now would drop it
+                timer = actor.set_timer(LINGER_NS, "linger")  # a close now would drop it
             case Timeout(tag="linger"):
                 if not heard or actor.loop.now() >= until:
                     break
-                timer, heard = actor.alarm(min(LINGER_NS, until - actor.loop.now()), "linger"), False
+                timer, heard = actor.set_timer(min(LINGER_NS, until - actor.loop.now()), "linger"), False
             case Stop():
                 break
     timer.cancel()
 
 
-class Prober(Dialing):
-    """One probe of a provider; where `columns` are named, it asks for the report of them too."""
+class HealthChecker(OutboundConnection):
+    """One health check of an endpoint; where `columns` are named, it asks for the report of them too."""
 
     def __init__(
         self,
         loop: Loop,
-        provider: bytes,
+        endpoint: bytes,
         columns: tuple[str, ...],
         told: Callable[[Outcome, int, tuple[float, ...]], None],
     ) -> None:
         super().__init__(loop)
-        self.provider, self.columns, self.told, self.began = provider, columns, told, loop.now()
+        self.endpoint, self.columns, self.told, self.began = endpoint, columns, told, loop.now()
         self.figures: tuple[float, ...] = ()
 
-    def live(self, endpoint: Endpoint) -> Script:
+    def run(self, address: Address) -> ActorCoroutine:
         outcome = Outcome.CONNECT_FAILED
-        up = yield from self.connect(endpoint, PROBE_NS)
+        up = yield from self.connect(address, HEALTH_CHECK_NS)
         stream = self.stream
         if up and stream is not None:
             self.began = self.loop.now()  # the time to connect, twice the way there and back, is the way's
@@ -379,13 +379,13 @@
 
     def report(self, outcome: Outcome) -> None:
         took = self.loop.now() - self.began
-        told: dict[str, object] = {"provider": self.provider.decode("utf-8", "replace"), "ms": took // MS}
+        told: dict[str, object] = {"provider": self.endpoint.decode("utf-8", "replace"), "ms": took // MS}
         figures = dict(zip(self.columns, self.figures, strict=False))
-        log.ended("probe", PROBED[outcome], **(told | figures | told))
+        log.ended("health-check", PROBED[outcome], **(told | figures | told))
         self.told(outcome, took, self.figures)
 
     def answer(self, stream: Stream) -> Steps:
-        timer = self.alarm(PROBE_NS, "probe")
+        timer = self.set_timer(HEALTH_CHECK_NS, "probe")
         outcome: Outcome | None = None
         while outcome is None:
             match (yield):
@@ -410,61 +410,63 @@
         return outcome
 
 
-class ProviderGate:
-    """Opens attempts at the endpoints that the directory last gave."""
+class EndpointConnector:
+    """Opens attempts at the endpoints that discovery last gave."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
-        self.endpoints: dict[bytes, Endpoint] = {}
+        self.addresses: dict[bytes, Address] = {}
         self.broker: Broker | None = None
 
-    def listed(self, event: api.HostList, endpoints: dict[bytes, Endpoint]) -> None:
+    def listed(self, event: api.EndpointList, addresses: dict[bytes, Address]) -> None:
         """Keep the endpoints of what is listed and no others, or the map would grow for ever."""
         if event.form in (ListForm.FULL, ListForm.CACHED):
-            self.endpoints = {}
-        self.endpoints.update(endpoints)
+            self.addresses = {}
+        self.addresses.update(addresses)
         for entry in event.entries:
-            if entry.state == HostState.GONE:
-                self.endpoints.pop(entry.host, None)
+            if entry.state == EndpointState.REMOVED:
+                self.addresses.pop(entry.endpoint, None)
 
-    def held(self, names: int) -> dict[str, Held]:
-        return {"gate.endpoints": Held(len(self.endpoints), names)}
+    def resource_usage(self, names: int) -> dict[str, ResourceUsage]:
+        return {"gate.endpoints": ResourceUsage(len(self.addresses), names)}
 
     def open(self, attempt: Attempt) -> None:
         assert self.broker is not None
-        endpoint = self.endpoints.get(attempt.provider)
-        if endpoint is None:
+        address = self.addresses.get(attempt.endpoint)
+        if address is None:
             self.broker.ended(attempt, Outcome.CONNECT_FAILED)
             return
-        asked = attempt.invocation
+        asked = attempt.request
         log.note(
-            "opened",
+            "attempt-started",
             id=asked.id,
             attempt=attempt.number,
-            provider=attempt.provider.decode("utf-8", "replace"),
+            endpoint=attempt.endpoint.decode("utf-8", "replace"),
             key=f"{asked.key:x}",
             group=f"{asked.group:x}",
             **{"class": self.broker.settings.classes[asked.klass].name},
             flags=asked.flags,
         )
-        link = ProviderLink(self.loop, self.broker, attempt, endpoint)
-        link.start(link.live())
+        link = EndpointConnection(self.loop, self.broker, attempt, address)
+        link.start(link.run())
 
-    def probe(self, provider: bytes) -> None:
+    def check_health(self, endpoint: bytes) -> None:
         broker = self.broker
         assert broker is not None
-        endpoint = self.endpoints.get(provider)
-        if endpoint is None or broker.bans.holds(provider):
-            # One that was taken out is asked nothing; FULL is what says nothing of a provider.
-            broker.probed(provider, Outcome.CONNECT_FAILED if endpoint is None else Outcome.FULL, 0, ())
+        address = self.addresses.get(endpoint)
+        if address is None or broker.administrative_drains.holds(endpoint):
+            # One that was taken out is asked nothing; FULL is what says nothing of an endpoint.
+            broker.health_checked(
+                endpoint, Outcome.CONNECT_FAILED if address is None else Outcome.FULL, 0, ()
+            )
             return
-        prober = Prober(
+        prober = HealthChecker(
             self.loop,
-            provider,
+            endpoint,
             broker.settings.report_columns,
-            lambda outcome, ns, figures: broker.probed(provider, outcome, ns, figures),
+            lambda outcome, ns, figures: broker.health_checked(endpoint, outcome, ns, figures),
         )
-        prober.start(prober.live(endpoint))
+        prober.start(prober.run(address))
 
 
 def parse_report(text: bytes, columns: tuple[str, ...]) -> tuple[float, ...]:
@@ -480,7 +482,7 @@
     return figures if all(map(math.isfinite, figures)) else ()
 
 
-def parse_endpoint(text: str) -> Endpoint:
+def parse_address(text: str) -> Address:
     address, _, port = text.rpartition(":")
     if not address or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{os.fsdecode(text)!r} is not ADDRESS:PORT")
--- a/linnetshift/net/vrrp.py
+++ b/linnetshift/net/vrrp.py
@@ -14,8 +14,8 @@
 from typing import NamedTuple
 
 from linnetshift.net import log
-from linnetshift.net.loop import MS, Actor, Io, Loop, Script, Timeout, Timer
-from linnetshift.net.provider import Endpoint
+from linnetshift.net.loop import MS, Actor, ActorCoroutine, Io, Loop, Timeout, Timer
+from linnetshift.net.provider import Address
 
 VERSION, ADVERTISEMENT = 3, 1
 HEADER = struct.Struct(">BBBBHH")
@@ -78,8 +78,8 @@
     priority: int
     interval: int  # centiseconds
     preempt: bool
-    listen: Endpoint
-    peers: tuple[Endpoint, ...]
+    listen: Address
+    peers: tuple[Address, ...]
     addresses: tuple[str, ...]
 
 
@@ -175,7 +175,7 @@
     def ready(self, mask: int) -> None:
         self.post(Io(mask))
 
-    def live(self) -> Script:
+    def run(self) -> ActorCoroutine:
         if self.began_active:
             self.router.become_active()
         else:
@@ -192,7 +192,7 @@
         """Say that the state is another, and do so before the peers hear of it."""
         before, self.before = self.before, self.router.state
         if self.before is not before:
-            log.note("vrrp", state=self.before, vrid=self.config.vrid)
+            log.note("vrrp-state-changed", state=self.before, vrid=self.config.vrid)
             if State.ACTIVE in (before, self.before):
                 self.changed(self.before is State.ACTIVE)
 
@@ -227,13 +227,13 @@
             try:
                 self.sock.sendto(datagram, peer)
             except OSError as error:  # a peer that is down must not stop the others' word
-                log.note("vrrp-unsent", peer=f"{peer[0]}:{peer[1]}", error=error.strerror)
+                log.note("vrrp-send-failed", peer=f"{peer[0]}:{peer[1]}", error=error.strerror)
 
     def arm(self, centiseconds: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
         self.due = object()
-        self.timer = self.alarm(int(centiseconds * CENTISECOND), self.due)
+        self.timer = self.set_timer(int(centiseconds * CENTISECOND), self.due)
 
     def receive(self) -> None:
         for _ in range(DATAGRAMS):  # a flood must not keep the loop from everyone else
@@ -246,7 +246,7 @@
             try:
                 advertisement = decode(data)
             except BadAdvertisement as error:
-                log.note("vrrp-dropped", peer=sender[0], error=str(error))
+                log.note("vrrp-advertisement-dropped", peer=sender[0], error=str(error))
                 continue
             if advertisement.vrid == self.config.vrid and sender in self.config.peers:
                 self.router.heard(advertisement, sender[0])
--- a/linnetshift/wire.py
+++ b/linnetshift/wire.py
@@ -50,7 +50,7 @@
 _ONE = Struct(">BI")
 _CANCEL = Struct(">BIB")
 _TIMER = Struct(">BQI")
-_HOST = Struct(">B6s")
+_ENDPOINT = Struct(">B6s")
 _TELL = Struct(">BHH")
 _TEXT = Struct(">BH")
 _FLAG = Struct(">BB")
@@ -107,22 +107,22 @@
             event = api.Request(rid, klass, group, key, hint, flags, tenant, budget)
             at += _REQUEST.size
         elif code == 3:
-            rid, elapsed, attempt, host = _BEGUN.unpack_from(frame, at)
-            event = api.Established(rid, attempt, host, elapsed)
+            rid, elapsed, attempt, endpoint = _BEGUN.unpack_from(frame, at)
+            event = api.Established(rid, attempt, endpoint, elapsed)
             at += _BEGUN.size
         elif code == 4:
-            rid, host, closed, attempt, elapsed, outcome, n = _RESULT.unpack_from(frame, at)
+            rid, endpoint, closed, attempt, elapsed, outcome, n = _RESULT.unpack_from(frame, at)
             at += _RESULT.size
             report = _FLOATS[n].unpack_from(frame, at)
-            event = api.AttemptEnded(rid, attempt, host, bool(closed), elapsed, outcome, report)
+            event = api.AttemptEnded(rid, attempt, endpoint, bool(closed), elapsed, outcome, report)
             at += 4 * n
         elif code == 6:
             event = api.TimerFired(*_ID.unpack_from(frame, at))
             at += _ID.size
         elif code == 7:
-            outcome, elapsed, host, n = _SAMPLED.unpack_from(frame, at)
+            outcome, elapsed, endpoint, n = _SAMPLED.unpack_from(frame, at)
             at += _SAMPLED.size
-            event = api.ProbeResult(host, outcome, elapsed, _FLOATS[n].unpack_from(frame, at))
+            event = api.HealthCheckResult(endpoint, outcome, elapsed, _FLOATS[n].unpack_from(frame, at))
             at += 4 * n
         elif code == 5:
             event = api.Withdrawn(*_ID.unpack_from(frame, at))
@@ -136,11 +136,13 @@
             form, version, n = _LIST.unpack_from(frame, at)
             at += _LIST.size
             rows = _take(frame, at, n * _ENTRY.size)
-            event = api.HostList(form, version, tuple(starmap(api.HostEntry, _ENTRY.iter_unpack(rows))))
+            event = api.EndpointList(
+                form, version, tuple(starmap(api.EndpointEntry, _ENTRY.iter_unpack(rows)))
+            )
             at += n * _ENTRY.size
         elif code == 10:
-            rid, _budget, hint, key, flags, group, host, tenant, klass = _ADOPTED.unpack_from(frame, at)
-            event = api.Adopted(rid, klass, group, key, hint, flags, tenant, host)
+            rid, _budget, hint, key, flags, group, endpoint, tenant, klass = _ADOPTED.unpack_from(frame, at)
+            event = api.Adopted(rid, klass, group, key, hint, flags, tenant, endpoint)
             at += _ADOPTED.size
         elif code == 0:
             salt, n = _CREATE.unpack_from(frame, at)
@@ -187,21 +189,21 @@
 
 def encode_action(action: api.Action) -> bytes:
     match action:
-        case api.Send(request, host, timeout_ns):
-            return _SEND.pack(0, request, timeout_ns, host)
+        case api.Send(request, endpoint, timeout_ns):
+            return _SEND.pack(0, request, timeout_ns, endpoint)
         case api.SetTimer(delay_ns, token):
             return _TIMER.pack(4, delay_ns, token)
-        case api.Refuse(request, retry_after_ns):
+        case api.Reject(request, retry_after_ns):
             return _DENY.pack(1, request, retry_after_ns)
         case api.Fail(request):
             return _ONE.pack(2, request)
         case api.Cancel(request, attempt):
             return _CANCEL.pack(3, request, attempt)
-        case api.Move(request):
+        case api.Migrate(request):
             return _ONE.pack(12, request)
-        case api.Probe(host):
-            return _HOST.pack(5, host)
-        case api.Tell(peer, data):
+        case api.HealthCheck(endpoint):
+            return _ENDPOINT.pack(5, endpoint)
+        case api.SendPeerMessage(peer, data):
             return _TELL.pack(7, peer, len(data)) + data
         case api.Log(text):
             line = text.encode()[:65535]
--- a/rig/attack.py
+++ b/rig/attack.py
@@ -18,7 +18,7 @@
 # Bad clients are answered or closed within 3 s; what they still send, and a wait of their own, comes on top.
 MOST_S = 6.5
 GROWTH_MIB = 4.0  # of memory between the round after the first and any later one
-SETTLE_S = 8.0  # until descriptors are back: what lingers, and what a provider has out, ends in that time
+SETTLE_S = 8.0  # until descriptors are back: what lingers, and what an endpoint has out, ends in that time
 
 
 class Running(Protocol):
@@ -28,7 +28,7 @@
     extra_port: int
     admin_port: int
     listeners: Any
-    directory: Any
+    discovery: Any
     process: Any
     config: Path
     seen: list[str]
@@ -37,7 +37,7 @@
 
     def call(self, call: str) -> int: ...
 
-    def census(self) -> dict[str, Any]: ...
+    def resource_usage(self) -> dict[str, Any]: ...
 
     def resident_mib(self) -> float: ...
 
@@ -55,8 +55,8 @@
         self.inputs = list(inputs)
 
 
-class Providers(threading.Thread):
-    """Accepts what the program sends to its providers and answers with nonsense, so that nothing stands."""
+class Endpoints(threading.Thread):
+    """Accepts what the program sends to its endpoints and answers with nonsense, so that nothing stands."""
 
     def __init__(self, listeners: Any, seed: int) -> None:
         super().__init__(daemon=True)
@@ -126,9 +126,9 @@
         self.check(sent)
 
     def lists(self, sent: Sequence[bytes], heard: Callable[[], None]) -> None:
-        """Answers of the directory; `heard` waits until the program has asked again."""
+        """Answers of discovery; `heard` waits until the program has asked again."""
         for each in sent:
-            self.running.directory.says(each)
+            self.running.discovery.says(each)
             heard()
         self.tried += len(sent)
         self.check(sent)
@@ -146,13 +146,13 @@
         if faults := [line for line in running.unread() if "event=fault" in line]:
             raise Broken(faults[0][:2000], sent)
         until = time.monotonic() + SETTLE_S
-        while running.descriptors() > self.descriptors + 2:  # a call to the directory, and this look itself
+        while running.descriptors() > self.descriptors + 2:  # a call to discovery, and this look itself
             if time.monotonic() > until:
                 raise Broken(f"{running.descriptors()} descriptors, {self.descriptors} before", sent)
             time.sleep(0.05)
         if self.level and running.resident_mib() > self.level + GROWTH_MIB:
             raise Broken(f"{running.resident_mib():.1f} MiB, {self.level:.1f} before", sent)
-        over = {name: held for name, held in running.census().items() if held["size"] > held["bound"]}
+        over = {name: held for name, held in running.resource_usage().items() if held["size"] > held["bound"]}
         if over:
             raise Broken(f"over its bound: {over}", sent)
 
--- a/rig/fleet/ledger.py
+++ b/rig/fleet/ledger.py
@@ -62,12 +62,12 @@
     away: dict[int, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
     served_s: float = 0.0  # seconds in which a client's messages came back in time
     wanted_s: float = 0.0
-    calls: list[tuple[float, int]] = field(default_factory=list)  # to the directory, by node
+    calls: list[tuple[float, int]] = field(default_factory=list)  # to discovery, by node
     moves: int = 0
     resets: int = 0
 
     def tell(self, node: int, server: str, state: str, at: float) -> None:
-        """The directory has written this to the node."""
+        """Discovery has written this to the node."""
         if state == "SERVING":
             self.drains.pop((node, server), None)
         else:
--- a/rig/fleet/play.py
+++ b/rig/fleet/play.py
@@ -18,7 +18,7 @@
 from rig.fleet.ledger import Asked, Broken, Ledger, Referee
 from rig.fleet.links import Link
 from rig.fleet.scenario import Fault, Scenario
-from rig.fleet.stands import SHED_EVERY_S, Directory, Server
+from rig.fleet.stands import SHED_EVERY_S, DiscoveryServer, Server
 
 ROOT = Path(__file__).parent.parent.parent
 START_S = 20.0  # a program that is not ready by then fails the play
@@ -101,7 +101,7 @@
         self.list: Link | None = None
         self.links: dict[str, Link] = {}  # by server
         self.process: asyncio.subprocess.Process | None = None
-        self.up = False  # as the front believes
+        self.up = False  # as the frontend believes
 
     def all_links(self) -> list[Link]:
         return [link for link in (self.front, self.list, *self.links.values()) if link is not None]
@@ -114,7 +114,7 @@
         self.began = time.monotonic()
         self.servers: dict[str, Server] = {}
         self.nodes = [Node(n, folder) for n in range(scenario.nodes)]
-        self.directory = Directory(scenario, self.ledger, self.clock)
+        self.discovery = DiscoveryServer(scenario, self.ledger, self.clock)
         self.tasks: set[asyncio.Task[Any]] = set()  # the play lasts until these are done
         self.watches: set[asyncio.Task[Any]] = set()
         self.crashed: list[str] = []
@@ -157,14 +157,14 @@
         }
 
     def relist(self) -> None:
-        for task in self.directory.change(self.entries):
+        for task in self.discovery.change(self.entries):
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
     async def start(self, node: Node) -> None:
         config = self.folder / f"n{node.number}.json"
         assert node.list is not None
-        known = self.directory.listing(node.number)
+        known = self.discovery.listing(node.number)
         config.write_text(
             json.dumps(
                 {
@@ -177,7 +177,7 @@
                 }
             )
         )
-        for uid, entry in self.directory.views[node.number].items():
+        for uid, entry in self.discovery.views[node.number].items():
             self.ledger.tell(node.number, uid, str(entry["state"]), self.clock())
         log = open(self.folder / f"n{node.number}.log", "ab")  # noqa: SIM115  # the process keeps it
         env = {**os.environ, "GW_CONFIG": str(config), "LINNETSHIFT_BROKER": os.devnull}
@@ -202,7 +202,7 @@
             await asyncio.sleep(0.02)
 
     async def watch(self, node: Node, process: asyncio.subprocess.Process) -> None:
-        """A node that ends without being told to is a crash; the front hears of any end late."""
+        """A node that ends without being told to is a crash; the frontend hears of any end late."""
         status = await process.wait()
         if node.process is process and not self.over:
             if status not in (-signal.SIGKILL, 0):
@@ -228,7 +228,7 @@
             self.later(self.client(key, group, life, 0 if busiest else -1))
 
     def through(self, chosen: int) -> Node | None:
-        """Whom the front leads to: one of those that it believes to be up."""
+        """Whom the frontend leads to: one of those that it believes to be up."""
         up = [node for node in self.nodes if node.up]
         if not up:
             return None
@@ -304,9 +304,9 @@
     async def fault(self, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, fault.at_s - self.clock()))
         until = self.clock() + fault.for_s if fault.for_s else float("inf")
-        at_clients = not fault.servers and not fault.directory
+        at_clients = not fault.servers and not fault.discovery
         for number in fault.nodes or range(self.scenario.nodes) if at_clients else ():
-            # The way back takes a while too: the front's notice, and the start.
+            # The way back takes a while too: the frontend's notice, and the start.
             self.ledger.away[number].append((self.clock(), until + 2.0))
         if fault.kind in ("cut", "cut-there"):
             for number in fault.nodes or range(self.scenario.nodes):
@@ -366,8 +366,8 @@
         nodes = [self.nodes[n] for n in fault.nodes] or self.nodes
         uids = [list(self.servers)[n] for n in fault.servers]
         found = [node.links[uid] for node in nodes for uid in uids]
-        found += [node.list for node in nodes if fault.directory and node.list is not None]
-        if not uids and not fault.directory:
+        found += [node.list for node in nodes if fault.discovery and node.list is not None]
+        if not uids and not fault.discovery:
             found += [node.front for node in nodes if node.front is not None]
         return found
 
@@ -396,16 +396,16 @@
 
     async def run(self) -> Report:
         scenario = self.scenario
-        await self.directory.open()
+        await self.discovery.open()
         for number in range(scenario.servers.count):
             await self.add_server(f"s-{number}", cold=False)
         for node in self.nodes:
             node.port = free_port()
             node.front = Link(("127.0.0.1", node.port))
-            node.list = Link(("127.0.0.1", self.directory.ports[node.number]))
+            node.list = Link(("127.0.0.1", self.discovery.ports[node.number]))
             await node.front.open()
             await node.list.open()
-            self.directory.views[node.number] = self.entries(node.number)
+            self.discovery.views[node.number] = self.entries(node.number)
         try:
             await asyncio.gather(*(self.start(node) for node in self.nodes))
             self.began = time.monotonic()
@@ -428,7 +428,7 @@
                 await link.close()
             for server in self.servers.values():
                 server.stop()
-            self.directory.close()
+            self.discovery.close()
         return Report(Referee(self.ledger, GRACE_S).broken(), self.ledger, self.crashed)
 
 
--- a/rig/fleet/scenario.py
+++ b/rig/fleet/scenario.py
@@ -63,14 +63,14 @@
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`nodes` and `servers` are numbers from 0; a link's fault lies on each link between the two.
 
-    Without servers it lies on the way from the clients, with `directory` on the way to the list.
+    Without servers it lies on the way from the clients, with `discovery` on the way to the list.
     """
 
     at_s: Seconds
     kind: FaultKind
     nodes: tuple[int, ...] = ()
     servers: tuple[int, ...] = ()
-    directory: bool = False  # the nodes' links to the directory
+    discovery: bool = False  # the nodes' links to discovery
     for_s: Seconds = 0.0  # 0: for good
     delay_s: Seconds = 0.0
 
@@ -83,7 +83,7 @@
     servers: Servers = Servers()
     traffic: Traffic = Traffic()
     faults: tuple[Fault, ...] = ()
-    notice_s: Seconds = 0.3  # how late the front hears that a node is dead
+    notice_s: Seconds = 0.3  # how late the frontend hears that a node is dead
     list_s: tuple[Seconds, Seconds] = (0.05, 0.3)  # how late a change reaches a node
 
     def stream(self, name: str) -> np.random.Generator:
--- a/rig/fleet/stands.py
+++ b/rig/fleet/stands.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds the proxies: servers that model work, and the directory.
+"""Stand-ins for what surrounds the proxies: servers that model work, and discovery.
 
 Each has an address of its own for each node, so that what came through which node is known and each link can
 fail by itself.
@@ -143,7 +143,7 @@
         self.held.clear()
 
 
-class Directory:
+class DiscoveryServer:
     """One list for all, which each node hears of late by a time of its own."""
 
     def __init__(self, scenario: Scenario, ledger: Ledger, clock: Callable[[], float]) -> None:
--- a/rig/wires.py
+++ b/rig/wires.py
@@ -21,7 +21,7 @@
 
 
 def opening(rng: random.Random) -> Message:
-    """A consumer's first line (the platform's protocol, "Clients to proxies")."""
+    """A client's first line (the platform's protocol, "Clients to proxies")."""
     if rng.random() < 0.1:
         return [word(rng.choice((b"PING", b"STATS"))), fixed(b"\r\n")]
     made = [fixed(b"OPEN"), fixed(b" "), Field("hex", b"%016x" % rng.getrandbits(64)), fixed(b" ")]
@@ -141,7 +141,7 @@
 
 
 def answers(rng: random.Random) -> bytes:
-    """What a provider says to an opening line, and after it."""
+    """What an endpoint says to an opening line, and after it."""
     first = rng.choice((b"UP r1", b"BUSY", b"ERR", b"BYE", b"MOVE", b"PONG"))
     lines = [
         first,
@@ -157,7 +157,7 @@
 
 
 def document(rng: random.Random, listing: dict[str, Any]) -> bytes:
-    """The directory's answer: a changed tree, or bytes that are hardly JSON."""
+    """Discovery's answer: a changed tree, or bytes that are hardly JSON."""
     return scar(rng, json.dumps(mutate_tree(rng, listing)).encode())
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -65,18 +65,18 @@
     return {"services": [{**raw_settings()["services"][0], "effect": word, "group": group, **more}]}
 
 
-def host(number: int) -> bytes:
+def endpoint(number: int) -> bytes:
     return bytes([10, 0, number >> 8, number & 255, 31, 144])
 
 
-def entry(number: int, **changes: Any) -> api.HostEntry:
-    return api.HostEntry(host(number), number % 3, 0, number % 5, api.HostState.READY, 1.0, 0)._replace(
-        **changes
-    )
+def entry(number: int, **changes: Any) -> api.EndpointEntry:
+    return api.EndpointEntry(
+        endpoint(number), number % 3, 0, number % 5, api.EndpointState.READY, 1.0, 0
+    )._replace(**changes)
 
 
-def listed(*entries: api.HostEntry, form: int = api.ListForm.FULL) -> api.HostList:
-    return api.HostList(form, 1, entries)
+def listed(*entries: api.EndpointEntry, form: int = api.ListForm.FULL) -> api.EndpointList:
+    return api.EndpointList(form, 1, entries)
 
 
 def request(number: int, **changes: Any) -> api.Request:
@@ -86,14 +86,14 @@
 def ended(
     sent: api.Send, attempt: int, outcome: int, elapsed: int = 0, closed: bool = False
 ) -> api.AttemptEnded:
-    return api.AttemptEnded(sent.request, attempt, sent.host, closed, elapsed, outcome, ())
+    return api.AttemptEnded(sent.request_id, attempt, sent.endpoint, closed, elapsed, outcome, ())
 
 
-def balancer(hosts: int = 8, seed: int = 1, window: float = 1e9, **changes: Any) -> Balancer:
-    """A node that knows `hosts` hosts; a wide window lets tests place many requests at one moment."""
+def balancer(endpoints: int = 8, seed: int = 1, window: float = 1e9, **changes: Any) -> Balancer:
+    """A node that knows `addresses` endpoints; a wide window lets tests place many requests at one moment."""
     made = Balancer(api.Settings.parse(raw_settings(**changes)), seed)
     made.window.size = window
-    made.step(1 * S, [listed(*(entry(n) for n in range(hosts)))])
+    made.step(1 * S, [listed(*(entry(n) for n in range(endpoints)))])
     return made
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,7 +1,7 @@
 """Many nodes in one process on one time line: what each does alone, counted over all of them.
 
-Hosts answer by a script: whether they let connections stand, and how long a probe waits there. A client goes
-to whichever node the line names; nodes hear only of what was theirs.
+Endpoints answer by a script: whether they let connections stand, and how long a health check waits there. A
+client goes to whichever node the line names; nodes hear only of what was theirs.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from linnetshift.interface import Outcome
 from linnetshift.policy import Balancer
 
-ANSWER_NS = 1 * MS  # a sound host's
+ANSWER_NS = 1 * MS  # a sound endpoint's
 
 
 class Fleet:
     def __init__(
-        self, nodes: int, hosts: tuple[api.HostEntry, ...], seed: int = 0, **changes: object
+        self, nodes: int, endpoints: tuple[api.EndpointEntry, ...], seed: int = 0, **changes: object
     ) -> None:
         zones = (
             3 if changes.pop("perZone", False) else 1
@@ -36,14 +36,14 @@
         self.due: list[tuple[int, int, int, api.Event]] = []
         self.dead: set[bytes] = set()  # connections there never come up
         self.erring: set[bytes] = set()  # answer everything with an error
-        self.waits: dict[bytes, int] = {}  # how long a probe waits at a jammed host
-        self.sends: list[tuple[int, int, int, bytes]] = []  # time, node, request, host
-        self.probes: list[tuple[int, int, bytes]] = []
+        self.waits: dict[bytes, int] = {}  # how long a health check waits at a jammed endpoint
+        self.sends: list[tuple[int, int, int, bytes]] = []  # time, node, request, endpoint
+        self.health_checks: list[tuple[int, int, bytes]] = []
         self.watches: list[tuple[int, int]] = []
         self.answers: dict[int, list[tuple[int, api.Action]]] = {}
         self.moves: list[tuple[int, int, int]] = []
         self.attempts: Counter[int] = Counter()
-        self.tell_all(listed(*hosts))
+        self.tell_all(listed(*endpoints))
 
     def tell_all(self, event: api.Event) -> None:
         for node in range(len(self.nodes)):
@@ -65,7 +65,8 @@
 
     def ask(self, node: int, **changes: object) -> int:
         number = next(self.numbers)
-        self.tell(node, api.Request(number, 0, 0, number, 0, 0, 0, 2 * S)._replace(**changes))  # type: ignore[arg-type]
+        # type: ignore[arg-type]
+        self.tell(node, api.Request(number, 0, 0, number, 0, 0, 0, 2 * S)._replace(**changes))
         return number
 
     def run(self, until: int) -> None:
@@ -76,40 +77,40 @@
 
     def perform(self, node: int, action: api.Action) -> None:
         match action:
-            case api.Send(request, host, timeout):
+            case api.Send(request, endpoint, timeout):
                 attempt = self.attempts[request]
                 self.attempts[request] += 1
-                self.sends.append((self.now, node, request, host))
-                if host in self.dead:
+                self.sends.append((self.now, node, request, endpoint))
+                if endpoint in self.dead:
                     limit = min(timeout, self.nodes[node].settings.connect_timeout_ns)
                     failed = api.AttemptEnded(
-                        request, attempt, host, False, limit, Outcome.CONNECT_FAILED, ()
+                        request, attempt, endpoint, False, limit, Outcome.CONNECT_FAILED, ()
                     )
                     self.later(limit, node, failed)
-                elif host in self.erring:
-                    failed = api.AttemptEnded(request, attempt, host, False, ANSWER_NS, Outcome.ERROR, ())
+                elif endpoint in self.erring:
+                    failed = api.AttemptEnded(request, attempt, endpoint, False, ANSWER_NS, Outcome.ERROR, ())
                     self.later(ANSWER_NS, node, failed)
                 else:
-                    self.later(ANSWER_NS, node, api.Established(request, attempt, host, ANSWER_NS))
-            case api.Probe(host):
-                self.probes.append((self.now, node, host))
+                    self.later(ANSWER_NS, node, api.Established(request, attempt, endpoint, ANSWER_NS))
+            case api.HealthCheck(endpoint):
+                self.health_checks.append((self.now, node, endpoint))
                 limit = self.nodes[node].settings.connect_timeout_ns
-                outcome, wait = Outcome.OK, self.waits.get(host, ANSWER_NS)
-                if host in self.dead:
+                outcome, wait = Outcome.OK, self.waits.get(endpoint, ANSWER_NS)
+                if endpoint in self.dead:
                     outcome, wait = Outcome.CONNECT_FAILED, limit
-                elif host in self.erring:
+                elif endpoint in self.erring:
                     outcome = Outcome.ERROR
                 elif wait > limit:
                     outcome, wait = Outcome.TIMEOUT, limit
-                self.later(wait, node, api.ProbeResult(host, outcome, wait, ()))
+                self.later(wait, node, api.HealthCheckResult(endpoint, outcome, wait, ()))
             case api.SetTimer(delay, token):
                 self.later(delay, node, api.TimerFired(token))
             case api.Watch(on=True):
                 self.watches.append((self.now, node))
-            case api.Move(request):
+            case api.Migrate(request):
                 self.moves.append((self.now, node, request))
                 self.later(ANSWER_NS, node, api.AttemptEnded(request, 0, b"", True, 0, Outcome.CANCELLED, ()))
-            case api.Refuse(request) | api.Fail(request):
+            case api.Reject(request) | api.Fail(request):
                 self.answers.setdefault(request, []).append((self.now, action))
 
 
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -1,4 +1,4 @@
-"""Starts the real program and stands in for its clients, providers and directory; waits are bounded."""
+"""Starts the real program and stands in for its clients, endpoints and discovery; waits are bounded."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 from conftest import MS, S, raw_settings
 
-from linnetshift.__main__ import Program
+from linnetshift.__main__ import Proxy
 from linnetshift.net.config import read_broker_file, read_config
 
 ROOT = Path(__file__).parent.parent
@@ -137,7 +137,7 @@
 
 
 class Listener:
-    """A provider: the test itself accepts and answers."""
+    """An endpoint: the test itself accepts and answers."""
 
     def __init__(self, uid: str) -> None:
         self.uid, self.state, self.boot_ms = uid, "SERVING", 0
@@ -195,7 +195,7 @@
     let_go: threading.Event
 
 
-class Directory:
+class DiscoveryServer:
     """Answers list calls; a watch waits for news. `failing` makes every call a 503, `silent` keeps it."""
 
     def __init__(self, listeners: list[Listener], indent: int | None = None) -> None:
@@ -283,7 +283,7 @@
             self.news.notify_all()
 
 
-class Proxy:
+class RunningProxy:
     """The real program, running."""
 
     def __init__(self, process: subprocess.Popen[str], port: int, extra_port: int) -> None:
@@ -291,7 +291,7 @@
         self.admin_port = 0
         self.held: socket.socket | None = None
         self.listeners: list[Listener] = []
-        self.directory: Directory
+        self.discovery: DiscoveryServer
         self.config: Path
         self.lines: queue.Queue[str] = queue.Queue()
         self.seen: list[str] = []
@@ -320,14 +320,14 @@
         return self.client(OPEN % (next(IDS), wait_ms))
 
     def standing(self, listener: int = 0) -> tuple[Conn, Conn]:
-        """A served consumer and the provider's end of it."""
-        consumer = self.open()
-        provider = self.listeners[listener].serve()
-        assert consumer.line() == b"UP r1\r\n"
-        return consumer, provider
+        """A served client and the endpoint's end of it."""
+        client = self.open()
+        endpoint = self.listeners[listener].serve()
+        assert client.line() == b"UP r1\r\n"
+        return client, endpoint
 
     def asked(self) -> Listener:
-        """The provider that the key's ranking sends the next attempt to."""
+        """The endpoint that the key's ranking sends the next attempt to."""
         ready, _, _ = select.select([each.sock for each in self.listeners], [], [], WAIT)
         return next(each for each in self.listeners if each.sock in ready)
 
@@ -340,7 +340,7 @@
         conn = self.client(call.encode() + b" HTTP/1.1\r\nHost: x\r\n\r\n", self.admin_port)
         return int(conn.line().split()[1])
 
-    def census(self) -> dict[str, Any]:
+    def resource_usage(self) -> dict[str, Any]:
         """What the program holds, by container."""
         conn = self.client(b"GET /ops/census HTTP/1.1\r\nHost: x\r\n\r\n", self.admin_port)
         while conn.line().strip():
@@ -455,26 +455,26 @@
 
 
 @contextmanager
-def beside(old: Proxy) -> Iterator[Proxy]:
+def beside(old: RunningProxy) -> Iterator[RunningProxy]:
     """The program started again, with all that the old one has but the operators' address."""
     admin = free_port()
     env = {"GW_ADMIN_ADDR": f"127.0.0.1:{admin}"}
     process = launch(str(old.config), str(old.config.parent / "broker.toml"), held=old.held, **env)
-    new = Proxy(process, old.port, old.extra_port)
-    new.listeners, new.directory, new.config, new.held = old.listeners, old.directory, old.config, old.held
+    new = RunningProxy(process, old.port, old.extra_port)
+    new.listeners, new.discovery, new.config, new.held = old.listeners, old.discovery, old.config, old.held
     new.admin_port = admin
     try:
-        new.logged("event=started")
+        new.logged("event=process-started")
         yield new
     finally:
         process.kill()
         process.wait(WAIT)
 
 
-class Inside(Proxy):
+class Inside(RunningProxy):
     """The program in a thread of this process, where its objects can be counted."""
 
-    def __init__(self, program: Program, port: int, extra_port: int) -> None:
+    def __init__(self, program: Proxy, port: int, extra_port: int) -> None:
         self.program, self.port, self.extra_port = program, port, extra_port
         self.thread = threading.Thread(target=program.loop.run, daemon=True)
         self.thread.start()
@@ -483,7 +483,7 @@
         self.program.loop.stopped = True  # seen at the module's next review
         self.thread.join(WAIT)
         assert not self.thread.is_alive()
-        for sock in (self.program.front, self.program.channels, self.program.door.acceptor):
+        for sock in (self.program.frontend, self.program.channels, self.program.admin_server.acceptor):
             if sock is not None:
                 sock.close()
 
@@ -494,8 +494,8 @@
     with world(folder, own=own, **how) as made:
         config = read_config(str(made.config))
         broker_file = read_broker_file(str(made.own), config.names, config.settings)
-        running = Inside(Program(config, broker_file), made.port, made.extra)
-        running.listeners, running.directory, running.config = made.listeners, made.directory, made.config
+        running = Inside(Proxy(config, broker_file), made.port, made.extra)
+        running.listeners, running.discovery, running.config = made.listeners, made.discovery, made.config
         running.admin_port = made.admin
         try:
             yield running
@@ -507,7 +507,7 @@
     """What is round a proxy, and its files."""
 
     listeners: list[Listener]
-    directory: Directory
+    discovery: DiscoveryServer
     port: int
     extra: int
     admin: int
@@ -517,11 +517,13 @@
 
 @contextmanager
 def world(
-    folder: Path, providers: int = 1, own: str = "", door: bool = False, **changes: Any
+    folder: Path, endpoints: int = 1, own: str = "", admin_server: bool = False, **changes: Any
 ) -> Iterator[World]:
-    """`own` is the broker's own file; PORT in it is the proxy's `extra_port`. `door`: operators may call."""
-    listeners = [Listener(f"s-{n}") for n in range(providers)]
-    directory = Directory(listeners)
+    """`own` is the broker's own file; PORT in it is the proxy's `extra_port`. `admin_server`: operators may
+    call.
+    """
+    listeners = [Listener(f"s-{n}") for n in range(endpoints)]
+    discovery = DiscoveryServer(listeners)
     port, extra, admin = free_port(), free_port(), free_port()
     config, own_file = folder / "config.json", folder / "broker.toml"
     config.write_text(
@@ -529,19 +531,19 @@
             {
                 "name": "n0",
                 "listen": f"127.0.0.1:{port}",
-                "discovery": directory.address,
+                "discovery": discovery.address,
                 "seed": "8c1f30d27a5be964",
-                "known": directory.listing(),
+                "known": discovery.listing(),
                 "settings": settings(**changes),
-                **({"admin_addr": f"127.0.0.1:{admin}"} if door else {}),
+                **({"admin_addr": f"127.0.0.1:{admin}"} if admin_server else {}),
             }
         )
     )
     own_file.write_text(own.replace("PORT", str(extra)))
     try:
-        yield World(listeners, directory, port, extra, admin, config, own_file)
+        yield World(listeners, discovery, port, extra, admin, config, own_file)
     finally:
-        directory.server.shutdown()
+        discovery.server.shutdown()
         for listener in listeners:
             listener.sock.close()
 
@@ -549,29 +551,29 @@
 @contextmanager
 def proxy(
     folder: Path,
-    providers: int = 1,
+    endpoints: int = 1,
     own: str = "",
     before: Callable[[], None] | None = None,
-    door: bool = False,
+    admin_server: bool = False,
     held: bool = False,
     command: Sequence[str] = (sys.executable, "-m", "linnetshift"),
     program: Path = ROOT,
     **changes: Any,
-) -> Iterator[Proxy]:
+) -> Iterator[RunningProxy]:
     """In `world`; `held`: the clients' listening socket is the platform's; `command` starts the program that
     lies in the folder `program`.
     """
-    with world(folder, providers, own, door, **changes) as made:
+    with world(folder, endpoints, own, admin_server, **changes) as made:
         listener = socket.create_server(("127.0.0.1", made.port), backlog=1024) if held else None
         process = launch(
             str(made.config), str(made.own), before, held=listener, command=command, program=program
         )
-        running = Proxy(process, made.port, made.extra)
+        running = RunningProxy(process, made.port, made.extra)
         running.held = listener
-        running.listeners, running.directory, running.config = made.listeners, made.directory, made.config
+        running.listeners, running.discovery, running.config = made.listeners, made.discovery, made.config
         running.admin_port = made.admin
         try:
-            running.logged("event=started")
+            running.logged("event=process-started")
             yield running
         finally:
             running.process.kill()
--- a/tests/test_aims.py
+++ b/tests/test_aims.py
@@ -1,11 +1,11 @@
-"""Two classes with aims far apart at one host: each is placed, moved and shed by its own measure."""
+"""Two classes with aims far apart at one endpoint: each is placed, moved and shed by its own measure."""
 
 from __future__ import annotations
 
 from typing import Any
 
 import pytest
-from conftest import MS, S, balancer, host, only, raw_settings, request
+from conftest import MS, S, balancer, endpoint, only, raw_settings, request
 
 from linnetshift import interface as api
 from linnetshift.policy import Balancer
@@ -21,18 +21,18 @@
 
 def standing(node: Balancer, number: int, klass: int) -> bytes:
     (send,) = only(node.step(2 * S, [request(number, klass=klass, key=5)]), api.Send)
-    node.step(2 * S, [api.Established(number, 0, send.host, MS)])
-    where: bytes = send.host
+    node.step(2 * S, [api.Established(number, 0, send.endpoint, MS)])
+    where: bytes = send.endpoint
     return where
 
 
 @pytest.mark.parametrize(
     "ms, strict_there, loose_there", [(5.0, True, True), (30.0, False, True), (300.0, False, False)]
 )
-def test_a_host_is_passed_over_by_the_aim_of_the_class_that_asks(
+def test_an_endpoint_is_passed_over_by_the_aim_of_the_class_that_asks(
     ms: float, strict_there: bool, loose_there: bool
 ) -> None:
-    # A loose class was sent away from hosts that served it well, by the aim of a strict one.
+    # A loose class was sent away from endpoints that served it well, by the aim of a strict one.
     node = two_classes()
     home = standing(node, 1, LOOSE)
     node.step(3 * S, [api.Note(1, 0, home, api.SLOW_NOTE, ms)])
@@ -47,20 +47,20 @@
         standing(node, number, STRICT if number % 10 == 0 else LOOSE)
     moved = set()
     for turn in range(12):  # at 30 ms the strict are late, and the loose far from it
-        for move in only(node.step((3 + turn) * S, [api.Note(1, 0, home, api.SLOW_NOTE, 30.0)]), api.Move):
-            moved.add(move.request)
+        for move in only(node.step((3 + turn) * S, [api.Note(1, 0, home, api.SLOW_NOTE, 30.0)]), api.Migrate):
+            moved.add(move.request_id)
     assert moved and all(number % 10 == 0 for number in moved)
     assert node.shedding.admit == 1.0
-    assert host(0) in node.hosts
+    assert endpoint(0) in node.endpoints
 
 
-def test_most_hosts_late_for_most_that_stand_there_shed_keys() -> None:
+def test_most_endpoints_late_for_most_that_stand_there_shed_keys() -> None:
     node = two_classes()
     numbers = {}
     for key in range(200):
         (send,) = only(node.step(2 * S, [request(key + 1, klass=LOOSE, key=key + 1)]), api.Send)
-        node.step(2 * S, [api.Established(key + 1, 0, send.host, MS)])
-        numbers[send.host] = key + 1
+        node.step(2 * S, [api.Established(key + 1, 0, send.endpoint, MS)])
+        numbers[send.endpoint] = key + 1
     for ms, admits in ((300.0, True), (500.0, False)):
         for _ in range(3):
             notes = [api.Note(number, 0, where, api.SLOW_NOTE, ms) for where, number in numbers.items()]
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -8,29 +8,30 @@
 from pathlib import Path
 
 import pytest
-from conftest import MS, entry, host, listed, raw_settings
+from conftest import MS, endpoint, entry, listed, raw_settings
 from proxy import ROOT, WAIT, Terminal, inside, proxy
 from test_broker import Around
 
 from linnetshift import interface as api
-from linnetshift.core import bans, broker
-from linnetshift.core.bans import Bans
-from linnetshift.core.census import Held, over
-from linnetshift.interface import HostState, ListForm, Settings
+from linnetshift.core import bans as administrative_drains
+from linnetshift.core import broker
+from linnetshift.core.bans import AdministrativeDrains
+from linnetshift.core.census import ResourceUsage, over
+from linnetshift.interface import EndpointState, ListForm, Settings
 from linnetshift.net import channels, handover, limits, ops
 from linnetshift.net.handover import Beside
 from linnetshift.net.loop import Loop
 
 
-def names(*numbers: int, state: HostState = HostState.READY) -> list[api.HostEntry]:
+def names(*numbers: int, state: EndpointState = EndpointState.READY) -> list[api.EndpointEntry]:
     return [entry(number, state=state) for number in numbers]
 
 
 @pytest.fixture
 def few(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(bans, "MOST_LISTED", 8)
-    monkeypatch.setattr(bans, "MOST_KNOWN", 16)
-    monkeypatch.setattr(bans, "MOST_OUT", 4)
+    monkeypatch.setattr(administrative_drains, "MOST_LISTED", 8)
+    monkeypatch.setattr(administrative_drains, "MOST_KNOWN", 16)
+    monkeypatch.setattr(administrative_drains, "MOST_OUT", 4)
     monkeypatch.setattr(broker, "MOST_KNOWN", 16)
     monkeypatch.setattr(broker, "MOST_OUT", 4)
 
@@ -40,26 +41,30 @@
     around = Around()
     for number in range(100):
         around.broker.listed(listed(*names(number), form=ListForm.DELTA))
-        around.broker.gauge.dropped(host(number), around.now)
-        around.broker.gauge.answered(host(number), None, 5, around.now)
-        around.broker.listed(listed(*names(number, state=HostState.GONE), form=ListForm.DELTA))
+        around.broker.latency_estimator.dropped(endpoint(number), around.now)
+        around.broker.latency_estimator.answered(endpoint(number), None, 5, around.now)
+        around.broker.listed(listed(*names(number, state=EndpointState.REMOVED), form=ListForm.DELTA))
         around.broker.drain()
-        assert over(around.broker.held(16)) == []
-    known = around.broker.bans.listed
-    assert list(known)[-1] == host(99) and len(known) == 16
-    assert set(around.broker.zones) <= set(known) and set(around.broker.gauge.shed_at) <= set(known)
-    assert set(around.broker.starts) <= set(known) and set(around.broker.gauge.weights) <= set(known)
+        assert over(around.broker.resource_usage(16)) == []
+    known = around.broker.administrative_drains.listed
+    assert list(known)[-1] == endpoint(99) and len(known) == 16
+    assert set(around.broker.zones) <= set(known) and set(around.broker.latency_estimator.shed_at) <= set(
+        known
+    )
+    assert set(around.broker.starts) <= set(known) and set(around.broker.latency_estimator.weights) <= set(
+        known
+    )
 
 
 def test_a_list_that_is_too_long_is_cut_and_goes_on(few: None) -> None:
-    kept = Bans(lambda: 1)
+    kept = AdministrativeDrains(lambda: 1)
     event = kept.bounded(listed(*names(*range(20))))
-    assert [each.host for each in event.entries] == [host(n) for n in range(8)]
+    assert [each.endpoint for each in event.entries] == [endpoint(n) for n in range(8)]
     kept.lay_over(event)
     # What is known already is heard of all the same; only new names find no room.
-    change = listed(*names(3, 4, state=HostState.DRAINING), *names(50), form=ListForm.DELTA)
-    assert [each.host for each in kept.bounded(change).entries] == [host(3), host(4)]
-    kept.lay_over(listed(*names(5, state=HostState.GONE), form=ListForm.DELTA))
+    change = listed(*names(3, 4, state=EndpointState.DRAINING), *names(50), form=ListForm.DELTA)
+    assert [each.endpoint for each in kept.bounded(change).entries] == [endpoint(3), endpoint(4)]
+    kept.lay_over(listed(*names(5, state=EndpointState.REMOVED), form=ListForm.DELTA))
     assert len(kept.bounded(listed(*names(51, 52), form=ListForm.DELTA)).entries) == 1
     # A whole list frees the places of those that it does not name.
     assert len(kept.bounded(listed(*names(*range(60, 68)))).entries) == 8
@@ -69,13 +74,17 @@
     around = Around()
     around.broker.listed(listed(*names(*range(8))))
     for number in range(4):
-        assert around.broker.take_out(host(number))
-    assert not around.broker.take_out(host(4)) and around.broker.take_out(host(0))
+        assert around.broker.take_out(endpoint(number))
+    assert not around.broker.take_out(endpoint(4)) and around.broker.take_out(endpoint(0))
     for number in range(100, 200):
         around.broker.listed(listed(*names(number)))
-    assert all(around.broker.bans.holds(host(n)) and around.broker.bans.knows(host(n)) for n in range(4))
-    assert around.broker.call_back(host(0))
-    assert around.broker.bans.back and over(around.broker.held(16)) == []
+    assert all(
+        around.broker.administrative_drains.holds(endpoint(n))
+        and around.broker.administrative_drains.knows(endpoint(n))
+        for n in range(4)
+    )
+    assert around.broker.call_back(endpoint(0))
+    assert around.broker.administrative_drains.back and over(around.broker.resource_usage(16)) == []
 
 
 def rules(*aims: int) -> Settings:
@@ -94,15 +103,15 @@
     held = settings.classes[1]
     for aim in range(3000, 3050):
         settings = rules(1000, aim).following(settings, {1, *settings.numbers})
-        assert settings.offered[1].aim_ns == aim and settings.numbers[0] == 0
+        assert settings.offered[1].latency_objective_ns == aim and settings.numbers[0] == 0
         assert settings.classes[1] == held
     assert len(settings.classes) <= 4
 
 
 def test_the_census_is_told_and_kept(tmp_path: Path) -> None:
-    with proxy(tmp_path, door=True) as running:
+    with proxy(tmp_path, admin_server=True) as running:
         standing = running.standing()
-        told = {name: Held(**figures) for name, figures in running.census().items()}
+        told = {name: ResourceUsage(**figures) for name, figures in running.resource_usage().items()}
     assert (
         standing
         and over(told) == []
@@ -115,7 +124,7 @@
 def test_callers_who_do_not_leave_give_way(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Answered callers that sent on held a descriptor each for up to 3 s, and their number had no bound.
     monkeypatch.setattr(ops, "MOST_CALLERS", 3)
-    with inside(tmp_path, door=True) as running:
+    with inside(tmp_path, admin_server=True) as running:
         kept = []
         for _ in range(9):
             conn = running.client(b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n", running.admin_port)
@@ -123,7 +132,7 @@
                 pass
             assert conn.line()
             kept.append(conn)
-            assert over(running.program.door.held()) == []
+            assert over(running.program.admin_server.resource_usage()) == []
 
 
 def test_channels_that_wait_are_bounded_over_all_sessions(
@@ -171,12 +180,12 @@
     ours, theirs = socket.socketpair()
     beside = Beside(around, ours)  # type: ignore[arg-type]
     beside.met = True
-    beside.start(beside.live())
+    beside.start(beside.run())
     until, most = time.monotonic() + WAIT, 0
     while around.parted_from is None:
         assert time.monotonic() < until
         around.loop.call_later(MS, lambda: None)  # else the last turn would wait for what never comes
         around.loop.turn()
         most = max(most, len(beside.stream.out))
-    assert 0 < most < 2 * beat and beside.stream.closed and not beside.alarms
+    assert 0 < most < 2 * beat and beside.stream.closed and not beside.timers
     theirs.close()
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -5,17 +5,17 @@
 from collections.abc import Callable
 
 import pytest
-from conftest import MS, S, entry, host, listed, raw_settings
+from conftest import MS, S, endpoint, entry, listed, raw_settings
 
 from linnetshift import interface as api
 from linnetshift.contracts import Budget, Contract, Contracts
 from linnetshift.core import broker
-from linnetshift.core.broker import Attempt, Broker, Invocation
+from linnetshift.core.broker import ActiveRequest, Attempt, Broker
 from linnetshift.interface import Outcome
 
 
 class Around:
-    """Timers, directory, providers and a consumer; it writes down what it is asked for."""
+    """Timers, discovery, endpoints and a client; it writes down what it is asked for."""
 
     congested = False
     present = True
@@ -31,9 +31,9 @@
         self.broker.listed(listed(*(entry(n) for n in range(4))))
         self.broker.drain()
 
-    def invoke(self, wait_ns: int = 1 * S, flags: int = 0) -> Invocation:
-        made = Invocation(self, 0, 0, 7, 0, flags, 0, self.now + wait_ns, lambda ms: b"%d" % ms)
-        self.broker.invoke(made)
+    def submit(self, wait_ns: int = 1 * S, flags: int = 0) -> ActiveRequest:
+        made = ActiveRequest(self, 0, 0, 7, 0, flags, 0, self.now + wait_ns, lambda ms: b"%d" % ms)
+        self.broker.submit(made)
         self.broker.drain()
         return made
 
@@ -49,7 +49,7 @@
 
     def fetch(self) -> None: ...
 
-    def probe(self, provider: bytes) -> None: ...
+    def check_health(self, endpoint: bytes) -> None: ...
 
     def open(self, attempt: Attempt) -> None:
         self.attempts.append(attempt)
@@ -70,7 +70,7 @@
     def move(self, reason: str) -> None:
         self.asked.append(("move", reason))
 
-    def provider_ended(self, outcome: int, reset: bool) -> None:
+    def endpoint_ended(self, outcome: int, reset: bool) -> None:
         self.asked.append(("ended", outcome, reset))
 
     def pass_time(self, until: int) -> None:
@@ -85,7 +85,7 @@
 def test_an_answer_comes_even_from_a_module_that_forgets() -> None:
     around = Around()
     around.broker.balancer.step = lambda now, events: []  # type: ignore[method-assign]
-    around.invoke(1 * S)
+    around.submit(1 * S)
     around.pass_time(2 * S)
     assert around.asked == []
     around.pass_time(2 * S + 20 * MS)
@@ -94,13 +94,13 @@
 
 def test_one_final_answer_and_no_second_attempt_beside_the_first() -> None:
     around = Around()
-    invocation = around.invoke()
+    request = around.submit()
     (attempt,) = around.attempts
-    around.broker.perform(api.Send(invocation.id, host(2), 0))
+    around.broker.perform(api.Send(request.id, endpoint(2), 0))
     assert around.attempts == [attempt]  # the module's mistake must not break the rule
     around.broker.up(attempt, memoryview(b"UP\r\n"))
-    around.broker.perform(api.Fail(invocation.id))
-    around.broker.perform(api.Refuse(invocation.id, 0))
+    around.broker.perform(api.Fail(request.id))
+    around.broker.perform(api.Reject(request.id, 0))
     around.pass_time(9 * S)
     assert around.asked == ["up"]
 
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR])
 def test_a_failed_attempt_is_followed_by_another(outcome: Outcome) -> None:
     around = Around()
-    around.invoke()
+    around.submit()
     around.broker.ended(around.attempts[0], outcome)
     around.broker.drain()
     assert [attempt.number for attempt in around.attempts] == [0, 1]
@@ -116,21 +116,21 @@
 
 def test_what_was_reported_too_late_changes_nothing() -> None:
     around = Around()
-    invocation = around.invoke()
-    around.broker.consumer_ended(invocation, False)
+    request = around.submit()
+    around.broker.client_ended(request, False)
     around.broker.ended(around.attempts[0], Outcome.RESET)
     around.broker.drain()
     assert around.asked == [] and len(around.attempts) == 1
 
 
-def test_a_contract_is_released_with_its_invocation() -> None:
-    # A place kept by an invocation that is over would in time shut its team out.
+def test_a_contract_is_released_with_its_request() -> None:
+    # A place kept by a request that is over would in time shut its team out.
     around = Around(Contracts({0: Contract(concurrency=1)}))
-    first = around.invoke()
-    around.invoke()
+    first = around.submit()
+    around.submit()
     assert around.asked == [("reject", 1 * S, "concurrency")]
-    around.broker.consumer_ended(first, False)
-    around.invoke()
+    around.broker.client_ended(first, False)
+    around.submit()
     assert len(around.asked) == 1
 
 
@@ -154,21 +154,21 @@
         assert limit == "service" or contracts.admit(0, 0, flags, 1 * S + wait) is None
 
 
-def test_an_adopted_connection_asks_its_provider_again() -> None:
+def test_an_adopted_connection_asks_its_endpoint_again() -> None:
     # A proxy that was stalled at its start took connections that had come up for refused ones.
     around = Around()
-    made = Invocation(around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopt=host(1))
-    around.broker.invoke(made)
+    made = ActiveRequest(around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopt=endpoint(1))
+    around.broker.submit(made)
     for _ in range(3):
         around.broker.ended(around.attempts[-1], Outcome.CONNECT_FAILED)
         around.pass_time(around.now + 200 * MS)
-    assert [attempt.provider for attempt in around.attempts] == [host(1)] * 4 and not made.answered
+    assert [attempt.endpoint for attempt in around.attempts] == [endpoint(1)] * 4 and not made.answered
     around.broker.ended(around.attempts[-1], Outcome.ERROR)
     assert around.asked == ["fail"]
 
 
 class Quiet:
-    """A link whose provider owes an answer."""
+    """A link whose endpoint owes an answer."""
 
     def __init__(self, waiting: int, quiet: int) -> None:
         self.waiting, self.quiet = waiting, quiet
@@ -190,23 +190,23 @@
         ([(5 * S, 5 * S), (0, 100 * MS)], 1),
     ],
 )
-def test_a_vanished_provider_is_known_by_all_of_its_connections(
+def test_a_vanished_endpoint_is_known_by_all_of_its_connections(
     links: list[tuple[int, int]], moved: int
 ) -> None:
     # Each connection waited 4 s by itself, while a vanished machine's were all without service.
     around = Around()
     for link in links:
-        around.invoke()
+        around.submit()
         around.attempts[-1].link = Quiet(*link)  # type: ignore[assignment]
         around.broker.up(around.attempts[-1], memoryview(b"UP\r\n"))
     around.broker.review_silence()
-    assert around.asked.count(("move", "silent")) == moved
+    assert around.asked.count(("move", "unresponsive")) == moved
 
 
-def test_nobody_names_a_provider_once_the_run_is_on() -> None:
-    # Past the module, a stranger could choose a provider that drains or is still cold.
+def test_nobody_names_an_endpoint_once_the_run_is_on() -> None:
+    # Past the module, a stranger could choose an endpoint that drains or is still cold.
     around = Around()
     around.now += broker.ADOPT_NS + 1
-    made = Invocation(around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopt=host(1))
-    around.broker.invoke(made)
+    made = ActiveRequest(around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopt=endpoint(1))
+    around.broker.submit(made)
     assert made.answered and not around.attempts and around.asked == ["fail"]
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -1,4 +1,4 @@
-"""The channels front: stand-in terminals and gateways around the real program."""
+"""The channels frontend: stand-in terminals and gateways around the real program."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from pathlib import Path
 
 import pytest
-from proxy import Conn, Listener, Proxy, Terminal, proxy
+from proxy import Conn, Listener, RunningProxy, Terminal, proxy
 
 ON = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 DATA, ADJUST, EOF, CLOSE, REQUEST = 94, 93, 96, 97, 98
 
 
 @pytest.fixture
-def one(tmp_path: Path) -> Iterator[Proxy]:
+def one(tmp_path: Path) -> Iterator[RunningProxy]:
     with proxy(tmp_path, own=ON) as running:
         yield running
 
 
-def served(running: Proxy, terminal: Terminal, number: int, **how: int) -> tuple[int, Listener, Conn]:
-    """The proxy's number for a new channel, its provider and the provider's end."""
+def served(running: RunningProxy, terminal: Terminal, number: int, **how: int) -> tuple[int, Listener, Conn]:
+    """The proxy's number for a new channel, its endpoint and the endpoint's end."""
     terminal.open(number, **how)  # type: ignore[arg-type]
-    listener, provider = running.serve_any()
-    return terminal.confirmed(number), listener, provider
+    listener, endpoint = running.serve_any()
+    return terminal.confirmed(number), listener, endpoint
 
 
 def data(terminal: Terminal, number: int) -> bytes:
@@ -32,26 +32,26 @@
     return rest[4:]
 
 
-def test_a_channel_is_served_to_its_end(one: Proxy) -> None:
+def test_a_channel_is_served_to_its_end(one: RunningProxy) -> None:
     terminal = Terminal(one.extra_port)
-    channel, _, provider = served(one, terminal, 5)
-    assert b" c=feed,t=acme,d=" in provider.first  # type: ignore[attr-defined]
+    channel, _, endpoint = served(one, terminal, 5)
+    assert b" c=feed,t=acme,d=" in endpoint.first  # type: ignore[attr-defined]
     terminal.packet(DATA, channel, b"M 1 x\r\n")
-    assert provider.line() == b"M 1 x\r\n"
-    provider.send(b"M 1 x\r\nBYE\r\n")
+    assert endpoint.line() == b"M 1 x\r\n"
+    endpoint.send(b"M 1 x\r\nBYE\r\n")
     assert data(terminal, 5) == b"M 1 x\r\n"
     assert data(terminal, 5) == b"BYE\r\n"
-    provider.close()
+    endpoint.close()
     terminal.expect(EOF, 5)
     terminal.expect(CLOSE, 5)
     terminal.packet(CLOSE, channel)
     one.logged("side=channel reason=served")
 
 
-def test_a_reset_is_told_apart_from_an_end(one: Proxy) -> None:
+def test_a_reset_is_told_apart_from_an_end(one: RunningProxy) -> None:
     terminal = Terminal(one.extra_port)
-    _, _, provider = served(one, terminal, 5)
-    provider.close("reset")
+    _, _, endpoint = served(one, terminal, 5)
+    endpoint.close("reset")
     assert b"reset@linnetshift" in terminal.expect(REQUEST, 5)
     terminal.expect(CLOSE, 5)
 
@@ -83,7 +83,7 @@
     ],
 )
 def test_refusals(
-    one: Proxy, how: dict[str, int], gateway: Callable[[Listener], None], code: int | None, text: bytes
+    one: RunningProxy, how: dict[str, int], gateway: Callable[[Listener], None], code: int | None, text: bytes
 ) -> None:
     # Each way of not being served has its own code, and a deadline is kept whatever the gateway does.
     terminal = Terminal(one.extra_port)
@@ -94,18 +94,18 @@
     assert text in rest
 
 
-def test_a_gateway_that_stalls_one_channel_leaves_the_others_alone(one: Proxy) -> None:
+def test_a_gateway_that_stalls_one_channel_leaves_the_others_alone(one: RunningProxy) -> None:
     # What one gateway does not read may fill that channel's window and nothing else.
     terminal = Terminal(one.extra_port)
     slow, _, stalled = served(one, terminal, 1)
-    quick, _, provider = served(one, terminal, 2)
+    quick, _, endpoint = served(one, terminal, 2)
     line = b"z" * 1022 + b"\r\n"
     for _ in range(32):
         terminal.packet(DATA, slow, line)
     for _ in range(100):
         terminal.packet(DATA, quick, b"M 1 x\r\n")
-        assert provider.line() == b"M 1 x\r\n"
-        provider.send(b"M 1 x\r\n")
+        assert endpoint.line() == b"M 1 x\r\n"
+        endpoint.send(b"M 1 x\r\n")
         while (got := terminal.read())[0] == ADJUST:
             pass
         assert got[0] == DATA and got[1].endswith(b"M 1 x\r\n")
@@ -113,15 +113,15 @@
         assert stalled.line() == line  # held back by its gateway, not lost
 
 
-def test_a_terminal_that_stalls_one_channel_leaves_the_others_alone(one: Proxy) -> None:
-    # Lines without window wait on their own channel; the provider is read no further meanwhile.
+def test_a_terminal_that_stalls_one_channel_leaves_the_others_alone(one: RunningProxy) -> None:
+    # Lines without window wait on their own channel; the endpoint is read no further meanwhile.
     terminal = Terminal(one.extra_port)
     stalled, _, flood = served(one, terminal, 1, window=10)
-    _, _, provider = served(one, terminal, 2)
+    _, _, endpoint = served(one, terminal, 2)
     flood.send(b"0123456789ab\r\n" * 3)
     assert data(terminal, 1) == b"0123456789"
     for _ in range(50):
-        provider.send(b"quick\r\n")
+        endpoint.send(b"quick\r\n")
         assert data(terminal, 2) == b"quick\r\n"
     terminal.packet(ADJUST, stalled, 32)
     got = b""
@@ -130,15 +130,15 @@
     assert got == (b"0123456789ab\r\n" * 3)[10:]
 
 
-def test_on_a_drain_only_that_providers_channels_move(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=2, own=ON) as running:
+def test_on_a_drain_only_that_endpoints_channels_move(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=2, own=ON) as running:
         terminal = Terminal(running.extra_port)
         held: dict[str, list[tuple[int, int, Conn]]] = {"s-0": [], "s-1": []}
         for number in range(12):
-            channel, listener, provider = served(running, terminal, number, key=number + 1)
-            held[listener.uid].append((number, channel, provider))
+            channel, listener, endpoint = served(running, terminal, number, key=number + 1)
+            held[listener.uid].append((number, channel, endpoint))
         assert held["s-0"] and held["s-1"]
-        running.directory.change(**{"s-0": "DRAINING"})
+        running.discovery.change(**{"s-0": "DRAINING"})
         moved = set()
         for _ in held["s-0"]:
             kind, rest = terminal.read()
@@ -147,17 +147,17 @@
             terminal.expect(CLOSE, number)
             moved.add(number)
         assert moved == {number for number, _, _ in held["s-0"]}
-        for number, channel, provider in held["s-1"]:
+        for number, channel, endpoint in held["s-1"]:
             terminal.packet(DATA, channel, b"still here\r\n")
-            assert provider.line() == b"still here\r\n"
-            provider.send(b"yes\r\n")
+            assert endpoint.line() == b"still here\r\n"
+            endpoint.send(b"yes\r\n")
             assert data(terminal, number) == b"yes\r\n"
 
 
 @pytest.mark.parametrize("how", ["close", "disconnect", "fin", "reset"])
-def test_a_consumer_that_ends_takes_its_providers_along(one: Proxy, how: str) -> None:
+def test_a_client_that_ends_takes_its_endpoints_along(one: RunningProxy, how: str) -> None:
     terminal = Terminal(one.extra_port)
-    channel, _, provider = served(one, terminal, 1)
+    channel, _, endpoint = served(one, terminal, 1)
     if how == "close":
         terminal.packet(CLOSE, channel)
         terminal.expect(CLOSE, 1)
@@ -165,7 +165,7 @@
         terminal.packet(1, 11, b"done", b"")
     else:
         terminal.close(how)
-    assert provider.ended() == ("reset" if how == "reset" else "fin")
+    assert endpoint.ended() == ("reset" if how == "reset" else "fin")
 
 
 @pytest.mark.parametrize(
@@ -180,7 +180,7 @@
         struct.pack(">IB", 28, 10) + bytes([91]) + bytes(26),
     ],
 )
-def test_malformed_packets_end_the_session_alone(one: Proxy, sent: bytes) -> None:
+def test_malformed_packets_end_the_session_alone(one: RunningProxy, sent: bytes) -> None:
     other = Terminal(one.extra_port)
     terminal = Terminal(one.extra_port)
     terminal.send(sent)
@@ -190,7 +190,7 @@
     assert served(one, other, 1)
 
 
-def test_data_beyond_the_window_ends_the_session(one: Proxy) -> None:
+def test_data_beyond_the_window_ends_the_session(one: RunningProxy) -> None:
     terminal = Terminal(one.extra_port)
     channel, _, _ = served(one, terminal, 1)
     terminal.packet(DATA, channel, bytes(32768 + 1))
@@ -198,16 +198,16 @@
 
 
 @pytest.mark.parametrize("line", [b"SSH-1.5-old\r\n", b"x" * 6000])
-def test_another_protocol_is_disconnected(one: Proxy, line: bytes) -> None:
+def test_another_protocol_is_disconnected(one: RunningProxy, line: bytes) -> None:
     conn = one.client(line, one.extra_port)
     assert conn.line().startswith(b"SSH-2.0-")
     conn.exactly(5)
     assert conn.exactly(1) == b"\x01"
 
 
-def test_what_is_not_known_is_answered_by_the_book(one: Proxy) -> None:
+def test_what_is_not_known_is_answered_by_the_book(one: RunningProxy) -> None:
     terminal = Terminal(one.extra_port)
-    channel, _, provider = served(one, terminal, 1)
+    channel, _, endpoint = served(one, terminal, 1)
     terminal.packet(80, b"keepalive@example", 1 << 24)  # a want-reply of 1 and three bytes that are ignored
     terminal.expect(82)
     terminal.raw(bytes([98]) + struct.pack(">II", channel, 3) + b"env\x01")
@@ -216,11 +216,11 @@
     terminal.packet(EOF, channel)
     terminal.packet(200)
     terminal.expect(3, 5)  # the sixth packet, counted from 0
-    provider.send(b"still served\r\n")
+    endpoint.send(b"still served\r\n")
     assert data(terminal, 1) == b"still served\r\n"
 
 
-def test_channels_move_before_a_planned_stop(one: Proxy) -> None:
+def test_channels_move_before_a_planned_stop(one: RunningProxy) -> None:
     terminal = Terminal(one.extra_port)
     channel, _, _ = served(one, terminal, 1)
     one.leave()
@@ -251,6 +251,6 @@
         held = served(running, terminal, 1) if b"concurrency" in limit or b"rate" in limit else None
         terminal.open(2, tenant=tenant)
         assert limit in terminal.expect(92, 2, 1)
-        consumer = running.client(b"OPEN 1 2 c=feed,t=%s,d=2000\r\n" % tenant)
-        assert consumer.line().startswith(b"BUSY ")
+        client = running.client(b"OPEN 1 2 c=feed,t=%s,d=2000\r\n" % tenant)
+        assert client.line().startswith(b"BUSY ")
         del held
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,9 +1,9 @@
-"""Connections leave a host that drains, at a pace, and no faster than a cold host can take them."""
+"""Connections leave an endpoint that drains, at a pace, and no faster than a cold endpoint can take them."""
 
 from __future__ import annotations
 
 import pytest
-from conftest import MS, S, balancer, effect, entry, host, listed, only, raw_settings, request
+from conftest import MS, S, balancer, effect, endpoint, entry, listed, only, raw_settings, request
 from fleet import Fleet
 
 from linnetshift import interface as api
@@ -14,12 +14,12 @@
 STANDING = 40
 
 
-def full_host(**others: int) -> Balancer:
-    """Two hosts; everything stands on the first, as the second was not there."""
-    node = balancer(hosts=1)
+def full_endpoint(**others: int) -> Balancer:
+    """Two endpoints; everything stands on the first, as the second was not there."""
+    node = balancer(endpoints=1)
     for number in range(STANDING):
         (sent,) = only(node.step(1 * S, [request(number)]), api.Send)
-        node.step(1 * S, [api.Established(number, 0, sent.host, 5 * MS)])
+        node.step(1 * S, [api.Established(number, 0, sent.endpoint, 5 * MS)])
     node.step(1 * S, [listed(entry(0), entry(1, **others))])
     return node
 
@@ -27,60 +27,60 @@
 def moves(node: Balancer, ticks: int) -> list[int]:
     """How many are told to move at each of the ticks."""
     return [
-        len(only(node.step(1 * S + tick * 50 * MS, [api.TimerFired(TICK_TOKEN)]), api.Move))
+        len(only(node.step(1 * S + tick * 50 * MS, [api.TimerFired(TICK_TOKEN)]), api.Migrate))
         for tick in range(1, ticks + 1)
     ]
 
 
-@pytest.mark.parametrize("state", [api.HostState.DRAINING, api.HostState.GONE])
-def test_all_move_a_few_at_a_time(state: api.HostState) -> None:
-    node = full_host()
+@pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
+def test_all_move_a_few_at_a_time(state: api.EndpointState) -> None:
+    node = full_endpoint()
     first = node.step(1 * S, [listed(entry(0, state=state), form=api.ListForm.DELTA)])
-    assert not only(first, api.Move)  # not all at the moment of the news
+    assert not only(first, api.Migrate)  # not all at the moment of the news
     paced = moves(node, 200)
     assert sum(paced) == STANDING and max(paced) <= STANDING // 8
 
 
 def test_all_are_gone_before_one_that_was_taken_out_stops() -> None:
     # A share of what was left, at each tick, left the last ones to be cut off two seconds later.
-    node = full_host()
-    out = entry(0, state=api.HostState.DRAINING, leave_ns=LEAVE_NS)
+    node = full_endpoint()
+    out = entry(0, state=api.EndpointState.DRAINING, leave_ns=LEAVE_NS)
     node.step(1 * S, [listed(out, form=api.ListForm.DELTA)])
     paced = moves(node, int(LEAVE_NS / (50 * MS)) + 1)
     assert sum(paced) == STANDING and max(paced) <= 4
 
 
-def test_the_next_connection_goes_to_a_host_that_is_back() -> None:
+def test_the_next_connection_goes_to_an_endpoint_that_is_back() -> None:
     # By its cold share of the keys alone it could stay unused for long.
-    node = balancer(hosts=8, window=1e9, balancers=2)
-    node.step(1 * S, [listed(entry(3, state=api.HostState.DRAINING), form=api.ListForm.DELTA)])
+    node = balancer(endpoints=8, window=1e9, balancers=2)
+    node.step(1 * S, [listed(entry(3, state=api.EndpointState.DRAINING), form=api.ListForm.DELTA)])
     node.step(2 * S, [listed(entry(3, started_ns=2 * S), form=api.ListForm.DELTA)])
-    sends = [only(node.step(2 * S, [request(n)]), api.Send)[0].host for n in range(6)]
-    assert sends[0] == host(3)  # one only: the next ones go by their keys, and it is cold
-    assert host(3) not in sends[1:]
+    sends = [only(node.step(2 * S, [request(n)]), api.Send)[0].endpoint for n in range(6)]
+    assert sends[0] == endpoint(3)  # one only: the next ones go by their keys, and it is cold
+    assert endpoint(3) not in sends[1:]
 
 
 def test_a_cold_target_sets_the_pace() -> None:
-    # A wave of moved clients at a host that has just started would push it over.
-    warm, cold = full_host(), full_host(started_ns=1 * S)
+    # A wave of moved clients at an endpoint that has just started would push it over.
+    warm, cold = full_endpoint(), full_endpoint(started_ns=1 * S)
     for node in (warm, cold):
-        node.step(1 * S, [listed(entry(0, state=api.HostState.DRAINING), form=api.ListForm.DELTA)])
+        node.step(1 * S, [listed(entry(0, state=api.EndpointState.DRAINING), form=api.ListForm.DELTA)])
     assert sum(moves(cold, 20)) < sum(moves(warm, 20))
 
 
 def test_nobody_moves_where_there_is_nowhere_else() -> None:
-    node = full_host(state=api.HostState.DRAINING)
-    node.step(1 * S, [listed(entry(0, state=api.HostState.DRAINING), form=api.ListForm.DELTA)])
+    node = full_endpoint(state=api.EndpointState.DRAINING)
+    node.step(1 * S, [listed(entry(0, state=api.EndpointState.DRAINING), form=api.ListForm.DELTA)])
     assert sum(moves(node, 50)) == 0
 
 
 def test_what_comes_to_stand_late_moves_too() -> None:
-    node = balancer(hosts=2)
+    node = balancer(endpoints=2)
     (sent,) = only(node.step(1 * S, [request(1)]), api.Send)
-    number = 0 if sent.host == host(0) else 1
-    draining = entry(number, state=api.HostState.DRAINING)
+    number = 0 if sent.endpoint == endpoint(0) else 1
+    draining = entry(number, state=api.EndpointState.DRAINING)
     node.step(1 * S, [listed(draining, form=api.ListForm.DELTA)])
-    node.step(1 * S, [api.Established(1, 0, sent.host, 5 * MS)])
+    node.step(1 * S, [api.Established(1, 0, sent.endpoint, 5 * MS)])
     assert sum(moves(node, 200)) == 1
 
 
@@ -91,15 +91,15 @@
 
 
 @pytest.mark.parametrize("nodes", [2, 40, 200])
-def test_a_few_of_all_nodes_use_a_host_that_is_back_at_once(nodes: int) -> None:
-    # Each of 200 sent its next connection there: a cold host bore two or three.
+def test_a_few_of_all_nodes_use_an_endpoint_that_is_back_at_once(nodes: int) -> None:
+    # Each of 200 sent its next connection there: a cold endpoint bore two or three.
     met = 0
     for seed in range(0, 10 * nodes, nodes):
         fleet = Fleet(nodes, tuple(entry(n) for n in range(8)), seed)
-        fleet.tell_all(listed(entry(3, state=api.HostState.DRAINING), form=api.ListForm.DELTA))
+        fleet.tell_all(listed(entry(3, state=api.EndpointState.DRAINING), form=api.ListForm.DELTA))
         fleet.run(2 * S)
         fleet.tell_all(listed(entry(3, started_ns=2 * S), form=api.ListForm.DELTA))
         for n in range(nodes):
             fleet.ask(n)
-        met += sum(where == host(3) for _, _, _, where in fleet.sends)
+        met += sum(where == endpoint(3) for _, _, _, where in fleet.sends)
     assert 10 <= met <= 30  # over ten fleets
--- a/tests/test_ended.py
+++ b/tests/test_ended.py
@@ -16,19 +16,28 @@
 import pytest
 from proxy import WAIT, Inside, Terminal, inside, proxy, uncollected
 
-from linnetshift.core.invocation import Attempt, Invocation
+from linnetshift.core.invocation import ActiveRequest, Attempt
 from linnetshift.net.channels import Channel, Session
 from linnetshift.net.directory import Call
-from linnetshift.net.loop import FEW, MS, Actor, Alarm, Loop, S, Script
-from linnetshift.net.ops import Caller
-from linnetshift.net.platform import PlatformConsumer
-from linnetshift.net.provider import Prober, ProviderLink
+from linnetshift.net.loop import FEW, MS, Actor, ActorCoroutine, ActorTimer, Loop, S
+from linnetshift.net.ops import AdminConnection
+from linnetshift.net.platform import ClientConnection
+from linnetshift.net.provider import EndpointConnection, HealthChecker
 from linnetshift.net.stream import MAX_LINE, SMALL, End, Stream
 from rig.crowd import Input, play
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-OF_ONE = (PlatformConsumer, Session, Channel, ProviderLink, Prober, Caller, Invocation, Attempt)
-SHARED = (Stream, Alarm, Call)  # of which those that run on keep some
+OF_ONE = (
+    ClientConnection,
+    Session,
+    Channel,
+    EndpointConnection,
+    HealthChecker,
+    AdminConnection,
+    ActiveRequest,
+    Attempt,
+)
+SHARED = (Stream, ActorTimer, Call)  # of which those that run on keep some
 
 
 @pytest.fixture
@@ -41,7 +50,7 @@
 
 @pytest.fixture
 def one(uncounted: None, tmp_path: Path) -> Iterator[Inside]:
-    with inside(tmp_path, providers=2, own=CHANNELS, door=True, rules={"warmUpNs": 1}) as running:
+    with inside(tmp_path, endpoints=2, own=CHANNELS, admin_server=True, rules={"warmUpNs": 1}) as running:
         yield running
 
 
@@ -60,87 +69,87 @@
 
 
 def served(one: Inside) -> None:
-    consumer, provider = one.standing(one.listeners.index(one_asked(one)))
-    provider.send(b"LOAD 9\r\nBYE\r\n")
-    provider.close()
-    assert consumer.line() + consumer.line() == b"LOAD 9\r\nBYE\r\n"
-    assert consumer.ended() == "fin"
+    client, endpoint = one.standing(one.listeners.index(one_asked(one)))
+    endpoint.send(b"LOAD 9\r\nBYE\r\n")
+    endpoint.close()
+    assert client.line() + client.line() == b"LOAD 9\r\nBYE\r\n"
+    assert client.ended() == "fin"
 
 
 def one_asked(one: Inside) -> object:
-    """Which provider the key's ranking sends a connection to: found by one that is let go."""
-    consumer = one.open()
-    listener, provider = one.serve_any()
-    consumer.line()
-    consumer.close()
-    provider.ended()
+    """Which endpoint the key's ranking sends a connection to: found by one that is let go."""
+    client = one.open()
+    listener, endpoint = one.serve_any()
+    client.line()
+    client.close()
+    endpoint.ended()
     return listener
 
 
 def stand(one: Inside) -> tuple[object, object]:
-    consumer = one.open()
-    _, provider = one.serve_any()
-    assert consumer.line() == b"UP r1\r\n"
-    return consumer, provider
+    client = one.open()
+    _, endpoint = one.serve_any()
+    assert client.line() == b"UP r1\r\n"
+    return client, endpoint
 
 
-def consumer_leaves(one: Inside, how: str = "fin") -> None:
-    consumer, provider = stand(one)
-    consumer.close(how)  # type: ignore[attr-defined]
-    assert provider.ended() == how  # type: ignore[attr-defined]
+def client_leaves(one: Inside, how: str = "fin") -> None:
+    client, endpoint = stand(one)
+    client.close(how)  # type: ignore[attr-defined]
+    assert endpoint.ended() == how  # type: ignore[attr-defined]
 
 
-def consumer_resets(one: Inside) -> None:
-    consumer_leaves(one, "reset")
+def client_resets(one: Inside) -> None:
+    client_leaves(one, "reset")
 
 
-def provider_resets(one: Inside) -> None:
-    consumer, provider = stand(one)
-    provider.close("reset")  # type: ignore[attr-defined]
-    assert consumer.ended() == "reset"  # type: ignore[attr-defined]
+def endpoint_resets(one: Inside) -> None:
+    client, endpoint = stand(one)
+    endpoint.close("reset")  # type: ignore[attr-defined]
+    assert client.ended() == "reset"  # type: ignore[attr-defined]
 
 
 def turned_away(one: Inside) -> None:
-    consumer = one.open(wait_ms=1000)
-    while not select.select([consumer.sock], [], [], 0)[0]:
-        ready, _, _ = select.select([consumer.sock, *(each.sock for each in one.listeners)], [], [], WAIT)
+    client = one.open(wait_ms=1000)
+    while not select.select([client.sock], [], [], 0)[0]:
+        ready, _, _ = select.select([client.sock, *(each.sock for each in one.listeners)], [], [], WAIT)
         for listener in one.listeners:
             if listener.sock in ready:
                 attempt = listener.accept()
                 attempt.line()
                 attempt.send(b"BUSY\r\n")
                 attempt.close()
-    assert consumer.line().startswith(b"BUSY")
+    assert client.line().startswith(b"BUSY")
 
 
 def times_out(one: Inside) -> None:
-    consumer = one.open(wait_ms=200)
+    client = one.open(wait_ms=200)
     attempt = one.asked().accept()
-    assert consumer.line() in (b"ERR\r\n", b"BUSY\r\n")
+    assert client.line() in (b"ERR\r\n", b"BUSY\r\n")
     attempt.line()
 
 
 def withdraws(one: Inside) -> None:
-    consumer = one.open(wait_ms=600_000)
+    client = one.open(wait_ms=600_000)
     attempt = one.asked().accept()
     attempt.line()
-    consumer.close()
+    client.close()
     assert attempt.ended() in ("fin", "reset")
 
 
 def moved(one: Inside) -> None:
-    consumer = one.open()
-    listener, _provider = one.serve_any()
-    assert consumer.line() == b"UP r1\r\n"
-    one.directory.change(**{listener.uid: "DRAINING"})
-    assert consumer.line() == b"MOVE\r\n"
+    client = one.open()
+    listener, _endpoint = one.serve_any()
+    assert client.line() == b"UP r1\r\n"
+    one.discovery.change(**{listener.uid: "DRAINING"})
+    assert client.line() == b"MOVE\r\n"
 
 
 def speaks_nonsense(one: Inside) -> None:
     assert one.client(b"HELLO\r\n").line() == b"ERR\r\n"
 
 
-def probes(one: Inside) -> None:
+def health_checks(one: Inside) -> None:
     assert one.alive()
 
 
@@ -151,21 +160,21 @@
 def channel(one: Inside) -> tuple[Terminal, int, object]:
     terminal = Terminal(one.extra_port)
     terminal.open(5)
-    _, provider = one.serve_any()
-    return terminal, terminal.confirmed(5), provider
+    _, endpoint = one.serve_any()
+    return terminal, terminal.confirmed(5), endpoint
 
 
 def session_leaves(one: Inside) -> None:
-    terminal, _, provider = channel(one)
+    terminal, _, endpoint = channel(one)
     terminal.close()
-    provider.ended()  # type: ignore[attr-defined]
+    endpoint.ended()  # type: ignore[attr-defined]
 
 
 def channel_closes(one: Inside) -> None:
-    terminal, number, provider = channel(one)
+    terminal, number, endpoint = channel(one)
     terminal.packet(97, number)
     terminal.expect(97, 5)
-    provider.ended()  # type: ignore[attr-defined]
+    endpoint.ended()  # type: ignore[attr-defined]
     terminal.close()
 
 
@@ -173,10 +182,10 @@
     # Its last lines wait for a window that never comes, and its turn stays due.
     terminal = Terminal(one.extra_port)
     terminal.open(5, window=0)
-    _, provider = one.serve_any()
+    _, endpoint = one.serve_any()
     terminal.confirmed(5)
-    provider.send(b"M 1\r\nBYE\r\n")
-    provider.close()
+    endpoint.send(b"M 1\r\nBYE\r\n")
+    endpoint.close()
     terminal.packet(93, 0, 3)
     assert terminal.expect(94, 5) == b"\0\0\0\3M 1"
     terminal.close("reset")
@@ -184,18 +193,18 @@
 
 def session_reads_nothing(one: Inside) -> None:
     # A channel whose turn is due holds its session, which holds the turns.
-    terminal, _, provider = channel(one)
-    provider.sock.settimeout(0.5)  # type: ignore[attr-defined]
+    terminal, _, endpoint = channel(one)
+    endpoint.sock.settimeout(0.5)  # type: ignore[attr-defined]
     with suppress(TimeoutError):
-        provider.send(b"M 1\r\n" * (1 << 22))  # type: ignore[attr-defined]
+        endpoint.send(b"M 1\r\n" * (1 << 22))  # type: ignore[attr-defined]
     terminal.close("reset")
 
 
 def session_breaks_the_protocol(one: Inside) -> None:
-    terminal, _, provider = channel(one)
+    terminal, _, endpoint = channel(one)
     terminal.send(b"\xff" * 64)
     assert terminal.read()[0] == 1
-    provider.ended()  # type: ignore[attr-defined]
+    endpoint.ended()  # type: ignore[attr-defined]
 
 
 def session_stops_in_a_packet(one: Inside) -> None:
@@ -216,15 +225,15 @@
     "story",
     [
         served,
-        consumer_leaves,
-        consumer_resets,
-        provider_resets,
+        client_leaves,
+        client_resets,
+        endpoint_resets,
         turned_away,
         times_out,
         withdraws,
         moved,
         speaks_nonsense,
-        probes,
+        health_checks,
         says_nothing,
         session_leaves,
         channel_closes,
@@ -250,12 +259,12 @@
     gone(before)
 
 
-@pytest.mark.parametrize("front", ["platform", "channels"])
-def test_memory_is_level_without_the_collector(tmp_path: Path, front: str) -> None:
-    # 10 KB stayed of each on one front and 37 KB on the other: 6 and 22 MiB for these 600.
+@pytest.mark.parametrize("frontend", ["platform", "channels"])
+def test_memory_is_level_without_the_collector(tmp_path: Path, frontend: str) -> None:
+    # 10 KB stayed of each on one frontend and 37 KB on the other: 6 and 22 MiB for these 600.
     with proxy(tmp_path, own=CHANNELS, command=uncollected()) as running:
-        port = running.extra_port if front == "channels" else running.port
-        line = b"SSH-2.0-x\r\n" + b"\xff" * 40 if front == "channels" else b"HELLO\r\n"
+        port = running.extra_port if frontend == "channels" else running.port
+        line = b"SSH-2.0-x\r\n" + b"\xff" * 40 if frontend == "channels" else b"HELLO\r\n"
         levels = []
         for _ in range(2):
             ended = Counter(r.ended for r in play([Input(port, (line,), "half")] * 600))
@@ -266,7 +275,7 @@
 
 
 class Quiet(Actor):
-    def live(self) -> Script:
+    def run(self) -> ActorCoroutine:
         while True:
             yield
 
@@ -285,15 +294,15 @@
 def test_an_actor_ended_from_outside_lets_go_of_everything(uncounted: None) -> None:
     loop = Loop()
     actor, theirs = pair(loop)
-    actor.start(actor.live())
+    actor.start(actor.run())
     actor.stream.arm()  # type: ignore[union-attr]
-    actor.alarm(600 * S, "one")
-    actor.alarm(600 * S, "two")
+    actor.set_timer(600 * S, "one")
+    actor.set_timer(600 * S, "two")
     actor.post("unread")
     actor.end()
     loop.call_later(0, lambda: None)
     loop.turn()
-    assert not actor.alarms and not actor.mailbox and theirs.recv(1) == b""
+    assert not actor.timers and not actor.mailbox and theirs.recv(1) == b""
     seen = weakref.ref(actor)
     del actor
     assert seen() is None and not loop.handlers
@@ -301,18 +310,18 @@
 
 def test_a_fault_frees_the_actor_after_it_was_told(uncounted: None) -> None:
     class Faulty(Quiet):
-        def live(self) -> Script:
-            self.alarm(600 * S, "late")
+        def run(self) -> ActorCoroutine:
+            self.set_timer(600 * S, "late")
             yield
             raise ValueError("broken")
 
     loop = Loop()
     actor = Faulty(loop)
-    actor.start(actor.live())
+    actor.start(actor.run())
     actor.post("go on")
     loop.call_later(0, lambda: None)
     loop.turn()
-    assert actor.error == "broken" and not actor.alarms and actor.script is None
+    assert actor.error == "broken" and not actor.timers and actor.coroutine is None
 
 
 def test_a_closed_stream_holds_no_buffer_and_calls_nobody(uncounted: None) -> None:
@@ -354,7 +363,7 @@
 
 
 def test_cancelled_timers_do_not_pile_up() -> None:
-    # Each answered invocation left one in the heap until its deadline, up to ten minutes away.
+    # Each answered request left one in the heap until its deadline, up to ten minutes away.
     loop, fired = Loop(), list[int]()
     loop.call_later(0, lambda: fired.append(1))
     for _ in range(10_000):
@@ -381,21 +390,21 @@
 
 
 def test_a_reader_that_stops_and_goes_on_has_one_alarm(one: Inside) -> None:
-    consumer, provider = stand(one)
+    client, endpoint = stand(one)
     much = (b"x" * 3998 + b"\r\n") * 4000  # more than the kernel holds: the proxy must stop and go on
     for _ in range(5):
-        sender = threading.Thread(target=provider.send, args=(much,))  # type: ignore[attr-defined]
+        sender = threading.Thread(target=endpoint.send, args=(much,))  # type: ignore[attr-defined]
         sender.start()
-        (reading,) = one.program.front.consumers
+        (reading,) = one.program.frontend.clients
         until = time.monotonic() + WAIT
         while not reading.congested:
             assert time.monotonic() < until
             time.sleep(0.001)
         left = len(much)
         while left > 0:
-            got = len(consumer.sock.recv(1 << 20))  # type: ignore[attr-defined]
+            got = len(client.sock.recv(1 << 20))  # type: ignore[attr-defined]
             assert got
             left -= got
         sender.join(WAIT)
-    alarms = [each for each in gc.get_objects() if type(each) is Alarm]
-    assert sum(alarm.tag == "stalled" for alarm in alarms) <= 1
+    timers = [each for each in gc.get_objects() if type(each) is ActorTimer]
+    assert sum(set_timer.tag == "stalled" for set_timer in timers) <= 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,36 +5,38 @@
 from dataclasses import replace
 
 import pytest
-from conftest import MS, S, balancer, ended, entry, host, listed, only, request
+from conftest import MS, S, balancer, ended, endpoint, entry, listed, only, request
 from fleet import Fleet
 
 from linnetshift import interface as api
 from linnetshift.interface import Outcome
 
-HOSTS = tuple(entry(n) for n in range(8))
+ENDPOINTS = tuple(entry(n) for n in range(8))
 PROBING = {"probing": True}
 
 
 def standing_at(fleet: Fleet, where: bytes) -> int:
-    return sum(len(node.hosts[where].standing) for node in fleet.nodes)
+    return sum(len(node.endpoints[where].standing) for node in fleet.nodes)
 
 
 @pytest.mark.parametrize("nodes", [2, 40])
-def test_a_node_that_meets_a_host_seldom_asks_before_it_places_there(nodes: int) -> None:
-    # 40 nodes with a connection or two each went on sending to a provider that no message left in time.
-    fleet = Fleet(nodes, HOSTS, allowed=PROBING)
-    fleet.waits[host(3)] = 150 * MS
+def test_a_node_that_meets_an_endpoint_seldom_asks_before_it_places_there(nodes: int) -> None:
+    # 40 nodes with a connection or two each went on sending to an endpoint that no message left in time.
+    fleet = Fleet(nodes, ENDPOINTS, allowed=PROBING)
+    fleet.waits[endpoint(3)] = 150 * MS
     for n in range(80):
         fleet.ask(n % nodes, key=n + 1)
         fleet.run(fleet.now + 20 * MS)
     fleet.run(fleet.now + 2 * S)
-    jammed = [at for at, _, _, where in fleet.sends if where == host(3)]
+    jammed = [at for at, _, _, where in fleet.sends if where == endpoint(3)]
     assert not fleet.answers and len(fleet.sends) == 80
     if nodes == 40:
-        assert not jammed and len({where for _, _, where in fleet.probes}) == 8
+        assert not jammed and len({where for _, _, where in fleet.health_checks}) == 8
     else:
-        # Who has more connections than there are hosts hears from most of them and asks no more.
-        assert len(fleet.probes) < 40 and len(fleet.probes) <= sum(at < 2 * S for at, _, _ in fleet.probes)
+        # Who has more connections than there are endpoints hears from most of them and asks no more.
+        assert len(fleet.health_checks) < 40 and len(fleet.health_checks) <= sum(
+            at < 2 * S for at, _, _ in fleet.health_checks
+        )
 
 
 def note(fleet: Fleet, node: int, number: int, where: bytes, ms: float) -> api.Note:
@@ -42,17 +44,18 @@
 
 
 @pytest.mark.parametrize("nodes, late, served", [(40, 2, True), (40, 5, False), (2, 2, True), (2, 5, False)])
-def test_a_few_late_hosts_are_not_the_fleet(nodes: int, late: int, served: bool) -> None:
-    # A node that stood at two hosts, both late, turned half of all away at once while most hosts were idle.
-    fleet = Fleet(nodes, HOSTS)
+def test_a_few_late_endpoints_are_not_the_fleet(nodes: int, late: int, served: bool) -> None:
+    # A node that stood at two endpoints, both late, turned half of all away at once while most endpoints were
+    # idle.
+    fleet = Fleet(nodes, ENDPOINTS)
     node = fleet.nodes[0]
     for n in range(late):
-        numbers = [number for number in range(1, 400) if placed(fleet, number) == host(n)]
+        numbers = [number for number in range(1, 400) if placed(fleet, number) == endpoint(n)]
         fleet.ask(0, key=numbers[0])
     fleet.run(fleet.now + 100 * MS)
     for _ in range(3):
         fleet.run(fleet.now + 1 * S)
-        for where in [h for h in node.hosts.values() if h.standing]:
+        for where in [h for h in node.endpoints.values() if h.standing]:
             fleet.tell(0, note(fleet, 0, next(iter(where.standing)), where.id, 90.0))
     assert (node.shedding.admit == 1.0) is served
 
@@ -74,27 +77,27 @@
     # A draw decides on each, so the mean of ten fleets is looked at: 11.6 and 32 of 80 are meant.
     moved = 0
     for seed in range(0, 1000, 100):
-        fleet = Fleet(40, HOSTS, seed)
-        key = next(key for key in range(1, 400) if placed(fleet, key) == host(3))
+        fleet = Fleet(40, ENDPOINTS, seed)
+        key = next(key for key in range(1, 400) if placed(fleet, key) == endpoint(3))
         numbers = [fleet.ask(n % 40, key=key) for n in range(80)]
         fleet.run(fleet.now + 100 * MS)
         for n, number in enumerate(numbers):
             if n < 40:
-                fleet.tell(n, note(fleet, n, number, host(3), ms))
+                fleet.tell(n, note(fleet, n, number, endpoint(3), ms))
         moved += len(fleet.moves)
     assert least <= moved / 10 <= most
 
 
 @pytest.mark.parametrize("nodes", [2, 40])
-def test_a_host_that_drains_is_left_over_the_time_its_place_needs(nodes: int) -> None:
-    # Left within 2.5 s, 36 and 39 connections of two hosts came to three of a third of their size, while the
-    # new ones were not up yet and those two would have served for 6 s.
-    fleet = Fleet(nodes, HOSTS)
-    key = next(key for key in range(1, 400) if placed(fleet, key) == host(3))
+def test_an_endpoint_that_drains_is_left_over_the_time_its_place_needs(nodes: int) -> None:
+    # Left within 2.5 s, 36 and 39 connections of two endpoints came to three of a third of their size, while
+    # the new ones were not up yet and those two would have served for 6 s.
+    fleet = Fleet(nodes, ENDPOINTS)
+    key = next(key for key in range(1, 400) if placed(fleet, key) == endpoint(3))
     for n in range(80):
         fleet.ask(n % nodes, key=key)
     fleet.run(fleet.now + 100 * MS)
-    fleet.tell_all(listed(entry(3, state=api.HostState.DRAINING), form=api.ListForm.DELTA))
+    fleet.tell_all(listed(entry(3, state=api.EndpointState.DRAINING), form=api.ListForm.DELTA))
     fleet.run(fleet.now + 2500 * MS)
     assert 25 <= len(fleet.moves) <= 55
     fleet.run(fleet.now + 3000 * MS)
@@ -107,7 +110,7 @@
     nodes: int, fee: float, least: float, most: float
 ) -> None:
     # Every second connection crossed data centres, a fifth of all that was lost. Here are three zones.
-    fleet = Fleet(nodes, HOSTS, fees={"crossZone": fee})
+    fleet = Fleet(nodes, ENDPOINTS, fees={"crossZone": fee})
     homes = {n: set[bytes]() for n in range(3)}
     for n, node in enumerate(fleet.nodes):
         node.configure(replace(node.settings, zone=n % 3))
@@ -123,23 +126,23 @@
     assert all(len(places) <= 1 for places in homes.values())  # those of one zone agree
 
 
-def entry_of(where: bytes) -> api.HostEntry:
-    return next(one for one in HOSTS if one.host == where)
+def entry_of(where: bytes) -> api.EndpointEntry:
+    return next(one for one in ENDPOINTS if one.endpoint == where)
 
 
 @pytest.mark.parametrize(
     "flags, dropped, least, most",
     [(0, True, 1.0, 1.0), (api.RETURNED, True, 0.55, 0.85), (api.RETURNED, False, 1.0, 1.0)],
 )
-def test_who_was_dropped_does_not_always_meet_the_host_that_did_so(
+def test_who_was_dropped_does_not_always_meet_the_endpoint_that_did_so(
     flags: int, dropped: bool, least: float, most: float
 ) -> None:
     # 4,259 of 5,319 connections of one release were dropped within a second or so, and all came back through
     # proxies that knew nothing of it to the same dozen of servers, 200 a second, for twenty seconds. Where
     # nobody drops any, who comes back was moved, and its group's place is as good as it was.
     nodes = 40
-    fleet = Fleet(nodes, HOSTS)
-    key = next(key for key in range(1, 400) if placed(fleet, key) == host(3))
+    fleet = Fleet(nodes, ENDPOINTS)
+    key = next(key for key in range(1, 400) if placed(fleet, key) == endpoint(3))
     if dropped:
         for node in fleet.nodes:
             for _ in range(8):
@@ -148,42 +151,42 @@
         fleet.ask(n % nodes, key=n + 1, group=key, flags=flags)
         fleet.run(fleet.now + 5 * MS)
     where = [where for _, _, _, where in fleet.sends]
-    assert least <= where.count(host(3)) / 200 <= most
-    # Those who go on meet the same next hosts, wherever they come: a group has few places.
-    second = next(one for one in placed_in_order(fleet, key) if one != host(3))
-    assert where.count(host(3)) + where.count(second) >= 0.8 * 200
+    assert least <= where.count(endpoint(3)) / 200 <= most
+    # Those who go on meet the same next endpoints, wherever they come: a group has few places.
+    second = next(one for one in placed_in_order(fleet, key) if one != endpoint(3))
+    assert where.count(endpoint(3)) + where.count(second) >= 0.8 * 200
 
 
 def test_a_drop_that_a_node_sees_tells_of_those_that_come_back_to_it() -> None:
     node = balancer(8)
     (send,) = only(node.step(2 * S, [request(1)]), api.Send)
-    node.step(2 * S, [api.Established(1, 0, send.host, MS)])
+    node.step(2 * S, [api.Established(1, 0, send.endpoint, MS)])
     node.step(2 * S, [ended(send, 0, Outcome.RESET, closed=True)])
     assert node.returns.came(2 * S) == pytest.approx(0.3)
     assert node.returns.came(2 * S) == pytest.approx(0.15)  # the other came for another reason
     assert node.returns.came(30 * S) == 0.0
 
 
-COLD = tuple(one._replace(started_ns=900 * MS) for one in HOSTS)
-LEAVING = tuple(one._replace(state=api.HostState.DRAINING) for one in HOSTS)
+COLD = tuple(one._replace(started_ns=900 * MS) for one in ENDPOINTS)
+LEAVING = tuple(one._replace(state=api.EndpointState.DRAINING) for one in ENDPOINTS)
 
 
 @pytest.mark.parametrize("nodes", [2, 40])
 @pytest.mark.parametrize(
-    "hosts, chance",
+    "endpoints, chance",
     [
         ((), False),
         (LEAVING, False),
         (COLD, True),
-        (tuple(one._replace(weight=0.0) for one in HOSTS), True),
-        (tuple(one._replace(weight=float("nan")) for one in HOSTS), True),
+        (tuple(one._replace(weight=0.0) for one in ENDPOINTS), True),
+        (tuple(one._replace(weight=float("nan")) for one in ENDPOINTS), True),
     ],
 )
-def test_where_no_host_may_serve_the_answer_comes_at_once(
-    nodes: int, hosts: tuple[api.HostEntry, ...], chance: bool
+def test_where_no_endpoint_may_serve_the_answer_comes_at_once(
+    nodes: int, endpoints: tuple[api.EndpointEntry, ...], chance: bool
 ) -> None:
     # With nothing listed, or all draining, requests waited out their deadlines for a chance that none had.
-    fleet = Fleet(nodes, hosts)
+    fleet = Fleet(nodes, endpoints)
     numbers = [fleet.ask(n % nodes) for n in range(nodes)]
     if not chance:
         assert {at for number in numbers for at, _ in fleet.answers[number]} == {fleet.now}
--- a/tests/test_fleet_log.py
+++ b/tests/test_fleet_log.py
@@ -1,4 +1,4 @@
-"""The count over all proxies' logs, on a small run written here: two proxies, three providers, one cold."""
+"""The count over all proxies' logs, on a small run written here: two proxies, three endpoints, one cold."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 STAMP = "ts=2026-01-01T00:00:{:06.3f}Z level=info event="
 LOGS = {
     "n0": [
-        (0.0, "started name=n0 start_ms=300"),
-        (0.1, "ended side=consumer reason=probed id=0 attempts=0 ms=1"),
-        (0.2, "listed form=full rev=1 entries=3 draining=0 gone=0 cold=s-3@200"),
-        (1.01, "opened id=1 attempt=0 provider=s-1"),
-        (1.16, "ended side=provider reason=unreachable id=1 attempt=0 provider=s-1 ms=150"),
-        (1.17, "opened id=1 attempt=1 provider=s-3"),
-        (5.0, "ended side=consumer reason=served id=1 provider=s-3 attempts=2 ms=4000"),
-        (5.0, "ended side=provider reason=served id=1 attempt=1 provider=s-3 ms=3800"),
+        (0.0, "process-started name=n0 start_ms=300"),
+        (0.1, "connection-ended side=client reason=probed id=0 attempts=0 ms=1"),
+        (0.2, "endpoint-list-received form=full rev=1 entries=3 draining=0 removed=0 warming_up=s-3@200"),
+        (1.01, "attempt-started id=1 attempt=0 endpoint=s-1"),
+        (1.16, "connection-ended side=endpoint reason=unreachable id=1 attempt=0 endpoint=s-1 ms=150"),
+        (1.17, "attempt-started id=1 attempt=1 endpoint=s-3"),
+        (5.0, "connection-ended side=client reason=served id=1 endpoint=s-3 attempts=2 ms=4000"),
+        (5.0, "connection-ended side=endpoint reason=served id=1 attempt=1 endpoint=s-3 ms=3800"),
     ],
     "n1": [
-        (0.05, "started name=n1 start_ms=300"),
-        (0.35, "ended side=consumer reason=probed id=0 attempts=0 ms=1"),
-        (0.4, 'directory-call-failed path="/a?b=1" error="ConnectionError: status 503"'),
-        (1.12, "opened id=1 attempt=0 provider=s-3"),
-        (1.3, "ended side=probe reason=timed-out provider=s-2 ms=200"),
-        (2.0, 'ended side=consumer reason=rejected id=2 provider="" attempts=0 wait_ms=2000 ms=0'),
-        (2.2, 'ended side=consumer reason=rejected id=3 provider="" attempts=0 wait_ms=1800 ms=0'),
-        (3.0, "ended side=consumer reason=moved id=1 provider=s-3 attempts=1 ms=2000"),
+        (0.05, "process-started name=n1 start_ms=300"),
+        (0.35, "connection-ended side=client reason=probed id=0 attempts=0 ms=1"),
+        (0.4, 'discovery-call-failed path="/a?b=1" error="ConnectionError: status 503"'),
+        (1.12, "attempt-started id=1 attempt=0 endpoint=s-3"),
+        (1.3, "connection-ended side=health-check reason=timed-out endpoint=s-2 ms=200"),
+        (2.0, 'connection-ended side=client reason=rejected id=2 endpoint="" attempts=0 wait_ms=2000 ms=0'),
+        (2.2, 'connection-ended side=client reason=rejected id=3 endpoint="" attempts=0 wait_ms=1800 ms=0'),
+        (3.0, "connection-ended side=client reason=migrated id=1 endpoint=s-3 attempts=1 ms=2000"),
         (3.1, "not a line of the program's"),
     ],
 }
@@ -35,29 +35,29 @@
 
 FOLLOWED = {
     "n0": [
-        (0.0, "started name=n0"),
-        (1.0, "opened id=1 attempt=0 provider=s-1 key=7f group=5 flags=0"),
-        (1.1, "opened id=2 attempt=0 provider=s-2 key=80 group=5 flags=0"),
-        (1.2, "ended side=provider reason=provider-reset id=1 attempt=0 provider=s-1 ms=200"),
-        (1.2, "ended side=consumer reason=provider-reset id=1 open=ab1 key=7f provider=s-1 ms=200"),
-        (3.0, "started name=n0"),
-        (3.1, "opened id=1 attempt=0 provider=s-3 key=81 group=6 flags=0"),
+        (0.0, "process-started name=n0"),
+        (1.0, "attempt-started id=1 attempt=0 endpoint=s-1 key=7f group=5 flags=0"),
+        (1.1, "attempt-started id=2 attempt=0 endpoint=s-2 key=80 group=5 flags=0"),
+        (1.2, "connection-ended side=endpoint reason=endpoint-reset id=1 attempt=0 endpoint=s-1 ms=200"),
+        (1.2, "connection-ended side=client reason=endpoint-reset id=1 open=ab1 key=7f endpoint=s-1 ms=200"),
+        (3.0, "process-started name=n0"),
+        (3.1, "attempt-started id=1 attempt=0 endpoint=s-3 key=81 group=6 flags=0"),
     ],
     "n1": [
-        (0.0, "started name=n1"),
-        (2.0, "opened id=1 attempt=0 provider=s-2 key=7f group=5 flags=16"),
-        (2.5, "ended side=consumer reason=served id=1 open=ab2 key=7f provider=s-2 ms=500"),
+        (0.0, "process-started name=n1"),
+        (2.0, "attempt-started id=1 attempt=0 endpoint=s-2 key=7f group=5 flags=16"),
+        (2.5, "connection-ended side=client reason=served id=1 open=ab2 key=7f endpoint=s-2 ms=500"),
     ],
 }
 
 
-def write(directory: Path, logs: dict[str, list[tuple[float, str]]]) -> None:
+def write(discovery: Path, logs: dict[str, list[tuple[float, str]]]) -> None:
     for name, lines in logs.items():
         written = [
             f"[{at:.2f}] {STAMP.format(at)}{text}\n" if " " in text and text[:2] != "no" else f"{text}\n"
             for at, text in lines
         ]
-        (directory / f"{name}.log").write_text("".join(written))
+        (discovery / f"{name}.log").write_text("".join(written))
 
 
 def tool() -> ModuleType:
@@ -68,28 +68,28 @@
     return module
 
 
-def test_the_logs_of_all_proxies_are_joined_on_time_and_provider(tmp_path: Path) -> None:
+def test_the_logs_of_all_proxies_are_joined_on_time_and_endpoint(tmp_path: Path) -> None:
     write(tmp_path, LOGS)
     count = tool()
     fleet = count.Fleet(count.read(tmp_path))
     rows = "\n".join(fleet.report(0.1, 2))
     assert fleet.busiest(0.1, 1) == [(2, 1.1, "s-3", 2)]  # one of each proxy, in the same tenth of a second
-    assert fleet.attempts == {2: 1, 0: 2, 1: 1} and fleet.moves == {"moved": 1}
-    assert "proxies 2" in rows and "directory answers 2  failed 1  most in a second 2" in rows
-    assert "connections opened 3  to cold providers 2" in rows
+    assert fleet.attempts == {2: 1, 0: 2, 1: 1} and fleet.moves == {"migrated": 1}
+    assert "proxies 2" in rows and "discovery answers 2  failed 1  most in a second 2" in rows
+    assert "connections opened 3  to cold endpoints 2" in rows
     assert "s-1            failed 1 of 1  unreachable:1" in rows
     assert "rejections 2  without an attempt 2  most in a second 2, due back in one 2" in rows
-    assert "probes of s-2            timed-out:1" in rows
+    assert "health checks of s-2            timed-out:1" in rows
     assert [round(took, 2) for times in fleet.ready.values() for took in times] == [0.4, 0.6]
 
 
-def test_one_consumer_is_followed_through_every_proxy_that_it_came_to(tmp_path: Path) -> None:
+def test_one_client_is_followed_through_every_proxy_that_it_came_to(tmp_path: Path) -> None:
     write(tmp_path, FOLLOWED)
     count = tool()
     lines = count.read(tmp_path)
     for word in ("00AB1", "ab2", "7f"):  # any of its ids, or its key
         found = [(line.at, line.proxy, line.pairs["id"]) for line in count.follow(lines, word)]
-        # Not the invocation that has the same number in the process after, or of the same group.
+        # Not the request that has the same number in the process after, or of the same group.
         assert found == [
             (1.0, "n0", "1"),
             (1.2, "n0", "1"),
@@ -100,18 +100,29 @@
     assert count.follow(lines, "99") == []
 
 
-def test_what_consumers_came_to_is_told_by_class_and_step(tmp_path: Path) -> None:
+def test_what_clients_came_to_is_told_by_class_and_step(tmp_path: Path) -> None:
     write(
         tmp_path,
         {
             "n0": [
-                (1.0, "opened id=1 attempt=0 provider=s-1 key=7f group=5 class=feed flags=0"),
-                (2.0, "opened id=2 attempt=0 provider=s-1 key=80 group=5 class=bulk flags=0"),
-                (6.5, "ended side=consumer reason=moved id=1 key=7f class=feed attempts=1 ms=5500"),
-                (7.0, "ended side=consumer reason=stalled id=2 key=80 class=bulk attempts=1 ms=1000"),
-                (7.5, "ended side=consumer reason=rejected id=3 key=81 class=bulk attempts=0 ms=500"),
+                (1.0, "attempt-started id=1 attempt=0 endpoint=s-1 key=7f group=5 class=feed flags=0"),
+                (2.0, "attempt-started id=2 attempt=0 endpoint=s-1 key=80 group=5 class=bulk flags=0"),
+                (
+                    6.5,
+                    "connection-ended side=client reason=migrated id=1 key=7f class=feed attempts=1 ms=5500",
+                ),
+                (
+                    7.0,
+                    "connection-ended side=client reason=stalled id=2 key=80 class=bulk attempts=1 ms=1000",
+                ),
+                (
+                    7.5,
+                    "connection-ended side=client reason=rejected id=3 key=81 class=bulk attempts=0 ms=500",
+                ),
+            ],
+            "n1": [
+                (8.0, "connection-ended side=client reason=migrated id=9 key=82 class=feed attempts=1 ms=100")
             ],
-            "n1": [(8.0, "ended side=consumer reason=moved id=9 key=82 class=feed attempts=1 ms=100")],
         },
     )
     count = tool()
@@ -122,5 +133,5 @@
         ("0.0", "bulk"): {"attempts": 1},
         ("0.0", "feed"): {"came": 1, "attempts": 1},
         ("5.0", "bulk"): {"came": 2, "rejected": 1, "other": 1},
-        ("5.0", "feed"): {"came": 1, "moved": 2},
+        ("5.0", "feed"): {"came": 1, "migrated": 2},
     }
--- a/tests/test_gauge.py
+++ b/tests/test_gauge.py
@@ -1,4 +1,4 @@
-"""Slow notes: by the replies where they tell, else by the loads that providers tell."""
+"""Slow notes: by the replies where they tell, else by the loads that endpoints tell."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from conftest import MS, S, raw_settings
 
 from linnetshift import interface as api
-from linnetshift.core.gauge import MessageGauge, Standing
+from linnetshift.core.gauge import LatencyEstimator, Standing
 
 HERE = b"s-1"
 
 
-def gauge(weight: float = 2.0, proxies: int = 1) -> MessageGauge:
-    made = MessageGauge()
+def latency_estimator(weight: float = 2.0, proxies: int = 1) -> LatencyEstimator:
+    made = LatencyEstimator()
     made.configure(50 * MS, proxies)
     made.weights[HERE] = weight
     return made
@@ -26,52 +26,52 @@
     "weight, proxies, many, noted",
     [(2.0, 1, 5, False), (2.0, 1, 20, True), (2.0, 2, 10, True), (6.0, 2, 10, False)],
 )
-def test_told_loads_name_a_full_provider(weight: float, proxies: int, many: int, noted: bool) -> None:
-    # Replies came at once from providers that missed every aim: with them alone nothing was ever noted.
-    made = gauge(weight, proxies)
+def test_told_loads_name_a_full_endpoint(weight: float, proxies: int, many: int, noted: bool) -> None:
+    # Replies came at once from endpoints that missed every aim: with them alone nothing was ever noted.
+    made = latency_estimator(weight, proxies)
     made.answered(HERE, None, MS // 20, 1 * S)
     assert bool(made.review(asking(80_000.0, many), 1 * S)) is noted
 
 
 @pytest.mark.parametrize("times, noted", [([1, 2, 90], False), ([80, 90, 1], True)])
 def test_replies_that_take_long_name_it_too(times: list[int], noted: bool) -> None:
-    made = gauge()
+    made = latency_estimator()
     for ms in times:
         made.answered(HERE, None, ms * MS, 1 * S)
     assert bool(made.review(asking(None, 1), 1 * S)) is noted
 
 
-def test_a_message_without_reply_makes_its_provider_slow_but_not_late() -> None:
-    # Two providers that crashed were taken for a jam, and whole groups were rejected for seconds after.
-    assert gauge().review(asking(None, 1, waiting=2 * S), 1 * S) == [(HERE, 40.0)]
+def test_a_message_without_reply_makes_its_endpoint_slow_but_not_late() -> None:
+    # Two endpoints that crashed were taken for a jam, and whole groups were rejected for seconds after.
+    assert latency_estimator().review(asking(None, 1, waiting=2 * S), 1 * S) == [(HERE, 40.0)]
 
 
-def test_the_way_to_a_far_zone_is_not_the_providers_time() -> None:
-    made = gauge()
+def test_the_way_to_a_far_zone_is_not_the_endpoints_time() -> None:
+    made = latency_estimator()
     for ms in (20, 21, 22):
         made.answered(HERE, 1, ms * MS, 1 * S)
     assert not made.review(asking(None, 1), 1 * S)
 
 
 def test_one_more_note_tells_that_it_is_over() -> None:
-    made = gauge()
+    made = latency_estimator()
     assert made.review(asking(80_000.0, 20), 1 * S)
-    ((provider, ms),) = made.review(asking(80_000.0, 1), 2 * S)
-    assert provider == HERE and ms * 3 < 50
+    ((endpoint, ms),) = made.review(asking(80_000.0, 1), 2 * S)
+    assert endpoint == HERE and ms * 3 < 50
     assert not made.review(asking(80_000.0, 1), 3 * S)
 
 
-def test_a_provider_that_drops_connections_counts_as_slow_for_a_while() -> None:
+def test_an_endpoint_that_drops_connections_counts_as_slow_for_a_while() -> None:
     # Its piled-up work shows in no reply and in no load; its clients would hash straight back to it.
-    made = gauge()
+    made = latency_estimator()
     made.dropped(HERE, 1 * S)
     assert made.review(asking(None, 1), 2 * S) == [(HERE, 40.0)]
     ((_, over),) = made.review(asking(None, 1), 12 * S)
     assert over * 3 < 50
 
 
-def test_a_restart_ends_what_was_held_against_a_provider() -> None:
-    made = gauge()
+def test_a_restart_ends_what_was_held_against_an_endpoint() -> None:
+    made = latency_estimator()
     made.dropped(HERE, 1 * S)
     made.restarted(HERE)
     assert not made.review(asking(None, 1), 3 * S)
@@ -81,13 +81,13 @@
     "came, went, noted",
     [
         (0, 0, True),  # the other proxy holds as many
-        (8, 0, False),  # it is away: its consumers are the ones that came
+        (8, 0, False),  # it is away: its clients are the ones that came
         (8, 8, True),  # they were sent away here before
     ],
 )
-def test_consumers_of_a_proxy_that_is_away_are_not_taken_twice(came: int, went: int, noted: bool) -> None:
-    # With one of two proxies gone every provider looked full, and most keys were turned away for 10 s.
-    made = gauge(proxies=2)
+def test_clients_of_a_proxy_that_is_away_are_not_taken_twice(came: int, went: int, noted: bool) -> None:
+    # With one of two proxies gone every endpoint looked full, and most keys were turned away for 10 s.
+    made = latency_estimator(proxies=2)
     for at, count in ((True, came), (False, went)):
         for _ in range(count):
             made.guest(at, 1 * S)
@@ -95,8 +95,8 @@
 
 
 def test_the_few_that_have_told_their_load_do_not_speak_for_the_rest() -> None:
-    # After a restart the first to tell were the heavy ones; every provider looked jammed.
-    made = gauge(weight=4.0)
+    # After a restart the first to tell were the heavy ones; every endpoint looked jammed.
+    made = latency_estimator(weight=4.0)
     heavy = [Standing(400_000.0, 1, 0)] * 2
     assert not made.review({HERE: heavy + [Standing(None, 1, 0)] * 10}, 1 * S)
     assert made.review({HERE: heavy * 6}, 1 * S)
@@ -106,7 +106,7 @@
     "figures, times",
     [
         # Seen in a fleet of 40 proxies: the same small figure at each of them at once, a second apart, while
-        # no message was answered in time. Taken for loads, they made a jammed provider look idle.
+        # no message was answered in time. Taken for loads, they made a jammed endpoint look idle.
         (
             [(0, 89.5), (1000, 237.3), (2001, 609.0), (3000, 1055.5), (4000, 5.7)],
             [89.5, 237.3, 609.0, 1055.5, 5.7],
@@ -124,12 +124,12 @@
 def test_a_small_figure_a_second_after_another_is_a_message_time(
     figures: list[tuple[int, float]], times: list[float]
 ) -> None:
-    made = gauge()
+    made = latency_estimator()
     assert [value for at, value in figures if made.tells_time(HERE, value, (9000 + at) * MS)] == times
 
 
 def test_a_told_message_time_holds_until_the_next() -> None:
-    made = gauge()
+    made = latency_estimator()
     assert made.tells_time(HERE, 89.5, 5 * S)
     assert made.review(asking(None, 1), 5 * S + 900 * MS) == [(HERE, 89.5)]
     assert made.tells_time(HERE, 4.0, 6 * S)
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize(
     "proxies, loads, noted",
     [
-        (40, [200_000.0], False),  # one heavy connection by chance: forty of them would fill four providers
+        (40, [200_000.0], False),  # one heavy connection by chance: forty of them would fill four endpoints
         (40, [70_000.0, 70_000.0], True),  # two are few, but would be eighty
         (2, [70_000.0] * 14, True),
         (2, [70_000.0] * 5, False),
@@ -151,8 +151,8 @@
 def test_a_connection_or_two_do_not_tell_what_the_fleet_has_there(
     proxies: int, loads: list[float], noted: bool
 ) -> None:
-    # At 40 proxies 47 of 95 consumers were moved in the first 2 s, off providers that were sound.
-    made = gauge(proxies=proxies)
+    # At 40 proxies 47 of 95 clients were moved in the first 2 s, off endpoints that were sound.
+    made = latency_estimator(proxies=proxies)
     held = {HERE: [Standing(load, 1, 0) for load in loads]}
     assert bool(made.review(held, 1 * S)) is noted
 
@@ -161,17 +161,17 @@
     "source, noted", [("nominal", True), ("rough", True), ("live", False), ("silent", False)]
 )
 def test_loads_are_reckoned_only_over_weights_that_are_sizes(source: str, noted: bool) -> None:
-    # A live weight is the size over what is held: all providers looked full.
+    # A live weight is the size over what is held: all endpoints looked full.
     known = api.Settings.parse(raw_settings(weightSource=source))
-    made = gauge(0.3)
+    made = latency_estimator(0.3)
     made.configure(50 * MS, 1, known.weights_are_sizes)
     assert bool(made.review(asking(80_000.0, 5), 1 * S)) is noted
 
 
 @pytest.mark.parametrize("aim_ms", [10, 20, 50])
-def test_how_full_a_provider_may_be_does_not_hang_on_how_short_the_aim_is(aim_ms: int) -> None:
-    # A message was taken for 7 ms of work whatever the aim: with one of 20 ms every idle provider was slow.
-    made = MessageGauge()
+def test_how_full_an_endpoint_may_be_does_not_hang_on_how_short_the_aim_is(aim_ms: int) -> None:
+    # A message was taken for 7 ms of work whatever the aim: with one of 20 ms every idle endpoint was slow.
+    made = LatencyEstimator()
     made.configure(aim_ms * MS, 1)
     made.weights[HERE] = 2.0
     assert not made.review(asking(80_000.0, 4), 1 * S)
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -26,13 +26,13 @@
 
 
 def places(groups: int, nodes: int) -> float:
-    """How many hosts hold some of a group, on the mean: nodes in three zones, where crossing is dear."""
-    hosts = tuple(entry(n) for n in range(24))
-    fleet, draws = Fleet(nodes, hosts, fees={"crossZone": 0.1}, perZone=True), random.Random(groups)
+    """How many endpoints hold some of a group, on the mean: nodes in three zones, where crossing is dear."""
+    endpoints = tuple(entry(n) for n in range(24))
+    fleet, draws = Fleet(nodes, endpoints, fees={"crossZone": 0.1}, perZone=True), random.Random(groups)
     for node in fleet.nodes:  # what it met before
         for _ in range(30):
             node.groups.meet(draws.randrange(groups) + 1)
-        node.step(fleet.now, [listed(*hosts)])
+        node.step(fleet.now, [listed(*endpoints)])
     stands: dict[int, set[bytes]] = {}
     for n in range(600):
         group = draws.randrange(groups) + 1
@@ -43,7 +43,7 @@
     return sum(map(len, stands.values())) / len(stands)
 
 
-def test_a_group_has_a_place_in_each_zone_only_where_there_are_hosts_for_all() -> None:
+def test_a_group_has_a_place_in_each_zone_only_where_there_are_endpoints_for_all() -> None:
     # 56 groups at some 150 places weighed more on 54 servers than all connections together.
     few, many = places(4, 60), places(60, 60)
     assert few >= 2.5  # three zones: large groups are spread over them
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""One process takes the place of another while consumers stand and arrive."""
+"""One process takes the place of another while clients stand and arrive."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from test_platform import ranked
 
 from linnetshift import interface as api
-from linnetshift.core.gauge import MessageGauge, Standing
-from linnetshift.core.memory import recall, remember
+from linnetshift.core.gauge import LatencyEstimator, Standing
+from linnetshift.core.memory import export_state, import_state
 
 
 def test_the_new_process_takes_over_and_the_old_one_leaves(tmp_path: Path) -> None:
-    with proxy(tmp_path, door=True, held=True) as old:
-        standing, provider = old.standing()
+    with proxy(tmp_path, admin_server=True, held=True) as old:
+        standing, endpoint = old.standing()
         unheard = old.client()  # accepted by the old one, and silent so far
         assert old.alive()
         with beside(old) as new:
@@ -28,26 +28,26 @@
             unheard.send(b"OPEN 5 6 c=feed,t=acme,d=2000\r\n")
             answered = old.listeners[0].serve()
             assert unheard.line() == b"UP r1\r\n"
-            later, its_provider = new.standing()
+            later, its_endpoint = new.standing()
             old.leave()
             assert {standing.line(), unheard.line()} == {b"MOVE\r\n"}
-            for conn in (standing, unheard, provider, answered):
+            for conn in (standing, unheard, endpoint, answered):
                 conn.close()
             assert old.process.wait(WAIT) == 0
-            its_provider.send(b"on\r\n")
+            its_endpoint.send(b"on\r\n")
             assert later.line() == b"on\r\n"
             assert new.alive()
 
 
 def test_bans_pass_over_and_hold_in_both(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=2, door=True, held=True, rules={"warmUpNs": 1}) as old:
+    with proxy(tmp_path, endpoints=2, admin_server=True, held=True, rules={"warmUpNs": 1}) as old:
         first, second = ranked(old)
         assert old.call(DOWN % first.uid) == 200
         with beside(old) as new:
             new.becomes_ready()
             kept = [lands_on(new, second.uid)]
             assert new.call(UP % first.uid) == 200
-            old.logged(f"provider-set provider={first.uid} out=False")
+            old.logged(f"administrative-drain-changed endpoint={first.uid} out=False")
             kept.append(lands_on(new, first.uid))
             assert old.call(DOWN % first.uid) == 200  # whichever of them is asked
             kept.append(lands_on(new, second.uid))
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("how", ["new-dies", "old-dies", "stale-socket", "third"])
 def test_a_process_that_goes_does_no_harm(tmp_path: Path, how: str) -> None:
-    with proxy(tmp_path, door=True, held=True) as old:
+    with proxy(tmp_path, admin_server=True, held=True) as old:
         if how == "stale-socket":
             old.process.kill()
             old.process.wait(WAIT)
@@ -64,14 +64,14 @@
             new.becomes_ready()
             if how == "new-dies":
                 new.process.kill()
-                old.logged("event=replacement-gone")
+                old.logged("event=successor-gone")
                 assert old.call("GET /ops/readiness") == 200
                 old.standing()
                 with beside(old) as next_one:
                     next_one.becomes_ready()
             elif how == "old-dies":
                 old.process.kill()
-                new.logged("event=older-gone")
+                new.logged("event=predecessor-gone")
                 new.becomes_ready()
                 new.standing()
             elif how == "third":
@@ -88,7 +88,7 @@
         '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
         '[vrrp]\nenabled = true\nvrid = 1\npriority = 255\nlisten = "127.0.0.1:PORT"\npeers = []\n'
     )
-    with proxy(tmp_path, own=own, door=True, held=True) as old:
+    with proxy(tmp_path, own=own, admin_server=True, held=True) as old:
         assert old.client(b"SSH-2.0-t\r\n", old.extra_port).line().startswith(b"SSH-2.0-")
         with beside(old) as new:
             new.becomes_ready()
@@ -107,8 +107,8 @@
 
 
 def test_it_never_binds_what_the_platform_holds(tmp_path: Path) -> None:
-    with proxy(tmp_path, door=True, held=True) as running:
-        running.reload("event=reloaded", listen="127.0.0.1:1")
+    with proxy(tmp_path, admin_server=True, held=True) as running:
+        running.reload("event=configuration-reloaded", listen="127.0.0.1:1")
         assert running.alive()
         running.leave()
         assert running.process.wait(WAIT) == 0
@@ -118,31 +118,31 @@
             after.becomes_ready()
 
 
-def test_what_was_learned_of_providers_passes_over() -> None:
-    # The new process sent consumers back to what the old one had just moved them off.
-    old, new, gauge = balancer(hosts=3), balancer(hosts=3, seed=2), MessageGauge()
+def test_what_was_learned_of_endpoints_passes_over() -> None:
+    # The new process sent clients back to what the old one had just moved them off.
+    old, new, latency_estimator = balancer(endpoints=3), balancer(endpoints=3, seed=2), LatencyEstimator()
     (sent,) = only(old.step(2 * S, [request(1)]), api.Send)
     old.step(2 * S, [ended(sent, 0, api.Outcome.FULL, closed=True)])
     old.shedding.admit = 0.5
-    gauge.shed_at[sent.host] = 2 * S
-    told = json.loads(json.dumps(recall(old, gauge)))
+    latency_estimator.shed_at[sent.endpoint] = 2 * S
+    told = json.loads(json.dumps(export_state(old, latency_estimator)))
     told["hosts"]["00"] = {}
     told["node"]["window"] = "wide"  # of another version
-    later = MessageGauge()
+    later = LatencyEstimator()
 
-    remember(new, later, told)
-    assert (new.shedding.admit, new.window.size, later.shed_at) == (0.5, 1e9, gauge.shed_at)
+    import_state(new, later, told)
+    assert (new.shedding.admit, new.window.size, later.shed_at) == (0.5, 1e9, latency_estimator.shed_at)
     new.shedding.admit = 1.0
     (again,) = only(new.step(2 * S + 1, [request(1)]), api.Send)
-    assert again.host != sent.host
+    assert again.endpoint != sent.endpoint
 
 
 def test_what_the_other_process_holds_counts_as_load() -> None:
-    # Half of the connections were still in the old process: providers filled up unnoticed.
-    gauge = MessageGauge()
-    gauge.configure(50 * MS, 1)
-    gauge.weights[b"s-1"] = 2.0
+    # Half of the connections were still in the old process: endpoints filled up unnoticed.
+    latency_estimator = LatencyEstimator()
+    latency_estimator.configure(50 * MS, 1)
+    latency_estimator.weights[b"s-1"] = 2.0
     few = {b"s-1": [Standing(80_000.0, 1, 0)] * 5}
-    assert not gauge.review(few, 1 * S)
-    gauge.elsewhere = {b"s-1": [Standing(80_000.0, 2, 0)] * 15}
-    assert gauge.review(few, 2 * S)
+    assert not latency_estimator.review(few, 1 * S)
+    latency_estimator.elsewhere = {b"s-1": [Standing(80_000.0, 2, 0)] * 15}
+    assert latency_estimator.review(few, 2 * S)
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -12,13 +12,13 @@
 
 import pytest
 import tomli_w
-from proxy import Proxy, proxy, settings
+from proxy import RunningProxy, proxy, settings
 
 from linnetshift.net.config import ConfigError, read_broker_file, read_config
-from linnetshift.net.loop import Io, Loop, S, Script
-from linnetshift.net.provider import Dialing, Stop
+from linnetshift.net.loop import ActorCoroutine, Io, Loop, S
+from linnetshift.net.provider import OutboundConnection, Stop
 from rig import wires
-from rig.attack import Attack, Broken, Providers, shrink
+from rig.attack import Attack, Broken, Endpoints, shrink
 from rig.crowd import Input
 from rig.grammar import mutate_tree, scar
 
@@ -31,39 +31,39 @@
 
 
 @pytest.fixture
-def one(tmp_path: Path) -> Iterator[Proxy]:
-    with proxy(tmp_path, own=OWN, door=True, held=True) as running:
+def one(tmp_path: Path) -> Iterator[RunningProxy]:
+    with proxy(tmp_path, own=OWN, admin_server=True, held=True) as running:
         yield running
 
 
 @pytest.mark.parametrize("wire", ["platform", "channels", "door"])
-def test_clients_and_operators(one: Proxy, wire: str) -> None:
-    providers, attack = Providers(one.listeners, SEED), Attack(one, SEED)
-    providers.start()
+def test_clients_and_operators(one: RunningProxy, wire: str) -> None:
+    endpoints, attack = Endpoints(one.listeners, SEED), Attack(one, SEED)
+    endpoints.start()
     try:
         attack.round(wire, 150)
         attack.settle()
         for _ in range(2):
             attack.round(wire, 150)
     finally:
-        providers.stop()
+        endpoints.stop()
 
 
-def test_the_directory(one: Proxy) -> None:
+def test_the_discovery(one: RunningProxy) -> None:
     attack, rng = Attack(one, SEED), random.Random(SEED)
     attack.settle()
-    listing = one.directory.listing()
+    listing = one.discovery.listing()
     for _ in range(3):
         attack.lists(
-            [wires.document(rng, listing) for _ in range(6)], lambda: one.directory.calls.get(timeout=20)
+            [wires.document(rng, listing) for _ in range(6)], lambda: one.discovery.calls.get(timeout=20)
         )
-    one.directory.rev = 1 << 70  # newer than anything that was said meanwhile
-    one.directory.change()
-    one.directory.calls.get(timeout=20)
+    one.discovery.rev = 1 << 70  # newer than anything that was said meanwhile
+    one.discovery.change()
+    one.discovery.calls.get(timeout=20)
     assert one.standing()
 
 
-def test_another_process(one: Proxy) -> None:
+def test_another_process(one: RunningProxy) -> None:
     attack, rng = Attack(one, SEED), random.Random(SEED)
     attack.settle()
     path = str(one.config.parent / "linnetshift-n0.sock")
@@ -76,7 +76,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         sender.bind(("127.0.0.1", 0))
         own = VRRP.replace("PEER", str(sender.getsockname()[1]))
-        with proxy(tmp_path, own=own, door=True) as running:
+        with proxy(tmp_path, own=own, admin_server=True) as running:
             attack = Attack(running, SEED)
             attack.settle()
             for _ in range(4):
@@ -142,29 +142,29 @@
     assert refused
 
 
-class Dial(Dialing):
+class Dial(OutboundConnection):
     came_up: bool | None = None
 
-    def live(self, endpoint: tuple[str, int]) -> Script:
-        self.came_up = yield from self.connect(endpoint, S)
+    def run(self, address: tuple[str, int]) -> ActorCoroutine:
+        self.came_up = yield from self.connect(address, S)
 
 
 def test_an_attempt_given_up_as_it_comes_up_is_no_fault() -> None:
-    # Found by the rig: platform and channels fronts, a consumer that leaves in the turn of the connect.
+    # Found by the rig: platform and channels frontends, a client that leaves in the turn of the connect.
     loop = Loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         dial = Dial(loop)
-        dial.start(dial.live(listener.getsockname()))
+        dial.start(dial.run(listener.getsockname()))
         assert dial.stream is not None
         dial.post(Io(select.EPOLLOUT))
         dial.stream.close()
         dial.post(Stop())
         loop.call_later(0, lambda: None)
         loop.turn()
-    assert dial.came_up is False and dial.script is None
+    assert dial.came_up is False and dial.coroutine is None
 
 
-def test_the_rig_sees_what_is_wrong(one: Proxy) -> None:
+def test_the_rig_sees_what_is_wrong(one: RunningProxy) -> None:
     # A checker that cannot fail checks nothing.
     attack = Attack(one, SEED)
     attack.settle()
--- a/tests/test_kinds_of_site.py
+++ b/tests/test_kinds_of_site.py
@@ -6,28 +6,28 @@
 from typing import Any
 
 import pytest
-from conftest import MS, S, balancer, ended, entry, host, listed, only, raw_settings, request
+from conftest import MS, S, balancer, ended, endpoint, entry, listed, only, raw_settings, request
 
 from linnetshift import interface as api
-from linnetshift.core.gauge import MessageGauge
-from linnetshift.core.memory import recall, remember
-from linnetshift.interface import FEE_STEP, Outcome
+from linnetshift.core.gauge import LatencyEstimator
+from linnetshift.core.memory import export_state, import_state
+from linnetshift.interface import CROSS_ZONE_COST_SCALE, Outcome
 from linnetshift.policy import TICK_TOKEN, Balancer
 
 
 def homes(node: Balancer) -> float:
-    """The share of keys whose first host is in another zone."""
+    """The share of keys whose first endpoint is in another zone."""
     firsts = [next(iter(node.ranking(node.key_hash(request(n))))) for n in range(2000)]
     return sum(h.zone != node.settings.zone for h in firsts) / len(firsts)
 
 
 @pytest.mark.parametrize("zones", [1, 2, 5])
 @pytest.mark.parametrize("fee", [0.0, 0.014, 0.13])
-def test_far_hosts_weigh_by_the_price_of_crossing(fee: float, zones: int) -> None:
+def test_far_endpoints_weigh_by_the_price_of_crossing(fee: float, zones: int) -> None:
     # A tenth, right where a crossing costs 0.13, cost a deployment where it costs 0.014 a sixth of its score.
     node = balancer(0, fees={"crossZone": fee})
     node.step(2 * S, [listed(*(entry(n, zone=n % zones) for n in range(30)))])
-    odds = (zones - 1) * math.exp(-fee / FEE_STEP)
+    odds = (zones - 1) * math.exp(-fee / CROSS_ZONE_COST_SCALE)
     assert homes(node) == pytest.approx(odds / (1 + odds), abs=0.06)
 
 
@@ -35,44 +35,44 @@
     """So many stand, spread over the groups; where each group stands."""
     for n in range(1, connections + 1):
         for send in only(node.step(2 * S + n * MS, [request(n, group=1 + n % groups)]), api.Send):
-            node.step(2 * S + n * MS, [api.Established(n, 0, send.host, MS)])
-    return {g: {h.id for h in node.hosts.values() if g in h.groups} for g in range(1, groups + 1)}
+            node.step(2 * S + n * MS, [api.Established(n, 0, send.endpoint, MS)])
+    return {g: {h.id for h in node.endpoints.values() if g in h.groups} for g in range(1, groups + 1)}
 
 
 @pytest.mark.parametrize("source", ["nominal", "live"])
 def test_a_group_stays_where_it_stands_when_weights_move(source: str) -> None:
-    # Each fall of a live weight re-ranked the group elsewhere: 5 groups stood in 50 places of 16 hosts.
+    # Each fall of a live weight re-ranked the group elsewhere: 5 groups stood in 50 places of 16 endpoints.
     node = balancer(8, weightSource=source)
     before = crowd(node, 40, 4)
     for turn in range(10):
         node.step((4 + turn) * S, [listed(*(entry(n, weight=0.2 + (n + turn) % 8) for n in range(8)))])
         for g in before:
             (send,) = only(node.step(node.now + MS, [request(1000 + 10 * turn + g, group=g)]), api.Send)
-            assert send.host in before[g]
+            assert send.endpoint in before[g]
 
 
-def test_a_full_host_s_group_goes_on_to_the_next_one() -> None:
+def test_a_full_endpoint_s_group_goes_on_to_the_next_one() -> None:
     node = balancer(8)
     (home,) = crowd(node, 12, 1)[1]
     node.step(4 * S, [api.Note(1, 0, home, api.SLOW_NOTE, 60.0)])
     (send,) = only(node.step(4 * S + MS, [request(500, group=1)]), api.Send)
-    assert send.host != home
+    assert send.endpoint != home
 
 
 def test_one_of_many_nodes_follows_the_ranking_it_shares_with_the_others() -> None:
     # With 3 of 600 connections each, 200 nodes would have held to 200 places of their own.
     node = balancer(8)
     (home,) = crowd(node, 3, 1)[1]
-    node.step(4 * S, [listed(*(entry(n, weight=0.001 if host(n) == home else 1.0) for n in range(8)))])
+    node.step(4 * S, [listed(*(entry(n, weight=0.001 if endpoint(n) == home else 1.0) for n in range(8)))])
     (send,) = only(node.step(4 * S + MS, [request(500, group=1)]), api.Send)
-    assert send.host != home
+    assert send.endpoint != home
 
 
 @pytest.mark.parametrize("end", ["ended", "moved", "gone"])
 def test_groups_are_counted_down_as_connections_end(end: str) -> None:
     node = balancer(1)
     crowd(node, 6, 2)
-    (held,) = node.hosts.values()
+    (held,) = node.endpoints.values()
     assert held.groups == {1: 3, 2: 3}
     if end == "ended":
         for n in range(1, 7):
@@ -87,51 +87,51 @@
     assert not held.groups and not held.standing
 
 
-def test_a_host_that_errs_on_all_is_passed_over_though_nobody_else_can_serve_yet() -> None:
-    # Errors counted only once another host had served the request: while others were cold it came first.
+def test_an_endpoint_that_errs_on_all_is_passed_over_though_nobody_else_can_serve_yet() -> None:
+    # Errors counted only once another endpoint had served the request: while others were cold it came first.
     node = balancer(2)
     bad = next(iter(node.ranking(node.key_hash(request(1, key=5))))).id
     node.step(2 * S, [listed(entry(0, started_ns=2 * S), entry(1, started_ns=2 * S))])
-    node.hosts[bad].started = 0
+    node.endpoints[bad].started = 0
     tried = 0
     for number in range(1, 12):
         actions = node.step(node.now + MS, [request(number, key=5)])
         while sends := only(actions, api.Send):
-            tried += sends[0].host == bad
+            tried += sends[0].endpoint == bad
             actions = node.step(node.now, [ended(sends[0], 0, Outcome.ERROR)])
     assert tried == 2
 
 
-def test_a_request_does_not_go_back_to_the_host_that_erred_though_that_serves_others() -> None:
-    # Success there clears the host; the request that it answered with an error would get the same again.
+def test_a_request_does_not_go_back_to_the_endpoint_that_erred_though_that_serves_others() -> None:
+    # Success there clears the endpoint; the request that it answered with an error would get the same again.
     node = balancer(1)
     (send,) = only(node.step(2 * S, [request(1)]), api.Send)
     node.step(2 * S, [ended(send, 0, Outcome.ERROR)])
     (other,) = only(node.step(2 * S + MS, [request(2)]), api.Send)
-    node.step(2 * S + 2 * MS, [api.Established(2, 0, other.host, MS)])
+    node.step(2 * S + 2 * MS, [api.Established(2, 0, other.endpoint, MS)])
     assert not only(node.step(2 * S + 60 * MS, [api.TimerFired(TICK_TOKEN)]), api.Send)
 
 
-def test_a_host_s_errors_are_forgotten_when_it_serves_or_restarts() -> None:
+def test_an_endpoint_s_errors_are_forgotten_when_it_serves_or_restarts() -> None:
     node = balancer(1)
     for number, then in ((1, "serves"), (2, "restarts")):
         (send,) = only(node.step(node.now + S, [request(number)]), api.Send)
         node.step(node.now, [ended(send, 0, Outcome.ERROR)])
-        assert node.hosts[host(0)].faults == 1
+        assert node.endpoints[endpoint(0)].faults == 1
         if then == "serves":
             (again,) = only(node.step(node.now + S, [request(9)]), api.Send)
-            node.step(node.now, [api.Established(9, 0, again.host, MS)])
+            node.step(node.now, [api.Established(9, 0, again.endpoint, MS)])
         else:
             node.step(node.now, [listed(entry(0, started_ns=node.now))])
-        assert node.hosts[host(0)].faults == 0
+        assert node.endpoints[endpoint(0)].faults == 0
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 5, 40])
-def test_a_node_that_knows_no_load_yet_uses_cold_hosts_in_its_turn(nodes: int) -> None:
-    # A process that took over while all hosts were cold earned no token: it held each request to its end.
+def test_a_node_that_knows_no_load_yet_uses_cold_endpoints_in_its_turn(nodes: int) -> None:
+    # A process that took over while all endpoints were cold earned no token: it held each request to its end.
     node = balancer(0, balancers=nodes, rules={"warmUpNs": 10_000 * S})
     node.step(2 * S, [listed(entry(1, started_ns=2 * S))])
-    cold, tip, served = node.hosts[host(1)], node.settings.tip_after_ns, 0
+    cold, tip, served = node.endpoints[endpoint(1)], node.settings.tip_after_ns, 0
     for turn in range(1, 80 * nodes + 1):
         actions = node.step(2 * S + turn * tip + turn, [request(turn, budget_ns=S)])
         served += len(only(actions, api.Send))
@@ -143,31 +143,31 @@
 
 
 @pytest.mark.parametrize("source, size", [("nominal", 0.3), ("live", 4.0)])
-def test_a_cold_host_s_part_is_reckoned_from_sizes(source: str, size: float) -> None:
+def test_a_cold_endpoint_s_part_is_reckoned_from_sizes(source: str, size: float) -> None:
     node = balancer(0, weightSource=source)
     node.step(2 * S, [listed(entry(1, weight=4.0), entry(2, weight=4.0))])
     node.step(3 * S, [listed(entry(1, weight=0.3), entry(2, weight=0.3))])
-    assert node.size(node.hosts[host(1)]) == size
+    assert node.size(node.endpoints[endpoint(1)]) == size
     assert node.candidates()[3] == 2 * size
 
 
-def test_what_fills_a_host_is_passed_on_to_the_next_process() -> None:
+def test_what_fills_an_endpoint_is_passed_on_to_the_next_process() -> None:
     old, new = balancer(2), balancer(2)
     old.each_fill = 11.5
-    remember(new, MessageGauge(), recall(old, MessageGauge()))
+    import_state(new, LatencyEstimator(), export_state(old, LatencyEstimator()))
     assert new.each_fill == 11.5
 
 
-def test_cold_hosts_that_are_late_do_not_shed_what_warm_ones_bear() -> None:
-    # In a deploy most hosts are cold and late for some seconds: keys were refused for ten seconds after.
+def test_cold_endpoints_that_are_late_do_not_shed_what_warm_ones_bear() -> None:
+    # In a deploy most endpoints are cold and late for some seconds: keys were refused for ten seconds after.
     node = balancer(8)
     crowd(node, 40, 4)
     node.step(4 * S, [listed(*(entry(n, started_ns=4 * S if n < 5 else 0) for n in range(8)))])
-    late = [api.Note(1, 0, host(n), api.SLOW_NOTE, 90.0) for n in range(5)]
+    late = [api.Note(1, 0, endpoint(n), api.SLOW_NOTE, 90.0) for n in range(5)]
     node.step(5 * S, late)
     node.step(6 * S + MS, late)
     assert node.shedding.admit == 1.0
-    warm = [api.Note(1, 0, host(n), api.SLOW_NOTE, 90.0) for n in range(5, 8)]
+    warm = [api.Note(1, 0, endpoint(n), api.SLOW_NOTE, 90.0) for n in range(5, 8)]
     node.step(7 * S + 2 * MS, late + warm)
     node.step(8 * S + 3 * MS, late + warm)
     assert node.shedding.admit < 1.0
@@ -212,13 +212,13 @@
     served = 0
     for number in range(1, 41):
         actions = node.step(2 * S + number * MS, [request(number, group=1 + number % 3)])
-        for probe in only(actions, api.Probe):
-            actions += node.step(node.now, [api.ProbeResult(probe.host, Outcome.OK, MS, ())])
+        for check_health in only(actions, api.HealthCheck):
+            actions += node.step(node.now, [api.HealthCheckResult(check_health.endpoint, Outcome.OK, MS, ())])
         for send in only(actions, api.Send):
-            node.step(node.now, [api.Established(number, 0, send.host, MS)])
+            node.step(node.now, [api.Established(number, 0, send.endpoint, MS)])
             served += 1
             # A message that takes 5 ms is slow nowhere, whether or not an aim for it is told.
             assert not only(
-                node.step(node.now, [api.Note(number, 0, send.host, api.SLOW_NOTE, 5.0)]), api.Move
+                node.step(node.now, [api.Note(number, 0, send.endpoint, api.SLOW_NOTE, 5.0)]), api.Migrate
             )
     assert served == 40
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -6,7 +6,7 @@
 import select
 import socket
 
-from linnetshift.net.loop import Actor, Io, Loop, Script, Timeout
+from linnetshift.net.loop import Actor, ActorCoroutine, Io, Loop, Timeout
 
 
 def test_what_arrived_during_a_stall_comes_before_the_timers_that_ran_out() -> None:
@@ -14,16 +14,16 @@
     loop, seen = Loop(), list[object]()
 
     class Listening(Actor):
-        def live(self) -> Script:
+        def run(self) -> ActorCoroutine:
             while True:
                 seen.append((yield))
 
     ours, theirs = socket.socketpair()
     with ours, theirs:
         actor = Listening(loop)
-        actor.start(actor.live())
+        actor.start(actor.run())
         loop.watch(ours.fileno(), select.EPOLLIN, lambda mask: actor.post(Io(mask)))
-        actor.alarm(0, "late")
+        actor.set_timer(0, "late")
         theirs.send(b"in time")
         loop.turn()
         loop.turn()
