--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,17 +1,17 @@
-"""The operators' door, and providers that are taken out and called back."""
+"""The operators' door, and endpoints that are taken out and called back."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
 import pytest
-from conftest import S, entry, host, listed
-from proxy import Conn, Proxy, proxy, settings
+from conftest import S, endpoint, entry, listed
+from proxy import Conn, RunningProxy, proxy, settings
 from test_platform import ranked
 from test_strangers import few
 
 from linnetshift import interface as api
-from linnetshift.core.bans import Bans
+from linnetshift.core.bans import AdministrativeDrains
 
 DOWN, UP = "PUT /ops/servers/down?id=%s", "PUT /ops/servers/up?id=%s"
 
@@ -34,24 +34,24 @@
     ],
 )
 def test_calls_are_answered_with_http_s_own_codes(tmp_path: Path, call: str, status: int) -> None:
-    with proxy(tmp_path, door=True) as running:
+    with proxy(tmp_path, admin_server=True) as running:
         assert running.call(call) == status
-        running.logged("side=operator reason=answered")
+        running.logged("side=admin reason=answered")
         assert running.alive()
 
 
 def test_callers_that_finish_nothing_hold_up_no_other(tmp_path: Path) -> None:
-    with proxy(tmp_path, door=True) as running:
+    with proxy(tmp_path, admin_server=True) as running:
         idle = [running.client(b"GET /ops/rea", running.admin_port) for _ in range(60)]
         assert running.call("GET /ops/readiness") == 200
         assert idle[0].line().startswith(b"HTTP/1.1 503 ")  # one too many: the longest unfinished goes
         assert idle[-1].line().startswith(b"HTTP/1.1 408 ")  # and nobody stays for ever
-        running.logged("side=operator reason=slow-opener")
+        running.logged("side=admin reason=request-timeout")
 
 
 def test_callers_have_descriptors_of_their_own(tmp_path: Path) -> None:
-    # Consumers that wait for their answer are no strangers to shed, and could take every descriptor.
-    with proxy(tmp_path, door=True, before=few) as running:
+    # Clients that wait for their answer are no strangers to shed, and could take every descriptor.
+    with proxy(tmp_path, admin_server=True, before=few) as running:
         crowd = [running.open(60_000) for _ in range(60)]
         running.logged("event=accept-paused")
         for _ in range(3):
@@ -60,34 +60,34 @@
 
 
 def test_not_ready_without_a_list_and_while_leaving(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=0, door=True) as running:
+    with proxy(tmp_path, endpoints=0, admin_server=True) as running:
         assert running.call("GET /ops/readiness") == 503
-    with proxy(tmp_path, door=True) as running:
+    with proxy(tmp_path, admin_server=True) as running:
         running.standing()
         running.leave()
-        running.logged("event=leaving")
+        running.logged("event=shutdown-started")
         assert running.call("GET /ops/readiness") == 503
 
 
-def lands_on(running: Proxy, uid: str) -> tuple[Conn, Conn]:
-    """A consumer of the key that all tests use, and its provider's end."""
-    consumer = running.open()
-    listener, provider = running.serve_any()
-    assert (listener.uid, consumer.line()) == (uid, b"UP r1\r\n")
-    return consumer, provider
+def lands_on(running: RunningProxy, uid: str) -> tuple[Conn, Conn]:
+    """A client of the key that all tests use, and its endpoint's end."""
+    client = running.open()
+    listener, endpoint = running.serve_any()
+    assert (listener.uid, client.line()) == (uid, b"UP r1\r\n")
+    return client, endpoint
 
 
-def test_a_provider_taken_out_gets_nothing_until_it_is_called_back(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=2, door=True, rules={"warmUpNs": 1}) as running:
+def test_an_endpoint_taken_out_gets_nothing_until_it_is_called_back(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=2, admin_server=True, rules={"warmUpNs": 1}) as running:
         first, second = ranked(running)
-        consumer, provider = lands_on(running, first.uid)
+        client, endpoint = lands_on(running, first.uid)
         for _ in range(2):  # a call out may be repeated
             assert running.call(DOWN % first.uid) == 200
-        assert consumer.line() == b"MOVE\r\n"  # before it is restarted
-        kept = [provider, lands_on(running, second.uid)]
-        running.directory.change(**{second.uid: "SERVING"})  # a whole list that names it as serving
-        running.directory.calls.get(timeout=20)
-        running.reload("event=reloaded")
+        assert client.line() == b"MOVE\r\n"  # before it is restarted
+        kept = [endpoint, lands_on(running, second.uid)]
+        running.discovery.change(**{second.uid: "SERVING"})  # a whole list that names it as serving
+        running.discovery.calls.get(timeout=20)
+        running.reload("event=configuration-reloaded")
         kept.append(lands_on(running, second.uid))
         adopted = running.client(b"OPEN 1 2 c=feed,t=acme,d=2000,at=%s\r\n" % first.uid.encode())
         assert adopted.line() == b"ERR\r\n"
@@ -96,22 +96,22 @@
         kept.append(lands_on(running, first.uid))
 
 
-def test_what_is_dialled_when_its_provider_is_taken_out_goes_elsewhere(tmp_path: Path) -> None:
+def test_what_is_dialled_when_its_endpoint_is_taken_out_goes_elsewhere(tmp_path: Path) -> None:
     patient = [{**settings()["services"][0], "aimNs": 10 * S, "hardLimitNs": 20 * S}]
     with proxy(
-        tmp_path, providers=2, door=True, services=patient, allowed={"connectTimeoutNs": 10 * S}
+        tmp_path, endpoints=2, admin_server=True, services=patient, allowed={"connectTimeoutNs": 10 * S}
     ) as running:
         first, second = ranked(running)
         first.sock.listen(0)  # its queue holds one: the proxy's connection does not come up for now
         plug = running.client(port=first.port)
-        consumer = running.open(wait_ms=20_000)
+        client = running.open(wait_ms=20_000)
         assert running.alive()  # so the line before it has been acted on
         assert running.call(DOWN % first.uid) == 200
         first.accept()
         plug.close()
         assert first.accept().line() == b""  # it comes up after all, and is told nothing
         second.serve()
-        assert consumer.line() == b"UP r1\r\n"
+        assert client.line() == b"UP r1\r\n"
 
 
 @pytest.mark.parametrize(
@@ -124,15 +124,15 @@
 )
 def test_what_is_called_back_counts_as_cold(starts: list[int], seen: int) -> None:
     now = 5 * S
-    bans = Bans(lambda: now)
-    bans.lay_over(listed(entry(1), entry(2)))
-    bans.take_out(host(1))
+    administrative_drains = AdministrativeDrains(lambda: now)
+    administrative_drains.lay_over(listed(entry(1), entry(2)))
+    administrative_drains.take_out(endpoint(1))
     for form in (api.ListForm.FULL, api.ListForm.CACHED, api.ListForm.DELTA):
-        shown = bans.lay_over(listed(entry(1), entry(2), form=form)).entries
-        assert [e.state for e in shown] == [api.HostState.DRAINING, api.HostState.READY]
+        shown = administrative_drains.lay_over(listed(entry(1), entry(2), form=form)).entries
+        assert [e.state for e in shown] == [api.EndpointState.DRAINING, api.EndpointState.READY]
     now = 9 * S
-    bans.call_back(host(1))
+    administrative_drains.call_back(endpoint(1))
     for started in starts:
-        shown = bans.lay_over(listed(entry(1, started_ns=started))).entries
+        shown = administrative_drains.lay_over(listed(entry(1, started_ns=started))).entries
     assert shown == (entry(1, started_ns=seen),)
-    assert bans.knows(host(2))  # gone from the list by now
+    assert administrative_drains.knows(endpoint(2))  # gone from the list by now
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -1,6 +1,6 @@
-"""Each state of an invocation against each event that ends something: what is owed then, and to whom.
+"""Each state of a request against each event that ends something: what is owed then, and to whom.
 
-The bad order is forced: connections that come up late (a full queue at the provider), and a program that is
+The bad order is forced: connections that come up late (a full queue at the endpoint), and a program that is
 stopped while both ends act, so that it finds what they did in one turn and in that order.
 """
 
@@ -16,7 +16,7 @@
 
 import pytest
 from conftest import MS, S
-from proxy import WAIT, Conn, Listener, Proxy, Terminal, free_port, proxy, settings
+from proxy import WAIT, Conn, Listener, RunningProxy, Terminal, free_port, proxy, settings
 from test_platform import ranked
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
@@ -26,57 +26,57 @@
 
 
 @contextmanager
-def patient(folder: Path, providers: int = 2, own: str = "", **klass: Any) -> Iterator[Proxy]:
+def patient(folder: Path, endpoints: int = 2, own: str = "", **klass: Any) -> Iterator[RunningProxy]:
     """Waits long for a connection to come up; the class has other rules where some are given."""
     base = settings()["services"][0]
     service = {**base, "aimNs": 10 * S, "hardLimitNs": 20 * S, **klass}
     with proxy(
-        folder, providers, own, services=[service], allowed={"connectTimeoutNs": 10 * S, "maxAttempts": 4}
+        folder, endpoints, own, services=[service], allowed={"connectTimeoutNs": 10 * S, "maxAttempts": 4}
     ) as running:
         yield running
 
 
-def connecting(running: Proxy, first: Listener, wait_ms: int = LONG) -> Conn:
+def connecting(running: RunningProxy, first: Listener, wait_ms: int = LONG) -> Conn:
     first.stall()
-    consumer = running.client(LINE % wait_ms)
+    client = running.client(LINE % wait_ms)
     first.dialled()
-    return consumer
+    return client
 
 
-def held(running: Proxy, first: Listener, wait_ms: int = LONG) -> tuple[Conn, list[tuple[Conn, Conn]]]:
+def held(running: RunningProxy, first: Listener, wait_ms: int = LONG) -> tuple[Conn, list[tuple[Conn, Conn]]]:
     """As many attempts are out as may be; those, and the one that waits for one of them to end."""
     out = []
     for number in range(9):  # eight, and one more for the swift set-up that came before
-        consumer = running.client(LINE.replace(b"77", b"%d" % number) % LONG)
-        out.append((consumer, first.accept()))
+        client = running.client(LINE.replace(b"77", b"%d" % number) % LONG)
+        out.append((client, first.accept()))
         assert out[-1][1].line().startswith(b"OPEN %d " % number)
-    consumer = running.client(LINE % wait_ms)
+    client = running.client(LINE % wait_ms)
     assert running.alive()  # its line was read before that of the one who asks
-    return consumer, out
+    return client, out
 
 
 def in_state(
-    running: Proxy, first: Listener, state: str
+    running: RunningProxy, first: Listener, state: str
 ) -> tuple[Conn, Conn | None, list[tuple[Conn, Conn]]]:
-    """A request that is held, dialled or sent: the consumer, the provider's end, and what keeps it held."""
+    """A request that is held, dialled or sent: the client, the endpoint's end, and what keeps it held."""
     if state == "sent":
         return *sent(running, first), []
     if state == "held":
-        consumer, out = held(running, first)
-        return consumer, None, out
+        client, out = held(running, first)
+        return client, None, out
     return connecting(running, first), None, []
 
 
 def let_go(out: list[tuple[Conn, Conn]]) -> None:
-    for _, provider in out:
-        provider.send(b"UP r1\r\n")
+    for _, endpoint in out:
+        endpoint.send(b"UP r1\r\n")
 
 
-def sent(running: Proxy, first: Listener, wait_ms: int = LONG) -> tuple[Conn, Conn]:
-    consumer = running.client(LINE % wait_ms)
-    provider = first.accept()
-    assert provider.line().startswith(b"OPEN 77 ")
-    return consumer, provider
+def sent(running: RunningProxy, first: Listener, wait_ms: int = LONG) -> tuple[Conn, Conn]:
+    client = running.client(LINE % wait_ms)
+    endpoint = first.accept()
+    assert endpoint.line().startswith(b"OPEN 77 ")
+    return client, endpoint
 
 
 # ---- a connection that comes up late ---------------------------------------------------------
@@ -86,56 +86,54 @@
     # The list was looked at when the module decided, up to a connect's time before the line went out.
     with patient(tmp_path) as running:
         first, second = ranked(running)
-        consumer = connecting(running, first)
-        running.directory.change(**{first.uid: "DRAINING"})
-        running.logged("event=listed .*draining=1")
+        client = connecting(running, first)
+        running.discovery.change(**{first.uid: "DRAINING"})
+        running.logged("event=endpoint-list-received .*draining=1")
         first.go_on()
         assert first.accept().line() == b""
         second.serve()
-        assert consumer.line() == b"UP r1\r\n"
+        assert client.line() == b"UP r1\r\n"
 
 
-@pytest.mark.parametrize("front", ["platform", "channels"])
+@pytest.mark.parametrize("frontend", ["platform", "channels"])
 @pytest.mark.parametrize("how", ["fin", "reset"])
-def test_nothing_is_sent_for_a_consumer_that_has_left(tmp_path: Path, front: str, how: str) -> None:
-    # The connection came up before the consumer's end was read, though after it had come.
+def test_nothing_is_sent_for_a_client_that_has_left(tmp_path: Path, frontend: str, how: str) -> None:
+    # The connection came up before the client's end was read, though after it had come.
     with patient(tmp_path, own=CHANNELS) as running:
         first, _ = ranked(running)
         first.stall()
-        if front == "channels":
-            consumer: Conn = Terminal(running.extra_port)
-            assert isinstance(consumer, Terminal)
-            consumer.open(5, key=0x7F3A9C21E0B4D655, wait_ms=LONG)
+        if frontend == "channels":
+            client: Conn = Terminal(running.extra_port)
+            assert isinstance(client, Terminal)
+            client.open(5, key=0x7F3A9C21E0B4D655, wait_ms=LONG)
         else:
-            consumer = running.client(LINE % LONG)
+            client = running.client(LINE % LONG)
         first.dialled()
         with running.stopped():
             first.go_on()
-            provider = first.accept()
-            consumer.close(how)
-        assert provider.line() == b""
-        running.logged("side=consumer reason=withdrawn" if front == "platform" else "side=channel")
+            endpoint = first.accept()
+            client.close(how)
+        assert endpoint.line() == b""
+        running.logged("side=client reason=withdrawn" if frontend == "platform" else "side=channel")
         again = running.client(LINE.replace(b"77", b"78") % LONG)
         assert first.accept().line().startswith(b"OPEN 78 ") and again
 
 
 @pytest.mark.parametrize("unread", [1, 1000, 20_000_000])
-def test_nothing_is_sent_for_a_consumer_whose_end_lies_behind_unread_bytes(
-    tmp_path: Path, unread: int
-) -> None:
+def test_nothing_is_sent_for_a_client_whose_end_lies_behind_unread_bytes(tmp_path: Path, unread: int) -> None:
     # A look at the next byte says that there is one; over 64 KiB not even the kernel has heard of the end.
     with patient(tmp_path) as running:
         first, _ = ranked(running)
-        consumer = connecting(running, first)
+        client = connecting(running, first)
         with running.stopped():
             first.go_on()
-            provider = first.accept()
-            consumer.sock.setblocking(False)
+            endpoint = first.accept()
+            client.sock.setblocking(False)
             with suppress(BlockingIOError):
-                consumer.send(b"x" * unread)
-            consumer.close()
-        assert provider.line() == b""
-        running.logged("side=consumer reason=(withdrawn|bad-line)")
+                client.send(b"x" * unread)
+            client.close()
+        assert endpoint.line() == b""
+        running.logged("side=client reason=(withdrawn|bad-line)")
 
 
 def test_nothing_is_sent_for_a_session_whose_end_lies_behind_unread_bytes(tmp_path: Path) -> None:
@@ -147,10 +145,10 @@
         first.dialled()
         with running.stopped():
             first.go_on()
-            provider = first.accept()
+            endpoint = first.accept()
             terminal.packet(2, b"never mind")  # IGNORE, which tells nobody that it left
             terminal.close()
-        assert provider.line() == b""
+        assert endpoint.line() == b""
         running.logged("side=channel")
 
 
@@ -163,8 +161,8 @@
         first.dialled()
         assert running.alive()
         with running.stopped():
-            for consumer in gone:
-                consumer.close()
+            for client in gone:
+                client.close()
             first.go_on()
         again = running.client(LINE % LONG)
         heard = b""
@@ -178,8 +176,8 @@
         first, _ = ranked(running)
         with running.stopped():
             gone = [running.client(LINE.replace(b"77", b"%d" % n) % LONG) for n in range(100, 108)]
-            for consumer in gone:
-                consumer.close()
+            for client in gone:
+                client.close()
         again = running.client(LINE % LONG)
         assert first.accept().line().startswith(b"OPEN 77 ") and again
 
@@ -187,11 +185,11 @@
 def test_a_held_request_of_one_who_left_is_not_sent_when_its_turn_comes(tmp_path: Path) -> None:
     with patient(tmp_path) as running:
         first, _ = ranked(running)
-        consumer, out = held(running, first)
+        client, out = held(running, first)
         with running.stopped():
             let_go(out)
-            consumer.close()
-        running.logged("side=consumer reason=withdrawn .*attempts=0")
+            client.close()
+        running.logged("side=client reason=withdrawn .*attempts=0")
         again = running.client(LINE.replace(b"77", b"78") % LONG)
         assert first.accept().line().startswith(b"OPEN 78 ") and again
 
@@ -200,12 +198,12 @@
     # The line was written to a connection that was known to be over, and counted as what may have run.
     with patient(tmp_path, **ONCE) as running:
         first, second = ranked(running)
-        consumer = connecting(running, first)
+        client = connecting(running, first)
         with running.stopped():
             first.go_on()
             first.accept().close()
         second.serve()
-        assert consumer.line() == b"UP r1\r\n"
+        assert client.line() == b"UP r1\r\n"
 
 
 def test_a_repeat_is_not_sent_once_its_window_is_over(tmp_path: Path) -> None:
@@ -215,15 +213,15 @@
     with proxy(tmp_path, 2, services=[base], allowed={"connectTimeoutNs": 1500 * MS}) as running:
         first, second = ranked(running)
         second.stall()
-        consumer, provider = sent(running, first)
-        provider.send(b"ERR\r\n")
+        client, endpoint = sent(running, first)
+        endpoint.send(b"ERR\r\n")
         second.dialled()
         with running.stopped():
             second.go_on()
             repeat = second.accept()
             time.sleep(2.0)
         assert repeat.line() == b""
-        assert consumer.line() == b"ERR\r\n"  # "come again" would say that coming again is harmless
+        assert client.line() == b"ERR\r\n"  # "come again" would say that coming again is harmless
 
 
 def test_a_repeat_that_could_come_too_late_is_not_begun(tmp_path: Path) -> None:
@@ -231,10 +229,10 @@
         tmp_path, effect="by_key", group="all", windowNs=5 * S
     ) as running:  # a connect may take 10 s
         first, _ = ranked(running)
-        consumer, provider = sent(running, first)
-        provider.send(b"ERR\r\n")
-        assert consumer.line() == b"BUSY 1000\r\n"  # by when the consumer's own is in time
-        running.logged("side=consumer reason=rejected .*attempts=1")
+        client, endpoint = sent(running, first)
+        endpoint.send(b"ERR\r\n")
+        assert client.line() == b"BUSY 1000\r\n"  # by when the client's own is in time
+        running.logged("side=client reason=rejected .*attempts=1")
 
 
 # ---- the table -------------------------------------------------------------------------------
@@ -266,32 +264,32 @@
     conn.close()
 
 
-def of_consumer(running: Proxy) -> list[str]:
+def of_client(running: RunningProxy) -> list[str]:
     return [
         line
         for line in running.seen + running.unread()
-        if re.search("event=ended side=consumer.* open=77 ", line)
+        if re.search("event=connection-ended side=client.* open=77 ", line)
     ]
 
 
 @pytest.mark.parametrize("state", ["held", "connecting", "sent"])
 @pytest.mark.parametrize("leave", [fin, reset])
-def test_a_consumer_leaves(tmp_path: Path, state: str, leave: Callable[[Conn], None]) -> None:
+def test_a_client_leaves(tmp_path: Path, state: str, leave: Callable[[Conn], None]) -> None:
     with patient(tmp_path) as running:
         first, _ = ranked(running)
         running.seen.clear()
-        consumer, provider, out = in_state(running, first, state)
-        leave(consumer)
-        running.logged("side=consumer reason=withdrawn")
-        if provider is not None:
-            assert provider.ended() in ("fin", "reset")
+        client, endpoint, out = in_state(running, first, state)
+        leave(client)
+        running.logged("side=client reason=withdrawn")
+        if endpoint is not None:
+            assert endpoint.ended() in ("fin", "reset")
         elif state == "connecting":
             first.go_on()
         let_go(out)
         again = running.client(LINE.replace(b"77", b"78") % LONG)
         attempt = running.asked().accept()
         assert attempt.line().startswith(b"OPEN 78 ") and again  # and nothing of the first
-        assert len(of_consumer(running)) == 1
+        assert len(of_client(running)) == 1
 
 
 @pytest.mark.parametrize(
@@ -310,78 +308,78 @@
 def test_what_may_have_run_is_never_called_harmless(
     tmp_path: Path, state: str, rules: dict[str, Any], answer: bytes, end: str
 ) -> None:
-    # At a planned stop, and to a consumer that had ended its sending, all were told to come again.
+    # At a planned stop, and to a client that had ended its sending, all were told to come again.
     with patient(tmp_path, **rules) as running:
         first, _ = ranked(running)
-        consumer, _provider, _out = in_state(running, first, state)
+        client, _endpoint, _out = in_state(running, first, state)
         if end == "leaves":
-            consumer.sock.shutdown(1)
+            client.sock.shutdown(1)
         else:
             running.leave()
-        assert consumer.line() == answer
-        assert consumer.ended() == "fin"
-        consumer.close()
+        assert client.line() == answer
+        assert client.ended() == "fin"
+        client.close()
         if end == "stops":
             assert running.process.wait(WAIT) == 0
 
 
 @pytest.mark.parametrize("act", [fin, reset, cut, garbage, endless, twice])
-def test_a_provider_ends_what_may_have_run(tmp_path: Path, act: Callable[[Conn], None]) -> None:
+def test_an_endpoint_ends_what_may_have_run(tmp_path: Path, act: Callable[[Conn], None]) -> None:
     with patient(tmp_path, **ONCE) as running:
         first, _ = ranked(running)
         running.seen.clear()
-        consumer, provider = sent(running, first)
-        act(provider)
-        assert consumer.line() == b"ERR\r\n"
-        assert consumer.ended() == "fin"
-        consumer.close()
-        running.logged("side=consumer reason=failed .*attempts=1")
-        assert len(of_consumer(running)) == 1
+        client, endpoint = sent(running, first)
+        act(endpoint)
+        assert client.line() == b"ERR\r\n"
+        assert client.ended() == "fin"
+        client.close()
+        running.logged("side=client reason=failed .*attempts=1")
+        assert len(of_client(running)) == 1
 
 
 @pytest.mark.parametrize("later", [b"ERR\r\n", b"BUSY\r\n", b"UP r2\r\n"])
 def test_a_second_answer_is_nobody_s(tmp_path: Path, later: bytes) -> None:
     with patient(tmp_path) as running:
         first, second = ranked(running)
-        consumer, provider = sent(running, first)
+        client, endpoint = sent(running, first)
         with running.stopped():
-            provider.send(b"BUSY\r\n")
-            provider.send(later)
+            endpoint.send(b"BUSY\r\n")
+            endpoint.send(later)
         served = second.serve()
-        assert consumer.line() == b"UP r1\r\n"
+        assert client.line() == b"UP r1\r\n"
         served.send(b"x\r\n")
-        assert consumer.line() == b"x\r\n"
+        assert client.line() == b"x\r\n"
 
 
 def test_half_a_line_and_the_end_are_passed_on(tmp_path: Path) -> None:
     with proxy(tmp_path) as running:
-        consumer, provider = running.standing()
+        client, endpoint = running.standing()
         with running.stopped():
-            provider.send(b"whole\r\nhal")
-            provider.close()
-        assert consumer.line() == b"whole\r\n"
-        assert consumer.line() == b"hal"
-        consumer.close()
-        running.logged("side=consumer reason=provider-left")
+            endpoint.send(b"whole\r\nhal")
+            endpoint.close()
+        assert client.line() == b"whole\r\n"
+        assert client.line() == b"hal"
+        client.close()
+        running.logged("side=client reason=endpoint-left")
 
 
 def test_a_slow_reader_gets_the_word_to_move_and_all_before_it(tmp_path: Path) -> None:
     # Half a second after that word it was closed, whatever it had not taken yet, that word too.
     with proxy(tmp_path, 2) as running:
         first, _ = ranked(running)
-        consumer = running.open()
-        provider = first.serve()
-        assert consumer.line() == b"UP r1\r\n"
-        provider.sock.settimeout(0.5)
+        client = running.open()
+        endpoint = first.serve()
+        assert client.line() == b"UP r1\r\n"
+        endpoint.sock.settimeout(0.5)
         with suppress(TimeoutError):
             while True:  # until all on the way is full
-                provider.send(b"y" * 3998 + b"\r\n")
-        provider.sock.settimeout(WAIT)
-        running.directory.change(**{first.uid: "DRAINING"})
+                endpoint.send(b"y" * 3998 + b"\r\n")
+        endpoint.sock.settimeout(WAIT)
+        running.discovery.change(**{first.uid: "DRAINING"})
         with suppress(ConnectionError):
-            assert provider.sock.recv(1) == b""  # the consumer was told to move
+            assert endpoint.sock.recv(1) == b""  # the client was told to move
         time.sleep(1.2)
-        lines = list(iter(consumer.line, b""))
+        lines = list(iter(client.line, b""))
         assert lines.pop() == b"MOVE\r\n"
         assert set(lines) == {b"y" * 3998 + b"\r\n"}
 
@@ -393,28 +391,28 @@
     # 64 are accepted in a turn; those behind them were reset when the listener closed.
     with proxy(tmp_path) as running:
         running.leave()
-        running.logged("event=leaving")
+        running.logged("event=shutdown-started")
         with running.stopped():
             crowd = [running.open(1000) for _ in range(200)]
             time.sleep(0.7)  # past the time in which new ones still come
-        for consumer in crowd:
-            assert consumer.line()[:4] in (b"BUSY", b"ERR\r")
-            consumer.close()
+        for client in crowd:
+            assert client.line()[:4] in (b"BUSY", b"ERR\r")
+            client.close()
         assert running.process.wait(WAIT) == 0
 
 
 def test_all_in_the_queue_of_an_address_that_is_left_are_served(tmp_path: Path) -> None:
-    with patient(tmp_path, providers=1) as running:
+    with patient(tmp_path, endpoints=1) as running:
         port = free_port()
         text = running.config.read_text().replace(f"127.0.0.1:{running.port}", f"127.0.0.1:{port}")
         running.config.write_text(text)
         with running.stopped():
             running.process.send_signal(1)
             crowd = [running.client(LINE.replace(b"77", b"%x" % n) % LONG) for n in range(100, 300)]
-        provider = running.listeners[0]
-        kept = [provider.serve() for _ in crowd]
-        for consumer in crowd:
-            assert consumer.line() == b"UP r1\r\n"
+        endpoint = running.listeners[0]
+        kept = [endpoint.serve() for _ in crowd]
+        for client in crowd:
+            assert client.line() == b"UP r1\r\n"
         assert len(kept) == len(crowd)
 
 
@@ -433,18 +431,20 @@
         resting.send(LINE % 2000)  # it had not seen the end when it asked
         resting.close()
         assert running.process.wait(WAIT) == 0
-        running.logged("event=left")
-        assert not [line for line in running.seen if "event=opened" in line]
+        running.logged("event=shutdown-finished")
+        assert not [line for line in running.seen if "event=attempt-started" in line]
 
 
-@pytest.mark.parametrize("front", ["platform", "channels"])
-def test_a_late_request_on_a_resting_connection_is_answered_until_the_end(tmp_path: Path, front: str) -> None:
+@pytest.mark.parametrize("frontend", ["platform", "channels"])
+def test_a_late_request_on_a_resting_connection_is_answered_until_the_end(
+    tmp_path: Path, frontend: str
+) -> None:
     with proxy(tmp_path, own=CHANNELS) as running:
         standing = running.standing()  # keeps the program until its turn to be moved
-        resting: Conn = Terminal(running.extra_port) if front == "channels" else running.client()
+        resting: Conn = Terminal(running.extra_port) if frontend == "channels" else running.client()
         assert running.alive()
         running.leave()
-        running.logged("event=leaving")
+        running.logged("event=shutdown-started")
         if isinstance(resting, Terminal):
             resting.open(5)  # served, or refused once no more is taken: either is its answer
             ends = [running.listeners[0].sock, resting.sock]
@@ -461,62 +461,62 @@
             assert resting.line() == b"UP r1\r\n" and kept
             assert resting.line() == b"MOVE\r\n"
         assert standing[0].line() == b"MOVE\r\n"
-        for consumer in (standing[0], resting):
-            consumer.close()
+        for client in (standing[0], resting):
+            client.close()
         assert running.process.wait(WAIT) == 0
 
 
 def test_a_word_of_farewell_outlives_what_was_never_read(tmp_path: Path) -> None:
     with proxy(tmp_path) as running:
-        consumer, provider = running.standing()
+        client, endpoint = running.standing()
         running.leave()
-        running.logged("event=leaving")
+        running.logged("event=shutdown-started")
         with running.stopped():
-            consumer.send(b"half a line")
-            provider.send(b"so is this")
+            client.send(b"half a line")
+            endpoint.send(b"so is this")
             time.sleep(3.5)  # at once the time to be moved and that to be gone are over
-        assert consumer.line() == b"MOVE\r\n"
-        assert consumer.ended() == "fin"
-        consumer.close()
+        assert client.line() == b"MOVE\r\n"
+        assert client.ended() == "fin"
+        client.close()
         assert running.process.wait(WAIT) == 0
 
 
 def test_an_up_that_is_on_its_way_when_the_stop_comes_is_passed_on(tmp_path: Path) -> None:
-    # Both are there in one turn: the consumer is served, and then moved like any other.
+    # Both are there in one turn: the client is served, and then moved like any other.
     with patient(tmp_path) as running:
         first, _ = ranked(running)
-        consumer, provider = sent(running, first)
+        client, endpoint = sent(running, first)
         with running.stopped():
-            provider.send(b"UP r1\r\n")
+            endpoint.send(b"UP r1\r\n")
             running.leave()
-        assert [consumer.line(), consumer.line()] == [b"UP r1\r\n", b"MOVE\r\n"]
-        assert consumer.ended() == "fin"
-        assert provider.line() == b""
-        consumer.close()
+        assert [client.line(), client.line()] == [b"UP r1\r\n", b"MOVE\r\n"]
+        assert client.ended() == "fin"
+        assert endpoint.line() == b""
+        client.close()
         assert running.process.wait(WAIT) == 0
 
 
 def test_a_flood_and_leavers_during_a_planned_stop_cost_nobody_its_last_word(tmp_path: Path) -> None:
     with patient(tmp_path) as running:
         first, _ = ranked(running)
-        consumer = running.client(LINE.replace(b"77", b"76") % LONG)
+        client = running.client(LINE.replace(b"77", b"76") % LONG)
         kept = first.serve()
-        assert consumer.line() == b"UP r1\r\n"
-        waiting, provider = sent(running, first)
+        assert client.line() == b"UP r1\r\n"
+        waiting, endpoint = sent(running, first)
         running.leave()
-        running.logged("event=leaving")
+        running.logged("event=shutdown-started")
         crowd = [running.client() for _ in range(60)]
         leavers = [running.client(LINE.replace(b"77", b"%d" % n) % LONG) for n in range(100, 140)]
         for leaver in leavers:
             leaver.close("reset")
-        provider.send(b"ERR\r\n")
+        endpoint.send(b"ERR\r\n")
         # Tried again, or told so: one answer, and no reset.
         with suppress(BlockingIOError):
             first.sock.setblocking(False)
             first.accept().send(b"UP r1\r\n")
         assert waiting.line() in (b"UP r1\r\n", b"BUSY 1000\r\n", b"BUSY\r\n", b"ERR\r\n")
-        assert consumer.line() == b"MOVE\r\n" and len(crowd) == 60 and kept
-        for one in (consumer, waiting, *crowd):
+        assert client.line() == b"MOVE\r\n" and len(crowd) == 60 and kept
+        for one in (client, waiting, *crowd):
             one.close()
         assert running.process.wait(WAIT) == 0
 
@@ -524,14 +524,14 @@
 def test_a_reset_long_after_the_line_s_last_byte_is_what_may_have_run(tmp_path: Path) -> None:
     with patient(tmp_path, **ONCE) as running:
         first, second = ranked(running)
-        consumer, provider = sent(running, first)
+        client, endpoint = sent(running, first)
         others = []
         for n in range(100, 107):  # so long that others are served meanwhile
             other = running.client(LINE.replace(b"77", b"%d" % n) % LONG)
             others.append((other, first.serve()))
             assert other.line() == b"UP r1\r\n"
-        provider.close("reset")
-        assert consumer.line() == b"ERR\r\n"
+        endpoint.close("reset")
+        assert client.line() == b"ERR\r\n"
         second.sock.setblocking(False)
         with pytest.raises(BlockingIOError):
             second.accept()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The real program, met as its clients, its providers and its directory meet it."""
+"""The real program, met as its clients, its endpoints and its discovery meet it."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 from pathlib import Path
 
 import pytest
-from proxy import OPEN, WAIT, Conn, Listener, Proxy, launch, proxy
+from proxy import OPEN, WAIT, Conn, Listener, RunningProxy, launch, proxy
 
 
 @pytest.fixture
-def one(tmp_path: Path) -> Iterator[Proxy]:
+def one(tmp_path: Path) -> Iterator[RunningProxy]:
     with proxy(tmp_path) as running:
         yield running
 
 
-def test_serves_and_passes_lines_on(one: Proxy) -> None:
-    consumer = one.open(2000)
-    provider = one.listeners[0].accept()
-    head, _, told = provider.line().partition(b",d=")
+def test_serves_and_passes_lines_on(one: RunningProxy) -> None:
+    client = one.open(2000)
+    endpoint = one.listeners[0].accept()
+    head, _, told = endpoint.line().partition(b",d=")
     assert head.split()[2:] == OPEN.partition(b",d=")[0].split()[2:]
-    assert 0 < int(told) <= 2000  # what remains of the consumer's patience, never more
-    provider.send(b"UP a b\r\nLOAD 12.5\r\nfirst\r\n")
-    assert [consumer.line() for _ in range(3)] == [b"UP a b\r\n", b"LOAD 12.5\r\n", b"first\r\n"]
-    consumer.send(b"M 1 x\r\nM 2")
-    assert provider.line() == b"M 1 x\r\n"
-    consumer.send(b" y\r\n")
-    assert provider.line() == b"M 2 y\r\n"
-    provider.send(b"BYE\r\n")
-    provider.close()
-    assert consumer.line() == b"BYE\r\n"
-    assert consumer.ended() == "fin"
-    consumer.close()
-    assert "side=consumer" in one.logged("reason=served id=1 open=[0-9a-f]+ key=[0-9a-f]+ class=feed peer")
+    assert 0 < int(told) <= 2000  # what remains of the client's patience, never more
+    endpoint.send(b"UP a b\r\nLOAD 12.5\r\nfirst\r\n")
+    assert [client.line() for _ in range(3)] == [b"UP a b\r\n", b"LOAD 12.5\r\n", b"first\r\n"]
+    client.send(b"M 1 x\r\nM 2")
+    assert endpoint.line() == b"M 1 x\r\n"
+    client.send(b" y\r\n")
+    assert endpoint.line() == b"M 2 y\r\n"
+    endpoint.send(b"BYE\r\n")
+    endpoint.close()
+    assert client.line() == b"BYE\r\n"
+    assert client.ended() == "fin"
+    client.close()
+    assert "side=client" in one.logged("reason=served id=1 open=[0-9a-f]+ key=[0-9a-f]+ class=feed peer")
 
 
 @pytest.mark.parametrize("how", ["fin", "reset"])
-@pytest.mark.parametrize("side", ["consumer", "provider"])
-def test_ends_the_other_side_the_same_way(one: Proxy, side: str, how: str) -> None:
+@pytest.mark.parametrize("side", ["client", "endpoint"])
+def test_ends_the_other_side_the_same_way(one: RunningProxy, side: str, how: str) -> None:
     # A reset passed on as a plain end would look like a connection served to its end.
-    consumer, provider = one.standing()
-    ending, other = (consumer, provider) if side == "consumer" else (provider, consumer)
+    client, endpoint = one.standing()
+    ending, other = (client, endpoint) if side == "client" else (endpoint, client)
     ending.close(how)
     assert other.ended() == how
     other.close()
     code = f"reason={side}-{'left' if how == 'fin' else 'reset'}"
     first, second = one.logged(code), one.logged(code)
-    assert {"side=consumer", "side=provider"} == {
-        line.split("event=ended ")[1].split()[0] for line in (first, second)
+    assert {"side=client", "side=endpoint"} == {
+        line.split("event=connection-ended ")[1].split()[0] for line in (first, second)
     }
 
 
@@ -71,10 +71,10 @@
     "reply, how, reason",
     [
         (b"ERR\r\n", "fin", "error"),
-        (b"BUSY\r\n", "fin", "turned-away"),
-        (b"MOVE\r\n", "fin", "sent-away"),
-        (b"", "fin", "provider-left"),
-        (b"", "reset", "provider-reset"),
+        (b"BUSY\r\n", "fin", "endpoint-full"),
+        (b"MOVE\r\n", "fin", "endpoint-migrated"),
+        (b"", "fin", "endpoint-left"),
+        (b"", "reset", "endpoint-reset"),
         (b"", "", "timed-out"),
         (b"nonsense\r\n", "fin", "error"),
         (b"UP\r\n", "", "error"),
@@ -88,34 +88,34 @@
     tmp_path: Path, reply: bytes, how: str, reason: str
 ) -> None:
     # Two attempts of one request out together would break a rule, whatever became of the first.
-    with proxy(tmp_path, providers=2) as running:
+    with proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         if how == "refused":
             first.sock.close()
-        consumer = running.open(2000)
+        client = running.open(2000)
         conn = None if how == "refused" else answer(first, reply, how)
-        provider = second.accept()
+        endpoint = second.accept()
         if conn is not None and not how:
             assert conn.ended() in ("fin", "reset")  # already there: no wait is needed
-        provider.line()
-        provider.send(b"UP r2\r\n")
-        assert consumer.line() == b"UP r2\r\n"
-        running.logged(f"side=provider reason={reason} .*attempt=0")
-
-
-def ranked(running: Proxy) -> tuple[Listener, Listener]:
-    """The two providers in the order in which the key that all tests use is placed."""
-    consumer = running.open()
-    first, provider = running.serve_any()
-    consumer.line()
-    consumer.close()
-    provider.close()
-    running.logged("side=consumer reason=consumer-left")
+        endpoint.line()
+        endpoint.send(b"UP r2\r\n")
+        assert client.line() == b"UP r2\r\n"
+        running.logged(f"side=endpoint reason={reason} .*attempt=0")
+
+
+def ranked(running: RunningProxy) -> tuple[Listener, Listener]:
+    """The two endpoints in the order in which the key that all tests use is placed."""
+    client = running.open()
+    first, endpoint = running.serve_any()
+    client.line()
+    client.close()
+    endpoint.close()
+    running.logged("side=client reason=client-left")
     return first, next(other for other in running.listeners if other is not first)
 
 
 @pytest.mark.parametrize("asked, answer", [(b"PING\r\n", b"PONG\r\n"), (b"STATS\r\n", b"NO\r\n")])
-def test_readiness(one: Proxy, asked: bytes, answer: bytes) -> None:
+def test_readiness(one: RunningProxy, asked: bytes, answer: bytes) -> None:
     conn = one.client(asked)
     assert conn.line() == answer
     conn.send(b"PING\r\n")
@@ -124,132 +124,137 @@
     one.logged("reason=probed")
 
 
-def test_unknown_names_do_not_matter(one: Proxy) -> None:
-    consumer = one.client(b"OPEN 1 2 c=feed,t=nobody,zz=9,h=1.5,d=1000\r\n")
+def test_unknown_names_do_not_matter(one: RunningProxy) -> None:
+    client = one.client(b"OPEN 1 2 c=feed,t=nobody,zz=9,h=1.5,d=1000\r\n")
     one.listeners[0].serve()
-    assert consumer.line() == b"UP r1\r\n"
+    assert client.line() == b"UP r1\r\n"
 
 
-def test_a_rejection_says_when_to_come_again(one: Proxy) -> None:
-    # Given up by the module, so answered at once and long before the consumer's own 60 s.
-    consumer = one.open(60000)
+def test_a_rejection_says_when_to_come_again(one: RunningProxy) -> None:
+    # Given up by the module, so answered at once and long before the client's own 60 s.
+    client = one.open(60000)
     for _ in range(4):
         answer(one.listeners[0], b"BUSY\r\n", "fin")
-    assert consumer.line() == b"BUSY 1000\r\n"
-    one.logged("side=consumer reason=rejected")
+    assert client.line() == b"BUSY 1000\r\n"
+    one.logged("side=client reason=rejected")
 
 
-def test_a_silent_provider_costs_no_more_than_the_deadline(one: Proxy) -> None:
-    consumer = one.open(300)
+def test_a_silent_endpoint_costs_no_more_than_the_deadline(one: RunningProxy) -> None:
+    client = one.open(300)
     one.listeners[0].accept()
-    assert consumer.line() in (b"ERR\r\n", b"BUSY 1000\r\n", b"BUSY\r\n")
+    assert client.line() in (b"ERR\r\n", b"BUSY 1000\r\n", b"BUSY\r\n")
 
 
-def test_a_consumer_that_leaves_takes_its_attempt_along(one: Proxy) -> None:
-    consumer = one.open()
-    provider = one.listeners[0].accept()
-    provider.line()
-    consumer.close()
-    assert provider.ended() in ("fin", "reset")
-    one.logged("side=consumer reason=withdrawn")
+def test_a_client_that_leaves_takes_its_attempt_along(one: RunningProxy) -> None:
+    client = one.open()
+    endpoint = one.listeners[0].accept()
+    endpoint.line()
+    client.close()
+    assert endpoint.ended() in ("fin", "reset")
+    one.logged("side=client reason=withdrawn")
 
 
 def test_an_adopted_connection_goes_to_its_holder(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=2) as running:
+    with proxy(tmp_path, endpoints=2) as running:
         _, second = ranked(running)
         line = b"OPEN 1 7f3a9c21e0b4d655 c=feed,t=acme,d=4294967,at=%s\r\n" % second.uid.encode()
-        consumer = running.client(line)
-        provider = second.serve()
-        assert b",at=" + second.uid.encode() in provider.first  # type: ignore[attr-defined]
-        assert consumer.line() == b"UP r1\r\n"
+        client = running.client(line)
+        endpoint = second.serve()
+        assert b",at=" + second.uid.encode() in endpoint.first  # type: ignore[attr-defined]
+        assert client.line() == b"UP r1\r\n"
 
 
-def test_nothing_is_lost_on_a_consumer_that_reads_late(one: Proxy) -> None:
-    # Reading on while a consumer does not would fill memory; dropping would lose lines.
-    consumer, provider = one.standing()
+def test_nothing_is_lost_on_a_client_that_reads_late(one: RunningProxy) -> None:
+    # Reading on while a client does not would fill memory; dropping would lose lines.
+    client, endpoint = one.standing()
     lines = 3000
     data = b"".join(b"%08d" % n + b"y" * 1014 + b"\r\n" for n in range(lines))
-    writer = threading.Thread(target=provider.send, args=(data,), daemon=True)
+    writer = threading.Thread(target=endpoint.send, args=(data,), daemon=True)
     writer.start()
     for n in range(lines):
-        assert consumer.line() == b"%08d" % n + b"y" * 1014 + b"\r\n"
+        assert client.line() == b"%08d" % n + b"y" * 1014 + b"\r\n"
     writer.join(WAIT)
     assert one.alive()
 
 
 @pytest.mark.parametrize("unfinished", [b"", b"half a li"])
-def test_a_draining_provider_is_left_between_two_lines(tmp_path: Path, unfinished: bytes) -> None:
-    # The inherited module moved nobody: what stood on a draining provider was cut off when it stopped.
-    with proxy(tmp_path, providers=2) as running:
+def test_a_draining_endpoint_is_left_between_two_lines(tmp_path: Path, unfinished: bytes) -> None:
+    # The inherited module moved nobody: what stood on a draining endpoint was cut off when it stopped.
+    with proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
-        consumer = running.open()
-        provider = first.serve()
-        consumer.line()
-        provider.send(b"whole\r\n" + unfinished)
-        assert consumer.line() == b"whole\r\n"
-        running.directory.change(**{first.uid: "DRAINING"})
-        assert consumer.line() == b"MOVE\r\n"
-        assert consumer.ended() == "fin"
-        assert provider.ended() in ("fin", "reset")
-        running.logged("side=consumer reason=moved")
+        client = running.open()
+        endpoint = first.serve()
+        client.line()
+        endpoint.send(b"whole\r\n" + unfinished)
+        assert client.line() == b"whole\r\n"
+        running.discovery.change(**{first.uid: "DRAINING"})
+        assert client.line() == b"MOVE\r\n"
+        assert client.ended() == "fin"
+        assert endpoint.ended() in ("fin", "reset")
+        running.logged("side=client reason=migrated")
         again = running.open()
         second.serve()
         assert again.line() == b"UP r1\r\n"
 
 
-def test_a_provider_that_brings_nothing_back_is_left(one: Proxy) -> None:
+def test_an_endpoint_that_brings_nothing_back_is_left(one: RunningProxy) -> None:
     # A machine that vanished sends no reset; only the missing reply tells.
-    consumer, _provider = one.standing()
-    consumer.send(b"M 1 x\r\n")
-    assert consumer.line() == b"MOVE\r\n"
-    one.logged("side=consumer reason=silent")
+    client, _endpoint = one.standing()
+    client.send(b"M 1 x\r\n")
+    assert client.line() == b"MOVE\r\n"
+    one.logged("side=client reason=unresponsive")
 
 
 def test_a_planned_stop_answers_and_moves_everyone(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=1) as running:
+    with proxy(tmp_path, endpoints=1) as running:
         standing = [running.standing() for _ in range(5)]
         waiting = running.open(60000)
         running.listeners[0].accept().line()
         running.leave()
-        for consumer, provider in standing:
-            assert consumer.line() == b"MOVE\r\n"
-            consumer.close()
-            assert provider.ended() in ("fin", "reset")
+        for client, endpoint in standing:
+            assert client.line() == b"MOVE\r\n"
+            client.close()
+            assert endpoint.ended() in ("fin", "reset")
         assert waiting.line() in (b"ERR\r\n", b"BUSY\r\n", b"BUSY 1000\r\n")
         waiting.close()
         assert running.process.wait(WAIT) == 0
 
 
-def test_the_directory_is_watched_and_missed(tmp_path: Path) -> None:
+def test_the_discovery_is_watched_and_missed(tmp_path: Path) -> None:
     with proxy(tmp_path) as running:
-        directory = running.directory
-        assert directory.calls.get(timeout=WAIT).startswith("/catalog/members?since=1&timeout_ms=")
-        directory.fail(True)
-        running.logged("event=directory-call-failed")
+        discovery = running.discovery
+        assert discovery.calls.get(timeout=WAIT).startswith("/catalog/members?since=1&timeout_ms=")
+        discovery.fail(True)
+        running.logged("event=discovery-call-failed")
         running.standing()  # the old list stands
-        directory.fail(False)
-        directory.change()
-        while "since=2" not in directory.calls.get(timeout=WAIT):
+        discovery.fail(False)
+        discovery.change()
+        while "since=2" not in discovery.calls.get(timeout=WAIT):
             pass  # the calls that failed; the watch goes on from what the next one brought
 
 
 @pytest.mark.parametrize(
     "answer, says",
     [
-        ({"rev": 2, "all": True, "targets": []}, "answer-unused .*an empty list"),
-        ({"rev": 0, "all": True, "targets": [{}]}, "answer-unused .*version 0 after 1"),
-        ({"rev": 2, "all": True, "targets": [{"uid": 7, "state": "?"}, None]}, "bad-targets count=2"),
-        ({"rev": "x", "all": True, "targets": []}, "answer-unused .*no version"),
-        ([], "answer-unused .*no list"),
+        ({"rev": 2, "all": True, "targets": []}, "response-ignored .*an empty list"),
+        ({"rev": 0, "all": True, "targets": [{}]}, "response-ignored .*version 0 after 1"),
+        (
+            {"rev": 2, "all": True, "targets": [{"uid": 7, "state": "?"}, None]},
+            "endpoint-entries-invalid count=2",
+        ),
+        ({"rev": "x", "all": True, "targets": []}, "response-ignored .*no version"),
+        ([], "response-ignored .*no list"),
     ],
 )
-def test_one_bad_answer_of_the_directory_empties_no_list(one: Proxy, answer: object, says: str) -> None:
+def test_one_bad_answer_of_the_discovery_empties_no_list(
+    one: RunningProxy, answer: object, says: str
+) -> None:
     # Taken at its word, it would have every connection moved and every new one refused.
-    consumer, provider = one.standing()
-    one.directory.says(answer)
+    client, endpoint = one.standing()
+    one.discovery.says(answer)
     one.logged(says)
-    provider.send(b"still\r\n")
-    assert consumer.line() == b"still\r\n"
+    endpoint.send(b"still\r\n")
+    assert client.line() == b"still\r\n"
     one.standing()
 
 
@@ -284,7 +289,9 @@
         ('[[contract]]\nteam = "acme"\nrate_per_s = 0\n', "rate_per_s must be above 0"),
     ],
 )
-def test_a_bad_broker_file_is_said_in_one_line(one: Proxy, tmp_path: Path, own: str, says: str) -> None:
+def test_a_bad_broker_file_is_said_in_one_line(
+    one: RunningProxy, tmp_path: Path, own: str, says: str
+) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(own)
     process = launch(str(tmp_path / "config.json"), str(path))
@@ -293,7 +300,7 @@
     assert says in error and error.count("\n") == 1
 
 
-def test_an_address_in_use_is_said_in_one_line(one: Proxy, tmp_path: Path) -> None:
+def test_an_address_in_use_is_said_in_one_line(one: RunningProxy, tmp_path: Path) -> None:
     process = launch(str(tmp_path / "config.json"))
     _, error = process.communicate(timeout=WAIT)
     assert process.returncode == 2 and error.count("\n") == 1
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 import numpy as np
-from conftest import S, balancer, entry, host, listed, only, raw_settings, request
+from conftest import S, balancer, endpoint, entry, listed, only, raw_settings, request
 
 from linnetshift import interface as api
 from linnetshift.coordination.rendezvous import MASK, costs, mix64
 from linnetshift.policy import Balancer
 
 
-def first_hosts(node: Balancer, keys: range) -> dict[int, bytes]:
+def first_endpoints(node: Balancer, keys: range) -> dict[int, bytes]:
     return {key: next(node.ranking(mix64(key))).id for key in keys}
 
 
@@ -18,35 +18,35 @@
     node = balancer(0)
     node.step(2 * S, [listed(entry(1, weight=1.0), entry(2, weight=2.0), entry(3, weight=5.0))])
     keys = range(1, 8001)
-    chosen = list(first_hosts(node, keys).values())
+    chosen = list(first_endpoints(node, keys).values())
     for number, share in ((1, 1 / 8), (2, 2 / 8), (3, 5 / 8)):
         # five standard deviations of a binomial draw
         bound = 5 * (share * (1 - share) / len(keys)) ** 0.5
-        assert abs(chosen.count(host(number)) / len(keys) - share) < bound
+        assert abs(chosen.count(endpoint(number)) / len(keys) - share) < bound
 
 
 def test_sequential_addresses_share_evenly() -> None:
-    chosen = list(first_hosts(balancer(16), range(1, 16001)).values())
-    counts = [chosen.count(host(n)) for n in range(16)]
+    chosen = list(first_endpoints(balancer(16), range(1, 16001)).values())
+    counts = [chosen.count(endpoint(n)) for n in range(16)]
     bound = 5 * (16000 * (1 / 16) * (15 / 16)) ** 0.5
     assert all(abs(count - 1000) < bound for count in counts)
 
 
-def test_a_leaving_host_moves_only_its_own_keys() -> None:
+def test_a_leaving_endpoint_moves_only_its_own_keys() -> None:
     node = balancer(10)
-    before = first_hosts(node, range(1, 2001))
-    node.step(2 * S, [listed(entry(4, state=api.HostState.GONE), form=api.ListForm.DELTA)])
-    after = first_hosts(node, range(1, 2001))
-    assert all(after[key] == before[key] for key in before if before[key] != host(4))
-    assert host(4) not in after.values()
+    before = first_endpoints(node, range(1, 2001))
+    node.step(2 * S, [listed(entry(4, state=api.EndpointState.REMOVED), form=api.ListForm.DELTA)])
+    after = first_endpoints(node, range(1, 2001))
+    assert all(after[key] == before[key] for key in before if before[key] != endpoint(4))
+    assert endpoint(4) not in after.values()
 
 
-def test_a_joining_host_takes_keys_and_moves_no_other() -> None:
+def test_a_joining_endpoint_takes_keys_and_moves_no_other() -> None:
     node = balancer(10)
-    before = first_hosts(node, range(1, 2001))
+    before = first_endpoints(node, range(1, 2001))
     node.step(2 * S, [listed(entry(50), form=api.ListForm.DELTA)])
-    after = first_hosts(node, range(1, 2001))
-    assert {after[key] for key in before if after[key] != before[key]} == {host(50)}
+    after = first_endpoints(node, range(1, 2001))
+    assert {after[key] for key in before if after[key] != before[key]} == {endpoint(50)}
 
 
 def test_nodes_agree_whatever_the_order_of_their_lists() -> None:
@@ -55,7 +55,7 @@
     one.step(2 * S, [listed(*entries)])
     other.step(2 * S, [listed(*entries[:5], form=api.ListForm.CACHED)])
     other.step(3 * S, [listed(*reversed(entries))])
-    assert first_hosts(one, range(1, 500)) == first_hosts(other, range(1, 500))
+    assert first_endpoints(one, range(1, 500)) == first_endpoints(other, range(1, 500))
 
 
 def test_absurd_weights_count_as_one() -> None:
@@ -67,8 +67,8 @@
         entry(4, weight=float("inf")),
     ]
     node.step(2 * S, [listed(*bad, entry(5))])
-    chosen = list(first_hosts(node, range(1, 5001)).values())
-    assert all(800 < chosen.count(host(n)) < 1200 for n in range(1, 6))
+    chosen = list(first_endpoints(node, range(1, 5001)).values())
+    assert all(800 < chosen.count(endpoint(n)) < 1200 for n in range(1, 6))
 
 
 def test_the_hash_stays_strictly_inside_the_unit_interval() -> None:
@@ -77,25 +77,25 @@
         assert np.all(np.isfinite(found)) and np.all(found > 0.0)
 
 
-def test_group_members_share_a_host_and_the_client_key_serves_without_a_group() -> None:
+def test_group_members_share_an_endpoint_and_the_client_key_serves_without_a_group() -> None:
     node = balancer(20)
     sends = only(node.step(2 * S, [request(n, group=77) for n in range(5)]), api.Send)
-    assert len({send.host for send in sends}) == 1
+    assert len({send.endpoint for send in sends}) == 1
     sends = only(node.step(3 * S, [request(10 + n, key=5) for n in range(5)]), api.Send)
-    assert len({send.host for send in sends}) == 1
+    assert len({send.endpoint for send in sends}) == 1
 
 
 def test_requests_without_any_key_spread() -> None:
     node = balancer(20)
     sends = only(node.step(2 * S, [request(n, key=0) for n in range(1, 60)]), api.Send)
-    assert len({send.host for send in sends}) > 10
+    assert len({send.endpoint for send in sends}) > 10
 
 
-def test_a_warming_host_takes_a_growing_share() -> None:
+def test_a_warming_endpoint_takes_a_growing_share() -> None:
     node = Balancer(api.Settings.parse(raw_settings()), 1)
     node.step(100 * S, [listed(*(entry(n) for n in range(9)), entry(9, started_ns=100 * S))])
     shares = []
     for now in (100, 105, 111):
         node.step(now * S, [])
-        shares.append(list(first_hosts(node, range(1, 3001)).values()).count(host(9)))
+        shares.append(list(first_endpoints(node, range(1, 3001)).values()).count(endpoint(9)))
     assert shares[0] < 130 < shares[1] < shares[2] and 230 < shares[2] < 370
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,7 @@
 
 import pytest
 from conftest import MS, S, raw_settings
-from proxy import WAIT, Directory, free_port, proxy, settings, world
+from proxy import WAIT, DiscoveryServer, free_port, proxy, settings, world
 from test_owed import LINE, LONG, in_state, let_go
 from test_platform import ranked
 
@@ -18,20 +18,20 @@
 
 
 def test_the_watch_moves_and_nothing_is_dropped(tmp_path: Path) -> None:
-    # SIGHUP used to end the program, and the directory's old address falls silent after it.
-    with proxy(tmp_path, providers=2) as running:
+    # SIGHUP used to end the program, and discovery's old address falls silent after it.
+    with proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
-        consumer = running.open()
-        provider = first.serve()
-        assert consumer.line() == b"UP r1\r\n"
-        later = Directory(running.listeners)
-        running.reload("event=reloaded", discovery=later.address)
+        client = running.open()
+        endpoint = first.serve()
+        assert client.line() == b"UP r1\r\n"
+        later = DiscoveryServer(running.listeners)
+        running.reload("event=configuration-reloaded", discovery=later.address)
         assert later.calls.get(timeout=WAIT) == "/catalog/members"  # what changed meanwhile is in it
         assert later.calls.get(timeout=WAIT).startswith("/catalog/members?since=1&")
-        consumer.send(b"M 1\r\n")
-        assert provider.line() == b"M 1\r\n"
+        client.send(b"M 1\r\n")
+        assert endpoint.line() == b"M 1\r\n"
         later.change(**{first.uid: "DRAINING"})
-        assert consumer.line() == b"MOVE\r\n"
+        assert client.line() == b"MOVE\r\n"
         again = running.open()
         second.serve()
         assert again.line() == b"UP r1\r\n"
@@ -41,27 +41,27 @@
     return {"services": [{**settings()["services"][0], **changes}]}
 
 
-def test_open_invocations_keep_the_rules_they_began_with(tmp_path: Path) -> None:
+def test_open_requests_keep_the_rules_they_began_with(tmp_path: Path) -> None:
     # Classes that went or changed were refused as "lost their place", and the new ones' clients turned away.
     feed = settings()["services"][0]
-    with proxy(tmp_path, providers=2) as running:
+    with proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
-        standing, provider = running.client(b"OPEN 1 2 c=feed,t=acme,d=2000\r\n"), first.accept()
+        standing, endpoint = running.client(b"OPEN 1 2 c=feed,t=acme,d=2000\r\n"), first.accept()
         other = {**feed, "name": "late", "effect": "once", "hardLimitNs": 3_000_000_000}
         running.reload(
-            "event=reloaded .*classes=late dropped=feed",
+            "event=configuration-reloaded .*classes=late dropped=feed",
             settings=settings(services=[other], allowed={"maxAttempts": 1}),
         )
-        provider.close("reset")  # after the line was read or not: `feed` may be repeated, in up to 4 attempts
+        endpoint.close("reset")  # after the line was read or not: `feed` may be repeated, in up to 4 attempts
         again = second.serve()
         assert standing.line() == b"UP r1\r\n"
         late = running.client(b"OPEN 3 2 c=late,t=acme,d=2000\r\n")
-        _, its_provider = running.serve_any()
+        _, its_endpoint = running.serve_any()
         assert late.line() == b"UP r1\r\n"
         still = running.client(b"OPEN 4 2 c=feed,t=acme,d=2000\r\n")  # it has not heard of the change
         _, kept = running.serve_any()
         assert still.line() == b"UP r1\r\n"
-        for conn in (again, its_provider, kept):
+        for conn in (again, its_endpoint, kept):
             conn.close()
 
 
@@ -76,7 +76,7 @@
     more = api.Settings.parse(
         raw_settings(services=[*raw_settings()["services"], service(name="late")["services"][0]])
     )
-    assert [klass.message_aim_ns for klass in more.classes] == [60 * MS, 60 * MS]
+    assert [klass.message_latency_objective_ns for klass in more.classes] == [60 * MS, 60 * MS]
 
 
 @pytest.mark.parametrize(
@@ -101,12 +101,12 @@
 )
 def test_what_cannot_be_used_changes_nothing(tmp_path: Path, changes: dict[str, Any], says: str) -> None:
     with proxy(tmp_path) as running:
-        consumer, provider = running.standing()
-        elsewhere = Directory([])
-        running.reload(f"event=reload-refused .*{says}", discovery=elsewhere.address, **changes)
-        running.directory.change(**{running.listeners[0].uid: "DRAINING"})
-        provider.send(b"still\r\n")
-        assert consumer.line() == b"still\r\n"
+        client, endpoint = running.standing()
+        elsewhere = DiscoveryServer([])
+        running.reload(f"event=configuration-rejected .*{says}", discovery=elsewhere.address, **changes)
+        running.discovery.change(**{running.listeners[0].uid: "DRAINING"})
+        endpoint.send(b"still\r\n")
+        assert client.line() == b"still\r\n"
         assert running.alive()
         assert elsewhere.calls.empty()
 
@@ -117,7 +117,7 @@
         whole = running.config.read_text()
         running.config.write_text(whole[: int(part if part == 1 else part * len(whole))])
         running.process.send_signal(signal.SIGHUP)
-        running.logged("event=reload-refused .*is not JSON")
+        running.logged("event=configuration-rejected .*is not JSON")
         running.standing()
 
 
@@ -126,19 +126,21 @@
     more = [*base["services"], {**base["services"][0], "name": "late"}]
     with proxy(tmp_path, own='[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n') as running:
         old, new, extra = running.port, free_port(), free_port()
-        standing, provider = running.standing()
+        standing, endpoint = running.standing()
         own = tmp_path / "broker.toml"
         own.write_text(own.read_text().replace(str(running.extra_port), str(extra)))
-        running.reload("event=reloaded", listen=f"127.0.0.1:{new}", settings=settings(services=more))
+        running.reload(
+            "event=configuration-reloaded", listen=f"127.0.0.1:{new}", settings=settings(services=more)
+        )
         running.port = new
-        consumer = running.client(b"OPEN 1 2 c=late,t=acme,d=2000\r\n")
+        client = running.client(b"OPEN 1 2 c=late,t=acme,d=2000\r\n")
         running.listeners[0].serve()
-        assert consumer.line() == b"UP r1\r\n"
+        assert client.line() == b"UP r1\r\n"
         assert running.client(b"SSH-2.0-t\r\n", extra).line().startswith(b"SSH-2.0-")
         for gone in (old, running.extra_port):
             with pytest.raises(ConnectionRefusedError):
                 running.client(port=gone)
-        provider.send(b"on\r\n")
+        endpoint.send(b"on\r\n")
         assert standing.line() == b"on\r\n"
 
 
@@ -146,32 +148,32 @@
     one = '[[contract]]\nteam = "acme"\nconcurrency = 1\n'
     with proxy(tmp_path, own=one) as running:
         held = running.standing()
-        running.reload("event=reloaded")
+        running.reload("event=configuration-reloaded")
         assert running.open().line() == b"BUSY 1000\r\n"
         held[0].close()
 
 
 def test_a_reload_beside_a_planned_stop(tmp_path: Path) -> None:
     with proxy(tmp_path) as running:
-        consumer, _ = running.standing()
+        client, _ = running.standing()
         running.leave()
-        running.logged("event=leaving")
-        running.reload("event=reloaded", discovery=Directory(running.listeners).address)
-        assert consumer.line() == b"MOVE\r\n"
-        consumer.close()
+        running.logged("event=shutdown-started")
+        running.reload("event=configuration-reloaded", discovery=DiscoveryServer(running.listeners).address)
+        assert client.line() == b"MOVE\r\n"
+        client.close()
         assert running.process.wait(WAIT) == 0
 
 
 def test_a_name_keeps_its_place_wherever_later_lists_have_it(tmp_path: Path) -> None:
-    # Another order of tenants, zones or models was refused, and the directory's new address with it.
+    # Another order of tenants, zones or models was refused, and discovery's new address with it.
     one = '[[contract]]\nteam = "acme"\nconcurrency = 1\n[[contract]]\nteam = "other"\n'
     with proxy(tmp_path, own=one) as running:
         held_by_acme = running.standing()
         new = settings(
             tenants=[{"name": "new"}, {"name": "other"}, {"name": "acme"}], zones=["z", "a"], zone=1
         )
-        later = Directory(running.listeners)
-        running.reload("event=reloaded", settings=new, discovery=later.address)
+        later = DiscoveryServer(running.listeners)
+        running.reload("event=configuration-reloaded", settings=new, discovery=later.address)
         assert later.calls.get(timeout=WAIT) == "/catalog/members"
         assert running.open().line() == b"BUSY 1000\r\n"  # acme's one is taken, by the number it began with
         other = running.client(b"OPEN 1 2 c=feed,t=other,d=2000\r\n")
@@ -183,12 +185,13 @@
 def test_what_an_unknown_tenant_holds_is_not_counted_for_a_new_one(tmp_path: Path) -> None:
     # A name past the list's end had the number that the next tenant got.
     with proxy(tmp_path) as running:
-        stranger = running.client(b"OPEN 1 2 c=feed,t=nobody,d=2000\r\n")
-        provider = running.listeners[0].serve()
-        assert stranger.line() == b"UP r1\r\n" and provider
+        connection = running.client(b"OPEN 1 2 c=feed,t=nobody,d=2000\r\n")
+        endpoint = running.listeners[0].serve()
+        assert connection.line() == b"UP r1\r\n" and endpoint
         (tmp_path / "broker.toml").write_text('[[contract]]\nteam = "late"\nconcurrency = 1\n')
         running.reload(
-            "event=reloaded", settings=settings(tenants=[{"name": n} for n in ("acme", "other", "late")])
+            "event=configuration-reloaded",
+            settings=settings(tenants=[{"name": n} for n in ("acme", "other", "late")]),
         )
         first = running.client(b"OPEN 2 2 c=feed,t=late,d=2000\r\n")
         kept = running.listeners[0].serve()
@@ -219,23 +222,24 @@
 
     with proxy(tmp_path, 2, services=with_effect(before), allowed=allowed) as running:
         first, second = ranked(running)
-        consumer, provider, out = in_state(running, first, state)
+        client, endpoint, out = in_state(running, first, state)
         others = [{**base, "name": "extra", "effect": after}]  # and in another order
         running.reload(
-            "event=reloaded", settings=settings(services=others + with_effect(after), allowed=allowed)
+            "event=configuration-reloaded",
+            settings=settings(services=others + with_effect(after), allowed=allowed),
         )
         if state == "connecting":
             first.go_on()
-        if provider is None:
+        if endpoint is None:
             let_go(out)
-            provider = first.accept()
-            assert provider.line().startswith(b"OPEN 77 ")
-        provider.close("reset")
+            endpoint = first.accept()
+            assert endpoint.line().startswith(b"OPEN 77 ")
+        endpoint.close("reset")
         if before == "once":
-            assert consumer.line() == b"ERR\r\n"
+            assert client.line() == b"ERR\r\n"
         else:
             again = second.serve()
-            assert consumer.line() == b"UP r1\r\n" and again
+            assert client.line() == b"UP r1\r\n" and again
         fresh = running.client(LINE.replace(b"77", b"78") % LONG)
         attempt = running.asked().accept()
         assert attempt.line().startswith(b"OPEN 78 ")
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import MS, S, balancer, effect, ended, entry, host, listed, only, request
+from conftest import MS, S, balancer, effect, ended, endpoint, entry, listed, only, request
 
 from linnetshift import interface as api
 from linnetshift.interface import Outcome
@@ -16,7 +16,7 @@
     (first,) = node.step(2 * S, [request(1)])
     (second,) = only(node.step(2 * S + MS, [ended(first, 0, Outcome.FULL)]), api.Send)
     (third,) = only(node.step(2 * S + 2 * MS, [ended(second, 1, Outcome.CONNECT_FAILED)]), api.Send)
-    assert [first.host, second.host, third.host] == ranks[:3]
+    assert [first.endpoint, second.endpoint, third.endpoint] == ranks[:3]
 
 
 def test_a_time_out_leaves_room_for_another_try() -> None:
@@ -32,7 +32,7 @@
     (send,) = node.step(2 * S, [request(1)])
     node.step(2 * S + MS, [ended(send, 0, outcome)])
     later = [a for t in range(1, 500) for a in node.step(2 * S + t * 4 * MS, [api.TimerFired(1 << 16)])]
-    assert not only(later, api.Send) and not only(later, api.Refuse)
+    assert not only(later, api.Send) and not only(later, api.Reject)
 
 
 def test_once_is_tried_again_after_proof_that_it_never_ran() -> None:
@@ -44,14 +44,14 @@
 def test_keyed_repeats_stay_in_the_group_and_the_window() -> None:
     node = balancer(30, **effect("by_key", "zone"))
     (send,) = node.step(2 * S, [request(1)])
-    zone = node.hosts[send.host].zone
+    zone = node.endpoints[send.endpoint].zone
     (again,) = only(node.step(2 * S + MS, [ended(send, 0, Outcome.ERROR, MS)]), api.Send)
-    assert node.hosts[again.host].zone == zone
+    assert node.endpoints[again.endpoint].zone == zone
 
     node = balancer(30, **effect("by_key", "cell", windowNs=100 * MS))
     (send,) = node.step(2 * S, [request(1)])
     actions = node.step(2 * S + 200 * MS, [ended(send, 0, Outcome.TIMEOUT, 200 * MS)])
-    assert not only(actions, api.Send) and not only(actions, api.Refuse)
+    assert not only(actions, api.Send) and not only(actions, api.Reject)
 
 
 def test_attempts_never_exceed_the_maximum() -> None:
@@ -64,17 +64,17 @@
         sends += 1
         now += MS
         actions = node.step(now, [ended(send, sends - 1, Outcome.CONNECT_FAILED, MS)])
-    assert sends == 4 and len(only(actions, api.Refuse)) == 1 and not node.pending
+    assert sends == 4 and len(only(actions, api.Reject)) == 1 and not node.pending
 
 
-@pytest.mark.parametrize("hosts", [0, 1])
-def test_without_a_usable_host_a_request_is_answered_before_its_deadline(hosts: int) -> None:
-    node = balancer(hosts)
-    if hosts:
-        node.step(1 * S, [listed(entry(0, state=api.HostState.DRAINING), form=api.ListForm.DELTA)])
+@pytest.mark.parametrize("endpoints", [0, 1])
+def test_without_a_usable_endpoint_a_request_is_answered_before_its_deadline(endpoints: int) -> None:
+    node = balancer(endpoints)
+    if endpoints:
+        node.step(1 * S, [listed(entry(0, state=api.EndpointState.DRAINING), form=api.ListForm.DELTA)])
     now = 2 * S
     actions = node.step(now, [request(1)])
-    while not only(actions, api.Refuse):
+    while not only(actions, api.Reject):
         (timer,) = only(actions, api.SetTimer)
         now += timer.delay_ns
         assert now < 4 * S
@@ -82,7 +82,7 @@
     assert not only(actions, api.Send) and not node.pending
 
 
-def test_when_every_host_is_silent_the_plain_ranking_decides() -> None:
+def test_when_every_endpoint_is_silent_the_plain_ranking_decides() -> None:
     node = balancer(3)
     now = 2 * S
     for number in range(3):
@@ -96,33 +96,33 @@
             (send,), attempt = sends, attempt + 1
     best = next(node.ranking(node.key_hash(request(9)))).id
     sends = only(node.step(now + MS, [request(9)]), api.Send)
-    assert [s.host for s in sends] == [best]
+    assert [s.endpoint for s in sends] == [best]
 
 
 def test_a_suspect_is_skipped_for_a_spell_and_readmitted_by_one_trial() -> None:
     node = balancer(8)
     (send,) = node.step(2 * S, [request(1, group=5)])
-    bad = send.host
+    bad = send.endpoint
     node.step(2 * S + MS, [ended(send, 0, Outcome.CONNECT_FAILED, MS)])
     (other,) = only(node.step(2 * S + 2 * MS, [request(2, group=5)]), api.Send)
-    assert other.host != bad
+    assert other.endpoint != bad
     trial, next_one = only(node.step(4 * S, [request(3, group=5), request(4, group=5)]), api.Send)
-    assert trial.host == bad and next_one.host != bad
+    assert trial.endpoint == bad and next_one.endpoint != bad
     node.step(4 * S + MS, [api.Established(3, 0, bad, MS)])
     (after,) = only(node.step(4 * S + 2 * MS, [request(5, group=5)]), api.Send)
-    assert after.host == bad
+    assert after.endpoint == bad
 
 
-def test_a_hot_host_is_passed_over_until_its_messages_are_fast_again() -> None:
+def test_a_hot_endpoint_is_passed_over_until_its_messages_are_fast_again() -> None:
     node = balancer(8)
     (send,) = node.step(2 * S, [request(1, group=5)])
-    node.step(2 * S + MS, [api.Established(1, 0, send.host, MS)])
-    node.step(2 * S + 2 * MS, [api.Note(1, 0, send.host, api.SLOW_NOTE, 30.0)])
+    node.step(2 * S + MS, [api.Established(1, 0, send.endpoint, MS)])
+    node.step(2 * S + 2 * MS, [api.Note(1, 0, send.endpoint, api.SLOW_NOTE, 30.0)])
     (other,) = only(node.step(2 * S + 3 * MS, [request(2, group=5)]), api.Send)
-    assert other.host != send.host
-    node.step(2 * S + 4 * MS, [api.Note(1, 0, send.host, api.SLOW_NOTE, 5.0)])
+    assert other.endpoint != send.endpoint
+    node.step(2 * S + 4 * MS, [api.Note(1, 0, send.endpoint, api.SLOW_NOTE, 5.0)])
     (back,) = only(node.step(2 * S + 5 * MS, [request(3, group=5)]), api.Send)
-    assert back.host == send.host
+    assert back.endpoint == send.endpoint
 
 
 def test_withdrawn_and_unknown_requests_are_left_alone() -> None:
@@ -130,28 +130,30 @@
     (send,) = node.step(2 * S, [request(1)])
     assert node.step(2 * S + MS, [api.Withdrawn(1), api.Withdrawn(99)]) == []
     assert node.step(2 * S + 2 * MS, [ended(send, 0, Outcome.RESET), ended(send, 3, Outcome.OK)]) == []
-    assert node.step(2 * S + 3 * MS, [api.Established(1, 0, send.host, 1), api.TimerFired(12345)]) == []
-    assert node.step(2 * S + 4 * MS, [api.Note(1, 0, host(200), api.SLOW_NOTE, 1e9)]) == []
-    assert not node.pending and all(not h.open and not h.standing for h in node.hosts.values())
+    assert node.step(2 * S + 3 * MS, [api.Established(1, 0, send.endpoint, 1), api.TimerFired(12345)]) == []
+    assert node.step(2 * S + 4 * MS, [api.Note(1, 0, endpoint(200), api.SLOW_NOTE, 1e9)]) == []
+    assert not node.pending and all(not h.open and not h.standing for h in node.endpoints.values())
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -5.0])
 def test_absurd_notes_do_not_poison(value: float) -> None:
     node = balancer(8)
     (send,) = node.step(2 * S, [request(1, group=5)])
-    node.step(2 * S + MS, [api.Established(1, 0, send.host, MS)])
+    node.step(2 * S + MS, [api.Established(1, 0, send.endpoint, MS)])
     for kind in (api.LOAD_NOTE, api.SLOW_NOTE, 77):
-        assert node.step(3 * S, [api.Note(1, 0, send.host, kind, value)]) == []
+        assert node.step(3 * S, [api.Note(1, 0, send.endpoint, kind, value)]) == []
     (again,) = only(node.step(3 * S + MS, [request(2, group=5)]), api.Send)
-    assert again.host == send.host
+    assert again.endpoint == send.endpoint
 
 
 def test_adopted_connections_are_counted_and_released() -> None:
     node = balancer(4)
-    node.step(2 * S, [api.Adopted(7, 0, 1, 2, 0, 0, 0, host(1)), api.Adopted(8, 0, 1, 2, 0, 0, 0, host(99))])
-    assert len(node.hosts[host(1)].standing) == 1 and list(node.pending) == [7]
-    node.step(3 * S, [api.AttemptEnded(7, 0, host(1), True, S, Outcome.OK, ())])
-    assert not node.pending and not node.hosts[host(1)].standing
+    node.step(
+        2 * S, [api.Adopted(7, 0, 1, 2, 0, 0, 0, endpoint(1)), api.Adopted(8, 0, 1, 2, 0, 0, 0, endpoint(99))]
+    )
+    assert len(node.endpoints[endpoint(1)].standing) == 1 and list(node.pending) == [7]
+    node.step(3 * S, [api.AttemptEnded(7, 0, endpoint(1), True, S, Outcome.OK, ())])
+    assert not node.pending and not node.endpoints[endpoint(1)].standing
 
 
 def test_set_ups_out_at_once_stay_within_a_window_that_success_widens() -> None:
@@ -162,7 +164,7 @@
     out = []
     for _ in range(6):
         now += 50 * MS
-        node.step(now, [api.Established(s.request, 0, s.host, 50 * MS) for s in sends])
+        node.step(now, [api.Established(s.request_id, 0, s.endpoint, 50 * MS) for s in sends])
         sends = only(node.step(now, [api.TimerFired(1 << 16)]), api.Send)
         out.append(len(sends))
     assert out[0] == 16 and out[1] == 32 and sum(out) + 8 == 300
@@ -171,97 +173,100 @@
 def test_a_jammed_store_narrows_the_window_and_ends_early_time_outs() -> None:
     node = balancer(8, window=64.0)
     now = 2 * S
-    for number in range(200):  # errors, whatever the host
+    for number in range(200):  # errors, whatever the endpoint
         now += 20 * MS
         for send in only(node.step(now, [request(number)]), api.Send):
             node.step(now + MS, [ended(send, 0, Outcome.ERROR, MS), api.Withdrawn(number)])
     sends = only(node.step(now + S, [request(1000 + n) for n in range(40)]), api.Send)
     assert 1 <= len(sends) <= 8
     assert all(send.timeout_ns == 2 * S for send in sends)  # else the store works for nobody
-    node.step(now + 2 * S, [api.Established(s.request, 0, s.host, S) for s in sends])
+    node.step(now + 2 * S, [api.Established(s.request_id, 0, s.endpoint, S) for s in sends])
     assert node.window.size <= 8 and node.setting_up == 0
 
 
 def crowd(node: object, connections: int) -> list[api.Established]:
-    sends = only(node.step(2 * S, [request(n, group=n + 1) for n in range(connections)]), api.Send)  # type: ignore[attr-defined]
-    stands = [api.Established(s.request, 0, s.host, MS) for s in sends]
+    # type: ignore[attr-defined]
+    sends = only(node.step(2 * S, [request(n, group=n + 1) for n in range(connections)]), api.Send)
+    stands = [api.Established(s.request_id, 0, s.endpoint, MS) for s in sends]
     node.step(2 * S + MS, stands)  # type: ignore[attr-defined]
     return stands
 
 
-def test_moves_off_a_hot_host_are_few_and_need_a_better_one() -> None:
+def test_moves_off_a_hot_endpoint_are_few_and_need_a_better_one() -> None:
     node = balancer(4)
     stands = crowd(node, 200)
-    hot = stands[0].host
-    own = len(node.hosts[hot].standing)
-    moves = only(node.step(3 * S, [api.Note(stands[0].request, 0, hot, api.SLOW_NOTE, 45.0)]), api.Move)
+    hot = stands[0].endpoint
+    own = len(node.endpoints[hot].standing)
+    moves = only(node.step(3 * S, [api.Note(stands[0].request_id, 0, hot, api.SLOW_NOTE, 45.0)]), api.Migrate)
     assert 0 < len(moves) <= own * 0.05 + 1
     alone = balancer(1)
     stands = crowd(alone, 50)
-    assert not only(alone.step(3 * S, [api.Note(0, 0, host(0), api.SLOW_NOTE, 45.0)]), api.Move)
+    assert not only(alone.step(3 * S, [api.Note(0, 0, endpoint(0), api.SLOW_NOTE, 45.0)]), api.Migrate)
 
 
-def test_when_most_hosts_are_late_the_same_keys_are_shed_at_every_node() -> None:
+def test_when_most_endpoints_are_late_the_same_keys_are_shed_at_every_node() -> None:
     shed: list[set[int]] = []
     for seed in (1, 2):
         node = balancer(6, seed=seed)
         stands = crowd(node, 120)
-        by_host = {s.host: s.request for s in stands}
+        by_endpoint = {s.endpoint: s.request_id for s in stands}
         now = 3 * S
         for _ in range(4):
             now += S
-            node.step(now, [api.Note(r, 0, h, api.SLOW_NOTE, 500.0) for h, r in by_host.items()])
-        refused = only(node.step(now + MS, [request(500 + n, group=n + 1) for n in range(300)]), api.Refuse)
+            node.step(now, [api.Note(r, 0, h, api.SLOW_NOTE, 500.0) for h, r in by_endpoint.items()])
+        refused = only(node.step(now + MS, [request(500 + n, group=n + 1) for n in range(300)]), api.Reject)
         assert 150 < len(refused) < 280 and all(r.retry_after_ns > 0 for r in refused)
-        shed.append({r.request for r in refused})
+        shed.append({r.request_id for r in refused})
     assert shed[0] == shed[1]
 
 
-def test_a_lost_zone_is_not_found_out_host_by_host() -> None:
+def test_a_lost_zone_is_not_found_out_endpoint_by_endpoint() -> None:
     node = balancer(30)
     stands = crowd(node, 300)
-    lost = [s for s in stands if node.hosts[s.host].zone == 1]
-    broken = [api.AttemptEnded(s.request, 0, s.host, True, S, Outcome.RESET, ()) for s in lost]
+    lost = [s for s in stands if node.endpoints[s.endpoint].zone == 1]
+    broken = [api.AttemptEnded(s.request_id, 0, s.endpoint, True, S, Outcome.RESET, ()) for s in lost]
     unused = entry(31, zone=1)
     node.step(3 * S, [listed(unused, form=api.ListForm.DELTA), *broken])
     sends = only(node.step(3 * S + MS, [request(1000 + n) for n in range(200)]), api.Send)
-    assert len(sends) == 200 and all(node.hosts[s.host].zone != 1 for s in sends)
+    assert len(sends) == 200 and all(node.endpoints[s.endpoint].zone != 1 for s in sends)
 
 
-def test_drops_of_one_overloaded_host_do_not_condemn_its_zone() -> None:
+def test_drops_of_one_overloaded_endpoint_do_not_condemn_its_zone() -> None:
     node = balancer(30)
     stands = crowd(node, 300)
-    jammed = next(s.host for s in stands if node.hosts[s.host].zone == 1)
+    jammed = next(s.endpoint for s in stands if node.endpoints[s.endpoint].zone == 1)
     broken = [
-        api.AttemptEnded(s.request, 0, s.host, True, S, Outcome.RESET, ()) for s in stands if s.host == jammed
+        api.AttemptEnded(s.request_id, 0, s.endpoint, True, S, Outcome.RESET, ())
+        for s in stands
+        if s.endpoint == jammed
     ]
     node.step(3 * S, broken)
     sends = only(node.step(3 * S + MS, [request(1000 + n) for n in range(200)]), api.Send)
-    used = {s.host for s in sends}
-    assert jammed not in used and any(node.hosts[h].zone == 1 for h in used)
+    used = {s.endpoint for s in sends}
+    assert jammed not in used and any(node.endpoints[h].zone == 1 for h in used)
 
 
-def probing(hosts: int = 8) -> Balancer:
+def probing(endpoints: int = 8) -> Balancer:
     return balancer(
-        hosts,
+        endpoints,
         allowed={"probing": True},
         report={"columns": ["outstanding", "x0"], "how": "pull"},
     )
 
 
-def test_the_key_s_host_is_probed_and_a_loaded_one_passed_over() -> None:
+def test_the_key_s_endpoint_is_probed_and_a_loaded_one_passed_over() -> None:
     node = probing()
     ranks = [h.id for h in node.ranking(node.key_hash(request(1)))]
-    (probe,) = only(node.step(2 * S, [request(1)]), api.Probe)
-    assert probe.host == ranks[0]
-    (probe,) = only(
-        node.step(2 * S + MS, [api.ProbeResult(ranks[0], Outcome.OK, MS, (40.0, 1.2))]), api.Probe
+    (check_health,) = only(node.step(2 * S, [request(1)]), api.HealthCheck)
+    assert check_health.endpoint == ranks[0]
+    (check_health,) = only(
+        node.step(2 * S + MS, [api.HealthCheckResult(ranks[0], Outcome.OK, MS, (40.0, 1.2))]), api.HealthCheck
     )
-    assert probe.host == ranks[1]
+    assert check_health.endpoint == ranks[1]
     (send,) = only(
-        node.step(2 * S + 2 * MS, [api.ProbeResult(ranks[1], Outcome.OK, MS, (20.0, 0.4))]), api.Send
+        node.step(2 * S + 2 * MS, [api.HealthCheckResult(ranks[1], Outcome.OK, MS, (20.0, 0.4))]), api.Send
     )
-    assert send.host == ranks[1]
+    assert send.endpoint == ranks[1]
 
 
 @pytest.mark.parametrize(
@@ -269,39 +274,44 @@
 )
 def test_an_empty_or_absurd_report_counts_as_an_answer_and_no_more(report: tuple[float, ...]) -> None:
     node = probing()
-    (probe,) = only(node.step(2 * S, [request(1)]), api.Probe)
-    actions = node.step(2 * S + MS, [api.ProbeResult(probe.host, Outcome.OK, MS, report)])
-    assert [s.host for s in only(actions, api.Send)] == [probe.host] and not only(actions, api.Probe)
+    (check_health,) = only(node.step(2 * S, [request(1)]), api.HealthCheck)
+    actions = node.step(2 * S + MS, [api.HealthCheckResult(check_health.endpoint, Outcome.OK, MS, report)])
+    assert [s.endpoint for s in only(actions, api.Send)] == [check_health.endpoint] and not only(
+        actions, api.HealthCheck
+    )
 
 
-def test_a_probe_that_goes_unanswered_holds_a_request_only_briefly() -> None:
+def test_a_health_check_that_goes_unanswered_holds_a_request_only_briefly() -> None:
     node = probing()
     now = 2 * S
     actions = node.step(now, [request(1)])
-    (silent,) = only(actions, api.Probe)
-    while not only(actions, api.Probe) or only(actions, api.Probe)[0] == silent:
+    (silent,) = only(actions, api.HealthCheck)
+    while not only(actions, api.HealthCheck) or only(actions, api.HealthCheck)[0] == silent:
         now += 50 * MS
         assert now < 2 * S + 300 * MS
         actions = node.step(now, [api.TimerFired(1 << 16)])
-    (probe,) = only(actions, api.Probe)
-    (send,) = only(node.step(now + MS, [api.ProbeResult(probe.host, Outcome.OK, MS, (3.0, 0.1))]), api.Send)
-    assert send.host == probe.host != silent.host
+    (check_health,) = only(actions, api.HealthCheck)
+    (send,) = only(
+        node.step(now + MS, [api.HealthCheckResult(check_health.endpoint, Outcome.OK, MS, (3.0, 0.1))]),
+        api.Send,
+    )
+    assert send.endpoint == check_health.endpoint != silent.endpoint
 
 
 def peers(node_number: int = 0) -> Balancer:
     return balancer(8, balancers=5, myNumber=node_number, allowed={"peerMessages": True})
 
 
-def test_two_voices_make_a_host_hung_and_its_connections_leave() -> None:
+def test_two_voices_make_an_endpoint_hung_and_its_connections_leave() -> None:
     node = peers()
     stands = crowd(node, 200)
-    hung = stands[0].host
-    own = len(node.hosts[hung].standing)
-    assert not only(node.step(3 * S, [api.PeerMessage(1, b"s" + hung)]), api.Move)
-    assert not only(node.step(3 * S + MS, [api.PeerMessage(1, b"s" + hung)]), api.Move)
-    late = request(900, group=stands[0].request + 1)
+    hung = stands[0].endpoint
+    own = len(node.endpoints[hung].standing)
+    assert not only(node.step(3 * S, [api.PeerMessage(1, b"s" + hung)]), api.Migrate)
+    assert not only(node.step(3 * S + MS, [api.PeerMessage(1, b"s" + hung)]), api.Migrate)
+    late = request(900, group=stands[0].request_id + 1)
     actions = node.step(3 * S + 2 * MS, [api.PeerMessage(2, b"s" + hung), late])
-    assert hung not in {send.host for send in only(actions, api.Send)}
+    assert hung not in {send.endpoint for send in only(actions, api.Send)}
     moved = 0
     now = 3 * S
     for _ in range(400):
@@ -309,7 +319,7 @@
             break
         now += timers[0].delay_ns
         actions = node.step(now, [api.TimerFired(timers[0].token)])
-        moved += len(only(actions, api.Move))
+        moved += len(only(actions, api.Migrate))
     assert moved >= own // 3
 
 
@@ -317,8 +327,8 @@
     node = peers()
     (send,) = only(node.step(2 * S, [request(1)]), api.Send)
     actions = node.step(2 * S + MS, [ended(send, 0, Outcome.CONNECT_FAILED)])
-    assert only(actions, api.Tell) == [api.Tell(api.ALL_PEERS, b"s" + send.host)]
-    other = next(h for h in node.hosts if h != send.host)
+    assert only(actions, api.SendPeerMessage) == [api.SendPeerMessage(api.ALL_PEERS, b"s" + send.endpoint)]
+    other = next(h for h in node.endpoints if h != send.endpoint)
     for sender, data in (
         (1, b""),
         (1, b"s"),
@@ -328,53 +338,54 @@
         (2, b"s" + other[:4]),
     ):
         node.step(2 * S + 2 * MS, [api.PeerMessage(sender, data)])
-    assert not node.hosts[other].voices and not node.hung
+    assert not node.endpoints[other].voices and not node.hung
 
 
-def test_admitted_connections_leave_a_late_host_once_others_are_well() -> None:
+def test_admitted_connections_leave_a_late_endpoint_once_others_are_well() -> None:
     node = balancer(10)
     stands = crowd(node, 300)
     node.shedding.admit = 0.5  # still shedding after a jam
-    hot = stands[0].host
+    hot = stands[0].endpoint
     for _ in range(40):  # first it lets go of what is not admitted, then of the rest
-        node.step(node.now + S, [api.Note(stands[0].request, 0, hot, api.SLOW_NOTE, 500.0)])
-        if not node.hosts[hot].standing:
+        node.step(node.now + S, [api.Note(stands[0].request_id, 0, hot, api.SLOW_NOTE, 500.0)])
+        if not node.endpoints[hot].standing:
             break
-        if all(node.admitted(item) for item in node.hosts[hot].standing.values()):
-            before = len(node.hosts[hot].standing)
-            moves = only(node.step(node.now + S, [api.Note(0, 0, hot, api.SLOW_NOTE, 60.0)]), api.Move)
+        if all(node.admitted(item) for item in node.endpoints[hot].standing.values()):
+            before = len(node.endpoints[hot].standing)
+            moves = only(node.step(node.now + S, [api.Note(0, 0, hot, api.SLOW_NOTE, 60.0)]), api.Migrate)
             assert moves and len(moves) <= before * 0.15 + 1
             return
     raise AssertionError("the host never came down to its admitted connections")
 
 
-def test_a_host_whose_errors_others_do_not_share_is_passed_over() -> None:
+def test_an_endpoint_whose_errors_others_do_not_share_is_passed_over() -> None:
     # One that called everything an error went on getting the first attempt of all its keys.
     node = balancer(8)
     for number in (1, 2):
         (first,) = only(node.step(2 * S, [request(number, key=5)]), api.Send)
         (second,) = only(node.step(2 * S, [ended(first, 0, Outcome.ERROR)]), api.Send)
-        node.step(2 * S + MS, [api.Established(number, 1, second.host, MS)])
+        node.step(2 * S + MS, [api.Established(number, 1, second.endpoint, MS)])
     (again,) = only(node.step(2 * S + 2 * MS, [request(3, key=5)]), api.Send)
-    assert second.host == again.host != first.host
+    assert second.endpoint == again.endpoint != first.endpoint
 
 
-def test_what_two_hosts_call_an_error_is_the_request_s_own_fault() -> None:
+def test_what_two_endpoints_call_an_error_is_the_request_s_own_fault() -> None:
     node = balancer(8)
     (first,) = only(node.step(2 * S, [request(1)]), api.Send)
     (second,) = only(node.step(2 * S, [ended(first, 0, Outcome.ERROR)]), api.Send)
     assert node.step(2 * S, [ended(second, 1, Outcome.ERROR)]) == [api.Fail(1)]
     (again,) = only(node.step(2 * S + MS, [request(2, key=1001)]), api.Send)
-    assert again.host == first.host
+    assert again.endpoint == first.endpoint
 
 
 def test_an_error_is_not_asked_for_again_where_it_came_from() -> None:
-    # With the other hosts passed over, a request went back to the one that erred, which failed it for good.
+    # With the other endpoints passed over, a request went back to the one that erred, which failed it for
+    # good.
     node = balancer(2)
     (first,) = node.step(2 * S, [request(1)])
-    other = next(h for h in node.hosts.values() if h.id != first.host)
+    other = next(h for h in node.endpoints.values() if h.id != first.endpoint)
     other.hot_until = 3 * S
     assert not only(node.step(2 * S, [ended(first, 0, Outcome.ERROR)]), api.Send)
     other.hot_until = 0
     (second,) = only(node.step(2 * S + 50 * MS, [api.TimerFired(TICK_TOKEN)]), api.Send)
-    assert second.host == other.id
+    assert second.endpoint == other.id
--- a/tests/test_rig_fleet.py
+++ b/tests/test_rig_fleet.py
@@ -83,12 +83,12 @@
     """,
     "a crowd while five of six servers are cold": CROWD + COLD,
     "half of a crowd through one proxy while five of six servers are cold": CROWD + "busiest = 0.5" + COLD,
-    "the directory cut from a third, while a server drains": """
+    "discovery cut from a third, while a server drains": """
         [[faults]]
         at_s = 0.5
         kind = "cut-back"
         nodes = [0]
-        directory = true
+        discovery = true
         for_s = 1.5
         [[faults]]
         at_s = 0.6
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,19 +6,19 @@
 import random
 from typing import Any
 
-from conftest import MS, S, effect, entry, host, raw_settings
+from conftest import MS, S, effect, endpoint, entry, raw_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from linnetshift import interface as api
-from linnetshift.interface import HostState, ListForm, Outcome
+from linnetshift.interface import EndpointState, ListForm, Outcome
 from linnetshift.policy import Balancer
 
 FAILURES = [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
 class World:
-    """Hosts that fail at random; it answers every attempt and raises on any broken rule."""
+    """Endpoints that fail at random; it answers every attempt and raises on any broken rule."""
 
     def __init__(self, seed: int, failing: float, **changes: Any) -> None:
         self.random = random.Random(seed)
@@ -29,14 +29,14 @@
         self.due: list[tuple[int, int, api.Event]] = []
         self.order = 0
         self.owed: dict[int, int] = {}  # open requests and their deadlines
-        self.out: dict[int, tuple[int, bytes, int]] = {}  # request: attempt, host, sent
+        self.out: dict[int, tuple[int, bytes, int]] = {}  # request: attempt, endpoint, sent
         self.attempts: dict[int, int] = {}
         self.standing: dict[int, bytes] = {}
         self.maybe: dict[int, tuple[bytes, int]] = {}  # first attempt that may have run
         self.told: dict[bytes, int] = {}
-        self.zone = {host(n): entry(n).zone for n in range(12)}
+        self.zone = {endpoint(n): entry(n).zone for n in range(12)}
         self.answered = 0
-        self.state: dict[bytes, int] = {host(n): HostState.READY for n in range(12)}
+        self.state: dict[bytes, int] = {endpoint(n): EndpointState.READY for n in range(12)}
         self.started: dict[bytes, int] = {}
         self.cold_sends: dict[bytes, list[int]] = {}
         self.first_stands = 0
@@ -50,10 +50,10 @@
     def check_cold(self, where: bytes) -> None:
         """Rule 4 as one node can keep it: its sends in any window, as if every node sent as many.
 
-        A warm host of this size takes at most what the node ever held or saw come to stand, shared over
+        A warm endpoint of this size takes at most what the node ever held or saw come to stand, shared over
         the weights listed; one token may be left from before.
         """
-        total = sum(int(self.warmth(h) * 8) / 8 for h, s in self.state.items() if s != HostState.GONE)
+        total = sum(int(self.warmth(h) * 8) / 8 for h, s in self.state.items() if s != EndpointState.REMOVED)
         self.least_total = min(self.least_total, total)
         if self.warmth(where) >= 1.0:
             return
@@ -85,13 +85,13 @@
                 assert attempt < self.settings.classes[0].max_attempts
                 self.out[request] = (attempt, where, self.now)
                 self.answer(request, attempt, where, min(timeout, self.owed[request] - self.now))
-            case api.Refuse(request, _):
+            case api.Reject(request, _):
                 klass = self.settings.classes[0]
                 assert request in self.owed and request not in self.out
                 assert (
                     request not in self.maybe
-                    or klass.effect == api.Effect.REPEATABLE
-                    or (klass.effect == api.Effect.KEYED and klass.scope == api.Scope.ALL)
+                    or klass.effect == api.Effect.IDEMPOTENT
+                    or (klass.effect == api.Effect.IDEMPOTENT_BY_KEY and klass.scope == api.Scope.ALL)
                 )
                 del self.owed[request]
                 self.answered += 1
@@ -101,19 +101,19 @@
                 self.answered += 1
             case api.SetTimer(delay, token):
                 self.later(max(delay, 1), api.TimerFired(token))
-            case api.Move(request):
+            case api.Migrate(request):
                 where = self.standing.pop(request)
                 attempt = self.attempts[request]
                 self.later(MS, api.AttemptEnded(request, attempt, where, True, S, Outcome.CANCELLED, ()))
-            case api.Probe() | api.Tell():
+            case api.HealthCheck() | api.SendPeerMessage():
                 raise AssertionError("not permitted here")
 
     def allow_repeat(self, request: int, where: bytes) -> None:
         klass = self.settings.classes[0]
-        if request not in self.maybe or klass.effect == api.Effect.REPEATABLE:
+        if request not in self.maybe or klass.effect == api.Effect.IDEMPOTENT:
             return
         first, sent = self.maybe[request]
-        assert klass.effect == api.Effect.KEYED and self.now - sent <= klass.window_ns
+        assert klass.effect == api.Effect.IDEMPOTENT_BY_KEY and self.now - sent <= klass.idempotency_window_ns
         assert klass.scope == api.Scope.ALL or self.zone[where] == self.zone[first]
 
     def answer(self, request: int, attempt: int, where: bytes, timeout: int) -> None:
@@ -160,7 +160,7 @@
 
 
 def play(world: World, steps: list[tuple[Any, ...]]) -> None:
-    world.feed([api.HostList(ListForm.CACHED, 1, tuple(entry(n) for n in range(12)))])
+    world.feed([api.EndpointList(ListForm.CACHED, 1, tuple(entry(n) for n in range(12)))])
     number = 0
     for step in steps:
         match step:
@@ -176,23 +176,23 @@
                 world.advance(world.now + ms * 4 * MS)
             case ("state", n, state):
                 changed = entry(n, state=state)
-                world.state[changed.host] = state
-                world.started.pop(changed.host, None)
-                if state == HostState.READY:
-                    world.told.pop(changed.host, None)
+                world.state[changed.endpoint] = state
+                world.started.pop(changed.endpoint, None)
+                if state == EndpointState.READY:
+                    world.told.pop(changed.endpoint, None)
                 else:
-                    world.told.setdefault(changed.host, world.now)
-                world.feed([api.HostList(ListForm.DELTA, 2, (changed,))])
+                    world.told.setdefault(changed.endpoint, world.now)
+                world.feed([api.EndpointList(ListForm.DELTA, 2, (changed,))])
             case ("restart", n):
-                world.told.pop(host(n), None)
-                world.state[host(n)], world.started[host(n)] = HostState.READY, world.now
-                world.cold_sends.pop(host(n), None)
-                world.feed([api.HostList(ListForm.DELTA, 2, (entry(n, started_ns=world.now),))])
+                world.told.pop(endpoint(n), None)
+                world.state[endpoint(n)], world.started[endpoint(n)] = EndpointState.READY, world.now
+                world.cold_sends.pop(endpoint(n), None)
+                world.feed([api.EndpointList(ListForm.DELTA, 2, (entry(n, started_ns=world.now),))])
             case ("slow", value):
                 notes = [api.Note(r, 0, h, api.SLOW_NOTE, value) for r, h in world.standing.items()]
-                known = [n for n in notes if n.request in world.standing]
+                known = [n for n in notes if n.request_id in world.standing]
                 for note in known:
-                    if note.request in world.standing:
+                    if note.request_id in world.standing:
                         world.feed([note])
             case ("noise", kind):
                 world.feed(
@@ -200,9 +200,9 @@
                         [api.Withdrawn(10**6)],
                         [api.TimerFired(4242)],
                         [api.PeerMessage(60000, b"\xff\x00junk")],
-                        [api.ProbeResult(host(3), 1, 5, (float("nan"),))],
-                        [api.HostList(ListForm.FAILED, 0, ())],
-                        [api.AttemptEnded(10**6, 0, host(250), False, 1, Outcome.RESET, (1.0,))],
+                        [api.HealthCheckResult(endpoint(3), 1, 5, (float("nan"),))],
+                        [api.EndpointList(ListForm.FAILED, 0, ())],
+                        [api.AttemptEnded(10**6, 0, endpoint(250), False, 1, Outcome.RESET, (1.0,))],
                     ][kind]
                 )
             case ("break", count):
@@ -215,7 +215,7 @@
     world.advance(world.now + 5 * S)
     assert not world.owed
     assert set(world.node.pending) == set(world.standing)
-    assert sum(h.open for h in world.node.hosts.values()) == len(world.standing)
+    assert sum(h.open for h in world.node.endpoints.values()) == len(world.standing)
     assert len(world.node.held) == 0
 
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""A directory that falls silent, answers late, is reset or comes back: what it had to tell counts as told."""
+"""A discovery that falls silent, answers late, is reset or comes back: what it had to tell counts as told."""
 
 from __future__ import annotations
 
@@ -8,19 +8,26 @@
 
 import pytest
 from conftest import MS, S, raw_settings
-from proxy import WAIT, Directory, Kept, Listener, Proxy, inside, launch, proxy, world
+from proxy import WAIT, DiscoveryServer, Kept, Listener, RunningProxy, inside, launch, proxy, world
 from test_platform import ranked
 
 from linnetshift import interface as api
-from linnetshift.net.directory import CONNECT_NS, MOST_CALL_NS, MOST_PATIENCE, SOON_WAIT_MS, Answer, Pace
+from linnetshift.net.directory import (
+    CONNECT_NS,
+    MOST_CALL_NS,
+    MOST_PATIENCE,
+    SOON_WAIT_MS,
+    Answer,
+    WatchTimeouts,
+)
 from linnetshift.policy import Balancer
 
 NEVER = {"rules": {"mustAskInNs": 3600 * S}}  # a back-off of minutes: who waits for it asks no more in a test
 PUSHED = {"discovery": "push"}
 
 
-def pace(**changes: object) -> Pace:
-    return Pace.of(api.Settings.parse(raw_settings(**changes)))
+def pace(**changes: object) -> WatchTimeouts:
+    return WatchTimeouts.of(api.Settings.parse(raw_settings(**changes)))
 
 
 def test_a_silent_watch_is_given_up_before_its_news_counts_as_told() -> None:
@@ -37,13 +44,13 @@
     assert told.call_ns <= grace_ms * MS and told.wait_ms > 0 and told.patience_ns >= 25 * MS
 
 
-def drained(running: Proxy, first: Listener, second: Listener) -> None:
+def drained(running: RunningProxy, first: Listener, second: Listener) -> None:
     """`first` is known to leave: the key that it is best for goes to the other one."""
-    running.logged("event=listed .*draining=1")
-    consumer = running.open()
+    running.logged("event=endpoint-list-received .*draining=1")
+    client = running.open()
     assert running.asked() is second
     second.serve()
-    assert consumer.line() == b"UP r1\r\n"
+    assert client.line() == b"UP r1\r\n"
     assert first.state == "DRAINING"
 
 
@@ -54,7 +61,7 @@
     node = Balancer(api.Settings.parse(settings), 1)
     longest = 0
     for n in range(40):
-        for action in node.step((n + 1) * S, [api.HostList(api.ListForm.FAILED, 0, ())]):
+        for action in node.step((n + 1) * S, [api.EndpointList(api.ListForm.FAILED, 0, ())]):
             longest = max(longest, action.delay_ns if isinstance(action, api.SetTimer) else 0)
     asked = pace(discovery="ask", rules={"mustAskInNs": 3600 * S})
     call = max(SOON_WAIT_MS * MS + (asked.patience_ns << MOST_PATIENCE), MOST_CALL_NS)
@@ -67,48 +74,50 @@
 @pytest.mark.parametrize("how", ["failed", "reset", "silent"])
 def test_a_call_after_a_failed_one_waits_only_a_moment_for_news(tmp_path: Path, how: str) -> None:
     with inside(tmp_path, rules={"mustAskInNs": S // 2}) as running:
-        directory = running.directory
-        directory.change()
-        while not (path := directory.calls.get(timeout=WAIT)).startswith("/catalog/members?since=2"):
+        discovery = running.discovery
+        discovery.change()
+        while not (path := discovery.calls.get(timeout=WAIT)).startswith("/catalog/members?since=2"):
             pass
         assert int(path.rpartition("=")[2]) >= 7000
         if how == "failed":
-            directory.fail(True)
-            while not running.program.directory.shaken:
+            discovery.fail(True)
+            while not running.program.discovery.shaken:
                 time.sleep(0.002)
-            directory.fail(False)
+            discovery.fail(False)
         elif how == "reset":
-            directory.reset_watches()
+            discovery.reset_watches()
         else:
-            call = running.program.directory.watching
+            call = running.program.discovery.watching
             assert call is not None
-            running.program.directory.post(Answer(call, None, silent=True))
-        while not (path := directory.calls.get(timeout=WAIT)).startswith("/catalog/members?since="):
+            running.program.discovery.post(Answer(call, None, silent=True))
+        while not (path := discovery.calls.get(timeout=WAIT)).startswith("/catalog/members?since="):
             pass
         assert int(path.rpartition("=")[2]) <= 1000
 
 
-def test_a_directory_that_cannot_be_connected_to_is_not_waited_for(
+def test_a_discovery_that_cannot_be_connected_to_is_not_waited_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A connection that does not come up had as long as a watch, a minute here.
     monkeypatch.setattr("linnetshift.net.directory.CONNECT_NS", 50 * MS)
     monkeypatch.setattr("linnetshift.net.directory.MOST_CALL_NS", 60 * S)
-    monkeypatch.setattr(Pace, "of", classmethod(lambda cls, _: cls(False, 60_000, S, 60 * S)))
+    monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(False, 60_000, S, 60 * S)))
     with inside(tmp_path, rules={"mustAskInNs": S // 2}) as running:
-        gone = Listener("directory")
+        gone = Listener("discovery")
         gone.stall()
-        running.program.directory.relocate(("127.0.0.1", gone.port), Pace.of(running.program.config.settings))
+        running.program.discovery.relocate(
+            ("127.0.0.1", gone.port), WatchTimeouts.of(running.program.config.settings)
+        )
         calls: list[object] = []  # kept, so that no other has the same place
         while len(calls) < 4:  # each new one means that the one before was given up
-            call = running.program.directory.watching
-            if call is not None and call.endpoint[1] == gone.port and call not in calls:
+            call = running.program.discovery.watching
+            if call is not None and call.address[1] == gone.port and call not in calls:
                 calls.append(call)
             time.sleep(0.002)
 
 
-def silent_call(running: Proxy) -> Kept:
-    return running.directory.kept.get(timeout=WAIT)
+def silent_call(running: RunningProxy) -> Kept:
+    return running.discovery.kept.get(timeout=WAIT)
 
 
 def test_a_watch_that_fell_silent_is_opened_anew_without_a_back_off(
@@ -116,78 +125,78 @@
 ) -> None:
     # Silent from its start: the next one was asked for 12 s later and after a back-off, too late.
     short = classmethod(lambda cls, _: cls(False, 200, 100 * MS, 300 * MS))
-    monkeypatch.setattr(Pace, "of", short)
+    monkeypatch.setattr(WatchTimeouts, "of", short)
     with inside(tmp_path, **NEVER) as running:
-        running.directory.silent = True
-        running.directory.change()  # ends the watch that was open; the next is never answered
+        running.discovery.silent = True
+        running.discovery.change()  # ends the watch that was open; the next is never answered
         assert "since=" in silent_call(running).path
         assert "since=" in silent_call(running).path
 
 
 @pytest.mark.parametrize("pushed, doubled", [(False, 2), (True, 0)])
-def test_a_shared_directory_that_stays_silent_is_waited_for_longer(
+def test_a_shared_discovery_that_stays_silent_is_waited_for_longer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, pushed: bool, doubled: int
 ) -> None:
-    # Cut short at the same time again and again, no call to a crowded directory might ever be answered.
-    monkeypatch.setattr(Pace, "of", classmethod(lambda cls, _: cls(pushed, 40, 10 * MS, 20 * MS)))
+    # Cut short at the same time again and again, no call to a crowded discovery might ever be answered.
+    monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(pushed, 40, 10 * MS, 20 * MS)))
     with inside(tmp_path, **NEVER) as running:
-        running.directory.silent = True
-        running.directory.change()
+        running.discovery.silent = True
+        running.discovery.change()
         for _ in range(6):
             last = silent_call(running)
-        while (call := running.program.directory.watching) is None:
+        while (call := running.program.discovery.watching) is None:
             pass  # between one and the next
         assert "since=" in last.path
         assert call.limit_ns - int(call.path.rpartition("=")[2]) * MS == 10 * MS << doubled
 
 
 def test_an_agent_is_asked_again_after_each_way_in_which_it_fails(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=2, **PUSHED, **{"rules": NEVER["rules"]}) as running:
+    with proxy(tmp_path, endpoints=2, **PUSHED, **{"rules": NEVER["rules"]}) as running:
         first, second = ranked(running)
-        running.directory.silent = True
-        running.directory.change()
+        running.discovery.silent = True
+        running.discovery.change()
         for _ in range(3):  # as long as it stays silent
             silent_call(running)
-        running.directory.fail(True)
-        running.directory.silent = False
-        running.logged("event=directory-call-failed .*503")
-        running.logged("event=directory-call-failed .*503")
-        running.directory.fail(False)
-        running.directory.change(**{first.uid: "DRAINING"})
+        running.discovery.fail(True)
+        running.discovery.silent = False
+        running.logged("event=discovery-call-failed .*503")
+        running.logged("event=discovery-call-failed .*503")
+        running.discovery.fail(False)
+        running.discovery.change(**{first.uid: "DRAINING"})
         drained(running, first, second)
 
 
 def test_a_watch_of_pushed_lists_that_is_reset_is_opened_at_once(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=2, **PUSHED, **{"rules": NEVER["rules"]}) as running:
+    with proxy(tmp_path, endpoints=2, **PUSHED, **{"rules": NEVER["rules"]}) as running:
         first, second = ranked(running)
-        running.directory.reset_watches()
-        running.logged("event=directory-call-failed .*[Rr]eset")
-        running.directory.change(**{first.uid: "DRAINING"})
+        running.discovery.reset_watches()
+        running.logged("event=discovery-call-failed .*[Rr]eset")
+        running.discovery.change(**{first.uid: "DRAINING"})
         drained(running, first, second)
 
 
 def test_a_new_process_sends_nothing_before_the_agent_s_first_word(tmp_path: Path) -> None:
     # The list in its file is old; what the agent has counts as told from the first moment.
-    with world(tmp_path, providers=2, **PUSHED) as made:
+    with world(tmp_path, endpoints=2, **PUSHED) as made:
         first, second = made.listeners
         first.state = "DRAINING"
-        made.directory.rev += 1
-        made.directory.silent = True
+        made.discovery.rev += 1
+        made.discovery.silent = True
         process = launch(str(made.config), str(made.own))
-        running = Proxy(process, made.port, made.extra)
-        running.listeners, running.directory, running.config = made.listeners, made.directory, made.config
+        running = RunningProxy(process, made.port, made.extra)
+        running.listeners, running.discovery, running.config = made.listeners, made.discovery, made.config
         try:
-            running.logged("event=started")
-            kept = made.directory.kept.get(timeout=WAIT)
-            consumers = [running.client(line(key)) for key in range(1, 9)]  # some are better at the first
+            running.logged("event=process-started")
+            kept = made.discovery.kept.get(timeout=WAIT)
+            clients = [running.client(line(key)) for key in range(1, 9)]  # some are better at the first
             assert running.alive()
-            made.directory.silent = False
+            made.discovery.silent = False
             kept.let_go.set()
-            providers = []
-            for _ in consumers:
+            endpoints = []
+            for _ in clients:
                 assert running.asked() is second
-                providers.append(second.serve())
-            assert {each.line() for each in consumers} == {b"UP r1\r\n"}
+                endpoints.append(second.serve())
+            assert {each.line() for each in clients} == {b"UP r1\r\n"}
         finally:
             process.kill()
             process.wait(WAIT)
@@ -198,18 +207,18 @@
 
 
 @pytest.mark.parametrize("discovery", ["push", "ask"])
-def test_a_new_process_serves_though_the_directory_never_says_a_word(tmp_path: Path, discovery: str) -> None:
+def test_a_new_process_serves_though_the_discovery_never_says_a_word(tmp_path: Path, discovery: str) -> None:
     with world(tmp_path, discovery=discovery) as made:
-        made.directory.silent = True
+        made.discovery.silent = True
         process = launch(str(made.config), str(made.own))
-        running = Proxy(process, made.port, made.extra)
-        running.listeners, running.directory = made.listeners, made.directory
+        running = RunningProxy(process, made.port, made.extra)
+        running.listeners, running.discovery = made.listeners, made.discovery
         try:
-            running.logged("event=started")
+            running.logged("event=process-started")
             assert running.alive()
-            consumer = running.open()
+            client = running.open()
             made.listeners[0].serve()
-            assert consumer.line() == b"UP r1\r\n"
+            assert client.line() == b"UP r1\r\n"
         finally:
             process.kill()
             process.wait(WAIT)
@@ -218,45 +227,45 @@
 @pytest.mark.parametrize("discovery", ["push", "ask"])
 def test_a_reload_asks_at_once_though_nothing_moved(tmp_path: Path, discovery: str) -> None:
     # The watch had fallen silent, and a reload that names the same address left it so.
-    with proxy(tmp_path, providers=2, discovery=discovery, rules=NEVER["rules"]) as running:
+    with proxy(tmp_path, endpoints=2, discovery=discovery, rules=NEVER["rules"]) as running:
         first, second = ranked(running)
-        running.directory.silent = True
-        running.directory.change()
+        running.discovery.silent = True
+        running.discovery.change()
         silent_call(running)
         first.state = "DRAINING"
-        running.directory.rev += 1
-        running.directory.silent = False
+        running.discovery.rev += 1
+        running.discovery.silent = False
         running.process.send_signal(signal.SIGHUP)
-        running.logged("event=reloaded")
+        running.logged("event=configuration-reloaded")
         drained(running, first, second)
 
 
 def test_a_late_answer_of_the_old_address_undoes_nothing(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=2, rules=NEVER["rules"]) as running:
+    with proxy(tmp_path, endpoints=2, rules=NEVER["rules"]) as running:
         first, second = ranked(running)
-        running.directory.silent = True
-        running.directory.change()
+        running.discovery.silent = True
+        running.discovery.change()
         old = silent_call(running)  # it has both as serving, under the version that follows
-        later = Directory(running.listeners)
-        later.rev = running.directory.rev
+        later = DiscoveryServer(running.listeners)
+        later.rev = running.discovery.rev
         first.state = "DRAINING"
-        running.reload("event=reloaded", discovery=later.address)
-        running.logged("event=listed .*draining=1")
+        running.reload("event=configuration-reloaded", discovery=later.address)
+        running.logged("event=endpoint-list-received .*draining=1")
         old.let_go.set()
-        consumer = running.open()
+        client = running.open()
         assert running.asked() is second
         second.serve()
-        assert consumer.line() == b"UP r1\r\n"
-        running.directory.silent = False
-        assert not [line for line in running.unread() if "event=listed" in line]
+        assert client.line() == b"UP r1\r\n"
+        running.discovery.silent = False
+        assert not [line for line in running.unread() if "event=endpoint-list-received" in line]
 
 
 def test_a_new_address_that_is_silent_is_asked_again(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=2, rules=NEVER["rules"]) as running:
+    with proxy(tmp_path, endpoints=2, rules=NEVER["rules"]) as running:
         first, second = ranked(running)
-        later = Directory(running.listeners)
+        later = DiscoveryServer(running.listeners)
         later.silent = True
-        running.reload("event=reloaded", discovery=later.address)
+        running.reload("event=configuration-reloaded", discovery=later.address)
         assert later.kept.get(timeout=WAIT).path == "/catalog/members"
         later.silent = False
         first.state = "DRAINING"
@@ -266,19 +275,19 @@
 
 @pytest.mark.parametrize("indent", [None, 2])
 def test_lists_may_come_indented_and_in_pieces(tmp_path: Path, indent: int | None) -> None:
-    with proxy(tmp_path, providers=2) as running:
+    with proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
-        later = Directory(running.listeners, indent=indent)
+        later = DiscoveryServer(running.listeners, indent=indent)
         first.state = "DRAINING"
         later.rev += 1
-        running.reload("event=reloaded", discovery=later.address)
+        running.reload("event=configuration-reloaded", discovery=later.address)
         drained(running, first, second)
 
 
 def test_a_list_that_never_ends_is_given_up(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=2, **PUSHED) as running:
+    with proxy(tmp_path, endpoints=2, **PUSHED) as running:
         first, second = ranked(running)
-        running.directory.says(b'{"rev":9,"all":true,"targets":[' + b" " * (1 << 21))
-        running.logged("event=directory-call-failed .*too long")
-        running.directory.change(**{first.uid: "DRAINING"})
+        running.discovery.says(b'{"rev":9,"all":true,"targets":[' + b" " * (1 << 21))
+        running.logged("event=discovery-call-failed .*too long")
+        running.discovery.change(**{first.uid: "DRAINING"})
         drained(running, first, second)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""The size that is asked for: many processes that start at once, a thousand providers, no descriptor free."""
+"""The size that is asked for: many processes that start at once, a thousand endpoints, no descriptor free."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 import pytest
 from conftest import S
-from proxy import OPEN, WAIT, Conn, Directory, Listener, Proxy, free_port, launch, proxy, world
+from proxy import OPEN, WAIT, Conn, DiscoveryServer, Listener, RunningProxy, free_port, launch, proxy, world
 
 MANY = 30  # processes
-PROVIDERS = 1024
+ENDPOINTS = 1024
 
 
 class Named:
-    """A provider that is listed and never met."""
+    """An endpoint that is listed and never met."""
 
     def __init__(self, number: int) -> None:
         self.uid, self.state = f"p-{number}", "SERVING"
@@ -37,20 +37,20 @@
 
 
 @pytest.mark.parametrize("how", ["down", "refused", "silent", "slow", "crowded"])
-def test_processes_that_start_together_are_ready_without_the_directory(tmp_path: Path, how: str) -> None:
-    # They all answer while the directory has not said a word to any of them, and serve by the list they have.
+def test_processes_that_start_together_are_ready_without_the_discovery(tmp_path: Path, how: str) -> None:
+    # They all answer while discovery has not said a word to any of them, and serve by the list they have.
     with ExitStack() as stack:
         made = stack.enter_context(world(tmp_path, discovery="ask", rules={"mustAskInNs": 10 * S}))
-        directory = made.directory
+        discovery = made.discovery
         if how == "down":
-            directory.server.server_close()
+            discovery.server.server_close()
         elif how == "refused":
-            directory.fail(True)
+            discovery.fail(True)
         elif how == "crowded":
-            directory.server.socket.listen(0)
-            directory.silent = True
+            discovery.server.socket.listen(0)
+            discovery.silent = True
         else:
-            directory.silent = True
+            discovery.silent = True
         running = []
         for number in range(MANY):
             port = free_port()
@@ -61,17 +61,17 @@
             process = launch(str(config), str(made.own))
             stack.callback(process.wait, WAIT)
             stack.callback(process.kill)
-            running.append(Proxy(process, port, 0))
+            running.append(RunningProxy(process, port, 0))
         for one in running:
-            one.logged("event=started")
+            one.logged("event=process-started")
             assert one.alive()
         if how == "slow":  # it answers now, one after the other
-            directory.silent = False
-            directory.kept.get(timeout=WAIT).let_go.set()
+            discovery.silent = False
+            discovery.kept.get(timeout=WAIT).let_go.set()
         for number, one in enumerate(running):
-            consumer = one.client(OPEN % (number + 1, 2000))
+            client = one.client(OPEN % (number + 1, 2000))
             made.listeners[0].serve()
-            assert consumer.line() == b"UP r1\r\n"
+            assert client.line() == b"UP r1\r\n"
 
 
 def few() -> None:
@@ -80,51 +80,55 @@
 
 def test_a_crowd_that_fills_the_descriptors_keeps_nobody_from_what_is_theirs(tmp_path: Path) -> None:
     # Idle clients may fill them while discovery is down; its return, attempts and reloads need some.
-    with proxy(tmp_path, providers=2, before=few, rules={"mustAskInNs": S}) as running:
-        consumer = running.open()
+    with proxy(tmp_path, endpoints=2, before=few, rules={"mustAskInNs": S}) as running:
+        client = running.open()
         served = running.asked()
-        provider = served.serve()
-        assert consumer.line() == b"UP r1\r\n"
-        running.directory.fail(True)
-        running.logged("event=directory-call-failed")
+        endpoint = served.serve()
+        assert client.line() == b"UP r1\r\n"
+        running.discovery.fail(True)
+        running.logged("event=discovery-call-failed")
         idle = [running.client() for _ in range(120)]
         assert running.alive()
-        running.directory.change()
-        running.directory.fail(False)
-        running.logged("event=listed .*rev=2")
+        running.discovery.change()
+        running.discovery.fail(False)
+        running.logged("event=endpoint-list-received .*rev=2")
         # An attempt has a descriptor, a reload reads its files, and what was served stays.
         other = running.open()
         _, another = running.serve_any()
         assert other.line() == b"UP r1\r\n"
-        later = Directory(running.listeners)
+        later = DiscoveryServer(running.listeners)
         later.rev = 7
-        running.reload("event=reloaded", discovery=later.address)
-        running.logged("event=listed .*rev=7")
-        consumer.send(b"M 1\r\n")
-        assert provider.line() == b"M 1\r\n"
-        provider.send(b"R 1\r\n")
-        assert consumer.line() == b"R 1\r\n" and len(idle) == 120 and another
+        running.reload("event=configuration-reloaded", discovery=later.address)
+        running.logged("event=endpoint-list-received .*rev=7")
+        client.send(b"M 1\r\n")
+        assert endpoint.line() == b"M 1\r\n"
+        endpoint.send(b"R 1\r\n")
+        assert client.line() == b"R 1\r\n" and len(idle) == 120 and another
         running.process.send_signal(signal.SIGTERM)
-        assert {consumer.line(), other.line()} == {b"MOVE\r\n"}
-        running.logged("event=left")
+        assert {client.line(), other.line()} == {b"MOVE\r\n"}
+        running.logged("event=shutdown-finished")
 
 
 @pytest.mark.parametrize("discovery", ["ask", "push"])
-def test_a_list_of_a_thousand_providers_is_whole(tmp_path: Path, discovery: str) -> None:
+def test_a_list_of_a_thousand_endpoints_is_whole(tmp_path: Path, discovery: str) -> None:
     with proxy(tmp_path, discovery=discovery, balancers=230) as running:
         (there,) = running.listeners
-        later = Directory([])
+        later = DiscoveryServer([])
         later.indent = 4
-        listed: list[Any] = [there, *map(Named, range(PROVIDERS - 1))]
+        listed: list[Any] = [there, *map(Named, range(ENDPOINTS - 1))]
         later.listeners = listed
         later.rev = 5
-        running.reload("event=reloaded", discovery=later.address)
-        assert f"entries={PROVIDERS} " in running.logged("event=listed .*rev=5")
-        consumer = running.open()
+        running.reload("event=configuration-reloaded", discovery=later.address)
+        assert f"entries={ENDPOINTS} " in running.logged("event=endpoint-list-received .*rev=5")
+        client = running.open()
         there.serve()
-        assert consumer.line() == b"UP r1\r\n"
+        assert client.line() == b"UP r1\r\n"
         listed[7].state = "DRAINING"
         later.change()
-        assert f"entries={PROVIDERS} draining=1 " in running.logged("event=listed .*rev=6")
-        assert not [line for line in running.seen if "too-many" in line or "bad-targets" in line]
-        assert isinstance(consumer, Conn) and isinstance(there, Listener)
+        assert f"entries={ENDPOINTS} draining=1 " in running.logged("event=endpoint-list-received .*rev=6")
+        assert not [
+            line
+            for line in running.seen
+            if "endpoint-limit-exceeded" in line or "endpoint-entries-invalid" in line
+        ]
+        assert isinstance(client, Conn) and isinstance(there, Listener)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start of cold hosts and the window: what one node does, and what all of them come to together."""
+"""Slow start of cold endpoints and the window: what one node does, and what all of them come to together."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from conftest import MS, S, balancer, entry, host, listed, only, request
+from conftest import MS, S, balancer, endpoint, entry, listed, only, request
 from fleet import Fleet
 from hypothesis import given
 from hypothesis import strategies as st
@@ -60,20 +60,20 @@
     assert made.wait_ns([b"a", b"b", b"d"], ahead) == pytest.approx(wait)
 
 
-def test_a_draw_falls_on_a_host_by_its_share_or_on_none() -> None:
+def test_a_draw_falls_on_an_endpoint_by_its_share_or_on_none() -> None:
     made = SlowStart(TokenBucket(9.0, 0), 1.0, {b"a": 0.2, b"b": 0.3})
     draws = [made.draw(0, 9 * S, iter([0.0, at]).__next__) for at in (0.0, 0.19, 0.21, 0.49, 0.51, 0.99)]
     assert draws == [b"a", b"a", b"b", b"b", None, None] and made.bucket.level == 3.0
 
 
 def replaced(nodes: int, uneven: bool, restarts: bool, seed: int) -> tuple[int, float, float]:
-    """Eight of twenty hosts come back cold under 80 arrivals a second.
+    """Eight of twenty endpoints come back cold under 80 arrivals a second.
 
     How many connections these got, what they would have borne, and how near the worst window came to what may
     tip one over (1.0).
     """
-    hosts, warm, window, standing = 20, 10, 2, 400
-    fleet = Fleet(nodes, tuple(entry(n, zone=0) for n in range(hosts)), rules={"warmUpNs": warm * S})
+    endpoints, warm, window, standing = 20, 10, 2, 400
+    fleet = Fleet(nodes, tuple(entry(n, zone=0) for n in range(endpoints)), rules={"warmUpNs": warm * S})
     rules, draws = fleet.nodes[0].settings, random.Random(seed)
     traffic = [1.0 / (1 + n % 10) if uneven else 1.0 for n in range(nodes)]
 
@@ -87,7 +87,7 @@
         fleet.run(fleet.now + 2 * MS)
     fleet.run(fleet.now + 300 * MS)
     began, before = fleet.now, len(fleet.sends)
-    news = listed(*(entry(n, zone=0, started_ns=began if n < 8 else 0) for n in range(hosts)))
+    news = listed(*(entry(n, zone=0, started_ns=began if n < 8 else 0) for n in range(endpoints)))
     fleet.tell_all(news)
     for number in range(warm * 80):
         fleet.run(fleet.now + S // 80)
@@ -97,13 +97,13 @@
     fleet.run(fleet.now + S)
 
     def allowed(age: float) -> float:
-        """Connections in a window; what stands over the hosts is the least that fills a warm one."""
+        """Connections in a window; what stands over the endpoints is the least that fills a warm one."""
         warmth = min(1.0, rules.cold_from + (1 - rules.cold_from) * age / warm)
-        return rules.fall_multiple * standing / hosts / warm * warmth * window
+        return rules.fall_multiple * standing / endpoints / warm * warmth * window
 
     worst = sent = 0.0
     for cold in range(8):
-        times = [at for at, _, _, where in fleet.sends[before:] if where == host(cold)]
+        times = [at for at, _, _, where in fleet.sends[before:] if where == endpoint(cold)]
         sent += len(times)
         for at in times:
             bears = allowed((at - began) / S)
@@ -121,11 +121,12 @@
         *((n, *how) for n in (24, 32, 200) for how in ((False, False), (True, False), (True, True))),
     ],
 )
-def test_many_nodes_use_half_of_what_cold_hosts_bear_and_never_more(
+def test_many_nodes_use_half_of_what_cold_endpoints_bear_and_never_more(
     nodes: int, uneven: bool, restarts: bool
 ) -> None:
-    # Each node saved for a whole connection at each host: 200 nodes sent 46 where cold hosts bear 300. In a
-    # release of half the servers the warm ones dropped clients for the whole day beside idle cold ones.
+    # Each node saved for a whole connection at each endpoint: 200 nodes sent 46 where cold endpoints bear
+    # 300. In a release of half the servers the warm ones dropped clients for the whole day beside idle cold
+    # ones.
     sent, bears, worst = replaced(nodes, uneven, restarts, nodes)
     assert worst <= 1.0
     assert sent >= bears * (0.4 if restarts else 0.45)
@@ -151,15 +152,15 @@
     node = balancer(0, balancers=nodes)
     node.step(100 * S, [listed(entry(1, started_ns=100 * S), entry(2, started_ns=0 if warm else 100 * S))])
     if warm:
-        node.hosts[host(2)].avoid_until = 150 * S
-        node.hosts[host(2)].overload = True
+        node.endpoints[endpoint(2)].avoid_until = 150 * S
+        node.endpoints[endpoint(2)].overload = True
     node.slow_start.bucket.at = 100 * S
-    refusals = only(node.step(100 * S + MS, [request(1, budget_ns=left_ns)]), api.Refuse)
+    refusals = only(node.step(100 * S + MS, [request(1, budget_ns=left_ns)]), api.Reject)
     assert bool(refusals) is not held
     assert all(refusal.retry_after_ns > 0 for refusal in refusals)
     # A crowd behind the first cannot all have a turn: who can't is told now, not at the end.
     crowd = node.step(100 * S + 2 * MS, [request(n, budget_ns=left_ns) for n in range(2, 40)])
-    told = only(crowd, api.Refuse)
+    told = only(crowd, api.Reject)
     assert len(told) == (0 if left_ns > 10 * S else 37 if left_ns > 8 * S else 38)
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from proxy import ROOT, WAIT, Proxy, launch, world
+from proxy import ROOT, WAIT, RunningProxy, launch, world
 
 
 def read_by(process_id: int, fifo: Path) -> int:
@@ -27,21 +27,21 @@
         made.config.unlink()
         os.mkfifo(made.config)
         process = launch(str(made.config), str(made.own))
-        running = Proxy(process, made.port, made.extra)
+        running = RunningProxy(process, made.port, made.extra)
         try:
             writer = read_by(process.pid, made.config)  # it reads from now on, and has no word yet
             process.send_signal(number)
             os.write(writer, text.encode())
             os.close(writer)
-            running.logged("event=started")
+            running.logged("event=process-started")
             if number == signal.SIGHUP:
                 writer = read_by(process.pid, made.config)
                 os.write(writer, json.dumps(json.loads(text)).encode())
                 os.close(writer)
-                running.logged("event=reloaded")
+                running.logged("event=configuration-reloaded")
                 assert running.alive()
             else:
-                running.logged("event=leaving")
+                running.logged("event=shutdown-started")
                 assert process.wait(WAIT) == 0
         finally:
             process.kill()
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -1,4 +1,4 @@
-"""What strangers send, or do not send, costs usual consumers nothing."""
+"""What strangers send, or do not send, costs usual clients nothing."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from pathlib import Path
 
 import pytest
-from proxy import OPEN, WAIT, Proxy, Terminal, launch, proxy
+from proxy import OPEN, WAIT, RunningProxy, Terminal, launch, proxy
 from test_platform import answer
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 
 
 @pytest.fixture
-def one(tmp_path: Path) -> Iterator[Proxy]:
+def one(tmp_path: Path) -> Iterator[RunningProxy]:
     with proxy(tmp_path) as running:
         yield running
 
@@ -50,119 +50,119 @@
         b"x" * 5000,
     ],
 )
-def test_a_bad_first_line_fails_alone(one: Proxy, line: bytes) -> None:
-    # What one consumer sends must neither be passed on (it voids the run) nor hurt the others.
-    consumer = one.client(line)
-    assert consumer.line() == b"ERR\r\n"
-    consumer.close()
-    one.logged("side=consumer reason=bad-line")
+def test_a_bad_first_line_fails_alone(one: RunningProxy, line: bytes) -> None:
+    # What one client sends must neither be passed on (it voids the run) nor hurt the others.
+    client = one.client(line)
+    assert client.line() == b"ERR\r\n"
+    client.close()
+    one.logged("side=client reason=bad-line")
     assert one.alive()
 
 
-def test_the_id_of_an_open_invocation_is_taken(one: Proxy) -> None:
-    # Sent on, providers called it a second copy one after the other, six attempts for each.
+def test_the_id_of_an_open_request_is_taken(one: RunningProxy) -> None:
+    # Sent on, endpoints called it a second copy one after the other, six attempts for each.
     line = OPEN % (7, 2000)
-    consumer = one.client(line)
-    provider = one.listeners[0].serve()
-    assert consumer.line() == b"UP r1\r\n"
+    client = one.client(line)
+    endpoint = one.listeners[0].serve()
+    assert client.line() == b"UP r1\r\n"
     assert one.client(line).line() == b"ERR\r\n"
-    consumer.close()
-    assert provider.ended() in ("fin", "reset")
-    one.logged("side=consumer reason=consumer-left")
+    client.close()
+    assert endpoint.ended() in ("fin", "reset")
+    one.logged("side=client reason=client-left")
     again = one.client(line)
     one.listeners[0].serve()
     assert again.line() == b"UP r1\r\n"
 
 
-def test_what_two_providers_call_an_error_is_one(tmp_path: Path) -> None:
-    with proxy(tmp_path, providers=3) as running:
-        consumer = running.open()
+def test_what_two_endpoints_call_an_error_is_one(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=3) as running:
+        client = running.open()
         for _ in range(2):
             answer(running.asked(), b"ERR\r\n", "fin")
-        assert consumer.line() == b"ERR\r\n"
-        running.logged("side=consumer reason=failed .*attempts=2")
+        assert client.line() == b"ERR\r\n"
+        running.logged("side=client reason=failed .*attempts=2")
 
 
-def test_a_consumer_that_talks_before_its_answer_is_turned_away(one: Proxy) -> None:
+def test_a_client_that_talks_before_its_answer_is_turned_away(one: RunningProxy) -> None:
     # Its lines filled the buffer, and that it ended was not seen any more.
-    consumer = one.open()
-    provider = one.listeners[0].accept()
-    provider.line()
-    consumer.send(b"M 1\r\n" * 4000)
-    assert consumer.line() == b"ERR\r\n"
-    assert provider.ended() in ("fin", "reset")
+    client = one.open()
+    endpoint = one.listeners[0].accept()
+    endpoint.line()
+    client.send(b"M 1\r\n" * 4000)
+    assert client.line() == b"ERR\r\n"
+    assert endpoint.ended() in ("fin", "reset")
 
 
-def test_an_endless_line_ends_a_standing_connection(one: Proxy) -> None:
-    consumer, provider = one.standing()
-    consumer.send(b"x" * 5000)
-    assert provider.ended() == "fin"
-    assert consumer.ended() == "fin"
-    assert "reason=bad-line" in one.logged("side=consumer")
+def test_an_endless_line_ends_a_standing_connection(one: RunningProxy) -> None:
+    client, endpoint = one.standing()
+    client.send(b"x" * 5000)
+    assert endpoint.ended() == "fin"
+    assert client.ended() == "fin"
+    assert "reason=bad-line" in one.logged("side=client")
 
 
-def test_what_is_still_sent_is_let_go_until_the_answer_arrives(one: Proxy) -> None:
+def test_what_is_still_sent_is_let_go_until_the_answer_arrives(one: RunningProxy) -> None:
     # A close with bytes unread resets the answer away; keeping them would fill memory.
-    consumer = one.client()
-    consumer.sock.settimeout(None)
+    client = one.client()
+    client.sock.settimeout(None)
     sent = threading.Event()
 
     def send() -> None:
         for _ in range(60):
-            consumer.send(b"x" * (1 << 20))
+            client.send(b"x" * (1 << 20))
         sent.set()
 
     threading.Thread(target=send, daemon=True).start()
     assert sent.wait(WAIT)
-    assert consumer.line() == b"ERR\r\n"
-    assert consumer.ended() == "fin"
+    assert client.line() == b"ERR\r\n"
+    assert client.ended() == "fin"
 
 
-def test_a_slow_opener_is_not_waited_for(one: Proxy) -> None:
-    # Each half-open consumer would hold a descriptor for good.
-    consumer = one.client(b"OPEN 9b1f03aa5c7e2d41 7f")
-    assert consumer.line() == b"ERR\r\n"
-    assert consumer.ended() == "fin"
-    one.logged("side=consumer reason=slow-opener")
+def test_a_slow_opener_is_not_waited_for(one: RunningProxy) -> None:
+    # Each half-open client would hold a descriptor for good.
+    client = one.client(b"OPEN 9b1f03aa5c7e2d41 7f")
+    assert client.line() == b"ERR\r\n"
+    assert client.ended() == "fin"
+    one.logged("side=client reason=request-timeout")
 
 
-@pytest.mark.parametrize("front", ["platform", "channels"])
-def test_a_silent_crowd_makes_room_for_others(tmp_path: Path, front: str) -> None:
-    # Hundreds that say nothing used to take every descriptor, those to providers included.
+@pytest.mark.parametrize("frontend", ["platform", "channels"])
+def test_a_silent_crowd_makes_room_for_others(tmp_path: Path, frontend: str) -> None:
+    # Hundreds that say nothing used to take every descriptor, those to endpoints included.
     with proxy(tmp_path, own=CHANNELS, before=few) as running:
-        standing, provider = running.standing()
-        port = running.extra_port if front == "channels" else running.port
+        standing, endpoint = running.standing()
+        port = running.extra_port if frontend == "channels" else running.port
         crowd = [running.client(port=port) for _ in range(60)]
-        running.logged("reason=shed")
+        running.logged("reason=evicted")
         running.standing()
         crowd[0].line()  # the longest silent one is told, or greeted
         assert crowd[0].ended() == "fin"
-        provider.send(b"on\r\n")
+        endpoint.send(b"on\r\n")
         assert standing.line() == b"on\r\n"
 
 
 @pytest.mark.parametrize(
-    "front, crowd, pieces",
+    "frontend, crowd, pieces",
     [
         ("platform", b"", [b"OPEN 9b1f03aa5c7e2d41 7f3a", b"9c21e0b4d655 c=fe", b"ed,t=acme,d=2000\r\n"]),
         ("platform", b"PING\r\n", [b"", b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme\r\n"]),
         ("channels", b"", [b"SSH-", b"2.0-", b"terminal\r\n"]),
     ],
 )
-def test_a_slow_consumer_outlasts_the_crowd(
-    tmp_path: Path, front: str, crowd: bytes, pieces: list[bytes]
+def test_a_slow_client_outlasts_the_crowd(
+    tmp_path: Path, frontend: str, crowd: bytes, pieces: list[bytes]
 ) -> None:
     # The longest waiting went first, which in a flood is whoever's line takes long.
     with proxy(tmp_path, own=CHANNELS, before=few) as running:
-        slow = running.client(port=running.extra_port if front == "channels" else running.port)
+        slow = running.client(port=running.extra_port if frontend == "channels" else running.port)
         for piece in pieces[:-1]:
             slow.send(piece)
             assert running.alive()
             running.logged("reason=probed")  # a turn of its loop later: each piece has been read by itself
         kept = [running.client(crowd) for _ in range(60)]
-        running.logged("reason=shed")
+        running.logged("reason=evicted")
         slow.send(pieces[-1])
-        if front == "channels":
+        if frontend == "channels":
             terminal = Terminal.over(slow)
             terminal.open(0)
             running.listeners[0].serve()
@@ -205,7 +205,7 @@
         running.standing()
 
 
-def test_a_log_that_nobody_reads_stops_nothing(one: Proxy, tmp_path: Path) -> None:
+def test_a_log_that_nobody_reads_stops_nothing(one: RunningProxy, tmp_path: Path) -> None:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     while True:
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -1,4 +1,4 @@
-"""VRRP: the advertisement's form, the state machine, and the front that listens only while active."""
+"""VRRP: the advertisement's form, the state machine, and the frontend that listens only while active."""
 
 from __future__ import annotations
 
@@ -115,14 +115,14 @@
         assert decode(peer.recv(2048)) == Advertisement(7, 100, 20, ("127.0.0.1",))
         terminal = Terminal(running.extra_port)
         terminal.open(1)
-        _, provider = running.serve_any()
+        _, endpoint = running.serve_any()
         channel = terminal.confirmed(1)
         peer.sendto(Advertisement(7, 200, 4095, ()).encode(), ("127.0.0.1", port))
         assert b"move@linnetshift" in terminal.expect(98, 1)
         terminal.expect(97, 1)
         terminal.packet(97, channel)
         terminal.expect(1, 11)
-        assert provider.ended() == "fin"
+        assert endpoint.ended() == "fin"
         with pytest.raises(ConnectionRefusedError):
             running.client(port=running.extra_port)
-        assert running.alive()  # the platform's front goes on
+        assert running.alive()  # the platform's frontend goes on
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 import sys
 
 import pytest
-from conftest import MS, S, entry, host, raw_settings
+from conftest import MS, S, endpoint, entry, raw_settings
 
 from linnetshift import interface as api
 from linnetshift import wire, wirehost
@@ -29,7 +29,7 @@
     return struct.pack(">BQI", 0, 7, len(text)) + text
 
 
-def members(form: int, *entries: api.HostEntry) -> bytes:
+def members(form: int, *entries: api.EndpointEntry) -> bytes:
     rows = b"".join(struct.pack(">6sHHHBfQ", *e[:7]) for e in entries)
     return struct.pack(">BBQI", 1, form, 3, len(entries)) + rows
 
@@ -43,20 +43,23 @@
 EVENTS = [  # pairs, since tuples of one content are equal whatever their type
     (api.Request(1, 0, 2, 4, 3, 8, 5, 6), struct.pack(">BIQQBQHIQ", 2, 1, 2, 3, 0, 4, 8, 5, 6)),
     (
-        api.Adopted(1, 0, 5, 3, 2, 16, 6, host(1)),
-        struct.pack(">BIQQQHQ6sIB", 10, 1, 9, 2, 3, 16, 5, host(1), 6, 0),
+        api.Adopted(1, 0, 5, 3, 2, 16, 6, endpoint(1)),
+        struct.pack(">BIQQQHQ6sIB", 10, 1, 9, 2, 3, 16, 5, endpoint(1), 6, 0),
     ),
-    (api.Established(1, 2, host(3), 4), struct.pack(">BIQB6s", 3, 1, 4, 2, host(3))),
-    (api.Note(1, 2, host(3), 1, 0.5), struct.pack(">BIB6sBf", 11, 1, 2, host(3), 1, 0.5)),
+    (api.Established(1, 2, endpoint(3), 4), struct.pack(">BIQB6s", 3, 1, 4, 2, endpoint(3))),
+    (api.Note(1, 2, endpoint(3), 1, 0.5), struct.pack(">BIB6sBf", 11, 1, 2, endpoint(3), 1, 0.5)),
     (
-        api.AttemptEnded(1, 2, host(3), True, 4, 5, (0.5, 1.5)),
-        struct.pack(">BI6sBBQHB2f", 4, 1, host(3), 1, 2, 4, 5, 2, 0.5, 1.5),
+        api.AttemptEnded(1, 2, endpoint(3), True, 4, 5, (0.5, 1.5)),
+        struct.pack(">BI6sBBQHB2f", 4, 1, endpoint(3), 1, 2, 4, 5, 2, 0.5, 1.5),
     ),
     (api.Withdrawn(4), struct.pack(">BI", 5, 4)),
     (api.TimerFired(4), struct.pack(">BI", 6, 4)),
-    (api.ProbeResult(host(3), 1, 9, (0.25,)), struct.pack(">BHQ6sBf", 7, 1, 9, host(3), 1, 0.25)),
+    (
+        api.HealthCheckResult(endpoint(3), 1, 9, (0.25,)),
+        struct.pack(">BHQ6sBf", 7, 1, 9, endpoint(3), 1, 0.25),
+    ),
     (api.PeerMessage(3, b"hi"), struct.pack(">BHH", 8, 3, 2) + b"hi"),
-    (api.HostList(2, 3, (entry(1), entry(2))), members(2, entry(1), entry(2))),
+    (api.EndpointList(2, 3, (entry(1), entry(2))), members(2, entry(1), entry(2))),
     (wire.Halt(), HALT),
 ]
 
@@ -73,17 +76,17 @@
 
 
 ACTIONS = [  # pairs, since tuples of one content are equal whatever their type
-    (api.Send(1, host(2), 3), struct.pack(">BIq6s", 0, 1, 3, host(2))),
-    (api.Refuse(1, 2), struct.pack(">BIQ", 1, 1, 2)),
+    (api.Send(1, endpoint(2), 3), struct.pack(">BIq6s", 0, 1, 3, endpoint(2))),
+    (api.Reject(1, 2), struct.pack(">BIQ", 1, 1, 2)),
     (api.Fail(1), struct.pack(">BI", 2, 1)),
     (api.Cancel(1, 2), struct.pack(">BIB", 3, 1, 2)),
     (api.SetTimer(5, 6), struct.pack(">BQI", 4, 5, 6)),
-    (api.Probe(host(1)), b"\x05" + host(1)),
-    (api.Tell(api.ALL_PEERS, b"hi"), b"\x07\xff\xff\x00\x02hi"),
+    (api.HealthCheck(endpoint(1)), b"\x05" + endpoint(1)),
+    (api.SendPeerMessage(api.ALL_PEERS, b"hi"), b"\x07\xff\xff\x00\x02hi"),
     (api.Log("line"), b"\x08\x00\x04line"),
     (api.Watch(True), b"\n\x01"),
     (api.FetchList(), b"\x0b"),
-    (api.Move(9), struct.pack(">BI", 12, 9)),
+    (api.Migrate(9), struct.pack(">BI", 12, 9)),
 ]
 
 
@@ -132,7 +135,7 @@
 def test_a_request_is_sent_and_instances_share_nothing() -> None:
     start = frame(on(1), create(), members(2, entry(1)), on(2), create(), members(2), now=S)
     out = replies(start, frame(on(1), inbound(1), on(2), inbound(1), now=2 * S))
-    body = struct.pack(">BIBIq6s", 13, 1, 0, 1, 400 * MS, host(1))
+    body = struct.pack(">BIBIq6s", 13, 1, 0, 1, 400 * MS, endpoint(1))
     assert body in out and out.count(b"\x0d\0\0\0\x02") == 1  # the second only sets a timer
 
 
@@ -140,7 +143,7 @@
     start = frame(on(1), create(), members(2, entry(1)), now=S)
     again = frame(on(1), inbound(1), HALT, create(), members(2, entry(2)), inbound(2), now=2 * S)
     out = replies(start, again)
-    assert host(2) in out and host(1) not in out
+    assert endpoint(2) in out and endpoint(1) not in out
     assert replies(start, frame(on(1), HALT), frame(on(1), TIMER)) == struct.pack(">I", 4) * 3
 
 
