--- a/linnetshift/__init__.py
+++ b/linnetshift/__init__.py
@@ -1,6 +1,6 @@
 """linnetshift: placement decisions for balancers of long-lived connections."""
 
-from linnetshift.interface import Settings, SettingsError
-from linnetshift.policy import Balancer
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.settings import Settings, SettingsError
 
 __all__ = ["Balancer", "Settings", "SettingsError"]
--- /dev/null
+++ b/linnetshift/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The administrative interface, /ops."""
--- a/linnetshift/net/ops.py
+++ b/linnetshift/admin/server.py
@@ -17,21 +17,25 @@
 
 import h11
 
-from linnetshift.core.census import ResourceUsage
-from linnetshift.net import log
-from linnetshift.net.log import MOST_TOLD, Reason
-from linnetshift.net.loop import MS, Actor, ActorCoroutine, Io, Loop, S, Timeout
-from linnetshift.net.platform import Acceptor
-from linnetshift.net.provider import Address, Steps, Stop, linger
-from linnetshift.net.stream import End, Stream
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Io, Loop, S, Timeout
+from linnetshift.event_loop.outbound_connection import Steps, Stop, linger
+from linnetshift.event_loop.stream import End, Stream
+from linnetshift.frontends.listener import Acceptor
+from linnetshift.observability import log
+from linnetshift.observability.log import MOST_TOLD, Reason
+from linnetshift.observability.resource_usage import ResourceUsage
 
 # Some callers connect and finish no call for 4 s: they get their no, and never cost anyone else theirs.
 CALL_NS = 3 * S
 ACT_NS = 800 * MS  # a caller waits 1 s for what it asked
 MOST_CALLERS = 24  # at once; one more ends the one that has been unfinished longest
 RESERVED = 4  # descriptors that clients cannot take
-MOST_HEAD, MOST_BODY = 4096, 4096
-READINESS, DOWN, UP = "/ops/readiness", "/ops/servers/down", "/ops/servers/up"
+MOST_HEAD = 4096
+MOST_BODY = 4096
+READINESS = "/ops/readiness"
+DOWN = "/ops/servers/down"
+UP = "/ops/servers/up"
 RESOURCE_USAGE = "/ops/census"
 METHODS = {READINESS: ("GET", "HEAD"), RESOURCE_USAGE: ("GET", "HEAD"), DOWN: ("PUT",), UP: ("PUT",)}
 
--- /dev/null
+++ b/linnetshift/broker/__init__.py
@@ -0,0 +1,1 @@
+"""Requests, attempts and outcomes: no wire and no sockets."""
--- a/linnetshift/core/invocation.py
+++ b/linnetshift/broker/active_request.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from linnetshift.interface import Outcome
+from linnetshift.routing.events import Outcome
 
 
 class TimerHandle(Protocol):
--- a/linnetshift/core/bans.py
+++ b/linnetshift/broker/administrative_drains.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from linnetshift.core.census import ResourceUsage
-from linnetshift.interface import EndpointEntry, EndpointList, EndpointState, ListForm
+from linnetshift.observability.resource_usage import ResourceUsage
+from linnetshift.routing.events import EndpointEntry, EndpointList, EndpointState, ListForm
 
 LEAVE_NS = 1_700_000_000  # operators restart what they took out some 2 s after the call
 # Machines are replaced under new names, and a discovery service may go wrong: without bounds, names would
--- a/linnetshift/core/broker.py
+++ b/linnetshift/broker/broker.py
@@ -10,16 +10,45 @@
 from collections.abc import Callable
 from itertools import count
 
-from linnetshift import interface as api
-from linnetshift.contracts import Contracts
-from linnetshift.core.bans import MOST_KNOWN, MOST_OUT, AdministrativeDrains
-from linnetshift.core.census import ResourceUsage
-from linnetshift.core.gauge import LatencyEstimator, Standing
-from linnetshift.core.invocation import ActiveRequest, Attempt, Client, UpstreamConnection
-from linnetshift.core.learned import DeploymentFacts
-from linnetshift.core.ports import Connector, Discovery, Timers
-from linnetshift.interface import ListForm, Outcome
-from linnetshift.policy import Balancer
+from linnetshift.broker.active_request import ActiveRequest, Attempt, Client, UpstreamConnection
+from linnetshift.broker.administrative_drains import MOST_KNOWN, MOST_OUT, AdministrativeDrains
+from linnetshift.broker.contracts import Contracts
+from linnetshift.broker.deployment_facts import DeploymentFacts
+from linnetshift.broker.latency_estimator import LatencyEstimator, Standing
+from linnetshift.broker.ports import Connector, Discovery, Timers
+from linnetshift.observability.resource_usage import ResourceUsage
+from linnetshift.routing.actions import (
+    Action,
+    Cancel,
+    Fail,
+    FetchList,
+    HealthCheck,
+    Migrate,
+    Reject,
+    Send,
+    SetTimer,
+    Watch,
+)
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import (
+    LOAD_NOTE,
+    NEVER_RAN,
+    RETURNED,
+    SLOW_NOTE,
+    Adopted,
+    AttemptEnded,
+    EndpointList,
+    Established,
+    Event,
+    HealthCheckResult,
+    ListForm,
+    Note,
+    Outcome,
+    Request,
+    TimerFired,
+    Withdrawn,
+)
+from linnetshift.routing.settings import Settings
 
 # A connection that brings nothing back must be ended or moved within 7 s.
 STALLED_NS = 4_000_000_000
@@ -36,7 +65,7 @@
 class Broker:
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         seed: int,
         clock: Callable[[], int],
         timers: Timers,
@@ -48,7 +77,7 @@
         self.balancer = Balancer(settings, seed)
         self.clock, self.timers, self.discovery, self.connector = clock, timers, discovery, connector
         self.started = clock()
-        self.inbox: list[api.Event] = []
+        self.inbox: list[Event] = []
         self.requests: dict[int, ActiveRequest] = {}
         self.ids = count(1)
         self.zones: dict[bytes, int] = {}
@@ -59,7 +88,7 @@
         self.administrative_drains = AdministrativeDrains(clock)
         self.configure(settings, contracts)
 
-    def configure(self, settings: api.Settings, contracts: Contracts) -> None:
+    def configure(self, settings: Settings, contracts: Contracts) -> None:
         """Also while running: what is known and under way stays."""
         self.settings = settings
         self.balancer.configure(settings)
@@ -68,7 +97,7 @@
         contracts.follow(self.contracts, Counter(i.tenant for i in self.requests.values()))
         self.contracts = contracts
 
-    def post(self, event: api.Event) -> None:
+    def post(self, event: Event) -> None:
         if not self.inbox:
             self.timers.soon()
         self.inbox.append(event)
@@ -78,29 +107,29 @@
         if not events:
             return
         # News of endpoints goes first: what came in the same turn is not to be placed by an older list.
-        events.sort(key=lambda event: type(event) is not api.EndpointList)
+        events.sort(key=lambda event: type(event) is not EndpointList)
         for action in self.balancer.step(self.clock(), events):
             self.perform(action)
 
-    def perform(self, action: api.Action) -> None:
+    def perform(self, action: Action) -> None:
         match action:
-            case api.Send(request_id, endpoint, timeout_ns):
+            case Send(request_id, endpoint, timeout_ns):
                 self.send(request_id, endpoint, timeout_ns)
-            case api.Reject(request_id, retry_after_ns):
+            case Reject(request_id, retry_after_ns):
                 self.reject(request_id, retry_after_ns)
-            case api.Fail(request_id):
+            case Fail(request_id):
                 self.fail(request_id)
-            case api.Migrate(request_id):
+            case Migrate(request_id):
                 self.move(request_id, "migrated")
-            case api.Cancel(request_id, number):
+            case Cancel(request_id, number):
                 self.cancel(request_id, number)
-            case api.SetTimer(delay_ns, token):
+            case SetTimer(delay_ns, token):
                 self.timers.wake(delay_ns, token)
-            case api.Watch(on):
+            case Watch(on):
                 self.discovery.watch(on)
-            case api.FetchList():
+            case FetchList():
                 self.discovery.fetch()
-            case api.HealthCheck(endpoint):
+            case HealthCheck(endpoint):
                 self.connector.check_health(endpoint)
             case _:
                 pass  # there are no peers to tell, and the module's log lines are the bench's
@@ -108,9 +137,9 @@
     # ---- what comes in ----------------------------------------------------------------------
 
     def timer_fired(self, token: int) -> None:
-        self.post(api.TimerFired(token))
+        self.post(TimerFired(token))
 
-    def listed(self, event: api.EndpointList) -> None:
+    def listed(self, event: EndpointList) -> None:
         self.told(self.administrative_drains.lay_over(event))
         for name in self.administrative_drains.trim():
             self.latency_estimator.forget(name)
@@ -133,7 +162,7 @@
             self.told(self.administrative_drains.change(endpoint))
         return self.administrative_drains.knows(endpoint)
 
-    def told(self, event: api.EndpointList) -> None:
+    def told(self, event: EndpointList) -> None:
         if event.form in (ListForm.FULL, ListForm.CACHED):
             self.zones, self.latency_estimator.weights = {}, {}
             named = {entry.endpoint for entry in event.entries}
@@ -155,7 +184,7 @@
     ) -> None:
         if outcome == Outcome.OK and self.settings.report_columns:
             self.deployment_facts.reported(bool(report))
-        self.post(api.HealthCheckResult(endpoint, outcome, elapsed_ns, report))
+        self.post(HealthCheckResult(endpoint, outcome, elapsed_ns, report))
 
     def submit(self, request: ActiveRequest) -> None:
         """One final answer is owed from here on."""
@@ -176,7 +205,7 @@
         number = request.id  # the request itself would be held until then, answered or not
         request.overdue = self.timers.later(left + OVERDUE_NS, lambda: self.overdue(number))
         self.post(
-            api.Request(
+            Request(
                 request.id,
                 request.klass,
                 request.group,
@@ -191,7 +220,7 @@
     def overdue(self, request_id: int) -> None:
         """Whatever keeps the module from it, an answer is owed before the client gives up."""
         if (client := self.answer(request_id)) is not None:
-            self.post(api.Withdrawn(request_id))
+            self.post(Withdrawn(request_id))
             client.fail()
 
     def up(self, attempt: Attempt, receipt: memoryview) -> None:
@@ -199,11 +228,11 @@
         request, now = attempt.request, self.clock()
         attempt.standing = True
         request.settle()
-        if request.flags & api.RETURNED:
+        if request.flags & RETURNED:
             self.latency_estimator.guest(True, now)
         if request.adopt:
             self.post(
-                api.Adopted(
+                Adopted(
                     request.id,
                     request.klass,
                     request.group,
@@ -215,7 +244,7 @@
                 )
             )
         else:
-            self.post(api.Established(request.id, attempt.number, attempt.endpoint, now - attempt.began))
+            self.post(Established(request.id, attempt.number, attempt.endpoint, now - attempt.began))
         request.client.up(receipt)
 
     def ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
@@ -224,7 +253,7 @@
         if request.out is not attempt:
             return
         request.part()
-        if outcome not in api.NEVER_RAN:
+        if outcome not in NEVER_RAN:
             request.ran_at = request.ran_at or attempt.began
         if attempt.standing or request.answered:
             client = self.forget(request)
@@ -243,7 +272,7 @@
 
     def adopt_again(self, request: ActiveRequest, outcome: Outcome) -> None:
         """Only one endpoint will do: while it cannot be reached, it is asked again."""
-        if outcome not in api.NEVER_RAN or self.clock() + ADOPT_AGAIN_NS >= request.deadline:
+        if outcome not in NEVER_RAN or self.clock() + ADOPT_AGAIN_NS >= request.deadline:
             self.fail(request.id)
             return
         request.overdue = self.timers.later(ADOPT_AGAIN_NS, lambda: self.adopt(request))
@@ -260,9 +289,7 @@
         elapsed = self.clock() - attempt.began
         request = attempt.request
         self.post(
-            api.AttemptEnded(
-                request.id, attempt.number, attempt.endpoint, request.answered, elapsed, outcome, ()
-            )
+            AttemptEnded(request.id, attempt.number, attempt.endpoint, request.answered, elapsed, outcome, ())
         )
 
     def client_ended(self, request: ActiveRequest, reset: bool) -> None:
@@ -273,7 +300,7 @@
         link = request.part()
         self.forget(request)
         if waiting and not request.adopt:
-            self.post(api.Withdrawn(request.id))
+            self.post(Withdrawn(request.id))
         if attempt is None:
             return
         if link is not None:
@@ -301,10 +328,10 @@
             endpoint, load, self.clock()
         ):
             self.deployment_facts.found("message-times", "told")
-            self.note(attempt, api.SLOW_NOTE, load)
+            self.note(attempt, SLOW_NOTE, load)
             return
         attempt.load = load
-        self.note(attempt, api.LOAD_NOTE, load)
+        self.note(attempt, LOAD_NOTE, load)
 
     def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
         """What stands, by endpoint."""
@@ -333,7 +360,7 @@
         if self.settings.reports_message_time:
             first = {endpoint: held[0][0] for endpoint, held in linked.items()}
             for endpoint, ms in self.latency_estimator.review(self.loads(), self.clock()):
-                self.note(first[endpoint], api.SLOW_NOTE, ms)
+                self.note(first[endpoint], SLOW_NOTE, ms)
 
     def loads(self) -> dict[bytes, list[Standing]]:
         """What stands asks of each endpoint."""
@@ -345,7 +372,7 @@
         }
 
     def note(self, attempt: Attempt, kind: int, value: float) -> None:
-        self.post(api.Note(attempt.request.id, attempt.number, attempt.endpoint, kind, value))
+        self.post(Note(attempt.request.id, attempt.number, attempt.endpoint, kind, value))
 
     # ---- what the module says ---------------------------------------------------------------
 
@@ -354,10 +381,10 @@
         if request is None or request.answered or request.out is not None:
             # Withdrawn in the meantime. Two attempts of one request must never be out together.
             number = 0 if request is None else request.attempts
-            self.post(api.AttemptEnded(request_id, number, endpoint, True, 0, Outcome.MOOT, ()))
+            self.post(AttemptEnded(request_id, number, endpoint, True, 0, Outcome.MOOT, ()))
             return
         if not request.client.present:  # its end is about to be read
-            self.post(api.AttemptEnded(request_id, request.attempts, endpoint, True, 0, Outcome.MOOT, ()))
+            self.post(AttemptEnded(request_id, request.attempts, endpoint, True, 0, Outcome.MOOT, ()))
             return
         left = request.deadline - self.clock()
         within = min(timeout_ns, left) if timeout_ns > 0 else left
--- a/linnetshift/contracts.py
+++ b/linnetshift/broker/contracts.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from linnetshift.interface import RETRY
+from linnetshift.routing.events import RETRY
 
 PROHIBITED_WAIT_NS = 60_000_000_000  # outside the contract, until the contract changes
 CROWDED_WAIT_NS = 1_000_000_000  # as many at once as agreed: one may end at any moment
--- a/linnetshift/core/learned.py
+++ b/linnetshift/broker/deployment_facts.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Collection
 
-from linnetshift.core.census import ResourceUsage
-from linnetshift.interface import EndpointEntry, EndpointState
+from linnetshift.observability.resource_usage import ResourceUsage
+from linnetshift.routing.events import EndpointEntry, EndpointState
 
 # An endpoint that sends its clients away does so as it begins to drain, seconds before the list tells of it.
 SETTLED_NS = 1_000_000_000
--- a/linnetshift/core/gauge.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -13,7 +13,7 @@
 from statistics import median
 from typing import NamedTuple
 
-from linnetshift.core.census import ResourceUsage
+from linnetshift.observability.resource_usage import ResourceUsage
 
 SECOND = 1_000_000_000
 KEPT_NS = 3 * SECOND // 2
@@ -25,23 +25,30 @@
 # told nowhere: 7 ms where it was measured, and no more than a part of the shortest aim, which is set with a
 # view to it. Both are at the upper end: waiting for certainty costs more than an early step aside.
 CORES = 2
-MESSAGE_NS, MESSAGE_PART = 7_000_000, 0.14
+MESSAGE_NS = 7_000_000
+MESSAGE_PART = 0.14
 FULLEST = 0.995
 # An endpoint that drops standing connections has work piled up, which drains slowly and shows in no reply. So
 # long it counts as slow, though short of late (40 ms, or a part of the aim): most of its peers may be fine.
-SHED_NS, SHED_AS_NS, SHED_PART = 10 * SECOND, 40_000_000, 0.8
+SHED_NS = 10 * SECOND
+SHED_AS_NS = 40_000_000
+SHED_PART = 0.8
 # Some endpoints tell their message time too, in a line of the same form as a connection's load: in
 # milliseconds, once a second on one connection of each proxy while it is slow, and once more when it is not
 # any longer. A usual connection asks a hundred times as much as the first figure in microseconds, so what is
 # less is such a time. A larger one up to the second figure is one if it comes a second after a small figure.
-SURELY_TIME, MAYBE_TIME = 500.0, 10_000.0
-EVERY_NS, GIVE_NS = SECOND, 30_000_000
+SURELY_TIME = 500.0
+MAYBE_TIME = 10_000.0
+EVERY_NS = SECOND
+GIVE_NS = 30_000_000
 TOLD_NS = 2 * SECOND  # for how long a time that was told holds
 
 
 # Heavy connections are the first to tell their load. Before half have told, their mean says nothing of the
 # rest, which are taken as usual for this kind of endpoint: 11 to 21 fill a core.
-TYPICAL, MOSTLY_TOLD, FEW = 70_000.0, 0.5, 4
+TYPICAL = 70_000.0
+MOSTLY_TOLD = 0.5
+FEW = 4
 # For how long a client that came from another proxy tells of that proxy: about a connection's life.
 GUEST_NS = 30 * SECOND
 
--- a/linnetshift/core/ports.py
+++ b/linnetshift/broker/ports.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from linnetshift.core.invocation import Attempt, TimerHandle
+from linnetshift.broker.active_request import Attempt, TimerHandle
 
 
 class Timers(Protocol):
--- a/linnetshift/core/memory.py
+++ b/linnetshift/broker/snapshot.py
@@ -8,8 +8,8 @@
 
 from typing import Any
 
-from linnetshift.core.gauge import LatencyEstimator
-from linnetshift.policy import Balancer
+from linnetshift.broker.latency_estimator import LatencyEstimator
+from linnetshift.routing.balancer import Balancer
 
 OF_ENDPOINT = (
     "hot_until",
--- /dev/null
+++ b/linnetshift/config/__init__.py
@@ -0,0 +1,1 @@
+"""Configuration files."""
--- a/linnetshift/core/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Requests, attempts and outcomes, in no particular wire."""
--- /dev/null
+++ b/linnetshift/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The list of endpoints, fetched and watched over HTTP."""
--- a/linnetshift/net/directory.py
+++ b/linnetshift/discovery/watch.py
@@ -2,39 +2,28 @@
 
 from __future__ import annotations
 
-import json
-import math
 import random
-import select
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-import h11
-
-from linnetshift import interface as api
-from linnetshift.interface import EndpointState, ListForm
-from linnetshift.net import log
-from linnetshift.net.log import MOST_TOLD
-from linnetshift.net.loop import MS, Actor, ActorCoroutine, Io, Loop, S, Timeout
-from linnetshift.net.platform import UNKNOWN, NameRegistry
-from linnetshift.net.provider import Address, OutboundConnection, Steps, parse_address
-from linnetshift.net.stream import End
+from linnetshift.config.names import NameRegistry
+from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
+from linnetshift.discovery.http_call import Answer, Call
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Loop, S, Timeout
+from linnetshift.observability import log
+from linnetshift.observability.log import MOST_TOLD
+from linnetshift.routing.events import EndpointList, ListForm
+from linnetshift.routing.settings import Settings
 
 SOON_NS = 50 * MS  # before an agent on this machine is asked again that refused or failed a call
-# What discovery has counts as told 6 s after it could be reached, whatever a failed or silent call may wait
-# for: connection, news and answer of the next call stay well under it together, and so does each back-off.
-CONNECT_NS, SOON_WAIT_MS, MOST_CALL_NS = 1 * S, 1000, 4 * S
+SOON_WAIT_MS = 1000
+MOST_CALL_NS = 4 * S
 MOST_PATIENCE = 2  # how often the patience with a silent discovery is doubled
 SPREAD = 0.75  # waits are drawn from this share up: proxies whose watches ended together call one by one
 DOUBT_NS = 30 * S  # how long an answer that contradicts what is known must hold to be believed
 AGAIN_NS = 2 * S  # after an answer with unreadable entries
-MOST_BODY = 1 << 20  # thousands of endpoints; read, it takes some ten times as much memory
 PATH = "/catalog/members"
-STATES = {
-    "SERVING": EndpointState.READY,
-    "DRAINING": EndpointState.DRAINING,
-    "DELETED": EndpointState.REMOVED,
-}
 
 
 class WatchTimeouts(NamedTuple):
@@ -46,7 +35,7 @@
     call_ns: int  # for the whole list
 
     @classmethod
-    def of(cls, settings: api.Settings) -> WatchTimeouts:
+    def of(cls, settings: Settings) -> WatchTimeouts:
         """A silent discovery's news counts as told 2 s past the wait, at the soonest after 6 s of silence.
 
         An agent's counts from the moment it has them, watch or no watch, so a silent one is asked again while
@@ -58,146 +47,6 @@
         return cls(True, grace // 2 // MS, grace // 4, grace // 2)
 
 
-class EndpointListUpdate(NamedTuple):
-    """A list or its changes, as the module wants it, and where the endpoints listen."""
-
-    event: api.EndpointList
-    addresses: dict[bytes, Address]
-    unread: int  # entries that made no sense
-
-
-def read_list(document: Any, names: NameRegistry, cached: bool = False) -> EndpointListUpdate:
-    """Raises ValueError where the document is no list; an entry that makes no sense is left out.
-
-    What a whole list with such an entry does not name may be what could not be read, so it counts as
-    changes only.
-    """
-    if not isinstance(document, dict) or not isinstance(document.get("targets"), list):
-        raise ValueError("no list of targets")
-    version = document.get("rev", 0 if cached else None)
-    if not isinstance(version, int) or version < 0:
-        raise ValueError("no version")
-    entries, addresses, errors = [], {}, []
-    for target in document["targets"]:
-        try:
-            entry, address = read_entry(target, names)
-        except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
-            errors.append(f"{type(error).__name__}: {error}")
-            continue
-        entries.append(entry)
-        addresses[entry.endpoint] = address
-    if errors:
-        log.note("endpoint-entries-invalid", count=len(errors), first=errors[0][:MOST_TOLD])
-    whole = document.get("all") and not errors
-    form = ListForm.CACHED if cached else ListForm.FULL if whole else ListForm.DELTA
-    return EndpointListUpdate(api.EndpointList(form, version, tuple(entries)), addresses, len(errors))
-
-
-def read_entry(target: dict[str, Any], names: NameRegistry) -> tuple[api.EndpointEntry, Address]:
-    weight = float(target.get("capacity_hint", 1.0))
-    entry = api.EndpointEntry(
-        endpoint=str(target["uid"]).encode(),
-        zone=names.zones.get(str(target.get("az")), UNKNOWN),
-        kind=names.kinds.get(str(target.get("model")), UNKNOWN),
-        cell=int(target.get("pod_group") or 0),
-        state=STATES[target["state"]],
-        weight=weight if math.isfinite(weight) else 1.0,
-        started_ns=int(target.get("boot_ms") or 0) * MS,
-    )
-    return entry, parse_address(target["endpoint"])
-
-
-def describe(entry: api.EndpointEntry, address: Address, names: NameRegistry) -> dict[str, Any]:
-    """The entry as discovery would list it: what `read_entry` reads."""
-
-    def named(places: dict[str, int], place: int) -> str:
-        return next((name for name, at in places.items() if at == place), "")
-
-    return {
-        "uid": entry.endpoint.decode(),
-        "endpoint": f"{address[0]}:{address[1]}",
-        "az": named(names.zones, entry.zone),
-        "model": named(names.kinds, entry.kind),
-        "pod_group": entry.cell,
-        "state": next(word for word, state in STATES.items() if state == entry.state),
-        "capacity_hint": entry.weight,
-        "boot_ms": entry.started_ns // MS,
-    }
-
-
-class Answer(NamedTuple):
-    call: Call
-    document: Any  # None where the call failed
-    silent: bool = False  # for want of an answer
-
-
-class Call(OutboundConnection):
-    """One GET. It fails on any status but 200, on a reset, and on silence past its wait."""
-
-    def __init__(self, loop: Loop, address: Address, path: str, limit_ns: int, discovery: Actor) -> None:
-        super().__init__(loop)
-        self.address, self.path, self.limit_ns, self.discovery = address, path, limit_ns, discovery
-
-    def run(self) -> ActorCoroutine:
-        until = self.loop.now() + self.limit_ns
-        document, error = None, "unreachable"
-        if (yield from self.connect(self.address, min(CONNECT_NS, self.limit_ns))):
-            timer = self.set_timer(until - self.loop.now(), "call")
-            try:
-                document, error = (yield from self.exchange()), ""
-            except (h11.RemoteProtocolError, ValueError, ConnectionError, TimeoutError) as failure:
-                error = f"{type(failure).__name__}: {log.words(failure)}"
-            timer.cancel()
-        if self.stream is not None:
-            self.stream.close()
-        if document is None:
-            log.note("discovery-call-failed", path=self.path, error=error[:MOST_TOLD])
-        self.discovery.post(Answer(self, document, document is None and self.loop.now() >= until))
-
-    def gave_up(self) -> None:
-        self.discovery.post(Answer(self, None))
-
-    def exchange(self) -> Steps:
-        stream = self.stream
-        assert stream is not None
-        http = h11.Connection(h11.CLIENT)
-        endpoint = f"{self.address[0]}:{self.address[1]}"
-        request = h11.Request(
-            method="GET", target=self.path, headers=[("Host", endpoint), ("Connection", "close")]
-        )
-        stream.send(http.send(request) + (http.send(h11.EndOfMessage()) or b""))
-        body = bytearray()
-        while True:
-            event = http.next_event()
-            if isinstance(event, h11.Response) and event.status_code != 200:
-                raise ConnectionError(f"status {event.status_code}")
-            if isinstance(event, h11.Data):
-                body += event.data
-                if len(body) > MOST_BODY:
-                    raise ValueError("the answer is too long")
-            elif isinstance(event, h11.EndOfMessage):
-                return json.loads(body)
-            elif event is h11.NEED_DATA:
-                yield from self.feed(http)
-
-    def feed(self, http: h11.Connection) -> Steps:
-        stream = self.stream
-        assert stream is not None
-        match (yield):
-            case Io(mask):
-                if mask & select.EPOLLOUT:
-                    stream.flush()
-                end = stream.fill()
-                if data := stream.rest():
-                    http.receive_data(bytes(data))
-                elif end is End.RESET:
-                    raise ConnectionError("reset")
-                elif end is End.FIN:
-                    http.receive_data(b"")
-            case Timeout(tag="call"):
-                raise TimeoutError("no answer in time")
-
-
 class Watch(NamedTuple):
     on: bool
 
@@ -337,9 +186,9 @@
         elif self.pace.pushed:
             self.set_timer(SOON_NS, "open")
         else:
-            self.told(EndpointListUpdate(api.EndpointList(ListForm.FAILED, 0, ()), {}, 0))
+            self.told(EndpointListUpdate(EndpointList(ListForm.FAILED, 0, ()), {}, 0))
 
-    def doubt(self, event: api.EndpointList, kept: bool) -> None:
+    def doubt(self, event: EndpointList, kept: bool) -> None:
         """An older list, or one that is suddenly empty, may be a slip: it is used only if it stays so.
 
         At once it would end every connection, or send new ones to endpoints that are known to leave. From
--- a/linnetshift/net/limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -9,9 +9,9 @@
 import resource
 from typing import Protocol
 
-from linnetshift.core.census import ResourceUsage
-from linnetshift.net.loop import MS, Actor, Loop, S, Timer
-from linnetshift.net.stream import Stream
+from linnetshift.event_loop.loop import MS, Actor, Loop, S, Timer
+from linnetshift.event_loop.stream import Stream
+from linnetshift.observability.resource_usage import ResourceUsage
 
 # A first line comes with its connection; who owes it for longer is answered and closed, within 3 s in all.
 REQUEST_LINE_TIMEOUT_NS = 2800 * MS
@@ -21,7 +21,8 @@
 STALL_NS = 7 * S  # how long a client may leave everything unread
 MOST_WAIT_MS = 600_000  # no client waits so long for its answer
 # Descriptors that no stranger gets: for endpoints, discovery, listeners and the log.
-LEAST_SPARE, SPARE_PART = 24, 6
+LEAST_SPARE = 24
+SPARE_PART = 6
 
 
 class Reading(Actor):
--- a/linnetshift/net/loop.py
+++ b/linnetshift/event_loop/loop.py
@@ -10,7 +10,7 @@
 from itertools import count
 from typing import Any, NamedTuple, Protocol
 
-from linnetshift.core.census import ResourceUsage
+from linnetshift.observability.resource_usage import ResourceUsage
 
 ActorCoroutine = Generator[None, Any, None]
 Handler = Callable[[int], None]
--- a/linnetshift/net/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from enum import Enum
 
-from linnetshift.net.loop import Loop
+from linnetshift.event_loop.loop import Loop
 
 # A peer that is gone without a word: unanswered keep-alives, or data left unacknowledged, end the connection.
 HALF_OPEN = (
--- /dev/null
+++ b/linnetshift/frontends/__init__.py
@@ -0,0 +1,1 @@
+"""What clients connect to."""
--- /dev/null
+++ b/linnetshift/frontends/channels/__init__.py
@@ -0,0 +1,1 @@
+"""Requests as channels of SSH's connection protocol, without cryptography."""
--- a/linnetshift/net/channels.py
+++ b/linnetshift/frontends/channels/session.py
@@ -13,22 +13,40 @@
 from itertools import count
 from typing import NamedTuple
 
-from linnetshift import interface as api
-from linnetshift.core.broker import Broker
-from linnetshift.core.census import ResourceUsage
-from linnetshift.core.invocation import ActiveRequest, UpstreamConnection
-from linnetshift.interface import Outcome
-from linnetshift.net import log, ssh
-from linnetshift.net.limits import DRAIN_NS, MOST_WAIT_MS, REQUEST_LINE_TIMEOUT_NS, ConnectionLimiter, Reading
-from linnetshift.net.log import MOST_TOLD, Reason
-from linnetshift.net.loop import MS, ActorCoroutine, Io, Loop, S, Timeout, Timer
-from linnetshift.net.platform import ANSWER_NS, UNKNOWN, Frontend, NameRegistry
-from linnetshift.net.provider import Address, Steps, Stop, linger
-from linnetshift.net.ssh import Disconnect, Fields, Malformed, Message, OpenFailure, message, string
-from linnetshift.net.stream import End, LineTooLong, Stream
+from linnetshift.broker.active_request import ActiveRequest, UpstreamConnection
+from linnetshift.broker.broker import Broker
+from linnetshift.config.names import UNKNOWN, NameRegistry
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.connection_limits import (
+    DRAIN_NS,
+    MOST_WAIT_MS,
+    REQUEST_LINE_TIMEOUT_NS,
+    ConnectionLimiter,
+    Reading,
+)
+from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, S, Timeout, Timer
+from linnetshift.event_loop.outbound_connection import Steps, Stop, linger
+from linnetshift.event_loop.stream import End, LineTooLong, Stream
+from linnetshift.frontends.channels import ssh
+from linnetshift.frontends.channels.ssh import (
+    Disconnect,
+    Fields,
+    Malformed,
+    Message,
+    OpenFailure,
+    message,
+    string,
+)
+from linnetshift.frontends.line_protocol.client_connection import ANSWER_NS
+from linnetshift.frontends.listener import Frontend
+from linnetshift.observability import log
+from linnetshift.observability.log import MOST_TOLD, Reason
+from linnetshift.observability.resource_usage import ResourceUsage
+from linnetshift.routing.events import RETRY, RETURNED, Outcome
 
 CHANNEL_TYPE = "invocation@linnetshift"
-MOVE_REQUEST, RESET_REQUEST = b"move@linnetshift", b"reset@linnetshift"
+MOVE_REQUEST = b"move@linnetshift"
+RESET_REQUEST = b"reset@linnetshift"
 KEEPALIVE_REQUEST = b"keepalive@linnetshift"
 WINDOW = 32_768  # what a client may have under way on a channel, and so what is kept for a slow endpoint
 PACKET_DATA = 16_384
@@ -37,8 +55,10 @@
 CROWDED_MS = 1000
 MOST_UNSENT = 65_536  # with more than this unread by the client, nothing more is read from it
 HELD_NS = S  # what a client grants no window for is given up after this when the channel must end
-KEEPALIVE_NS, SILENT_BEATS = 15 * S, 3
-RETRY_FLAG, RETURNED_FLAG = 1, 2
+KEEPALIVE_NS = 15 * S
+SILENT_BEATS = 3
+RETRY_FLAG = 1
+RETURNED_FLAG = 2
 
 
 class Overdue(NamedTuple):
@@ -485,7 +505,7 @@
             names.get(tenant, UNKNOWN),
             key,
             group,
-            (api.RETRY if flags & RETRY_FLAG else 0) | (api.RETURNED if flags & RETURNED_FLAG else 0),
+            (RETRY if flags & RETRY_FLAG else 0) | (RETURNED if flags & RETURNED_FLAG else 0),
             0,
             self.loop.since + wait - ANSWER_NS,
             lambda left_ms: f"{head}{left_ms}{marks}\r\n".encode(),
--- a/linnetshift/net/ssh.py
+++ b/linnetshift/frontends/channels/ssh.py
@@ -6,10 +6,11 @@
 import struct
 from enum import IntEnum
 
-from linnetshift.net.stream import Stream
+from linnetshift.event_loop.stream import Stream
 
 IDENTIFICATION = b"SSH-2.0-linnetshift\r\n"
-BLOCK, LEAST_PADDING = 8, 4
+BLOCK = 8
+LEAST_PADDING = 4
 MOST_PACKET = 35_000  # RFC 4253, section 6.1
 MOST_IDENTIFICATION = 255
 
--- /dev/null
+++ b/linnetshift/frontends/line_protocol/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's line protocol."""
--- a/linnetshift/net/platform.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -2,157 +2,31 @@
 
 from __future__ import annotations
 
-import errno
 import select
 import socket
-from collections.abc import Callable
 from typing import NamedTuple
 
-from linnetshift import interface as api
-from linnetshift.core.broker import Broker
-from linnetshift.core.census import ResourceUsage
-from linnetshift.core.invocation import ActiveRequest
-from linnetshift.interface import Outcome
-from linnetshift.net import log
-from linnetshift.net.limits import DRAIN_NS, MOST_WAIT_MS, REQUEST_LINE_TIMEOUT_NS, ConnectionLimiter, Reading
-from linnetshift.net.log import MOST_TOLD, Reason
-from linnetshift.net.loop import MS, ActorCoroutine, Io, Loop, Timeout
-from linnetshift.net.provider import Address, Resume, Steps, Stop, linger
-from linnetshift.net.stream import End, LineTooLong, Stream
+from linnetshift.broker.active_request import ActiveRequest
+from linnetshift.broker.broker import Broker
+from linnetshift.config.names import NameRegistry
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.connection_limits import (
+    DRAIN_NS,
+    REQUEST_LINE_TIMEOUT_NS,
+    ConnectionLimiter,
+    Reading,
+)
+from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, Timeout
+from linnetshift.event_loop.outbound_connection import Resume, Steps, Stop, linger
+from linnetshift.event_loop.stream import End, LineTooLong, Stream
+from linnetshift.frontends.line_protocol.request_line import BadLine, RequestLine, parse_request_line
+from linnetshift.frontends.listener import Frontend
+from linnetshift.observability import log
+from linnetshift.observability.log import MOST_TOLD, Reason
+from linnetshift.observability.resource_usage import ResourceUsage
+from linnetshift.routing.events import Outcome
 
 ANSWER_NS = 4 * MS  # answers leave this much before the client gives up
-BACKLOG = 1024
-ACCEPTS = 64  # at one turn of the loop
-UNKNOWN = -1  # the place of a name that the settings do not know
-MOST_NAMES = 4096  # of tenants, zones or kinds, with those that reloads have dropped
-PAUSE_NS = 50 * MS  # without descriptors, how long nothing is accepted
-
-
-class BadLine(ValueError):
-    """A first line that is none of the protocol's."""
-
-
-class NameRegistry:
-    """Numbers of classes; places of tenants, zones and kinds, which no later settings give to another name.
-
-    What is under way refers to them: a place is a name's for good, wherever later lists have the name.
-    """
-
-    def __init__(
-        self, settings: dict[str, object], known: api.Settings, former: NameRegistry | None = None
-    ) -> None:
-        self.classes = {known.classes[number].name: number for number in known.numbers}
-        before: tuple[dict[str, int], ...] = former.lists() if former is not None else ({}, {}, {})
-        self.tenants, self.zones, self.kinds = (
-            self._places(settings.get(key), places)
-            for key, places in zip(("tenants", "zones", "models"), before, strict=True)
-        )
-
-    def lists(self) -> tuple[dict[str, int], ...]:
-        return self.tenants, self.zones, self.kinds
-
-    def follow(self, later: NameRegistry) -> dict[str, int]:
-        """The classes that are offered no more, which are still known: clients learn of it later."""
-        for known, listed in zip(self.lists(), later.lists(), strict=True):
-            known.update(listed)
-        dropped = {name: number for name, number in self.classes.items() if name not in later.classes}
-        self.classes = {**dropped, **later.classes}
-        return dropped
-
-    def forget(self, dropped: dict[str, int], offered: tuple[int, ...]) -> None:
-        for name, number in dropped.items():
-            if number not in offered and self.classes.get(name) == number:
-                del self.classes[name]
-
-    @staticmethod
-    def told(listed: object) -> list[str]:
-        items = listed if isinstance(listed, list) else []
-        return [str(item.get("name") if isinstance(item, dict) else item) for item in items]
-
-    @classmethod
-    def _places(cls, listed: object, before: dict[str, int]) -> dict[str, int]:
-        places = dict(before)
-        for name in cls.told(listed):
-            places.setdefault(name, len(places))
-        if len(places) > MOST_NAMES:
-            raise ValueError("more names of one kind since the start than can be kept; that needs a restart")
-        return places
-
-
-class RequestLine(NamedTuple):
-    """A first line, read."""
-
-    id: int
-    klass: int
-    tenant: int
-    key: int
-    group: int
-    flags: int
-    hint: int
-    wait_ns: int  # 0 where the line does not say
-    adopt: bytes
-    forward: Callable[[int], bytes]
-
-
-def parse_request_line(line: bytes, names: NameRegistry) -> RequestLine:
-    words = line[:-2].split(b" ")
-    if not line.endswith(b"\r\n") or len(words) not in (3, 4) or words[0] != b"OPEN":
-        raise BadLine("not an OPEN line")
-    if any(byte < 0x20 or byte == 0x7F for byte in line[:-2]):
-        raise BadLine("control characters")
-    pairs = [pair.partition(b"=") for pair in words[3].split(b",")] if len(words) == 4 else []
-    values = {name: value for name, _, value in pairs}
-    if len(values) < len(pairs):
-        raise BadLine("a name twice")  # endpoints may heed the other one
-    klass = names.classes.get(values.get(b"c", b"").decode("utf-8", "replace"))
-    if klass is None:
-        raise BadLine("unknown class")
-    tenant = values.get(b"t", b"").decode("utf-8", "replace")
-    flags = (api.RETRY if values.get(b"r") == b"1" else 0) | (
-        api.RETURNED if values.get(b"again") == b"1" else 0
-    )
-    wait, adopt = values.get(b"d"), values.get(b"at", b"")
-    if wait is not None and not (wait.isdigit() and len(wait) < 10 and int(wait)):
-        raise BadLine("bad deadline")
-    # One that was open before the run comes with as long as 32 bits of microseconds hold.
-    if wait is not None and int(wait) > MOST_WAIT_MS and not adopt:
-        raise BadLine("endless deadline")
-
-    def forward(left_ms: int) -> bytes:
-        told = b",".join(
-            name + mark + (b"%d" % left_ms if name == b"d" else value) for name, mark, value in pairs
-        )
-        return b" ".join([*words[:3], told] if pairs else words) + b"\r\n"
-
-    return RequestLine(
-        id=_hex(words[1]),
-        klass=klass,
-        tenant=names.tenants.get(tenant, UNKNOWN),
-        key=_hex(words[2]),
-        group=_hex(values.get(b"g", b"0")),
-        flags=flags,
-        hint=_hint(values.get(b"h", b"")),
-        wait_ns=min(int(wait or 0), MOST_WAIT_MS) * MS,
-        adopt=adopt,
-        forward=forward,
-    )
-
-
-def _hex(text: bytes) -> int:
-    if not 0 < len(text) <= 16 or not all(c in b"0123456789abcdefABCDEF" for c in text):
-        raise BadLine("bad hexadecimal number")
-    return int(text, 16)
-
-
-def _hint(text: bytes) -> int:
-    """A guess at the load; without one, 0."""
-    try:
-        value = float(text or b"0")
-    except ValueError:
-        value = -1.0
-    if not 0.0 <= value < 2.0**63:
-        raise BadLine("bad hint")
-    return int(value)
 
 
 class Rejected(NamedTuple):
@@ -454,113 +328,6 @@
 TALKS = "talks on before its answer"
 
 
-class Acceptor:
-    """A listening socket that hands each connection on and outlives a want of descriptors.
-
-    One that was given is shared with other processes: it is only watched, never bound, shut down or told to
-    listen anew.
-    """
-
-    def __init__(
-        self,
-        loop: Loop,
-        address: Address,
-        take: Callable[[socket.socket, Address], None],
-        given: socket.socket | None = None,
-        make_room: Callable[[], bool] | None = None,
-    ) -> None:
-        """`make_room` is called for want of a descriptor, and says whether there may be one now."""
-        self.loop, self.address, self.take = loop, address, take
-        self.make_room = make_room or loop.make_room
-        self.paused = False
-        self.given = given is not None
-        if given is None:
-            self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self.listener.bind(address)
-            self.listener.listen(BACKLOG)
-        else:
-            self.listener = given
-        self.listener.setblocking(False)
-        self.accept_again()
-
-    def pause(self, paused: bool) -> None:
-        """Leave what arrives to another process, or take it again."""
-        self.paused = paused
-        if paused and self.listener.fileno() >= 0:
-            self.loop.unwatch(self.listener.fileno())
-        self.accept_again()
-
-    def accept_again(self) -> None:
-        if self.listener.fileno() >= 0 and not self.paused:
-            self.loop.watch(self.listener.fileno(), select.EPOLLIN, self.accept)
-
-    def accept(self, _mask: int, most: int = ACCEPTS) -> None:
-        for _ in range(most):
-            try:
-                sock, peer = self.listener.accept()
-            except BlockingIOError:
-                return
-            except OSError as error:
-                if error.errno in (errno.EMFILE, errno.ENFILE) and self.make_room():
-                    continue
-                if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                    # The backlog stays readable: without a pause this would spin until some end.
-                    self.loop.unwatch(self.listener.fileno())
-                    self.loop.call_later(PAUSE_NS, self.accept_again)
-                    log.note("accept-paused", error=error.strerror)
-                    return
-                continue  # the peer was gone before it was accepted
-            self.take(sock, peer)
-
-    def close(self) -> None:
-        if self.listener.fileno() >= 0 and not self.given and not self.paused:
-            # Those in the queue were accepted by this machine, and a close would reset them.
-            self.accept(0, 2 * BACKLOG)
-        if self.listener.fileno() >= 0:
-            # First: closing does not end epoll's interest in a socket that other processes hold too.
-            self.loop.unwatch(self.listener.fileno())
-            self.listener.close()
-
-
-class Frontend:
-    """What takes connections in, at an address that may change while the program runs."""
-
-    def __init__(
-        self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
-    ) -> None:
-        self.loop, self.broker, self.names, self.connection_limiter = loop, broker, names, connection_limiter
-        self.leaving = False
-        self.acceptor: Acceptor | None = None
-
-    @property
-    def address(self) -> Address | None:
-        return self.acceptor.address if self.acceptor is not None else None
-
-    def take(self, sock: socket.socket, peer: Address) -> None:
-        raise NotImplementedError
-
-    def listen(self, address: Address, given: socket.socket | None = None) -> None:
-        if address != self.address:
-            self.follow(Acceptor(self.loop, address, self.take, given))
-
-    def pause(self, paused: bool) -> None:
-        """Leave new connections to the process that takes this one's place, or take them again."""
-        self.leaving = paused
-        if self.acceptor is not None:
-            self.acceptor.pause(paused)
-
-    def follow(self, acceptor: Acceptor) -> None:
-        """Listen there from now on; what was accepted before goes on."""
-        self.close()
-        self.leaving, self.acceptor = False, acceptor
-
-    def close(self) -> None:
-        if self.acceptor is not None:
-            self.acceptor.close()
-            self.acceptor = None
-
-
 class LineProtocolFrontend(Frontend):
     """Accepts clients on the address that the platform gave."""
 
--- /dev/null
+++ b/linnetshift/lifecycle/__init__.py
@@ -0,0 +1,1 @@
+"""Graceful shutdown, reload and hot restart."""
--- a/linnetshift/net/module.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -3,87 +3,25 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import NamedTuple
-
-from linnetshift.core.broker import Broker
-from linnetshift.interface import Settings
-from linnetshift.net import log
-from linnetshift.net.channels import ChannelsFrontend
-from linnetshift.net.loop import MS, Actor, ActorCoroutine, Loop, S, Timeout, Timer
-from linnetshift.net.stream import Stream
-
-REVIEW_NS = 125 * MS  # how often silence is looked for
-REVIEWS = 8  # and message times at one in so many
-
-
-class Settled(NamedTuple):
-    done: Callable[[], None]
-
-
-class Module(Actor):
-    """Lets the broker decide on all that has come in at one turn of the loop together."""
-
-    broker: Broker
-
-    def __init__(self, loop: Loop, waiting: bool = False) -> None:
-        """`waiting`: nothing is decided before discovery's first word, or its failure to say any."""
-        super().__init__(loop)
-        self.waiting = waiting
-
-    def informed(self) -> None:
-        if self.waiting:
-            self.waiting = False
-            self.soon()
-
-    def soon(self) -> None:
-        self.post(None)
-
-    def settled(self, done: Callable[[], None]) -> None:
-        """Have `done` called once the module has decided on all that is in by now."""
-        self.post(Settled(done))
-
-    def wake(self, delay_ns: int, token: int) -> None:
-        self.later(delay_ns, lambda: self.broker.timer_fired(token))
-
-    def later(self, delay_ns: int, fire: Callable[[], None]) -> Timer:
-        return self.loop.call_later(delay_ns, fire)
-
-    def run(self) -> ActorCoroutine:
-        self.set_timer(REVIEW_NS, 1)
-        while True:
-            match (yield):
-                case Timeout(tag=int(review)):
-                    self.set_timer(REVIEW_NS, review + 1)
-                    self.broker.review_silence()
-                    if review % REVIEWS == 0:
-                        self.broker.review_messages()
-                        for what, value in self.broker.deployment_facts.fresh():
-                            log.note("deployment-fact-observed", what=what, value=value)
-                case Settled(done):
-                    self.decide()
-                    done()
-                case _:
-                    self.decide()
-
-    def decide(self) -> None:
-        if self.waiting:
-            return
-        try:
-            self.broker.drain()
-        except Exception as error:
-            # What stands goes on, and the broker answers what the module no longer does.
-            log.fault(error)
 
+from linnetshift.broker.broker import Broker
+from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Loop, S
+from linnetshift.event_loop.stream import Stream
+from linnetshift.frontends.channels.session import ChannelsFrontend
+from linnetshift.observability import log
+from linnetshift.routing.settings import Settings
 
 # On a planned stop new connections keep arriving for up to 0.4 s; the kill comes no earlier than the
 # longest deadline (3 s where it is longer) and 0.7 s after the signal.
 ACCEPT_NS = 600 * MS
-MOST_DEADLINE_NS, KILL_NS = 3 * S, 700 * MS
+MOST_DEADLINE_NS = 3 * S
+KILL_NS = 700 * MS
 SPARE_NS = 350 * MS  # kept free before the kill, for the last answers and moves to be written and read
 LAST_NS = 100 * MS  # of that, for the exit itself
 # Proxies are restarted one after the other: the one before may not be back yet, and clients moved at
 # once would find nobody. They are moved between these parts of the time, in hundredths.
-MOVE_FROM, MOVE_UNTIL = 40, 92
+MOVE_FROM = 40
+MOVE_UNTIL = 92
 STEP_NS = 50 * MS
 SIGNAL_NS = 6 * S  # within this of the new process's yes, the signal comes to the one it replaces
 LOST_PART_NS = 2 * S  # over how long channels move once another proxy is the active one
--- a/linnetshift/net/handover.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -22,17 +22,17 @@
 from types import MappingProxyType
 from typing import Any, NamedTuple, Protocol
 
-from linnetshift.contracts import Budget, Contracts
-from linnetshift.core.broker import Broker
-from linnetshift.core.census import ResourceUsage
-from linnetshift.core.gauge import Standing
-from linnetshift.core.memory import import_state
-from linnetshift.net import log
-from linnetshift.net.directory import EndpointListUpdate, read_list
-from linnetshift.net.limits import Reading
-from linnetshift.net.loop import MS, ActorCoroutine, Io, Loop, S, Timeout
-from linnetshift.net.platform import NameRegistry
-from linnetshift.net.stream import End, Stream
+from linnetshift.broker.broker import Broker
+from linnetshift.broker.contracts import Budget, Contracts
+from linnetshift.broker.latency_estimator import Standing
+from linnetshift.broker.snapshot import import_state
+from linnetshift.config.names import NameRegistry
+from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
+from linnetshift.event_loop.connection_limits import Reading
+from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, S, Timeout
+from linnetshift.event_loop.stream import End, Stream
+from linnetshift.observability import log
+from linnetshift.observability.resource_usage import ResourceUsage
 
 MEET_S = 2.5  # how long a new process waits for the state of one that may hang; then it goes on alone
 AGAIN_S = 0.05
--- a/linnetshift/net/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Sockets, frontends and peers around the broker."""
--- /dev/null
+++ b/linnetshift/observability/__init__.py
@@ -0,0 +1,1 @@
+"""Log lines, reasons and resource usage."""
--- /dev/null
+++ b/linnetshift/routing/__init__.py
@@ -0,0 +1,1 @@
+"""Routing decisions: pure, told of time and events, without I/O."""
--- a/linnetshift/policy.py
+++ b/linnetshift/routing/balancer.py
@@ -16,14 +16,48 @@
 import numpy as np
 import numpy.typing as npt
 
-from linnetshift import interface as api
-from linnetshift.coordination.groups import GroupSizes
-from linnetshift.coordination.load_shedding import SHED_STEP, LoadShedding
-from linnetshift.coordination.rendezvous import MASK, endpoint_hash, in_order, mix64
-from linnetshift.coordination.returns import Returns
-from linnetshift.coordination.slow_start import SlowStart, pace, warmth
-from linnetshift.coordination.window import Window
-from linnetshift.interface import Effect, EndpointState, ListForm, Outcome, Scope
+from linnetshift.routing.actions import (
+    ALL_PEERS,
+    Action,
+    Fail,
+    HealthCheck,
+    Migrate,
+    Reject,
+    Send,
+    SendPeerMessage,
+    SetTimer,
+    Watch,
+)
+from linnetshift.routing.concurrency_limit import Window
+from linnetshift.routing.events import (
+    LOAD_NOTE,
+    MID_FLOW,
+    NEVER_RAN,
+    RETRY,
+    RETURNED,
+    SLOW_NOTE,
+    Adopted,
+    AttemptEnded,
+    EndpointEntry,
+    EndpointList,
+    EndpointState,
+    Established,
+    Event,
+    HealthCheckResult,
+    ListForm,
+    Note,
+    Outcome,
+    PeerMessage,
+    Request,
+    TimerFired,
+    Withdrawn,
+)
+from linnetshift.routing.group_affinity import GroupSizes
+from linnetshift.routing.load_shedding import SHED_STEP, LoadShedding
+from linnetshift.routing.ranking import MASK, endpoint_hash, in_order, mix64
+from linnetshift.routing.returning_clients import Returns
+from linnetshift.routing.settings import Effect, RequestClass, Scope, Settings
+from linnetshift.routing.slow_start import SlowStart, pace, warmth
 
 WARM_STEPS = 8  # in which warm-up acts on weights: nodes a few milliseconds apart hold the same ranking
 ERRORS_TOLD = (
@@ -32,23 +66,28 @@
 NOTE_NS = 2_500_000_000  # slow notes come once a second while they hold; two in a row may get lost to chance
 # Probed load (asked over what the endpoint can do) from which an endpoint is passed over, and to which moves
 # bring it.
-HOT_LOAD, AIM_LOAD = 0.85, 0.75
+HOT_LOAD = 0.85
+AIM_LOAD = 0.75
 HEALTH_CHECK_GAIN = 0.3  # share of the excess that moves at each health check; reports may be seconds old
 HEALTH_CHECKS_EACH = (
     3  # that an arriving request pays for: where its place is sought, and where slow notes steer
 )
 # How long a probed load serves placements, and how long it keeps a hot endpoint passed over.
-HEALTH_CHECK_FRESH_NS, HEALTH_CHECK_KEPT_NS = 500_000_000, 3_000_000_000
+HEALTH_CHECK_FRESH_NS = 500_000_000
+HEALTH_CHECK_KEPT_NS = 3_000_000_000
 # Word of a silent endpoint: how long it counts, how many voices (a node's own second failure too) make it
 # hung.
-VOICE_NS, VOICES = 5_000_000_000, 2
+VOICE_NS = 5_000_000_000
+VOICES = 2
 SILENT, HOT = (
     b"s",
     b"h",
 )  # open a message to peers: this endpoint let no connection stand, its messages are slow
 AT_ONCE = 2.0  # nodes that use an endpoint at once when it is back: rule 4 bears two more than its budget
 HUNG_SHARE = 0.05  # of this node's connections there, moved at each tick
-LEAVE_NS, LAST_TICKS = 5_000_000_000, 12  # to leave one that drains; its last moves go to any other endpoint
+# to leave one that drains; its last moves go to any other endpoint
+LEAVE_NS = 5_000_000_000
+LAST_TICKS = 12
 TOGETHER = 3  # endpoints of one zone or cell down at once, more than are seen to work there, mean all of it
 REPORT_MEMORY = 0.1  # weight of a report in what is known of a connection's load
 ASK_AGAIN_NS = (
@@ -58,7 +97,10 @@
 # Share of this node's connections moved off a hot endpoint at each note (one a second): from two thirds of
 # the shortest aim on (under that it is only passed over), and once messages miss it the more work is piled
 # up.
-MOVE_SLOW, MOVE_LATE, MOVE_MOST, PILED_NS = 0.05, 0.1, 0.4, 200_000_000
+MOVE_SLOW = 0.05
+MOVE_LATE = 0.1
+MOVE_MOST = 0.4
+PILED_NS = 200_000_000
 
 
 @dataclass(slots=True, eq=False)
@@ -110,10 +152,10 @@
 class PendingRequest:
     """A request that awaits its final answer, or a connection that stands."""
 
-    request: api.Request | api.Adopted
+    request: Request | Adopted
     deadline: int
     load: float  # ns of work a second; 0 when unknown
-    klass: api.RequestClass  # the rules it began with
+    klass: RequestClass  # the rules it began with
     attempt: int = -1  # number of the latest attempt
     endpoint: Endpoint | None = None  # where the latest attempt went, while it is out
     standing: bool = False
@@ -129,13 +171,13 @@
 class Balancer:
     """The decisions of one node. Instances share nothing."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.random = random.Random(seed)
         self.now = 0
         self.endpoints: dict[bytes, Endpoint] = {}
         self.sizes: dict[int, float] = {}  # by kind, the highest weight that was listed
         self.pending: dict[int, PendingRequest] = {}
-        self.out: list[api.Action] = []
+        self.out: list[Action] = []
         self.ranked: tuple[list[Endpoint], npt.NDArray[np.uint64], npt.NDArray[np.float64], float] | None
         self.ranked_until = 0
         self.health_check_credit = 0.0
@@ -157,7 +199,7 @@
         self.asked, self.ask_failures, self.ask_token = False, 0, 0
         self.configure(settings)
 
-    def configure(self, settings: api.Settings) -> None:
+    def configure(self, settings: Settings) -> None:
         """Also while running, when classes may be added but keep their places; what is known stays."""
         self.settings, self.rules, self.ranked = settings, settings.classes, None
         columns = settings.report_columns
@@ -167,43 +209,43 @@
         self.tick_ns = min(c.latency_objective_ns for c in settings.offered) // 8
         self.message_latency_objective = min(c.message_latency_objective_ns for c in settings.offered)
 
-    def step(self, now_ns: int, events: Sequence[api.Event]) -> list[api.Action]:
+    def step(self, now_ns: int, events: Sequence[Event]) -> list[Action]:
         self.now = max(self.now, now_ns)  # a clock that steps back must not revive past deadlines
         self.out = []
         for event in events:
             self.handle(event)
         if self.settings.must_poll and not self.asked:
             self.asked = True
-            self.out.append(api.Watch(True))
+            self.out.append(Watch(True))
         return self.out
 
-    def handle(self, event: api.Event) -> None:
+    def handle(self, event: Event) -> None:
         """Hand one event to the method for its type."""
         match event:
-            case api.EndpointList():
+            case EndpointList():
                 self.handle_endpoint_list(event)
-            case api.Request():
+            case Request():
                 self.handle_request(event)
-            case api.Adopted():
+            case Adopted():
                 self.handle_adopted_connection(event)
-            case api.Established():
+            case Established():
                 self.handle_established(event)
-            case api.Note():
+            case Note():
                 self.handle_note(event)
-            case api.AttemptEnded():
+            case AttemptEnded():
                 self.handle_attempt_ended(event)
-            case api.Withdrawn():
+            case Withdrawn():
                 self.handle_withdrawn(event)
-            case api.TimerFired():
+            case TimerFired():
                 self.handle_timer_fired(event)
-            case api.HealthCheckResult():
+            case HealthCheckResult():
                 self.handle_health_check_result(event)
-            case api.PeerMessage():
+            case PeerMessage():
                 self.handle_peer_message(event)
 
     # ---- the list of endpoints ------------------------------------------------------------------
 
-    def handle_endpoint_list(self, event: api.EndpointList) -> None:
+    def handle_endpoint_list(self, event: EndpointList) -> None:
         if event.form == ListForm.FAILED:
             self.handle_list_failed()
             return
@@ -235,7 +277,7 @@
             del self.endpoints[endpoint.id]
         self.ranked = None
 
-    def update(self, endpoint: Endpoint, entry: api.EndpointEntry) -> None:
+    def update(self, endpoint: Endpoint, entry: EndpointEntry) -> None:
         endpoint.zone, endpoint.cell, endpoint.kind = entry.zone, entry.cell, entry.kind
         endpoint.state, endpoint.started, endpoint.leave_ns = entry.state, entry.started_ns, entry.leave_ns
         endpoint.weight = (
@@ -262,15 +304,15 @@
         longest = min(self.settings.must_poll_within_ns // 4, ASK_AGAIN_NS)
         wait = min(longest // 10 << self.ask_failures, longest) * self.random.uniform(0.5, 1.0)
         self.ask_token = (self.ask_token + 1) & 0xFFFF
-        self.out.append(api.SetTimer(int(wait), self.ask_token))
+        self.out.append(SetTimer(int(wait), self.ask_token))
 
-    def handle_timer_fired(self, event: api.TimerFired) -> None:
+    def handle_timer_fired(self, event: TimerFired) -> None:
         if event.token == TICK_TOKEN:
             self.ticking = False
             self.leave_hung()
             self.retry_held()
         elif event.token == self.ask_token:
-            self.out.append(api.Watch(True))
+            self.out.append(Watch(True))
 
     # ---- ranking ----------------------------------------------------------------------------
 
@@ -379,14 +421,14 @@
 
     # ---- endpoints to pass over -----------------------------------------------------------------
 
-    def hot(self, endpoint: Endpoint, klass: api.RequestClass) -> bool:
+    def hot(self, endpoint: Endpoint, klass: RequestClass) -> bool:
         """Whether messages there are slow by the measure of that class."""
         return (
             self.now < endpoint.hot_until
             and not 0 < endpoint.slow_ns * 3 < klass.message_latency_objective_ns
         )
 
-    def passed_over(self, endpoint: Endpoint, klass: api.RequestClass) -> bool:
+    def passed_over(self, endpoint: Endpoint, klass: RequestClass) -> bool:
         """Hot, or under suspicion: the key's next rank is asked instead."""
         if self.hot(endpoint, klass) or self.now < endpoint.avoid_until or endpoint.trial >= 0:
             return True
@@ -425,9 +467,9 @@
         if not endpoint.health_check_at:
             endpoint.health_check_at = self.now
             self.health_check_credit -= 1.0
-            self.out.append(api.HealthCheck(endpoint.id))
+            self.out.append(HealthCheck(endpoint.id))
 
-    def handle_health_check_result(self, event: api.HealthCheckResult) -> None:
+    def handle_health_check_result(self, event: HealthCheckResult) -> None:
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or not endpoint.health_check_at:
             return
@@ -471,10 +513,10 @@
         me = self.settings.node
         heard = sum(self.now - at < VOICE_NS for at in endpoint.voices.values())
         if self.settings.may_message_peers and heard < VOICES and me not in endpoint.voices:
-            self.out.append(api.SendPeerMessage(api.ALL_PEERS, SILENT + endpoint.id))
+            self.out.append(SendPeerMessage(ALL_PEERS, SILENT + endpoint.id))
         self.hear(endpoint, self.settings.balancers if me in endpoint.voices else me)
 
-    def handle_peer_message(self, event: api.PeerMessage) -> None:
+    def handle_peer_message(self, event: PeerMessage) -> None:
         endpoint = self.endpoints.get(event.data[1:])
         if endpoint is None or event.sender >= self.settings.balancers or event.sender == self.settings.node:
             return
@@ -520,14 +562,14 @@
                     other.avoid_until, other.spell = endpoint.avoid_until, endpoint.spell
                     other.overload = endpoint.overload
 
-    def handle_note(self, event: api.Note) -> None:
+    def handle_note(self, event: Note) -> None:
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or not 0.0 <= event.value < 1e9:
             return
-        if event.kind == api.LOAD_NOTE:
+        if event.kind == LOAD_NOTE:
             if (pending := self.pending.get(event.request_id)) is not None:
                 pending.load = event.value * 1e3
-        elif event.kind == api.SLOW_NOTE:
+        elif event.kind == SLOW_NOTE:
             value = int(event.value * 1e6)
             endpoint.hot_until, endpoint.slow_ns = (
                 self.now + NOTE_NS if value * 3 >= self.message_latency_objective else 0,
@@ -536,7 +578,7 @@
             one_in_all = self.random.random() * self.settings.balancers < 1.0
             if endpoint.hot_until and self.settings.may_message_peers and one_in_all:
                 # Nodes without a connection there hear nothing of it, and would send moved clients back.
-                self.out.append(api.SendPeerMessage(api.ALL_PEERS, HOT + endpoint.id))
+                self.out.append(SendPeerMessage(ALL_PEERS, HOT + endpoint.id))
             here = [pending.klass.message_latency_objective_ns for pending in endpoint.standing.values()] or [
                 self.message_latency_objective
             ]
@@ -578,7 +620,7 @@
 
     def move(self, pending: PendingRequest, endpoint: Endpoint) -> None:
         endpoint.let_go(pending)
-        self.out.append(api.Migrate(pending.request.request_id))
+        self.out.append(Migrate(pending.request.request_id))
 
     def review_admission(self) -> None:
         """When most endpoints are late, moves only carry the jam about: fewer keys must be served."""
@@ -604,30 +646,30 @@
 
     # ---- requests ---------------------------------------------------------------------------
 
-    def handle_request(self, event: api.Request) -> None:
+    def handle_request(self, event: Request) -> None:
         if event.request_id in self.pending:
             return
         pending = self.pending[event.request_id] = PendingRequest(
             event, 0, event.load_hint, self.rules[event.klass]
         )
         pending.deadline = self.now + (event.budget_ns or pending.klass.deadline_ns)
-        if not event.flags & (api.RETRY | api.RETURNED):
+        if not event.flags & (RETRY | RETURNED):
             self.health_check_credit = (
                 min(self.health_check_credit, HEALTH_CHECKS_EACH * 4) + HEALTH_CHECKS_EACH
             )
         self.groups.meet(event.group)
-        chance = self.returns.came(self.now) if event.flags & api.RETURNED and self.one_of_many() else 0.0
+        chance = self.returns.came(self.now) if event.flags & RETURNED and self.one_of_many() else 0.0
         while chance and self.random.random() < chance:
             pending.skip += 1
         past = (self.now - self.arrivals_at) / 1e9
         self.arrivals, self.arrivals_at = self.arrivals * max(0.0, 1.0 - past) + 1.0, self.now
         self.review_admission()
-        if event.flags & api.MID_FLOW or self.admitted(pending):
+        if event.flags & MID_FLOW or self.admitted(pending):
             self.place(pending)
         else:
             self.give_up(pending)
 
-    def key_hash(self, request: api.Request | api.Adopted) -> int:
+    def key_hash(self, request: Request | Adopted) -> int:
         """Group key, else client key, else the request's own id, so that keyless requests spread."""
         return mix64(request.group or request.key or request.request_id)
 
@@ -640,7 +682,7 @@
         if left <= 0 or pending.attempt + 1 >= klass.max_attempts or late:
             self.give_up(pending)
             return
-        mid_flow = bool(request.flags & api.MID_FLOW) and pending.attempt < 0
+        mid_flow = bool(request.flags & MID_FLOW) and pending.attempt < 0
         room = mid_flow or self.setting_up < self.window.size
         if room and (endpoint := self.choose(pending, mid_flow)) is not None:
             self.send(pending, endpoint, left)
@@ -658,7 +700,7 @@
     def start_tick(self) -> None:
         if not self.ticking:
             self.ticking = True
-            self.out.append(api.SetTimer(self.tick_ns, TICK_TOKEN))
+            self.out.append(SetTimer(self.tick_ns, TICK_TOKEN))
 
     def retry_held(self) -> None:
         waiting, self.held = self.held, deque()
@@ -725,7 +767,7 @@
         self.setting_up += 1
         if endpoint.spell and self.now < endpoint.avoid_until + 2 * endpoint.spell:
             endpoint.trial = pending.request.request_id
-        self.out.append(api.Send(pending.request.request_id, endpoint.id, within))
+        self.out.append(Send(pending.request.request_id, endpoint.id, within))
 
     def effect_allows(self, pending: PendingRequest, endpoint: Endpoint) -> bool:
         """Whether one more attempt, there, can take effect at most once."""
@@ -741,9 +783,9 @@
         harmless = pending.unsure is None or pending.klass.client_may_retry(pending.ran_at, again_by)
         self.finish(pending)
         if harmless and pending.deadline > self.now:
-            self.out.append(api.Reject(pending.request.request_id, self.settings.max_retry_after_ns))
+            self.out.append(Reject(pending.request.request_id, self.settings.max_retry_after_ns))
         else:
-            self.out.append(api.Fail(pending.request.request_id))
+            self.out.append(Fail(pending.request.request_id))
 
     def finish(self, pending: PendingRequest) -> None:
         self.pending.pop(pending.request.request_id, None)
@@ -758,7 +800,7 @@
                 pending.endpoint.trial = -1
             pending.endpoint = None
 
-    def handle_adopted_connection(self, event: api.Adopted) -> None:
+    def handle_adopted_connection(self, event: Adopted) -> None:
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or event.request_id in self.pending:
             return
@@ -769,7 +811,7 @@
         endpoint.take(pending)
         endpoint.open += 1
 
-    def handle_established(self, event: api.Established) -> None:
+    def handle_established(self, event: Established) -> None:
         pending, endpoint = self.pending.get(event.request_id), self.endpoints.get(event.endpoint)
         if (
             pending is None
@@ -788,10 +830,10 @@
         endpoint.faults = 0
         self.setting_up -= 1
         self.count_setup(pending.klass.latency_objective_ns, event.elapsed_ns, False)
-        if not pending.request.flags & (api.MID_FLOW | api.RETURNED | api.RETRY):
+        if not pending.request.flags & (MID_FLOW | RETURNED | RETRY):
             self.slow_start.stands(self.now)
 
-    def handle_attempt_ended(self, event: api.AttemptEnded) -> None:
+    def handle_attempt_ended(self, event: AttemptEnded) -> None:
         pending = self.pending.get(event.request_id)
         if pending is None or event.attempt != pending.attempt or pending.endpoint is None:
             return
@@ -821,13 +863,13 @@
                 self.strike(endpoint, overload=False)
         if sum(other.faults < ERRORS_TOLD for other in pending.erred) >= ERRORS_TOLD:
             self.finish(pending)
-            self.out.append(api.Fail(event.request_id))
+            self.out.append(Fail(event.request_id))
             return
-        if event.outcome not in api.NEVER_RAN and pending.unsure is None:
+        if event.outcome not in NEVER_RAN and pending.unsure is None:
             pending.unsure = endpoint
             pending.ran_at = self.now - event.elapsed_ns
         self.place(pending)
 
-    def handle_withdrawn(self, event: api.Withdrawn) -> None:
+    def handle_withdrawn(self, event: Withdrawn) -> None:
         if event.request_id in self.pending:
             self.finish(self.pending[event.request_id])
--- a/linnetshift/coordination/window.py
+++ b/linnetshift/routing/concurrency_limit.py
@@ -8,7 +8,11 @@
 
 # Swift set-ups (half the aim) widen the window. Slow or failed ones, once they are more than JAMMED of the
 # recent ones, narrow it by CUT, at most once in an aim.
-START, LEAST, JAMMED, CUT, MEMORY = 8.0, 2.0, 0.3, 0.7, 0.1
+START = 8.0
+LEAST = 2.0
+JAMMED = 0.3
+CUT = 0.7
+MEMORY = 0.1
 
 
 class Window:
--- a/linnetshift/coordination/groups.py
+++ b/linnetshift/routing/group_affinity.py
@@ -12,7 +12,8 @@
 
 MET = 64  # clients by which a node judges
 # Before any came, as if of so many pairs of clients that many had been of one group.
-PRIOR_ALIKE, PRIOR_PAIRS = 1.0, 30.0
+PRIOR_ALIKE = 1.0
+PRIOR_PAIRS = 30.0
 
 
 class GroupSizes:
--- a/linnetshift/coordination/load_shedding.py
+++ b/linnetshift/routing/load_shedding.py
@@ -8,11 +8,15 @@
 
 from dataclasses import dataclass
 
-from linnetshift.coordination.rendezvous import MASK, mix64
+from linnetshift.routing.ranking import MASK, mix64
 
 # Once a second, while messages are late at more than the first share of the endpoints, fewer keys are
 # admitted; under the second share, slowly more.
-SHED_OVER, ADMIT_UNDER, SHED_STEP, ADMIT_STEP, ADMIT_LEAST = 0.4, 0.15, 0.35, 0.05, 0.2
+SHED_OVER = 0.4
+ADMIT_UNDER = 0.15
+SHED_STEP = 0.35
+ADMIT_STEP = 0.05
+ADMIT_LEAST = 0.2
 EVERY_NS = 1_000_000_000
 SALT = 0x9E3779B97F4A7C15  # splitmix64's increment: a draw per key that is independent of its ranking
 
--- a/linnetshift/coordination/rendezvous.py
+++ b/linnetshift/routing/ranking.py
@@ -9,8 +9,10 @@
 
 MASK = (1 << 64) - 1
 # The finalizer of splitmix64: every input bit reaches every output bit, where a bare XOR skews shares.
-MIX_A, MIX_B = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB
-NP_MIX_A, NP_MIX_B = np.uint64(MIX_A), np.uint64(MIX_B)
+MIX_A = 0xBF58476D1CE4E5B9
+MIX_B = 0x94D049BB133111EB
+NP_MIX_A = np.uint64(MIX_A)
+NP_MIX_B = np.uint64(MIX_B)
 S30, S27, S31, S12 = (np.uint64(n) for n in (30, 27, 31, 12))
 
 
--- a/linnetshift/coordination/slow_start.py
+++ b/linnetshift/routing/slow_start.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from linnetshift.interface import Settings
+from linnetshift.routing.settings import Settings
 
 # Share of rule 4's budget for placements; the rest is for chance and heavy connections.
 SAFETY = 0.5
--- /dev/null
+++ b/linnetshift/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions on the simulator's wire."""
--- a/linnetshift/wirehost.py
+++ b/linnetshift/simulation/adapter.py
@@ -10,45 +10,47 @@
 import sys
 from typing import BinaryIO
 
-from linnetshift import interface as api
-from linnetshift import wire
-from linnetshift.policy import Balancer
+from linnetshift.routing.actions import Action
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import Event
+from linnetshift.routing.settings import Settings, SettingsError
+from linnetshift.simulation import codec
 
 
-def create(event: wire.Create) -> Balancer:
+def create(event: codec.Create) -> Balancer:
     try:
         raw = json.loads(event.settings)
     except ValueError as error:
-        raise api.SettingsError(f"settings are not JSON: {error}") from None
+        raise SettingsError(f"settings are not JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise api.SettingsError("settings are not a JSON object")
-    return Balancer(api.Settings.parse(raw), event.salt)
+        raise SettingsError("settings are not a JSON object")
+    return Balancer(Settings.parse(raw), event.salt)
 
 
 def run_batch(nodes: dict[int, Balancer], frame: bytes) -> bytes:
     """Decide one batch; an exception in the module becomes a fault of its instance."""
-    now, groups = wire.decode_batch(frame)
-    replies: list[tuple[int, list[api.Action]]] = []
+    now, groups = codec.decode_batch(frame)
+    replies: list[tuple[int, list[Action]]] = []
     for number, events in groups:
         try:
             replies.append((number, run_instance(nodes, number, now, events)))
         except Exception as error:
-            return wire.encode_reply(replies, (number, f"{type(error).__name__}: {error}"))
-    return wire.encode_reply(replies)
+            return codec.encode_reply(replies, (number, f"{type(error).__name__}: {error}"))
+    return codec.encode_reply(replies)
 
 
 def run_instance(
-    nodes: dict[int, Balancer], number: int, now: int, events: list[wire.WireEvent]
-) -> list[api.Action]:
-    actions: list[api.Action] = []
-    pending: list[api.Event] = []
+    nodes: dict[int, Balancer], number: int, now: int, events: list[codec.WireEvent]
+) -> list[Action]:
+    actions: list[Action] = []
+    pending: list[Event] = []
     for event in events:
-        if isinstance(event, wire.Create | wire.Halt):
+        if isinstance(event, codec.Create | codec.Halt):
             if number in nodes:
                 nodes[number].step(now, pending)  # its answers die with it
             pending = []
             nodes.pop(number, None)
-            if isinstance(event, wire.Create):
+            if isinstance(event, codec.Create):
                 nodes[number] = create(event)
         elif number in nodes:
             pending.append(event)
@@ -61,11 +63,11 @@
     nodes: dict[int, Balancer] = {}
     while header := source.read(4):
         if len(header) < 4:
-            raise wire.WireError("input ends inside a frame's length")
-        size = wire.frame_size(header)
+            raise codec.WireError("input ends inside a frame's length")
+        size = codec.frame_size(header)
         body = source.read(size - 4)
         if len(body) < size - 4:
-            raise wire.WireError("input ends inside a frame")
+            raise codec.WireError("input ends inside a frame")
         sink.write(run_batch(nodes, header + body))
         sink.flush()
 
@@ -73,13 +75,9 @@
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as error:
+    except codec.WireError as error:
         print(f"linnetshift: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
         return 1
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/linnetshift/wire.py
+++ b/linnetshift/simulation/codec.py
@@ -7,7 +7,34 @@
 from struct import Struct
 from typing import NamedTuple
 
-from linnetshift import interface as api
+from linnetshift.routing.actions import (
+    Action,
+    Cancel,
+    Fail,
+    FetchList,
+    HealthCheck,
+    Log,
+    Migrate,
+    Reject,
+    Send,
+    SendPeerMessage,
+    SetTimer,
+    Watch,
+)
+from linnetshift.routing.events import (
+    Adopted,
+    AttemptEnded,
+    EndpointEntry,
+    EndpointList,
+    Established,
+    Event,
+    HealthCheckResult,
+    Note,
+    PeerMessage,
+    Request,
+    TimerFired,
+    Withdrawn,
+)
 
 
 class WireError(ValueError):
@@ -25,7 +52,7 @@
     """An instance is killed."""
 
 
-WireEvent = api.Event | Create | Halt
+WireEvent = Event | Create | Halt
 
 HEADER = Struct(">IIQ")
 REPLY_HEADER = Struct(">I")
@@ -100,49 +127,47 @@
             raise WireError("event before any instance was named")
         event: WireEvent
         if code == 11:
-            event = api.Note._make(_NOTE.unpack_from(frame, at))
+            event = Note._make(_NOTE.unpack_from(frame, at))
             at += _NOTE.size
         elif code == 2:
             rid, group, hint, klass, key, flags, tenant, budget = _REQUEST.unpack_from(frame, at)
-            event = api.Request(rid, klass, group, key, hint, flags, tenant, budget)
+            event = Request(rid, klass, group, key, hint, flags, tenant, budget)
             at += _REQUEST.size
         elif code == 3:
             rid, elapsed, attempt, endpoint = _BEGUN.unpack_from(frame, at)
-            event = api.Established(rid, attempt, endpoint, elapsed)
+            event = Established(rid, attempt, endpoint, elapsed)
             at += _BEGUN.size
         elif code == 4:
             rid, endpoint, closed, attempt, elapsed, outcome, n = _RESULT.unpack_from(frame, at)
             at += _RESULT.size
             report = _FLOATS[n].unpack_from(frame, at)
-            event = api.AttemptEnded(rid, attempt, endpoint, bool(closed), elapsed, outcome, report)
+            event = AttemptEnded(rid, attempt, endpoint, bool(closed), elapsed, outcome, report)
             at += 4 * n
         elif code == 6:
-            event = api.TimerFired(*_ID.unpack_from(frame, at))
+            event = TimerFired(*_ID.unpack_from(frame, at))
             at += _ID.size
         elif code == 7:
             outcome, elapsed, endpoint, n = _SAMPLED.unpack_from(frame, at)
             at += _SAMPLED.size
-            event = api.HealthCheckResult(endpoint, outcome, elapsed, _FLOATS[n].unpack_from(frame, at))
+            event = HealthCheckResult(endpoint, outcome, elapsed, _FLOATS[n].unpack_from(frame, at))
             at += 4 * n
         elif code == 5:
-            event = api.Withdrawn(*_ID.unpack_from(frame, at))
+            event = Withdrawn(*_ID.unpack_from(frame, at))
             at += _ID.size
         elif code == 8:
             sender, n = _MAIL.unpack_from(frame, at)
             at += _MAIL.size
-            event = api.PeerMessage(sender, _take(frame, at, n))
+            event = PeerMessage(sender, _take(frame, at, n))
             at += n
         elif code == 1:
             form, version, n = _LIST.unpack_from(frame, at)
             at += _LIST.size
             rows = _take(frame, at, n * _ENTRY.size)
-            event = api.EndpointList(
-                form, version, tuple(starmap(api.EndpointEntry, _ENTRY.iter_unpack(rows)))
-            )
+            event = EndpointList(form, version, tuple(starmap(EndpointEntry, _ENTRY.iter_unpack(rows))))
             at += n * _ENTRY.size
         elif code == 10:
             rid, _budget, hint, key, flags, group, endpoint, tenant, klass = _ADOPTED.unpack_from(frame, at)
-            event = api.Adopted(rid, klass, group, key, hint, flags, tenant, endpoint)
+            event = Adopted(rid, klass, group, key, hint, flags, tenant, endpoint)
             at += _ADOPTED.size
         elif code == 0:
             salt, n = _CREATE.unpack_from(frame, at)
@@ -167,7 +192,7 @@
 
 
 def encode_reply(
-    replies: Iterable[tuple[int, Iterable[api.Action]]], fault: tuple[int, str] | None = None
+    replies: Iterable[tuple[int, Iterable[Action]]], fault: tuple[int, str] | None = None
 ) -> bytes:
     """One reply frame; instances without actions take no room. A fault names its instance and text."""
     out = bytearray(REPLY_HEADER.size)
@@ -187,28 +212,28 @@
     return bytes(out)
 
 
-def encode_action(action: api.Action) -> bytes:
+def encode_action(action: Action) -> bytes:
     match action:
-        case api.Send(request, endpoint, timeout_ns):
+        case Send(request, endpoint, timeout_ns):
             return _SEND.pack(0, request, timeout_ns, endpoint)
-        case api.SetTimer(delay_ns, token):
+        case SetTimer(delay_ns, token):
             return _TIMER.pack(4, delay_ns, token)
-        case api.Reject(request, retry_after_ns):
+        case Reject(request, retry_after_ns):
             return _DENY.pack(1, request, retry_after_ns)
-        case api.Fail(request):
+        case Fail(request):
             return _ONE.pack(2, request)
-        case api.Cancel(request, attempt):
+        case Cancel(request, attempt):
             return _CANCEL.pack(3, request, attempt)
-        case api.Migrate(request):
+        case Migrate(request):
             return _ONE.pack(12, request)
-        case api.HealthCheck(endpoint):
+        case HealthCheck(endpoint):
             return _ENDPOINT.pack(5, endpoint)
-        case api.SendPeerMessage(peer, data):
+        case SendPeerMessage(peer, data):
             return _TELL.pack(7, peer, len(data)) + data
-        case api.Log(text):
+        case Log(text):
             line = text.encode()[:65535]
             return _TEXT.pack(8, len(line)) + line
-        case api.Watch(on):
+        case Watch(on):
             return _FLAG.pack(10, on)
-        case api.FetchList():
+        case FetchList():
             return b"\x0b"
--- /dev/null
+++ b/linnetshift/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to endpoints: attempts and health checks."""
--- /dev/null
+++ b/linnetshift/vrrp/__init__.py
@@ -0,0 +1,1 @@
+"""VRRP (RFC 9568) over UDP."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,8 +6,17 @@
 
 from hypothesis import settings
 
-from linnetshift import interface as api
-from linnetshift.policy import Balancer
+from linnetshift.routing.actions import Action, Send
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointList,
+    EndpointState,
+    ListForm,
+    Request,
+)
+from linnetshift.routing.settings import Settings
 
 settings.register_profile("same", derandomize=True, deadline=None)  # one verdict for one text, always
 settings.load_profile("same")
@@ -69,33 +78,31 @@
     return bytes([10, 0, number >> 8, number & 255, 31, 144])
 
 
-def entry(number: int, **changes: Any) -> api.EndpointEntry:
-    return api.EndpointEntry(
-        endpoint(number), number % 3, 0, number % 5, api.EndpointState.READY, 1.0, 0
-    )._replace(**changes)
+def entry(number: int, **changes: Any) -> EndpointEntry:
+    return EndpointEntry(endpoint(number), number % 3, 0, number % 5, EndpointState.READY, 1.0, 0)._replace(
+        **changes
+    )
 
 
-def listed(*entries: api.EndpointEntry, form: int = api.ListForm.FULL) -> api.EndpointList:
-    return api.EndpointList(form, 1, entries)
+def listed(*entries: EndpointEntry, form: int = ListForm.FULL) -> EndpointList:
+    return EndpointList(form, 1, entries)
 
 
-def request(number: int, **changes: Any) -> api.Request:
-    return api.Request(number, 0, 0, number + 1000, 0, 0, 0, 2 * S)._replace(**changes)
+def request(number: int, **changes: Any) -> Request:
+    return Request(number, 0, 0, number + 1000, 0, 0, 0, 2 * S)._replace(**changes)
 
 
-def ended(
-    sent: api.Send, attempt: int, outcome: int, elapsed: int = 0, closed: bool = False
-) -> api.AttemptEnded:
-    return api.AttemptEnded(sent.request_id, attempt, sent.endpoint, closed, elapsed, outcome, ())
+def ended(sent: Send, attempt: int, outcome: int, elapsed: int = 0, closed: bool = False) -> AttemptEnded:
+    return AttemptEnded(sent.request_id, attempt, sent.endpoint, closed, elapsed, outcome, ())
 
 
 def balancer(endpoints: int = 8, seed: int = 1, window: float = 1e9, **changes: Any) -> Balancer:
     """A node that knows `addresses` endpoints; a wide window lets tests place many requests at one moment."""
-    made = Balancer(api.Settings.parse(raw_settings(**changes)), seed)
+    made = Balancer(Settings.parse(raw_settings(**changes)), seed)
     made.window.size = window
     made.step(1 * S, [listed(*(entry(n) for n in range(endpoints)))])
     return made
 
 
-def only(actions: list[api.Action], kind: type) -> list[Any]:
+def only(actions: list[Action], kind: type) -> list[Any]:
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -12,16 +12,26 @@
 
 from conftest import MS, S, listed, raw_settings
 
-from linnetshift import interface as api
-from linnetshift.interface import Outcome
-from linnetshift.policy import Balancer
+from linnetshift.routing.actions import Action, Fail, HealthCheck, Migrate, Reject, Send, SetTimer, Watch
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import (
+    AttemptEnded,
+    EndpointEntry,
+    Established,
+    Event,
+    HealthCheckResult,
+    Outcome,
+    Request,
+    TimerFired,
+)
+from linnetshift.routing.settings import Settings
 
 ANSWER_NS = 1 * MS  # a sound endpoint's
 
 
 class Fleet:
     def __init__(
-        self, nodes: int, endpoints: tuple[api.EndpointEntry, ...], seed: int = 0, **changes: object
+        self, nodes: int, endpoints: tuple[EndpointEntry, ...], seed: int = 0, **changes: object
     ) -> None:
         zones = (
             3 if changes.pop("perZone", False) else 1
@@ -30,43 +40,43 @@
             raw_settings(**{**changes, "myNumber": n, "balancers": nodes, "zone": n % zones})
             for n in range(nodes)
         ]
-        self.nodes = [Balancer(api.Settings.parse(raw), seed + n + 1) for n, raw in enumerate(settings)]
+        self.nodes = [Balancer(Settings.parse(raw), seed + n + 1) for n, raw in enumerate(settings)]
         self.starts = count(nodes + 1)
         self.now, self.order, self.numbers = 1 * S, count(), count(1)
-        self.due: list[tuple[int, int, int, api.Event]] = []
+        self.due: list[tuple[int, int, int, Event]] = []
         self.dead: set[bytes] = set()  # connections there never come up
         self.erring: set[bytes] = set()  # answer everything with an error
         self.waits: dict[bytes, int] = {}  # how long a health check waits at a jammed endpoint
         self.sends: list[tuple[int, int, int, bytes]] = []  # time, node, request, endpoint
         self.health_checks: list[tuple[int, int, bytes]] = []
         self.watches: list[tuple[int, int]] = []
-        self.answers: dict[int, list[tuple[int, api.Action]]] = {}
+        self.answers: dict[int, list[tuple[int, Action]]] = {}
         self.moves: list[tuple[int, int, int]] = []
         self.attempts: Counter[int] = Counter()
         self.tell_all(listed(*endpoints))
 
-    def tell_all(self, event: api.Event) -> None:
+    def tell_all(self, event: Event) -> None:
         for node in range(len(self.nodes)):
             self.tell(node, event)
 
-    def restart(self, node: int, known: api.Event) -> None:
+    def restart(self, node: int, known: Event) -> None:
         """Its process is killed and comes back with nothing but that list; its timers ring in vain."""
         self.nodes[node] = Balancer(self.nodes[node].settings, next(self.starts))
         self.due = [entry for entry in self.due if entry[2] != node]
         heapq.heapify(self.due)
         self.tell(node, known)
 
-    def tell(self, node: int, *events: api.Event) -> None:
+    def tell(self, node: int, *events: Event) -> None:
         for action in self.nodes[node].step(self.now, list(events)):
             self.perform(node, action)
 
-    def later(self, delay: int, node: int, event: api.Event) -> None:
+    def later(self, delay: int, node: int, event: Event) -> None:
         heapq.heappush(self.due, (self.now + delay, next(self.order), node, event))
 
     def ask(self, node: int, **changes: object) -> int:
         number = next(self.numbers)
         # type: ignore[arg-type]
-        self.tell(node, api.Request(number, 0, 0, number, 0, 0, 0, 2 * S)._replace(**changes))
+        self.tell(node, Request(number, 0, 0, number, 0, 0, 0, 2 * S)._replace(**changes))
         return number
 
     def run(self, until: int) -> None:
@@ -75,24 +85,24 @@
             self.tell(node, event)
         self.now = until
 
-    def perform(self, node: int, action: api.Action) -> None:
+    def perform(self, node: int, action: Action) -> None:
         match action:
-            case api.Send(request, endpoint, timeout):
+            case Send(request, endpoint, timeout):
                 attempt = self.attempts[request]
                 self.attempts[request] += 1
                 self.sends.append((self.now, node, request, endpoint))
                 if endpoint in self.dead:
                     limit = min(timeout, self.nodes[node].settings.connect_timeout_ns)
-                    failed = api.AttemptEnded(
+                    failed = AttemptEnded(
                         request, attempt, endpoint, False, limit, Outcome.CONNECT_FAILED, ()
                     )
                     self.later(limit, node, failed)
                 elif endpoint in self.erring:
-                    failed = api.AttemptEnded(request, attempt, endpoint, False, ANSWER_NS, Outcome.ERROR, ())
+                    failed = AttemptEnded(request, attempt, endpoint, False, ANSWER_NS, Outcome.ERROR, ())
                     self.later(ANSWER_NS, node, failed)
                 else:
-                    self.later(ANSWER_NS, node, api.Established(request, attempt, endpoint, ANSWER_NS))
-            case api.HealthCheck(endpoint):
+                    self.later(ANSWER_NS, node, Established(request, attempt, endpoint, ANSWER_NS))
+            case HealthCheck(endpoint):
                 self.health_checks.append((self.now, node, endpoint))
                 limit = self.nodes[node].settings.connect_timeout_ns
                 outcome, wait = Outcome.OK, self.waits.get(endpoint, ANSWER_NS)
@@ -102,15 +112,15 @@
                     outcome = Outcome.ERROR
                 elif wait > limit:
                     outcome, wait = Outcome.TIMEOUT, limit
-                self.later(wait, node, api.HealthCheckResult(endpoint, outcome, wait, ()))
-            case api.SetTimer(delay, token):
-                self.later(delay, node, api.TimerFired(token))
-            case api.Watch(on=True):
+                self.later(wait, node, HealthCheckResult(endpoint, outcome, wait, ()))
+            case SetTimer(delay, token):
+                self.later(delay, node, TimerFired(token))
+            case Watch(on=True):
                 self.watches.append((self.now, node))
-            case api.Migrate(request):
+            case Migrate(request):
                 self.moves.append((self.now, node, request))
-                self.later(ANSWER_NS, node, api.AttemptEnded(request, 0, b"", True, 0, Outcome.CANCELLED, ()))
-            case api.Reject(request) | api.Fail(request):
+                self.later(ANSWER_NS, node, AttemptEnded(request, 0, b"", True, 0, Outcome.CANCELLED, ()))
+            case Reject(request) | Fail(request):
                 self.answers.setdefault(request, []).append((self.now, action))
 
 
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -25,8 +25,9 @@
 
 from conftest import MS, S, raw_settings
 
-from linnetshift.__main__ import Proxy
-from linnetshift.net.config import read_broker_file, read_config
+from linnetshift.config.broker_file import read_broker_file
+from linnetshift.config.proxy_file import read_config
+from linnetshift.proxy import Proxy
 
 ROOT = Path(__file__).parent.parent
 WAIT = 20.0  # no wait is longer; all of them end with the event waited for
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -12,18 +12,20 @@
 from proxy import ROOT, WAIT, Terminal, inside, proxy
 from test_broker import Around
 
-from linnetshift import interface as api
-from linnetshift.core import bans as administrative_drains
-from linnetshift.core import broker
-from linnetshift.core.bans import AdministrativeDrains
-from linnetshift.core.census import ResourceUsage, over
-from linnetshift.interface import EndpointState, ListForm, Settings
-from linnetshift.net import channels, handover, limits, ops
-from linnetshift.net.handover import Beside
-from linnetshift.net.loop import Loop
-
-
-def names(*numbers: int, state: EndpointState = EndpointState.READY) -> list[api.EndpointEntry]:
+from linnetshift.admin import server
+from linnetshift.broker import administrative_drains, broker
+from linnetshift.broker.administrative_drains import AdministrativeDrains
+from linnetshift.event_loop import connection_limits
+from linnetshift.event_loop.loop import Loop
+from linnetshift.frontends.channels import session
+from linnetshift.lifecycle import hot_restart
+from linnetshift.lifecycle.hot_restart import Beside
+from linnetshift.observability.resource_usage import ResourceUsage, over
+from linnetshift.routing.events import EndpointEntry, EndpointState, ListForm
+from linnetshift.routing.settings import Settings
+
+
+def names(*numbers: int, state: EndpointState = EndpointState.READY) -> list[EndpointEntry]:
     return [entry(number, state=state) for number in numbers]
 
 
@@ -123,7 +125,7 @@
 
 def test_callers_who_do_not_leave_give_way(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Answered callers that sent on held a descriptor each for up to 3 s, and their number had no bound.
-    monkeypatch.setattr(ops, "MOST_CALLERS", 3)
+    monkeypatch.setattr(server, "MOST_CALLERS", 3)
     with inside(tmp_path, admin_server=True) as running:
         kept = []
         for _ in range(9):
@@ -139,7 +141,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A channel costs its opener nothing, and a waiting one no descriptor here: sessions times 256 would fit.
-    monkeypatch.setattr(channels, "MOST_OPEN", 2)
+    monkeypatch.setattr(session, "MOST_OPEN", 2)
     own = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
     with inside(tmp_path, own=own) as running:
         first, second = Terminal(running.extra_port), Terminal(running.extra_port)
@@ -159,8 +161,8 @@
 
 def test_a_process_beside_this_one_that_hangs_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     # What it was told twice a second piled up for as long as it hung.
-    monkeypatch.setattr(handover, "BEAT_NS", MS)
-    monkeypatch.setattr(limits, "STALL_NS", 100 * MS)
+    monkeypatch.setattr(hot_restart, "BEAT_NS", MS)
+    monkeypatch.setattr(connection_limits, "STALL_NS", 100 * MS)
     beat = 1 << 20
 
     class Around:
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -7,11 +7,12 @@
 import pytest
 from conftest import MS, S, endpoint, entry, listed, raw_settings
 
-from linnetshift import interface as api
-from linnetshift.contracts import Budget, Contract, Contracts
-from linnetshift.core import broker
-from linnetshift.core.broker import ActiveRequest, Attempt, Broker
-from linnetshift.interface import Outcome
+from linnetshift.broker import broker
+from linnetshift.broker.broker import ActiveRequest, Attempt, Broker
+from linnetshift.broker.contracts import Budget, Contract, Contracts
+from linnetshift.routing.actions import Fail, Reject, Send
+from linnetshift.routing.events import RETRY, Outcome
+from linnetshift.routing.settings import Settings
 
 
 class Around:
@@ -25,7 +26,7 @@
         self.asked: list[object] = []
         self.timers: list[tuple[int, Callable[[], None]]] = []
         self.attempts: list[Attempt] = []
-        settings = api.Settings.parse(raw_settings())
+        settings = Settings.parse(raw_settings())
         made = contracts or Contracts()
         self.broker = Broker(settings, 1, lambda: self.now, self, self, self, made)
         self.broker.listed(listed(*(entry(n) for n in range(4))))
@@ -96,11 +97,11 @@
     around = Around()
     request = around.submit()
     (attempt,) = around.attempts
-    around.broker.perform(api.Send(request.id, endpoint(2), 0))
+    around.broker.perform(Send(request.id, endpoint(2), 0))
     assert around.attempts == [attempt]  # the module's mistake must not break the rule
     around.broker.up(attempt, memoryview(b"UP\r\n"))
-    around.broker.perform(api.Fail(request.id))
-    around.broker.perform(api.Reject(request.id, 0))
+    around.broker.perform(Fail(request.id))
+    around.broker.perform(Reject(request.id, 0))
     around.pass_time(9 * S)
     assert around.asked == ["up"]
 
@@ -139,7 +140,7 @@
     [
         (Contract(services=frozenset()), 0, "service", 60 * S),
         (Contract(rate=Budget(2.0, 1.0)), 0, "rate", S // 2),
-        (Contract(retries=Budget(4.0, 1.0)), api.RETRY, "retries", S // 4),
+        (Contract(retries=Budget(4.0, 1.0)), RETRY, "retries", S // 4),
         (Contract(retries=Budget(4.0, 1.0)), 0, "", 0),
     ],
 )
--- a/tests/test_ended.py
+++ b/tests/test_ended.py
@@ -16,14 +16,15 @@
 import pytest
 from proxy import WAIT, Inside, Terminal, inside, proxy, uncollected
 
-from linnetshift.core.invocation import ActiveRequest, Attempt
-from linnetshift.net.channels import Channel, Session
-from linnetshift.net.directory import Call
-from linnetshift.net.loop import FEW, MS, Actor, ActorCoroutine, ActorTimer, Loop, S
-from linnetshift.net.ops import AdminConnection
-from linnetshift.net.platform import ClientConnection
-from linnetshift.net.provider import EndpointConnection, HealthChecker
-from linnetshift.net.stream import MAX_LINE, SMALL, End, Stream
+from linnetshift.admin.server import AdminConnection
+from linnetshift.broker.active_request import ActiveRequest, Attempt
+from linnetshift.discovery.http_call import Call
+from linnetshift.event_loop.loop import FEW, MS, Actor, ActorCoroutine, ActorTimer, Loop, S
+from linnetshift.event_loop.stream import MAX_LINE, SMALL, End, Stream
+from linnetshift.frontends.channels.session import Channel, Session
+from linnetshift.frontends.line_protocol.client_connection import ClientConnection
+from linnetshift.upstream.endpoint_connection import EndpointConnection
+from linnetshift.upstream.health_checker import HealthChecker
 from rig.crowd import Input, play
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,8 +8,18 @@
 from conftest import MS, S, balancer, ended, endpoint, entry, listed, only, request
 from fleet import Fleet
 
-from linnetshift import interface as api
-from linnetshift.interface import Outcome
+from linnetshift.routing.actions import Send
+from linnetshift.routing.events import (
+    RETURNED,
+    SLOW_NOTE,
+    EndpointEntry,
+    EndpointState,
+    Established,
+    ListForm,
+    Note,
+    Outcome,
+    Request,
+)
 
 ENDPOINTS = tuple(entry(n) for n in range(8))
 PROBING = {"probing": True}
@@ -39,8 +49,8 @@
         )
 
 
-def note(fleet: Fleet, node: int, number: int, where: bytes, ms: float) -> api.Note:
-    return api.Note(number, 0, where, api.SLOW_NOTE, ms)
+def note(fleet: Fleet, node: int, number: int, where: bytes, ms: float) -> Note:
+    return Note(number, 0, where, SLOW_NOTE, ms)
 
 
 @pytest.mark.parametrize("nodes, late, served", [(40, 2, True), (40, 5, False), (2, 2, True), (2, 5, False)])
@@ -63,12 +73,12 @@
 def placed(fleet: Fleet, key: int, number: int = 0) -> bytes:
     """Where the key's connection goes by that node's ranking alone."""
     node = fleet.nodes[number]
-    return next(iter(node.ranking(node.key_hash(api.Request(0, 0, 0, key, 0, 0, 0, 0))))).id
+    return next(iter(node.ranking(node.key_hash(Request(0, 0, 0, key, 0, 0, 0, 0))))).id
 
 
 def placed_in_order(fleet: Fleet, key: int) -> list[bytes]:
     node = fleet.nodes[0]
-    return [one.id for one in node.ranking(node.key_hash(api.Request(0, 0, 0, key, 0, 0, 0, 0)))]
+    return [one.id for one in node.ranking(node.key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))]
 
 
 @pytest.mark.parametrize("ms, least, most", [(90.0, 8, 15), (1500.0, 29, 35)])
@@ -97,7 +107,7 @@
     for n in range(80):
         fleet.ask(n % nodes, key=key)
     fleet.run(fleet.now + 100 * MS)
-    fleet.tell_all(listed(entry(3, state=api.EndpointState.DRAINING), form=api.ListForm.DELTA))
+    fleet.tell_all(listed(entry(3, state=EndpointState.DRAINING), form=ListForm.DELTA))
     fleet.run(fleet.now + 2500 * MS)
     assert 25 <= len(fleet.moves) <= 55
     fleet.run(fleet.now + 3000 * MS)
@@ -126,13 +136,13 @@
     assert all(len(places) <= 1 for places in homes.values())  # those of one zone agree
 
 
-def entry_of(where: bytes) -> api.EndpointEntry:
+def entry_of(where: bytes) -> EndpointEntry:
     return next(one for one in ENDPOINTS if one.endpoint == where)
 
 
 @pytest.mark.parametrize(
     "flags, dropped, least, most",
-    [(0, True, 1.0, 1.0), (api.RETURNED, True, 0.55, 0.85), (api.RETURNED, False, 1.0, 1.0)],
+    [(0, True, 1.0, 1.0), (RETURNED, True, 0.55, 0.85), (RETURNED, False, 1.0, 1.0)],
 )
 def test_who_was_dropped_does_not_always_meet_the_endpoint_that_did_so(
     flags: int, dropped: bool, least: float, most: float
@@ -159,8 +169,8 @@
 
 def test_a_drop_that_a_node_sees_tells_of_those_that_come_back_to_it() -> None:
     node = balancer(8)
-    (send,) = only(node.step(2 * S, [request(1)]), api.Send)
-    node.step(2 * S, [api.Established(1, 0, send.endpoint, MS)])
+    (send,) = only(node.step(2 * S, [request(1)]), Send)
+    node.step(2 * S, [Established(1, 0, send.endpoint, MS)])
     node.step(2 * S, [ended(send, 0, Outcome.RESET, closed=True)])
     assert node.returns.came(2 * S) == pytest.approx(0.3)
     assert node.returns.came(2 * S) == pytest.approx(0.15)  # the other came for another reason
@@ -168,7 +178,7 @@
 
 
 COLD = tuple(one._replace(started_ns=900 * MS) for one in ENDPOINTS)
-LEAVING = tuple(one._replace(state=api.EndpointState.DRAINING) for one in ENDPOINTS)
+LEAVING = tuple(one._replace(state=EndpointState.DRAINING) for one in ENDPOINTS)
 
 
 @pytest.mark.parametrize("nodes", [2, 40])
@@ -183,7 +193,7 @@
     ],
 )
 def test_where_no_endpoint_may_serve_the_answer_comes_at_once(
-    nodes: int, endpoints: tuple[api.EndpointEntry, ...], chance: bool
+    nodes: int, endpoints: tuple[EndpointEntry, ...], chance: bool
 ) -> None:
     # With nothing listed, or all draining, requests waited out their deadlines for a chance that none had.
     fleet = Fleet(nodes, endpoints)
--- a/tests/test_gauge.py
+++ b/tests/test_gauge.py
@@ -5,8 +5,8 @@
 import pytest
 from conftest import MS, S, raw_settings
 
-from linnetshift import interface as api
-from linnetshift.core.gauge import LatencyEstimator, Standing
+from linnetshift.broker.latency_estimator import LatencyEstimator, Standing
+from linnetshift.routing.settings import Settings
 
 HERE = b"s-1"
 
@@ -162,7 +162,7 @@
 )
 def test_loads_are_reckoned_only_over_weights_that_are_sizes(source: str, noted: bool) -> None:
     # A live weight is the size over what is held: all endpoints looked full.
-    known = api.Settings.parse(raw_settings(weightSource=source))
+    known = Settings.parse(raw_settings(weightSource=source))
     made = latency_estimator(0.3)
     made.configure(50 * MS, 1, known.weights_are_sizes)
     assert bool(made.review(asking(80_000.0, 5), 1 * S)) is noted
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linnetshift.coordination.groups import MET, PRIOR_ALIKE, PRIOR_PAIRS, GroupSizes
+from linnetshift.routing.group_affinity import MET, PRIOR_ALIKE, PRIOR_PAIRS, GroupSizes
 
 
 @given(st.lists(st.integers(0, 5), max_size=3 * MET))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,9 +12,10 @@
 from test_ops import DOWN, UP, lands_on
 from test_platform import ranked
 
-from linnetshift import interface as api
-from linnetshift.core.gauge import LatencyEstimator, Standing
-from linnetshift.core.memory import export_state, import_state
+from linnetshift.broker.latency_estimator import LatencyEstimator, Standing
+from linnetshift.broker.snapshot import export_state, import_state
+from linnetshift.routing.actions import Send
+from linnetshift.routing.events import Outcome
 
 
 def test_the_new_process_takes_over_and_the_old_one_leaves(tmp_path: Path) -> None:
@@ -121,8 +122,8 @@
 def test_what_was_learned_of_endpoints_passes_over() -> None:
     # The new process sent clients back to what the old one had just moved them off.
     old, new, latency_estimator = balancer(endpoints=3), balancer(endpoints=3, seed=2), LatencyEstimator()
-    (sent,) = only(old.step(2 * S, [request(1)]), api.Send)
-    old.step(2 * S, [ended(sent, 0, api.Outcome.FULL, closed=True)])
+    (sent,) = only(old.step(2 * S, [request(1)]), Send)
+    old.step(2 * S, [ended(sent, 0, Outcome.FULL, closed=True)])
     old.shedding.admit = 0.5
     latency_estimator.shed_at[sent.endpoint] = 2 * S
     told = json.loads(json.dumps(export_state(old, latency_estimator)))
@@ -133,7 +134,7 @@
     import_state(new, later, told)
     assert (new.shedding.admit, new.window.size, later.shed_at) == (0.5, 1e9, latency_estimator.shed_at)
     new.shedding.admit = 1.0
-    (again,) = only(new.step(2 * S + 1, [request(1)]), api.Send)
+    (again,) = only(new.step(2 * S + 1, [request(1)]), Send)
     assert again.endpoint != sent.endpoint
 
 
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -14,9 +14,11 @@
 import tomli_w
 from proxy import RunningProxy, proxy, settings
 
-from linnetshift.net.config import ConfigError, read_broker_file, read_config
-from linnetshift.net.loop import ActorCoroutine, Io, Loop, S
-from linnetshift.net.provider import OutboundConnection, Stop
+from linnetshift.config.broker_file import read_broker_file
+from linnetshift.config.errors import ConfigError
+from linnetshift.config.proxy_file import read_config
+from linnetshift.event_loop.loop import ActorCoroutine, Io, Loop, S
+from linnetshift.event_loop.outbound_connection import OutboundConnection, Stop
 from rig import wires
 from rig.attack import Attack, Broken, Endpoints, shrink
 from rig.crowd import Input
--- a/tests/test_kinds_of_site.py
+++ b/tests/test_kinds_of_site.py
@@ -8,11 +8,12 @@
 import pytest
 from conftest import MS, S, balancer, ended, endpoint, entry, listed, only, raw_settings, request
 
-from linnetshift import interface as api
-from linnetshift.core.gauge import LatencyEstimator
-from linnetshift.core.memory import export_state, import_state
-from linnetshift.interface import CROSS_ZONE_COST_SCALE, Outcome
-from linnetshift.policy import TICK_TOKEN, Balancer
+from linnetshift.broker.latency_estimator import LatencyEstimator
+from linnetshift.broker.snapshot import export_state, import_state
+from linnetshift.routing.actions import HealthCheck, Migrate, Send
+from linnetshift.routing.balancer import TICK_TOKEN, Balancer
+from linnetshift.routing.events import SLOW_NOTE, Established, HealthCheckResult, Note, Outcome, TimerFired
+from linnetshift.routing.settings import CROSS_ZONE_COST_SCALE, Settings
 
 
 def homes(node: Balancer) -> float:
@@ -34,8 +35,8 @@
 def crowd(node: Balancer, connections: int, groups: int) -> dict[int, set[bytes]]:
     """So many stand, spread over the groups; where each group stands."""
     for n in range(1, connections + 1):
-        for send in only(node.step(2 * S + n * MS, [request(n, group=1 + n % groups)]), api.Send):
-            node.step(2 * S + n * MS, [api.Established(n, 0, send.endpoint, MS)])
+        for send in only(node.step(2 * S + n * MS, [request(n, group=1 + n % groups)]), Send):
+            node.step(2 * S + n * MS, [Established(n, 0, send.endpoint, MS)])
     return {g: {h.id for h in node.endpoints.values() if g in h.groups} for g in range(1, groups + 1)}
 
 
@@ -47,15 +48,15 @@
     for turn in range(10):
         node.step((4 + turn) * S, [listed(*(entry(n, weight=0.2 + (n + turn) % 8) for n in range(8)))])
         for g in before:
-            (send,) = only(node.step(node.now + MS, [request(1000 + 10 * turn + g, group=g)]), api.Send)
+            (send,) = only(node.step(node.now + MS, [request(1000 + 10 * turn + g, group=g)]), Send)
             assert send.endpoint in before[g]
 
 
 def test_a_full_endpoint_s_group_goes_on_to_the_next_one() -> None:
     node = balancer(8)
     (home,) = crowd(node, 12, 1)[1]
-    node.step(4 * S, [api.Note(1, 0, home, api.SLOW_NOTE, 60.0)])
-    (send,) = only(node.step(4 * S + MS, [request(500, group=1)]), api.Send)
+    node.step(4 * S, [Note(1, 0, home, SLOW_NOTE, 60.0)])
+    (send,) = only(node.step(4 * S + MS, [request(500, group=1)]), Send)
     assert send.endpoint != home
 
 
@@ -64,7 +65,7 @@
     node = balancer(8)
     (home,) = crowd(node, 3, 1)[1]
     node.step(4 * S, [listed(*(entry(n, weight=0.001 if endpoint(n) == home else 1.0) for n in range(8)))])
-    (send,) = only(node.step(4 * S + MS, [request(500, group=1)]), api.Send)
+    (send,) = only(node.step(4 * S + MS, [request(500, group=1)]), Send)
     assert send.endpoint != home
 
 
@@ -76,14 +77,14 @@
     assert held.groups == {1: 3, 2: 3}
     if end == "ended":
         for n in range(1, 7):
-            node.step(4 * S, [ended(api.Send(n, held.id, 0), 0, Outcome.OK, closed=True)])
+            node.step(4 * S, [ended(Send(n, held.id, 0), 0, Outcome.OK, closed=True)])
     elif end == "moved":
         for item in list(held.standing.values()):
             node.move(item, held)
     else:
         node.step(4 * S, [listed()])
         for n in range(1, 7):
-            node.step(5 * S, [ended(api.Send(n, held.id, 0), 0, Outcome.RESET, closed=True)])
+            node.step(5 * S, [ended(Send(n, held.id, 0), 0, Outcome.RESET, closed=True)])
     assert not held.groups and not held.standing
 
 
@@ -96,7 +97,7 @@
     tried = 0
     for number in range(1, 12):
         actions = node.step(node.now + MS, [request(number, key=5)])
-        while sends := only(actions, api.Send):
+        while sends := only(actions, Send):
             tried += sends[0].endpoint == bad
             actions = node.step(node.now, [ended(sends[0], 0, Outcome.ERROR)])
     assert tried == 2
@@ -105,22 +106,22 @@
 def test_a_request_does_not_go_back_to_the_endpoint_that_erred_though_that_serves_others() -> None:
     # Success there clears the endpoint; the request that it answered with an error would get the same again.
     node = balancer(1)
-    (send,) = only(node.step(2 * S, [request(1)]), api.Send)
+    (send,) = only(node.step(2 * S, [request(1)]), Send)
     node.step(2 * S, [ended(send, 0, Outcome.ERROR)])
-    (other,) = only(node.step(2 * S + MS, [request(2)]), api.Send)
-    node.step(2 * S + 2 * MS, [api.Established(2, 0, other.endpoint, MS)])
-    assert not only(node.step(2 * S + 60 * MS, [api.TimerFired(TICK_TOKEN)]), api.Send)
+    (other,) = only(node.step(2 * S + MS, [request(2)]), Send)
+    node.step(2 * S + 2 * MS, [Established(2, 0, other.endpoint, MS)])
+    assert not only(node.step(2 * S + 60 * MS, [TimerFired(TICK_TOKEN)]), Send)
 
 
 def test_an_endpoint_s_errors_are_forgotten_when_it_serves_or_restarts() -> None:
     node = balancer(1)
     for number, then in ((1, "serves"), (2, "restarts")):
-        (send,) = only(node.step(node.now + S, [request(number)]), api.Send)
+        (send,) = only(node.step(node.now + S, [request(number)]), Send)
         node.step(node.now, [ended(send, 0, Outcome.ERROR)])
         assert node.endpoints[endpoint(0)].faults == 1
         if then == "serves":
-            (again,) = only(node.step(node.now + S, [request(9)]), api.Send)
-            node.step(node.now, [api.Established(9, 0, again.endpoint, MS)])
+            (again,) = only(node.step(node.now + S, [request(9)]), Send)
+            node.step(node.now, [Established(9, 0, again.endpoint, MS)])
         else:
             node.step(node.now, [listed(entry(0, started_ns=node.now))])
         assert node.endpoints[endpoint(0)].faults == 0
@@ -134,8 +135,8 @@
     cold, tip, served = node.endpoints[endpoint(1)], node.settings.tip_after_ns, 0
     for turn in range(1, 80 * nodes + 1):
         actions = node.step(2 * S + turn * tip + turn, [request(turn, budget_ns=S)])
-        served += len(only(actions, api.Send))
-        for send in only(actions, api.Send):
+        served += len(only(actions, Send))
+        for send in only(actions, Send):
             node.step(node.now, [ended(send, 0, Outcome.FULL, closed=True)])
             cold.avoid_until = 0
     # All nodes together one in the time in which it may fall over, less what is kept back: 40 are meant.
@@ -163,11 +164,11 @@
     node = balancer(8)
     crowd(node, 40, 4)
     node.step(4 * S, [listed(*(entry(n, started_ns=4 * S if n < 5 else 0) for n in range(8)))])
-    late = [api.Note(1, 0, endpoint(n), api.SLOW_NOTE, 90.0) for n in range(5)]
+    late = [Note(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5)]
     node.step(5 * S, late)
     node.step(6 * S + MS, late)
     assert node.shedding.admit == 1.0
-    warm = [api.Note(1, 0, endpoint(n), api.SLOW_NOTE, 90.0) for n in range(5, 8)]
+    warm = [Note(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5, 8)]
     node.step(7 * S + 2 * MS, late + warm)
     node.step(8 * S + 3 * MS, late + warm)
     assert node.shedding.admit < 1.0
@@ -207,18 +208,16 @@
 @pytest.mark.parametrize("paths", [(), *((path,) for path in OPTIONAL), OPTIONAL])
 @pytest.mark.parametrize("discovery", ["push", "ask"])
 def test_whatever_a_deployment_does_not_tell_it_is_served(paths: tuple[str, ...], discovery: str) -> None:
-    node = Balancer(api.Settings.parse({**without(*paths), "discovery": discovery}), 1)
+    node = Balancer(Settings.parse({**without(*paths), "discovery": discovery}), 1)
     node.step(1 * S, [listed(*(entry(n) for n in range(8)))])
     served = 0
     for number in range(1, 41):
         actions = node.step(2 * S + number * MS, [request(number, group=1 + number % 3)])
-        for check_health in only(actions, api.HealthCheck):
-            actions += node.step(node.now, [api.HealthCheckResult(check_health.endpoint, Outcome.OK, MS, ())])
-        for send in only(actions, api.Send):
-            node.step(node.now, [api.Established(number, 0, send.endpoint, MS)])
+        for check_health in only(actions, HealthCheck):
+            actions += node.step(node.now, [HealthCheckResult(check_health.endpoint, Outcome.OK, MS, ())])
+        for send in only(actions, Send):
+            node.step(node.now, [Established(number, 0, send.endpoint, MS)])
             served += 1
             # A message that takes 5 ms is slow nowhere, whether or not an aim for it is told.
-            assert not only(
-                node.step(node.now, [api.Note(number, 0, send.endpoint, api.SLOW_NOTE, 5.0)]), api.Migrate
-            )
+            assert not only(node.step(node.now, [Note(number, 0, send.endpoint, SLOW_NOTE, 5.0)]), Migrate)
     assert served == 40
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -9,8 +9,8 @@
 from conftest import S, endpoint, entry
 from proxy import proxy
 
-from linnetshift.core.learned import DeploymentFacts
-from linnetshift.interface import EndpointState
+from linnetshift.broker.deployment_facts import DeploymentFacts
+from linnetshift.routing.events import EndpointState
 
 GOES = entry(1, state=EndpointState.DRAINING)
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -6,7 +6,7 @@
 import select
 import socket
 
-from linnetshift.net.loop import Actor, ActorCoroutine, Io, Loop, Timeout
+from linnetshift.event_loop.loop import Actor, ActorCoroutine, Io, Loop, Timeout
 
 
 def test_what_arrived_during_a_stall_comes_before_the_timers_that_ran_out() -> None:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -10,8 +10,8 @@
 from test_platform import ranked
 from test_strangers import few
 
-from linnetshift import interface as api
-from linnetshift.core.bans import AdministrativeDrains
+from linnetshift.broker.administrative_drains import AdministrativeDrains
+from linnetshift.routing.events import EndpointState, ListForm
 
 DOWN, UP = "PUT /ops/servers/down?id=%s", "PUT /ops/servers/up?id=%s"
 
@@ -127,9 +127,9 @@
     administrative_drains = AdministrativeDrains(lambda: now)
     administrative_drains.lay_over(listed(entry(1), entry(2)))
     administrative_drains.take_out(endpoint(1))
-    for form in (api.ListForm.FULL, api.ListForm.CACHED, api.ListForm.DELTA):
+    for form in (ListForm.FULL, ListForm.CACHED, ListForm.DELTA):
         shown = administrative_drains.lay_over(listed(entry(1), entry(2), form=form)).entries
-        assert [e.state for e in shown] == [api.EndpointState.DRAINING, api.EndpointState.READY]
+        assert [e.state for e in shown] == [EndpointState.DRAINING, EndpointState.READY]
     now = 9 * S
     administrative_drains.call_back(endpoint(1))
     for started in starts:
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -5,9 +5,11 @@
 import numpy as np
 from conftest import S, balancer, endpoint, entry, listed, only, raw_settings, request
 
-from linnetshift import interface as api
-from linnetshift.coordination.rendezvous import MASK, costs, mix64
-from linnetshift.policy import Balancer
+from linnetshift.routing.actions import Send
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import EndpointState, ListForm
+from linnetshift.routing.ranking import MASK, costs, mix64
+from linnetshift.routing.settings import Settings
 
 
 def first_endpoints(node: Balancer, keys: range) -> dict[int, bytes]:
@@ -35,7 +37,7 @@
 def test_a_leaving_endpoint_moves_only_its_own_keys() -> None:
     node = balancer(10)
     before = first_endpoints(node, range(1, 2001))
-    node.step(2 * S, [listed(entry(4, state=api.EndpointState.REMOVED), form=api.ListForm.DELTA)])
+    node.step(2 * S, [listed(entry(4, state=EndpointState.REMOVED), form=ListForm.DELTA)])
     after = first_endpoints(node, range(1, 2001))
     assert all(after[key] == before[key] for key in before if before[key] != endpoint(4))
     assert endpoint(4) not in after.values()
@@ -44,7 +46,7 @@
 def test_a_joining_endpoint_takes_keys_and_moves_no_other() -> None:
     node = balancer(10)
     before = first_endpoints(node, range(1, 2001))
-    node.step(2 * S, [listed(entry(50), form=api.ListForm.DELTA)])
+    node.step(2 * S, [listed(entry(50), form=ListForm.DELTA)])
     after = first_endpoints(node, range(1, 2001))
     assert {after[key] for key in before if after[key] != before[key]} == {endpoint(50)}
 
@@ -53,7 +55,7 @@
     one, other = balancer(0, seed=1), balancer(0, seed=2)
     entries = [entry(n) for n in range(12)]
     one.step(2 * S, [listed(*entries)])
-    other.step(2 * S, [listed(*entries[:5], form=api.ListForm.CACHED)])
+    other.step(2 * S, [listed(*entries[:5], form=ListForm.CACHED)])
     other.step(3 * S, [listed(*reversed(entries))])
     assert first_endpoints(one, range(1, 500)) == first_endpoints(other, range(1, 500))
 
@@ -79,20 +81,20 @@
 
 def test_group_members_share_an_endpoint_and_the_client_key_serves_without_a_group() -> None:
     node = balancer(20)
-    sends = only(node.step(2 * S, [request(n, group=77) for n in range(5)]), api.Send)
+    sends = only(node.step(2 * S, [request(n, group=77) for n in range(5)]), Send)
     assert len({send.endpoint for send in sends}) == 1
-    sends = only(node.step(3 * S, [request(10 + n, key=5) for n in range(5)]), api.Send)
+    sends = only(node.step(3 * S, [request(10 + n, key=5) for n in range(5)]), Send)
     assert len({send.endpoint for send in sends}) == 1
 
 
 def test_requests_without_any_key_spread() -> None:
     node = balancer(20)
-    sends = only(node.step(2 * S, [request(n, key=0) for n in range(1, 60)]), api.Send)
+    sends = only(node.step(2 * S, [request(n, key=0) for n in range(1, 60)]), Send)
     assert len({send.endpoint for send in sends}) > 10
 
 
 def test_a_warming_endpoint_takes_a_growing_share() -> None:
-    node = Balancer(api.Settings.parse(raw_settings()), 1)
+    node = Balancer(Settings.parse(raw_settings()), 1)
     node.step(100 * S, [listed(*(entry(n) for n in range(9)), entry(9, started_ns=100 * S))])
     shares = []
     for now in (100, 105, 111):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,8 +13,8 @@
 from test_owed import LINE, LONG, in_state, let_go
 from test_platform import ranked
 
-from linnetshift import interface as api
-from linnetshift.net.config import read_config
+from linnetshift.config.proxy_file import read_config
+from linnetshift.routing.settings import Settings
 
 
 def test_the_watch_moves_and_nothing_is_dropped(tmp_path: Path) -> None:
@@ -66,14 +66,14 @@
 
 
 def test_a_number_never_changes_its_meaning() -> None:
-    first = api.Settings.parse(raw_settings())
-    second = api.Settings.parse(raw_settings(**service(effect="once"))).following(first)
-    third = api.Settings.parse(raw_settings()).following(second)
-    fewer = api.Settings.parse(raw_settings(allowed={"maxAttempts": 2})).following(third)
+    first = Settings.parse(raw_settings())
+    second = Settings.parse(raw_settings(**service(effect="once"))).following(first)
+    third = Settings.parse(raw_settings()).following(second)
+    fewer = Settings.parse(raw_settings(allowed={"maxAttempts": 2})).following(third)
     assert [s.numbers for s in (first, second, third, fewer)] == [(0,), (1,), (0,), (2,)]
     assert fewer.classes[:2] == second.classes
     assert [klass.max_attempts for klass in fewer.classes] == [4, 4, 2]
-    more = api.Settings.parse(
+    more = Settings.parse(
         raw_settings(services=[*raw_settings()["services"], service(name="late")["services"][0]])
     )
     assert [klass.message_latency_objective_ns for klass in more.classes] == [60 * MS, 60 * MS]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,9 +10,37 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetshift import interface as api
-from linnetshift.interface import EndpointState, ListForm, Outcome
-from linnetshift.policy import Balancer
+from linnetshift.routing.actions import (
+    Action,
+    Fail,
+    HealthCheck,
+    Migrate,
+    Reject,
+    Send,
+    SendPeerMessage,
+    SetTimer,
+)
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import (
+    MID_FLOW,
+    NEVER_RAN,
+    RETURNED,
+    SLOW_NOTE,
+    AttemptEnded,
+    EndpointList,
+    EndpointState,
+    Established,
+    Event,
+    HealthCheckResult,
+    ListForm,
+    Note,
+    Outcome,
+    PeerMessage,
+    Request,
+    TimerFired,
+    Withdrawn,
+)
+from linnetshift.routing.settings import Effect, Scope, Settings
 
 FAILURES = [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
 
@@ -23,10 +51,10 @@
     def __init__(self, seed: int, failing: float, **changes: Any) -> None:
         self.random = random.Random(seed)
         self.failing = failing
-        self.settings = api.Settings.parse(raw_settings(**changes))
+        self.settings = Settings.parse(raw_settings(**changes))
         self.node = Balancer(self.settings, seed)
         self.now = S
-        self.due: list[tuple[int, int, api.Event]] = []
+        self.due: list[tuple[int, int, Event]] = []
         self.order = 0
         self.owed: dict[int, int] = {}  # open requests and their deadlines
         self.out: dict[int, tuple[int, bytes, int]] = {}  # request: attempt, endpoint, sent
@@ -64,19 +92,19 @@
         takes = max(self.most_standing / (warm_up / S), self.first_stands / 10) / self.least_total
         assert recent <= 2 + self.settings.fall_multiple * takes * window / S
 
-    def later(self, delay: int, event: api.Event) -> None:
+    def later(self, delay: int, event: Event) -> None:
         self.order += 1
         heapq.heappush(self.due, (self.now + delay, self.order, event))
 
-    def feed(self, events: list[api.Event]) -> None:
+    def feed(self, events: list[Event]) -> None:
         for action in self.node.step(self.now, events):
             self.check(action)
         for request, deadline in self.owed.items():
             assert self.now <= deadline + self.settings.answer_slack_ns, f"{request} is overdue"
 
-    def check(self, action: api.Action) -> None:
+    def check(self, action: Action) -> None:
         match action:
-            case api.Send(request, where, timeout):
+            case Send(request, where, timeout):
                 assert request in self.owed and request not in self.out
                 assert self.now - self.told.get(where, self.now) <= self.settings.drain_grace_ns
                 self.allow_repeat(request, where)
@@ -85,61 +113,61 @@
                 assert attempt < self.settings.classes[0].max_attempts
                 self.out[request] = (attempt, where, self.now)
                 self.answer(request, attempt, where, min(timeout, self.owed[request] - self.now))
-            case api.Reject(request, _):
+            case Reject(request, _):
                 klass = self.settings.classes[0]
                 assert request in self.owed and request not in self.out
                 assert (
                     request not in self.maybe
-                    or klass.effect == api.Effect.IDEMPOTENT
-                    or (klass.effect == api.Effect.IDEMPOTENT_BY_KEY and klass.scope == api.Scope.ALL)
+                    or klass.effect == Effect.IDEMPOTENT
+                    or (klass.effect == Effect.IDEMPOTENT_BY_KEY and klass.scope == Scope.ALL)
                 )
                 del self.owed[request]
                 self.answered += 1
-            case api.Fail(request):
+            case Fail(request):
                 assert request in self.owed
                 del self.owed[request]
                 self.answered += 1
-            case api.SetTimer(delay, token):
-                self.later(max(delay, 1), api.TimerFired(token))
-            case api.Migrate(request):
+            case SetTimer(delay, token):
+                self.later(max(delay, 1), TimerFired(token))
+            case Migrate(request):
                 where = self.standing.pop(request)
                 attempt = self.attempts[request]
-                self.later(MS, api.AttemptEnded(request, attempt, where, True, S, Outcome.CANCELLED, ()))
-            case api.HealthCheck() | api.SendPeerMessage():
+                self.later(MS, AttemptEnded(request, attempt, where, True, S, Outcome.CANCELLED, ()))
+            case HealthCheck() | SendPeerMessage():
                 raise AssertionError("not permitted here")
 
     def allow_repeat(self, request: int, where: bytes) -> None:
         klass = self.settings.classes[0]
-        if request not in self.maybe or klass.effect == api.Effect.IDEMPOTENT:
+        if request not in self.maybe or klass.effect == Effect.IDEMPOTENT:
             return
         first, sent = self.maybe[request]
-        assert klass.effect == api.Effect.IDEMPOTENT_BY_KEY and self.now - sent <= klass.idempotency_window_ns
-        assert klass.scope == api.Scope.ALL or self.zone[where] == self.zone[first]
+        assert klass.effect == Effect.IDEMPOTENT_BY_KEY and self.now - sent <= klass.idempotency_window_ns
+        assert klass.scope == Scope.ALL or self.zone[where] == self.zone[first]
 
     def answer(self, request: int, attempt: int, where: bytes, timeout: int) -> None:
         delay = self.random.randrange(1, 300) * MS
         if self.random.random() >= self.failing and delay < timeout:
-            self.later(delay, api.Established(request, attempt, where, delay))
+            self.later(delay, Established(request, attempt, where, delay))
             return
         outcome = self.random.choice(FAILURES)
         delay = timeout if outcome == Outcome.TIMEOUT else min(delay, timeout)
-        self.later(delay, api.AttemptEnded(request, attempt, where, False, delay, outcome, ()))
+        self.later(delay, AttemptEnded(request, attempt, where, False, delay, outcome, ()))
 
     def advance(self, until: int) -> None:
         while self.due and self.due[0][0] <= until:
             at, _, event = heapq.heappop(self.due)
             self.now = max(self.now, -(-at // (4 * MS)) * 4 * MS)  # batches come in steps
             match event:
-                case api.Established(request, _, where, _):
+                case Established(request, _, where, _):
                     del self.out[request]
                     del self.owed[request]
                     self.standing[request] = where
                     self.first_stands += 1
                     self.most_standing = max(self.most_standing, len(self.standing))
                     self.answered += 1
-                case api.AttemptEnded(request, _, where, closed, _, outcome, _) if not closed:
+                case AttemptEnded(request, _, where, closed, _, outcome, _) if not closed:
                     _, _, sent = self.out.pop(request)
-                    if outcome not in api.NEVER_RAN:
+                    if outcome not in NEVER_RAN:
                         self.maybe.setdefault(request, (where, sent))
             self.feed([event])
         self.now = max(self.now, until)
@@ -160,7 +188,7 @@
 
 
 def play(world: World, steps: list[tuple[Any, ...]]) -> None:
-    world.feed([api.EndpointList(ListForm.CACHED, 1, tuple(entry(n) for n in range(12)))])
+    world.feed([EndpointList(ListForm.CACHED, 1, tuple(entry(n) for n in range(12)))])
     number = 0
     for step in steps:
         match step:
@@ -169,9 +197,9 @@
                     number += 1
                     budget = world.random.choice([50, 400, 1000, 2000]) * MS
                     world.owed[number] = world.now + budget
-                    flags = world.random.choice([0, 0, api.MID_FLOW, api.RETURNED])
+                    flags = world.random.choice([0, 0, MID_FLOW, RETURNED])
                     group = world.random.randrange(8)
-                    world.feed([api.Request(number, 0, group, number, 0, flags, 0, budget)])
+                    world.feed([Request(number, 0, group, number, 0, flags, 0, budget)])
             case ("wait", ms):
                 world.advance(world.now + ms * 4 * MS)
             case ("state", n, state):
@@ -182,14 +210,14 @@
                     world.told.pop(changed.endpoint, None)
                 else:
                     world.told.setdefault(changed.endpoint, world.now)
-                world.feed([api.EndpointList(ListForm.DELTA, 2, (changed,))])
+                world.feed([EndpointList(ListForm.DELTA, 2, (changed,))])
             case ("restart", n):
                 world.told.pop(endpoint(n), None)
                 world.state[endpoint(n)], world.started[endpoint(n)] = EndpointState.READY, world.now
                 world.cold_sends.pop(endpoint(n), None)
-                world.feed([api.EndpointList(ListForm.DELTA, 2, (entry(n, started_ns=world.now),))])
+                world.feed([EndpointList(ListForm.DELTA, 2, (entry(n, started_ns=world.now),))])
             case ("slow", value):
-                notes = [api.Note(r, 0, h, api.SLOW_NOTE, value) for r, h in world.standing.items()]
+                notes = [Note(r, 0, h, SLOW_NOTE, value) for r, h in world.standing.items()]
                 known = [n for n in notes if n.request_id in world.standing]
                 for note in known:
                     if note.request_id in world.standing:
@@ -197,20 +225,18 @@
             case ("noise", kind):
                 world.feed(
                     [
-                        [api.Withdrawn(10**6)],
-                        [api.TimerFired(4242)],
-                        [api.PeerMessage(60000, b"\xff\x00junk")],
-                        [api.HealthCheckResult(endpoint(3), 1, 5, (float("nan"),))],
-                        [api.EndpointList(ListForm.FAILED, 0, ())],
-                        [api.AttemptEnded(10**6, 0, endpoint(250), False, 1, Outcome.RESET, (1.0,))],
+                        [Withdrawn(10**6)],
+                        [TimerFired(4242)],
+                        [PeerMessage(60000, b"\xff\x00junk")],
+                        [HealthCheckResult(endpoint(3), 1, 5, (float("nan"),))],
+                        [EndpointList(ListForm.FAILED, 0, ())],
+                        [AttemptEnded(10**6, 0, endpoint(250), False, 1, Outcome.RESET, (1.0,))],
                     ][kind]
                 )
             case ("break", count):
                 for request in list(world.standing)[:count]:
                     where = world.standing.pop(request)
-                    ended = api.AttemptEnded(
-                        request, world.attempts[request], where, True, S, Outcome.RESET, ()
-                    )
+                    ended = AttemptEnded(request, world.attempts[request], where, True, S, Outcome.RESET, ())
                     world.feed([ended])
     world.advance(world.now + 5 * S)
     assert not world.owed
@@ -251,13 +277,11 @@
     logs = []
     for _ in range(2):
         world = World(seed, 0.4)
-        log: list[api.Action] = []
+        log: list[Action] = []
         step = world.node.step
 
-        def recorded(
-            now: int, events: Any, step: Any = step, log: list[api.Action] = log
-        ) -> list[api.Action]:
-            actions: list[api.Action] = step(now, events)
+        def recorded(now: int, events: Any, step: Any = step, log: list[Action] = log) -> list[Action]:
+            actions: list[Action] = step(now, events)
             log.extend(actions)
             return actions
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -11,23 +11,19 @@
 from proxy import WAIT, DiscoveryServer, Kept, Listener, RunningProxy, inside, launch, proxy, world
 from test_platform import ranked
 
-from linnetshift import interface as api
-from linnetshift.net.directory import (
-    CONNECT_NS,
-    MOST_CALL_NS,
-    MOST_PATIENCE,
-    SOON_WAIT_MS,
-    Answer,
-    WatchTimeouts,
-)
-from linnetshift.policy import Balancer
+from linnetshift.discovery.http_call import CONNECT_NS, Answer
+from linnetshift.discovery.watch import MOST_CALL_NS, MOST_PATIENCE, SOON_WAIT_MS, WatchTimeouts
+from linnetshift.routing.actions import SetTimer
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import EndpointList, ListForm
+from linnetshift.routing.settings import Settings
 
 NEVER = {"rules": {"mustAskInNs": 3600 * S}}  # a back-off of minutes: who waits for it asks no more in a test
 PUSHED = {"discovery": "push"}
 
 
 def pace(**changes: object) -> WatchTimeouts:
-    return WatchTimeouts.of(api.Settings.parse(raw_settings(**changes)))
+    return WatchTimeouts.of(Settings.parse(raw_settings(**changes)))
 
 
 def test_a_silent_watch_is_given_up_before_its_news_counts_as_told() -> None:
@@ -58,11 +54,11 @@
     # A change counts as told 6 s after discovery had it and could be reached, whatever was allowed after
     # a failed call. The next waited up to 10 s for news, 3 s more for its answer, 10 s to be connected.
     settings = raw_settings(discovery="ask", rules={"mustAskInNs": 3600 * S})
-    node = Balancer(api.Settings.parse(settings), 1)
+    node = Balancer(Settings.parse(settings), 1)
     longest = 0
     for n in range(40):
-        for action in node.step((n + 1) * S, [api.EndpointList(api.ListForm.FAILED, 0, ())]):
-            longest = max(longest, action.delay_ns if isinstance(action, api.SetTimer) else 0)
+        for action in node.step((n + 1) * S, [EndpointList(ListForm.FAILED, 0, ())]):
+            longest = max(longest, action.delay_ns if isinstance(action, SetTimer) else 0)
     asked = pace(discovery="ask", rules={"mustAskInNs": 3600 * S})
     call = max(SOON_WAIT_MS * MS + (asked.patience_ns << MOST_PATIENCE), MOST_CALL_NS)
     # One call that failed to come up just before, the back-off, and one that has to be answered.
@@ -99,8 +95,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A connection that does not come up had as long as a watch, a minute here.
-    monkeypatch.setattr("linnetshift.net.directory.CONNECT_NS", 50 * MS)
-    monkeypatch.setattr("linnetshift.net.directory.MOST_CALL_NS", 60 * S)
+    monkeypatch.setattr("linnetshift.discovery.http_call.CONNECT_NS", 50 * MS)
+    monkeypatch.setattr("linnetshift.discovery.watch.MOST_CALL_NS", 60 * S)
     monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(False, 60_000, S, 60 * S)))
     with inside(tmp_path, rules={"mustAskInNs": S // 2}) as running:
         gone = Listener("discovery")
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -11,9 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linnetshift import interface as api
-from linnetshift.coordination.slow_start import SlowStart, TokenBucket
-from linnetshift.coordination.window import LEAST, START, Window
+from linnetshift.routing.actions import Reject
+from linnetshift.routing.concurrency_limit import LEAST, START, Window
+from linnetshift.routing.slow_start import SlowStart, TokenBucket
 
 
 @given(st.lists(st.integers(0, 20 * S), max_size=40), st.floats(0.0, 5.0), st.floats(0.0, 6.0))
@@ -155,12 +155,12 @@
         node.endpoints[endpoint(2)].avoid_until = 150 * S
         node.endpoints[endpoint(2)].overload = True
     node.slow_start.bucket.at = 100 * S
-    refusals = only(node.step(100 * S + MS, [request(1, budget_ns=left_ns)]), api.Reject)
+    refusals = only(node.step(100 * S + MS, [request(1, budget_ns=left_ns)]), Reject)
     assert bool(refusals) is not held
     assert all(refusal.retry_after_ns > 0 for refusal in refusals)
     # A crowd behind the first cannot all have a turn: who can't is told now, not at the end.
     crowd = node.step(100 * S + 2 * MS, [request(n, budget_ns=left_ns) for n in range(2, 40)])
-    told = only(crowd, api.Reject)
+    told = only(crowd, Reject)
     assert len(told) == (0 if left_ns > 10 * S else 37 if left_ns > 8 * S else 38)
 
 
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -8,7 +8,8 @@
 import pytest
 from proxy import WAIT, Terminal, free_port, proxy
 
-from linnetshift.net.vrrp import Advertisement, BadAdvertisement, Router, State, VrrpConfig, decode
+from linnetshift.vrrp.protocol import Advertisement, BadAdvertisement, decode
+from linnetshift.vrrp.router import Router, State, VrrpConfig
 
 # Version 3, type 1, VRID 7, priority 100, one address, 1 s, checksum, 192.0.2.1: worked out by hand.
 KNOWN = bytes.fromhex("310764010064a891c0000201")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,8 +11,36 @@
 import pytest
 from conftest import MS, S, endpoint, entry, raw_settings
 
-from linnetshift import interface as api
-from linnetshift import wire, wirehost
+from linnetshift.routing.actions import (
+    ALL_PEERS,
+    Action,
+    Cancel,
+    Fail,
+    FetchList,
+    HealthCheck,
+    Log,
+    Migrate,
+    Reject,
+    Send,
+    SendPeerMessage,
+    SetTimer,
+    Watch,
+)
+from linnetshift.routing.events import (
+    Adopted,
+    AttemptEnded,
+    EndpointEntry,
+    EndpointList,
+    Established,
+    Event,
+    HealthCheckResult,
+    Note,
+    PeerMessage,
+    Request,
+    TimerFired,
+    Withdrawn,
+)
+from linnetshift.simulation import adapter, codec
 
 
 def frame(*records: bytes, now: int = S, count: int | None = None) -> bytes:
@@ -29,7 +57,7 @@
     return struct.pack(">BQI", 0, 7, len(text)) + text
 
 
-def members(form: int, *entries: api.EndpointEntry) -> bytes:
+def members(form: int, *entries: EndpointEntry) -> bytes:
     rows = b"".join(struct.pack(">6sHHHBfQ", *e[:7]) for e in entries)
     return struct.pack(">BBQI", 1, form, 3, len(entries)) + rows
 
@@ -41,59 +69,59 @@
 HALT = b"\x09"
 
 EVENTS = [  # pairs, since tuples of one content are equal whatever their type
-    (api.Request(1, 0, 2, 4, 3, 8, 5, 6), struct.pack(">BIQQBQHIQ", 2, 1, 2, 3, 0, 4, 8, 5, 6)),
+    (Request(1, 0, 2, 4, 3, 8, 5, 6), struct.pack(">BIQQBQHIQ", 2, 1, 2, 3, 0, 4, 8, 5, 6)),
     (
-        api.Adopted(1, 0, 5, 3, 2, 16, 6, endpoint(1)),
+        Adopted(1, 0, 5, 3, 2, 16, 6, endpoint(1)),
         struct.pack(">BIQQQHQ6sIB", 10, 1, 9, 2, 3, 16, 5, endpoint(1), 6, 0),
     ),
-    (api.Established(1, 2, endpoint(3), 4), struct.pack(">BIQB6s", 3, 1, 4, 2, endpoint(3))),
-    (api.Note(1, 2, endpoint(3), 1, 0.5), struct.pack(">BIB6sBf", 11, 1, 2, endpoint(3), 1, 0.5)),
+    (Established(1, 2, endpoint(3), 4), struct.pack(">BIQB6s", 3, 1, 4, 2, endpoint(3))),
+    (Note(1, 2, endpoint(3), 1, 0.5), struct.pack(">BIB6sBf", 11, 1, 2, endpoint(3), 1, 0.5)),
     (
-        api.AttemptEnded(1, 2, endpoint(3), True, 4, 5, (0.5, 1.5)),
+        AttemptEnded(1, 2, endpoint(3), True, 4, 5, (0.5, 1.5)),
         struct.pack(">BI6sBBQHB2f", 4, 1, endpoint(3), 1, 2, 4, 5, 2, 0.5, 1.5),
     ),
-    (api.Withdrawn(4), struct.pack(">BI", 5, 4)),
-    (api.TimerFired(4), struct.pack(">BI", 6, 4)),
+    (Withdrawn(4), struct.pack(">BI", 5, 4)),
+    (TimerFired(4), struct.pack(">BI", 6, 4)),
     (
-        api.HealthCheckResult(endpoint(3), 1, 9, (0.25,)),
+        HealthCheckResult(endpoint(3), 1, 9, (0.25,)),
         struct.pack(">BHQ6sBf", 7, 1, 9, endpoint(3), 1, 0.25),
     ),
-    (api.PeerMessage(3, b"hi"), struct.pack(">BHH", 8, 3, 2) + b"hi"),
-    (api.EndpointList(2, 3, (entry(1), entry(2))), members(2, entry(1), entry(2))),
-    (wire.Halt(), HALT),
+    (PeerMessage(3, b"hi"), struct.pack(">BHH", 8, 3, 2) + b"hi"),
+    (EndpointList(2, 3, (entry(1), entry(2))), members(2, entry(1), entry(2))),
+    (codec.Halt(), HALT),
 ]
 
 
 @pytest.mark.parametrize(("event", "record"), EVENTS, ids=lambda v: type(v).__name__)
-def test_every_event_is_read(event: api.Event, record: bytes) -> None:
-    assert wire.decode_batch(frame(on(6), record, now=77)) == (77, [(6, [event])])
+def test_every_event_is_read(event: Event, record: bytes) -> None:
+    assert codec.decode_batch(frame(on(6), record, now=77)) == (77, [(6, [event])])
 
 
 def test_events_are_grouped_by_instance_in_order() -> None:
     timer = struct.pack(">BI", 6, 4)
-    _, groups = wire.decode_batch(frame(on(1), timer, timer, on(2), on(1), timer))
+    _, groups = codec.decode_batch(frame(on(1), timer, timer, on(2), on(1), timer))
     assert [(node, len(events)) for node, events in groups] == [(1, 2), (2, 0), (1, 1)]
 
 
 ACTIONS = [  # pairs, since tuples of one content are equal whatever their type
-    (api.Send(1, endpoint(2), 3), struct.pack(">BIq6s", 0, 1, 3, endpoint(2))),
-    (api.Reject(1, 2), struct.pack(">BIQ", 1, 1, 2)),
-    (api.Fail(1), struct.pack(">BI", 2, 1)),
-    (api.Cancel(1, 2), struct.pack(">BIB", 3, 1, 2)),
-    (api.SetTimer(5, 6), struct.pack(">BQI", 4, 5, 6)),
-    (api.HealthCheck(endpoint(1)), b"\x05" + endpoint(1)),
-    (api.SendPeerMessage(api.ALL_PEERS, b"hi"), b"\x07\xff\xff\x00\x02hi"),
-    (api.Log("line"), b"\x08\x00\x04line"),
-    (api.Watch(True), b"\n\x01"),
-    (api.FetchList(), b"\x0b"),
-    (api.Migrate(9), struct.pack(">BI", 12, 9)),
+    (Send(1, endpoint(2), 3), struct.pack(">BIq6s", 0, 1, 3, endpoint(2))),
+    (Reject(1, 2), struct.pack(">BIQ", 1, 1, 2)),
+    (Fail(1), struct.pack(">BI", 2, 1)),
+    (Cancel(1, 2), struct.pack(">BIB", 3, 1, 2)),
+    (SetTimer(5, 6), struct.pack(">BQI", 4, 5, 6)),
+    (HealthCheck(endpoint(1)), b"\x05" + endpoint(1)),
+    (SendPeerMessage(ALL_PEERS, b"hi"), b"\x07\xff\xff\x00\x02hi"),
+    (Log("line"), b"\x08\x00\x04line"),
+    (Watch(True), b"\n\x01"),
+    (FetchList(), b"\x0b"),
+    (Migrate(9), struct.pack(">BI", 12, 9)),
 ]
 
 
 @pytest.mark.parametrize(("action", "record"), ACTIONS, ids=lambda v: type(v).__name__)
-def test_every_action_is_written(action: api.Action, record: bytes) -> None:
+def test_every_action_is_written(action: Action, record: bytes) -> None:
     body = struct.pack(">BI", 13, 3) + record
-    assert wire.encode_reply([(2, []), (3, [action])]) == struct.pack(">I", 4 + len(body)) + body
+    assert codec.encode_reply([(2, []), (3, [action])]) == struct.pack(">I", 4 + len(body)) + body
 
 
 TIMER = struct.pack(">BI", 6, 4)
@@ -113,7 +141,7 @@
 @pytest.mark.parametrize("data", MALFORMED.values(), ids=MALFORMED.keys())
 def test_a_malformed_frame_ends_the_adapter_with_one_plain_line(data: bytes) -> None:
     run = subprocess.run(
-        [sys.executable, "-m", "linnetshift.wirehost"], input=data, capture_output=True, timeout=60
+        [sys.executable, "-m", "linnetshift.simulation"], input=data, capture_output=True, timeout=60
     )
     assert run.returncode == 1 and run.stdout == b""
     assert run.stderr.count(b"\n") == 1 and run.stderr.startswith(b"linnetshift: ")
@@ -121,14 +149,14 @@
 
 def test_empty_batches_and_end_of_input() -> None:
     run = subprocess.run(
-        [sys.executable, "-m", "linnetshift.wirehost"], input=frame() * 2, capture_output=True, timeout=60
+        [sys.executable, "-m", "linnetshift.simulation"], input=frame() * 2, capture_output=True, timeout=60
     )
     assert (run.returncode, run.stdout, run.stderr) == (0, struct.pack(">I", 4) * 2, b"")
 
 
 def replies(*frames: bytes) -> bytes:
     sink = io.BytesIO()
-    wirehost.serve(io.BytesIO(b"".join(frames)), sink)
+    adapter.serve(io.BytesIO(b"".join(frames)), sink)
     return sink.getvalue()
 
 
