--- a/linnetshift/__main__.py
+++ b/linnetshift/__main__.py
@@ -9,8 +9,8 @@
 
 from linnetshift.config.errors import ConfigError
 from linnetshift.config.loader import read_files
-from linnetshift.config.proxy_file import inherited_listener
-from linnetshift.lifecycle.hot_restart import Place, meet
+from linnetshift.config.proxy_file import platform_listener
+from linnetshift.lifecycle.hot_restart import TakeoverSocketPath, request_takeover
 from linnetshift.observability import log
 from linnetshift.proxy import Proxy
 
@@ -33,25 +33,25 @@
     signals = catch_signals()
     try:
         config, own = read_files()
-        given = inherited_listener()
-        place = Place(config.name) if given is not None else None
-        program = Proxy(config, own, given, place, meet(place) if place is not None else None)
+        given = platform_listener()
+        place = TakeoverSocketPath(config.name) if given is not None else None
+        program = Proxy(config, own, given, place, request_takeover(place) if place is not None else None)
     except ConfigError as error:
         print(f"linnetshift: {error}", file=sys.stderr)
         return 2
     except OSError as error:
         print(f"linnetshift: cannot listen: {error.strerror}", file=sys.stderr)
         return 2
-    program.heed_signals(signals)
+    program.watch_signals(signals)
     log.note(
         "process-started",
         name=config.name,
         listen=f"{config.listen[0]}:{config.listen[1]}",
         start_ms=int(time.process_time() * 1000),
     )
-    program.tell_reckoned()
+    program.log_settings()
     program.loop.run()
-    program.succession.end()
+    program.hot_restart.end()
     return 0
 
 
--- a/linnetshift/admin/server.py
+++ b/linnetshift/admin/server.py
@@ -49,10 +49,10 @@
     def resource_usage(self) -> dict[str, ResourceUsage]:
         """How much the program holds of everything, and how much it may."""
 
-    def crowded(self, endpoint: bytes) -> bool:
+    def is_drain_limit_reached(self, endpoint: bytes) -> bool:
         """Whether so many are out that this one cannot be taken out too."""
 
-    def set_out(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
+    def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
         """Take an endpoint out or call it back; `done` hears, once that is acted on, whether it is known."""
 
 
@@ -106,7 +106,7 @@
     def report(self, reason: Reason, status: int) -> None:
         self.admin_server.lingering.pop(self, None)
         self.admin_server.refill()
-        log.ended(
+        log.connection_ended(
             "admin",
             reason,
             peer=f"{self.peer[0]}:{self.peer[1]}",
@@ -187,10 +187,12 @@
         if len(ids) != 1:
             return Answer(400, "give one id, as in ?id=ID")
         out = split.path == DOWN
-        if out and self.admin_server.operations.crowded(ids[0].encode()):
+        if out and self.admin_server.operations.is_drain_limit_reached(ids[0].encode()):
             return Answer(507, "too many are out already; call some back first")
         self.set_timer(ACT_NS, "act")
-        self.admin_server.operations.set_out(ids[0].encode(), out, lambda known: self.post(Done(known)))
+        self.admin_server.operations.set_administrative_drain(
+            ids[0].encode(), out, lambda known: self.post(Done(known))
+        )
         while True:
             match (yield):
                 case Done(known):
--- a/linnetshift/broker/active_request.py
+++ b/linnetshift/broker/active_request.py
@@ -19,14 +19,14 @@
     """The side that asked. Messages are slices that hold only until the call returns."""
 
     @property
-    def congested(self) -> bool:
+    def is_congested(self) -> bool:
         """Whether messages should wait; `UpstreamConnection.resume` is called once they need not."""
 
     @property
-    def present(self) -> bool:
+    def is_present(self) -> bool:
         """Whether it has not left, as its connection tells at this very moment."""
 
-    def up(self, receipt: memoryview) -> None: ...
+    def handle_established(self, receipt: memoryview) -> None: ...
 
     def deliver(self, message: memoryview) -> None: ...
 
@@ -37,10 +37,10 @@
 
     def fail(self) -> None: ...
 
-    def move(self, reason: str) -> None:
+    def migrate(self, reason: str) -> None:
         """Send the client away politely, between two messages."""
 
-    def endpoint_ended(self, outcome: int, reset: bool) -> None: ...
+    def handle_endpoint_ended(self, outcome: int, reset: bool) -> None: ...
 
 
 class DetachedClient:
@@ -49,10 +49,10 @@
     Without it request and client would hold each other for as long as no collector comes.
     """
 
-    congested = False
-    present = False
+    is_congested = False
+    is_present = False
 
-    def up(self, receipt: memoryview) -> None: ...
+    def handle_established(self, receipt: memoryview) -> None: ...
 
     def deliver(self, message: memoryview) -> None: ...
 
@@ -62,9 +62,9 @@
 
     def fail(self) -> None: ...
 
-    def move(self, reason: str) -> None: ...
+    def migrate(self, reason: str) -> None: ...
 
-    def endpoint_ended(self, outcome: int, reset: bool) -> None: ...
+    def handle_endpoint_ended(self, outcome: int, reset: bool) -> None: ...
 
 
 DETACHED_CLIENT = DetachedClient()
@@ -74,19 +74,19 @@
     """The connection to an endpoint that an attempt uses."""
 
     @property
-    def congested(self) -> bool: ...
+    def is_congested(self) -> bool: ...
 
     def deliver(self, message: memoryview) -> None: ...
 
     def resume(self) -> None: ...
 
-    def waiting_ns(self) -> int:
+    def oldest_unanswered_ns(self) -> int:
         """How long the oldest message that wants a reply has waited for it."""
 
-    def quiet_ns(self) -> int:
+    def idle_ns(self) -> int:
         """How long ago anything last came from the endpoint."""
 
-    def client_ended(self, reset: bool) -> None:
+    def handle_client_ended(self, reset: bool) -> None:
         """End it the way the client ended its own."""
 
     def abandon(self) -> None:
@@ -101,19 +101,18 @@
     key: int
     group: int
     flags: int
-    hint: int
+    load_hint: int
     deadline: int  # on the broker's clock
-    request_line: Callable[
-        [int], bytes
-    ]  # what the endpoint is told first, given the ms it will be waited for
-    adopt: bytes = b""  # the endpoint that held this connection before the start
+    # What the endpoint is sent first, given the milliseconds that its answer is waited for.
+    encode_request_line: Callable[[int], bytes]
+    adopted_endpoint: bytes = b""  # the endpoint that held this connection before the start
     id: int = 0
     began: int = 0
     attempts: int = 0
-    ran_at: int = 0  # when the first attempt that may have run was begun; 0 while none may have
-    out: Attempt | None = None  # the attempt that is under way or stands
-    answered: bool = False
-    overdue: TimerHandle | None = None  # until it is answered: what then answers in the module's place
+    possibly_executed_at: int = 0  # when the first attempt that may have run was begun; 0 while none may have
+    attempt: Attempt | None = None  # the attempt that is under way or stands
+    is_answered: bool = False
+    overdue_timer: TimerHandle | None = None  # until it is answered: what then answers in the module's place
 
     def release(self) -> Client:
         """It is over, and holds nobody from now on; the client, to be told so."""
@@ -123,14 +122,14 @@
 
     def settle(self) -> None:
         """It has its answer."""
-        self.answered = True
-        if self.overdue is not None:
-            self.overdue.cancel()
-            self.overdue = None
+        self.is_answered = True
+        if self.overdue_timer is not None:
+            self.overdue_timer.cancel()
+            self.overdue_timer = None
 
     def part(self) -> UpstreamConnection | None:
         """No attempt is out or stands any more; its link, which the attempt holds no longer."""
-        attempt, self.out = self.out, None
+        attempt, self.attempt = self.attempt, None
         if attempt is None:
             return None
         link, attempt.link = attempt.link, None
@@ -145,7 +144,7 @@
     began: int
     deadline: int
     link: UpstreamConnection | None = None
-    standing: bool = False
-    sent: bool = False  # its line has gone out, or part of it: from now on it may run
+    is_established: bool = False
+    is_sent: bool = False  # its line has gone out, or part of it: from now on it may run
     load: float | None = None  # as the endpoint last told
-    verdict: int = Outcome.CANCELLED  # how it ends when the client's side ends it
+    outcome_on_client_end: int = Outcome.CANCELLED  # how it ends when the client's side ends it
--- a/linnetshift/broker/administrative_drains.py
+++ b/linnetshift/broker/administrative_drains.py
@@ -49,7 +49,7 @@
                 kept.append(entry)
         return event._replace(entries=tuple(kept))
 
-    def lay_over(self, event: EndpointList) -> EndpointList:
+    def overlay(self, event: EndpointList) -> EndpointList:
         """The list or change as the module is to see it."""
         if event.form == ListForm.FAILED:
             return event
@@ -109,10 +109,10 @@
         """Whether it was ever listed."""
         return endpoint in self.listed
 
-    def take_out(self, endpoint: bytes) -> None:
+    def drain_endpoint(self, endpoint: bytes) -> None:
         self.since[endpoint] = self.clock()
 
-    def call_back(self, endpoint: bytes) -> None:
+    def restore_endpoint(self, endpoint: bytes) -> None:
         """It has been restarted meanwhile, so it counts as cold from now on unless the list knows better."""
         self.back[endpoint] = self.since.pop(endpoint), self.clock()
 
--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -35,18 +35,18 @@
     NEVER_RAN,
     RETURNED,
     SLOW_NOTE,
-    Adopted,
+    AdoptedConnection,
     AttemptEnded,
+    ConnectionEstablished,
+    ConnectionNote,
     EndpointList,
-    Established,
     Event,
     HealthCheckResult,
     ListForm,
-    Note,
     Outcome,
     Request,
+    RequestWithdrawn,
     TimerFired,
-    Withdrawn,
 )
 from linnetshift.routing.settings import Settings
 
@@ -84,7 +84,7 @@
         self.starts: dict[bytes, int] = {}
         self.latency_estimator = LatencyEstimator()
         self.deployment_facts = DeploymentFacts()
-        self.moved = 0  # clients told to move, ever
+        self.migrated = 0  # clients told to move, ever
         self.administrative_drains = AdministrativeDrains(clock)
         self.configure(settings, contracts)
 
@@ -99,10 +99,10 @@
 
     def post(self, event: Event) -> None:
         if not self.inbox:
-            self.timers.soon()
+            self.timers.schedule_processing()
         self.inbox.append(event)
 
-    def drain(self) -> None:
+    def process_events(self) -> None:
         events, self.inbox = self.inbox, []
         if not events:
             return
@@ -120,11 +120,11 @@
             case Fail(request_id):
                 self.fail(request_id)
             case Migrate(request_id):
-                self.move(request_id, "migrated")
+                self.migrate(request_id, "migrated")
             case Cancel(request_id, number):
                 self.cancel(request_id, number)
             case SetTimer(delay_ns, token):
-                self.timers.wake(delay_ns, token)
+                self.timers.set_balancer_timer(delay_ns, token)
             case Watch(on):
                 self.discovery.watch(on)
             case FetchList():
@@ -139,30 +139,30 @@
     def timer_fired(self, token: int) -> None:
         self.post(TimerFired(token))
 
-    def listed(self, event: EndpointList) -> None:
-        self.told(self.administrative_drains.lay_over(event))
+    def handle_endpoint_list(self, event: EndpointList) -> None:
+        self.apply_endpoint_list(self.administrative_drains.overlay(event))
         for name in self.administrative_drains.trim():
             self.latency_estimator.forget(name)
             self.zones.pop(name, None)
             self.starts.pop(name, None)
 
-    def take_out(self, endpoint: bytes) -> bool:
+    def drain_endpoint(self, endpoint: bytes) -> bool:
         """Send nothing new there until it is called back; whether it was ever listed and is out now."""
         if self.administrative_drains.full() and not self.administrative_drains.holds(endpoint):
             return False
         if self.administrative_drains.knows(endpoint) and not self.administrative_drains.holds(endpoint):
-            self.administrative_drains.take_out(endpoint)
-            self.told(self.administrative_drains.change(endpoint))
+            self.administrative_drains.drain_endpoint(endpoint)
+            self.apply_endpoint_list(self.administrative_drains.change(endpoint))
         return self.administrative_drains.knows(endpoint)
 
-    def call_back(self, endpoint: bytes) -> bool:
+    def restore_endpoint(self, endpoint: bytes) -> bool:
         """Use it again at once; whether it was ever listed."""
         if self.administrative_drains.holds(endpoint):
-            self.administrative_drains.call_back(endpoint)
-            self.told(self.administrative_drains.change(endpoint))
+            self.administrative_drains.restore_endpoint(endpoint)
+            self.apply_endpoint_list(self.administrative_drains.change(endpoint))
         return self.administrative_drains.knows(endpoint)
 
-    def told(self, event: EndpointList) -> None:
+    def apply_endpoint_list(self, event: EndpointList) -> None:
         if event.form in (ListForm.FULL, ListForm.CACHED):
             self.zones, self.latency_estimator.weights = {}, {}
             named = {entry.endpoint for entry in event.entries}
@@ -179,7 +179,7 @@
         )
         self.post(event)
 
-    def health_checked(
+    def handle_health_check_result(
         self, endpoint: bytes, outcome: Outcome, elapsed_ns: int, report: tuple[float, ...]
     ) -> None:
         if outcome == Outcome.OK and self.settings.report_columns:
@@ -194,23 +194,23 @@
             request.release().reject(breach.wait_ns, breach.limit)
             return
         self.requests[request.id] = request
-        if request.adopt and request.began - self.started > ADOPT_NS:
+        if request.adopted_endpoint and request.began - self.started > ADOPT_NS:
             # Whoever still names an endpoint would choose it past the module, a draining one too.
             self.fail(request.id)
             return
-        if request.adopt:
+        if request.adopted_endpoint:
             self.adopt(request)
             return
         left = max(1, request.deadline - request.began)
         number = request.id  # the request itself would be held until then, answered or not
-        request.overdue = self.timers.later(left + OVERDUE_NS, lambda: self.overdue(number))
+        request.overdue_timer = self.timers.call_later(left + OVERDUE_NS, lambda: self.overdue(number))
         self.post(
             Request(
                 request.id,
                 request.klass,
                 request.group,
                 request.key,
-                request.hint,
+                request.load_hint,
                 request.flags,
                 request.tenant,
                 left,
@@ -220,98 +220,102 @@
     def overdue(self, request_id: int) -> None:
         """Whatever keeps the module from it, an answer is owed before the client gives up."""
         if (client := self.answer(request_id)) is not None:
-            self.post(Withdrawn(request_id))
+            self.post(RequestWithdrawn(request_id))
             client.fail()
 
-    def up(self, attempt: Attempt, receipt: memoryview) -> None:
+    def handle_established(self, attempt: Attempt, receipt: memoryview) -> None:
         """The endpoint serves: the final answer, and the start of the standing connection."""
         request, now = attempt.request, self.clock()
-        attempt.standing = True
+        attempt.is_established = True
         request.settle()
         if request.flags & RETURNED:
             self.latency_estimator.guest(True, now)
-        if request.adopt:
+        if request.adopted_endpoint:
             self.post(
-                Adopted(
+                AdoptedConnection(
                     request.id,
                     request.klass,
                     request.group,
                     request.key,
-                    request.hint,
+                    request.load_hint,
                     request.flags,
                     request.tenant,
                     attempt.endpoint,
                 )
             )
         else:
-            self.post(Established(request.id, attempt.number, attempt.endpoint, now - attempt.began))
-        request.client.up(receipt)
+            self.post(
+                ConnectionEstablished(request.id, attempt.number, attempt.endpoint, now - attempt.began)
+            )
+        request.client.handle_established(receipt)
 
-    def ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
+    def handle_attempt_ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
         """The link is closed: before the connection stood the module may try again, afterwards it is over."""
         request = attempt.request
-        if request.out is not attempt:
+        if request.attempt is not attempt:
             return
         request.part()
         if outcome not in NEVER_RAN:
-            request.ran_at = request.ran_at or attempt.began
-        if attempt.standing or request.answered:
+            request.possibly_executed_at = request.possibly_executed_at or attempt.began
+        if attempt.is_established or request.is_answered:
             client = self.forget(request)
-            if attempt.standing:
+            if attempt.is_established:
                 if outcome == Outcome.RESET and self.administrative_drains.knows(attempt.endpoint):
                     self.latency_estimator.dropped(attempt.endpoint, self.clock())
                 if outcome != Outcome.OK:
                     self.latency_estimator.guest(False, self.clock())
                 if outcome == Outcome.CANCELLED:
                     self.deployment_facts.sent_away()
-                client.endpoint_ended(outcome, reset)
-        elif request.adopt:
-            self.adopt_again(request, outcome)
+                client.handle_endpoint_ended(outcome, reset)
+        elif request.adopted_endpoint:
+            self.retry_adoption(request, outcome)
             return
-        self.tell_ended(attempt, outcome)
+        self.report_attempt_ended(attempt, outcome)
 
-    def adopt_again(self, request: ActiveRequest, outcome: Outcome) -> None:
+    def retry_adoption(self, request: ActiveRequest, outcome: Outcome) -> None:
         """Only one endpoint will do: while it cannot be reached, it is asked again."""
         if outcome not in NEVER_RAN or self.clock() + ADOPT_AGAIN_NS >= request.deadline:
             self.fail(request.id)
             return
-        request.overdue = self.timers.later(ADOPT_AGAIN_NS, lambda: self.adopt(request))
+        request.overdue_timer = self.timers.call_later(ADOPT_AGAIN_NS, lambda: self.adopt(request))
 
     def adopt(self, request: ActiveRequest) -> None:
         if self.administrative_drains.holds(
-            request.adopt
+            request.adopted_endpoint
         ):  # this goes past the module, which would not send there
             self.fail(request.id)
-        elif not request.answered:
-            self.open(request, request.adopt, request.deadline)
+        elif not request.is_answered:
+            self.open(request, request.adopted_endpoint, request.deadline)
 
-    def tell_ended(self, attempt: Attempt, outcome: int) -> None:
+    def report_attempt_ended(self, attempt: Attempt, outcome: int) -> None:
         elapsed = self.clock() - attempt.began
         request = attempt.request
         self.post(
-            AttemptEnded(request.id, attempt.number, attempt.endpoint, request.answered, elapsed, outcome, ())
+            AttemptEnded(
+                request.id, attempt.number, attempt.endpoint, request.is_answered, elapsed, outcome, ()
+            )
         )
 
-    def client_ended(self, request: ActiveRequest, reset: bool) -> None:
+    def handle_client_ended(self, request: ActiveRequest, reset: bool) -> None:
         """The client left, or has been sent away."""
         if request.id not in self.requests:
             return
-        attempt, waiting = request.out, not request.answered
+        attempt, waiting = request.attempt, not request.is_answered
         link = request.part()
         self.forget(request)
-        if waiting and not request.adopt:
-            self.post(Withdrawn(request.id))
+        if waiting and not request.adopted_endpoint:
+            self.post(RequestWithdrawn(request.id))
         if attempt is None:
             return
         if link is not None:
-            if attempt.standing:
-                link.client_ended(reset)
+            if attempt.is_established:
+                link.handle_client_ended(reset)
             else:
                 link.abandon()
-        if attempt.standing or not request.adopt:
-            self.tell_ended(attempt, attempt.verdict)
+        if attempt.is_established or not request.adopted_endpoint:
+            self.report_attempt_ended(attempt, attempt.outcome_on_client_end)
 
-    def answered_in(self, attempt: Attempt, elapsed_ns: int) -> None:
+    def record_response_time(self, attempt: Attempt, elapsed_ns: int) -> None:
         """An endpoint's reply to a client's message came after so long."""
         if not self.administrative_drains.knows(attempt.endpoint):
             return  # trimmed: nothing is kept under its name any more
@@ -319,7 +323,7 @@
         far = zone if zone != self.settings.zone else None
         self.latency_estimator.answered(attempt.endpoint, far, elapsed_ns, self.clock())
 
-    def load_told(self, attempt: Attempt, load: float) -> None:
+    def record_load_report(self, attempt: Attempt, load: float) -> None:
         """The connection's load, or the time that messages take at the endpoint: the figure tells which."""
         endpoint = attempt.endpoint
         if not self.administrative_drains.knows(endpoint):
@@ -336,24 +340,26 @@
     def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
         """What stands, by endpoint."""
         held: dict[bytes, list[tuple[Attempt, UpstreamConnection]]] = {}
-        for request in self.standing():
-            attempt = request.out
+        for request in self.established():
+            attempt = request.attempt
             if attempt is not None and attempt.link is not None:
                 held.setdefault(attempt.endpoint, []).append((attempt, attempt.link))
         return held
 
-    def review_silence(self) -> None:
+    def review_unresponsive_endpoints(self) -> None:
         """Some times a second: a machine that vanished neither answers nor resets."""
         for held in self.linked().values():
-            quiet = min(link.quiet_ns() for _, link in held)
-            longest = max(link.waiting_ns() for _, link in held)
+            quiet = min(link.idle_ns() for _, link in held)
+            longest = max(link.oldest_unanswered_ns() for _, link in held)
             vanished = longest > SILENT_NS and quiet >= longest
             for attempt, link in held:
-                if attempt.verdict == Outcome.CANCELLED and (vanished or link.waiting_ns() > STALLED_NS):
-                    attempt.verdict = Outcome.RESET
-                    self.move(attempt.request.id, "unresponsive")
+                if attempt.outcome_on_client_end == Outcome.CANCELLED and (
+                    vanished or link.oldest_unanswered_ns() > STALLED_NS
+                ):
+                    attempt.outcome_on_client_end = Outcome.RESET
+                    self.migrate(attempt.request.id, "unresponsive")
 
-    def review_messages(self) -> None:
+    def review_latency(self) -> None:
         """Once a second: note the endpoints whose messages are slow, each on one connection."""
         linked = self.linked()
         self.deployment_facts.review(linked.keys(), self.clock())
@@ -366,24 +372,25 @@
         """What stands asks of each endpoint."""
         return {
             endpoint: [
-                Standing(attempt.load, attempt.request.group, link.waiting_ns()) for attempt, link in held
+                Standing(attempt.load, attempt.request.group, link.oldest_unanswered_ns())
+                for attempt, link in held
             ]
             for endpoint, held in self.linked().items()
         }
 
     def note(self, attempt: Attempt, kind: int, value: float) -> None:
-        self.post(Note(attempt.request.id, attempt.number, attempt.endpoint, kind, value))
+        self.post(ConnectionNote(attempt.request.id, attempt.number, attempt.endpoint, kind, value))
 
     # ---- what the module says ---------------------------------------------------------------
 
     def send(self, request_id: int, endpoint: bytes, timeout_ns: int) -> None:
         request = self.requests.get(request_id)
-        if request is None or request.answered or request.out is not None:
+        if request is None or request.is_answered or request.attempt is not None:
             # Withdrawn in the meantime. Two attempts of one request must never be out together.
             number = 0 if request is None else request.attempts
             self.post(AttemptEnded(request_id, number, endpoint, True, 0, Outcome.MOOT, ()))
             return
-        if not request.client.present:  # its end is about to be read
+        if not request.client.is_present:  # its end is about to be read
             self.post(AttemptEnded(request_id, request.attempts, endpoint, True, 0, Outcome.MOOT, ()))
             return
         left = request.deadline - self.clock()
@@ -393,7 +400,7 @@
     def open(self, request: ActiveRequest, endpoint: bytes, deadline: int) -> None:
         attempt = Attempt(request, request.attempts, endpoint, self.clock(), deadline)
         request.attempts += 1
-        request.out = attempt
+        request.attempt = attempt
         self.connector.open(attempt)
 
     def may_send(self, attempt: Attempt) -> bool:
@@ -404,28 +411,30 @@
         time for repeats may be over.
         """
         request, endpoint, now = attempt.request, attempt.endpoint, self.clock()
-        if request.out is not attempt or request.answered or not request.client.present:
+        if request.attempt is not attempt or request.is_answered or not request.client.is_present:
             return False
         if self.administrative_drains.holds(endpoint) or not (
-            request.adopt or self.administrative_drains.ready(endpoint)
+            request.adopted_endpoint or self.administrative_drains.ready(endpoint)
         ):
             return False
-        klass, first = self.settings.classes[request.klass], request.ran_at
+        klass, first = self.settings.classes[request.klass], request.possibly_executed_at
         return now < attempt.deadline and (not first or klass.may_retry(first, now))
 
-    def harmless(self, request: ActiveRequest) -> bool:
+    def is_retry_safe(self, request: ActiveRequest) -> bool:
         """Whether the client may be told that coming again is harmless."""
-        out = request.out
-        first = request.ran_at or (out.began if out is not None and out.sent else 0)
+        attempt = request.attempt
+        first = request.possibly_executed_at or (
+            attempt.began if attempt is not None and attempt.is_sent else 0
+        )
         klass, again_by = (
             self.settings.classes[request.klass],
             self.clock() + self.settings.max_retry_after_ns,
         )
         return not first or klass.client_may_retry(first, again_by)
 
-    def dismiss(self, request: ActiveRequest) -> None:
+    def answer_unserved(self, request: ActiveRequest) -> None:
         """Answer it now, past the module: rejected where coming again is harmless, else failed."""
-        if self.harmless(request):
+        if self.is_retry_safe(request):
             self.reject(request.id)
         else:
             self.fail(request.id)
@@ -441,31 +450,31 @@
     def answer(self, request_id: int) -> Client | None:
         """The client to give its one final answer, unless it has had it."""
         request = self.requests.get(request_id)
-        if request is None or request.answered:
+        if request is None or request.is_answered:
             return None
-        attempt, link = request.out, request.part()
+        attempt, link = request.attempt, request.part()
         client = self.forget(request)
         if link is not None:
             link.abandon()
         if attempt is not None:
-            self.tell_ended(attempt, Outcome.CANCELLED)
+            self.report_attempt_ended(attempt, Outcome.CANCELLED)
         return client
 
     def cancel(self, request_id: int, number: int) -> None:
         request = self.requests.get(request_id)
-        attempt = request.out if request is not None else None
-        if attempt is None or attempt.number != number or attempt.standing:
+        attempt = request.attempt if request is not None else None
+        if attempt is None or attempt.number != number or attempt.is_established:
             return
         if attempt.link is not None:
             attempt.link.abandon()
-        self.ended(attempt, Outcome.CANCELLED)
+        self.handle_attempt_ended(attempt, Outcome.CANCELLED)
 
-    def move(self, request_id: int, reason: str) -> None:
+    def migrate(self, request_id: int, reason: str) -> None:
         request = self.requests.get(request_id)
-        if request is not None and request.out is not None and request.out.standing:
+        if request is not None and request.attempt is not None and request.attempt.is_established:
             self.latency_estimator.guest(False, self.clock())
-            self.moved += 1
-            request.client.move(reason)
+            self.migrated += 1
+            request.client.migrate(reason)
 
     def forget(self, request: ActiveRequest) -> Client:
         """It is over; its client, which it holds no longer."""
@@ -495,11 +504,11 @@
 
     # ---- leaving ----------------------------------------------------------------------------
 
-    def standing(self) -> list[ActiveRequest]:
-        return [i for i in self.requests.values() if i.out is not None and i.out.standing]
+    def established(self) -> list[ActiveRequest]:
+        return [i for i in self.requests.values() if i.attempt is not None and i.attempt.is_established]
 
     def unanswered(self) -> list[ActiveRequest]:
-        return [i for i in self.requests.values() if not i.answered]
+        return [i for i in self.requests.values() if not i.is_answered]
 
 
 __all__ = ["ActiveRequest", "Attempt", "Broker", "Client"]
--- a/linnetshift/broker/latency_estimator.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -58,7 +58,7 @@
 
     load: float | None  # in microseconds of work a second, once told
     group: int
-    waiting_ns: int  # how long its oldest message without a reply has waited
+    oldest_unanswered_ns: int  # how long its oldest message without a reply has waited
 
 
 class LatencyEstimator:
@@ -185,7 +185,7 @@
         # One that answers nothing is stalled or gone, which says nothing of how full the others are: it is
         # left like a slow one, but does not count as late before a reply does.
         most = int(min(SHED_AS_NS, SHED_PART * self.latency_objective_ns))
-        times += [min(one.waiting_ns, most) for one in held if one.waiting_ns > late]
+        times += [min(one.oldest_unanswered_ns, most) for one in held if one.oldest_unanswered_ns > late]
         return median(times) if times else 0.0
 
     def reckoned(self, endpoint: bytes, held: list[Standing], usual: float) -> float:
--- a/linnetshift/broker/ports.py
+++ b/linnetshift/broker/ports.py
@@ -9,12 +9,12 @@
 
 
 class Timers(Protocol):
-    def wake(self, delay_ns: int, token: int) -> None:
+    def set_balancer_timer(self, delay_ns: int, token: int) -> None:
         """Have `Broker.timer_fired` called with the token after the delay."""
 
-    def later(self, delay_ns: int, fire: Callable[[], None]) -> TimerHandle: ...
+    def call_later(self, delay_ns: int, fire: Callable[[], None]) -> TimerHandle: ...
 
-    def soon(self) -> None:
+    def schedule_processing(self) -> None:
         """Have `Broker.drain` called once the events at hand are all in."""
 
 
--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -90,7 +90,7 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def inherited_listener() -> socket.socket | None:
+def platform_listener() -> socket.socket | None:
     """The listening socket that the platform holds for clients, where it does."""
     told = os.environ.get("GW_LISTEN_FD")
     if not told:
--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -17,7 +17,7 @@
     done: Callable[[], None]
 
 
-class Module(Actor):
+class DecisionLoop(Actor):
     """Lets the broker decide on all that has come in at one turn of the loop together."""
 
     broker: Broker
@@ -27,22 +27,22 @@
         super().__init__(loop)
         self.waiting = waiting
 
-    def informed(self) -> None:
+    def handle_discovery_ready(self) -> None:
         if self.waiting:
             self.waiting = False
-            self.soon()
+            self.schedule_processing()
 
-    def soon(self) -> None:
+    def schedule_processing(self) -> None:
         self.post(None)
 
-    def settled(self, done: Callable[[], None]) -> None:
+    def when_processed(self, done: Callable[[], None]) -> None:
         """Have `done` called once the module has decided on all that is in by now."""
         self.post(Settled(done))
 
-    def wake(self, delay_ns: int, token: int) -> None:
-        self.later(delay_ns, lambda: self.broker.timer_fired(token))
+    def set_balancer_timer(self, delay_ns: int, token: int) -> None:
+        self.call_later(delay_ns, lambda: self.broker.timer_fired(token))
 
-    def later(self, delay_ns: int, fire: Callable[[], None]) -> Timer:
+    def call_later(self, delay_ns: int, fire: Callable[[], None]) -> Timer:
         return self.loop.call_later(delay_ns, fire)
 
     def run(self) -> ActorCoroutine:
@@ -51,9 +51,9 @@
             match (yield):
                 case Timeout(tag=int(review)):
                     self.set_timer(REVIEW_NS, review + 1)
-                    self.broker.review_silence()
+                    self.broker.review_unresponsive_endpoints()
                     if review % REVIEWS == 0:
-                        self.broker.review_messages()
+                        self.broker.review_latency()
                         for what, value in self.broker.deployment_facts.fresh():
                             log.note("deployment-fact-observed", what=what, value=value)
                 case Settled(done):
@@ -66,7 +66,7 @@
         if self.waiting:
             return
         try:
-            self.broker.drain()
+            self.broker.process_events()
         except Exception as error:
             # What stands goes on, and the broker answers what the module no longer does.
             log.fault(error)
--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -37,10 +37,10 @@
 
     def look_for_stall(self) -> None:
         """After each write and flush."""
-        if self.stream.congested and not self.congested_at:
+        if self.stream.is_congested and not self.congested_at:
             self.congested_at = self.loop.now()
             self.stall = self.set_timer(STALL_NS, "stalled")
-        elif self.congested_at and not self.stream.congested:
+        elif self.congested_at and not self.stream.is_congested:
             self.congested_at = 0
             if self.stall is not None:
                 self.stall.cancel()
@@ -71,13 +71,13 @@
         self.told: dict[EvictableConnection, None] = {}  # they asked, were answered, and stay
         self.quiet: dict[EvictableConnection, None] = {}  # the longest quiet first
         self.talking: dict[EvictableConnection, None] = {}  # their line comes in pieces
-        self.beside = 0  # descriptors that another process of this proxy holds meanwhile
+        self.peer_descriptors = 0  # descriptors that another process of this proxy holds meanwhile
         loop.make_room = self.make_room
 
     def add(self, connection: EvictableConnection) -> None:
         """A usual client's line is there at once, so that under pressure it is never the one to go."""
         self.quiet[connection] = None
-        while self.loop.streams + self.beside > self.most and self.count() > 1 and self.make_room():
+        while self.loop.streams + self.peer_descriptors > self.most and self.count() > 1 and self.make_room():
             pass
 
     def count(self) -> int:
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -96,7 +96,7 @@
                     heard = heard or got > 0
                     if got < 0:
                         break
-            case Timeout(tag="linger") if stream.congested and actor.loop.now() < taken_by:
+            case Timeout(tag="linger") if stream.is_congested and actor.loop.now() < taken_by:
                 timer = actor.set_timer(LINGER_NS, "linger")  # a close now would drop it
             case Timeout(tag="linger"):
                 if not heard or actor.loop.now() >= until:
--- a/linnetshift/event_loop/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -47,7 +47,7 @@
     The buffer starts small and has its full size once a read has filled it. A stream that is closed holds
     neither buffer nor callback: whoever keeps it keeps nothing else. Slices given out before stay whole.
 
-    Whoever feeds `send` stops reading its own peer while `congested`, so neither buffer outgrows a few
+    Whoever feeds `send` stops reading its own peer while `is_congested`, so neither buffer outgrows a few
     lines.
     """
 
@@ -75,7 +75,7 @@
         loop.streams += 1
 
     @property
-    def congested(self) -> bool:
+    def is_congested(self) -> bool:
         return bool(self.out)
 
     def arm(self) -> None:
@@ -124,7 +124,7 @@
         return None
 
     @property
-    def present(self) -> bool:
+    def is_present(self) -> bool:
         """Whether the peer's end has not come yet, for who must know it before it is read.
 
         Where it lies behind bytes that nobody has read, only the connection's state tells of it.
@@ -138,7 +138,7 @@
             return False
 
     @property
-    def waits(self) -> bool:
+    def has_nothing_unread(self) -> bool:
         """Whether the peer is there and has said nothing more: behind what it said its end may lie."""
         return self.unread() is None
 
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -89,19 +89,19 @@
     # ---- the broker's and the endpoint's side -----------------------------------------------
 
     @property
-    def congested(self) -> bool:
+    def is_congested(self) -> bool:
         return bool(self.pending)
 
     @property
-    def present(self) -> bool:
+    def is_present(self) -> bool:
         """Whoever leaves unread what it was sent is not read from: its end may be waiting there."""
         stream = self.session.stream
-        return self.number in self.session.channels and stream.reading and stream.present
+        return self.number in self.session.channels and stream.reading and stream.is_present
 
-    def up(self, receipt: memoryview) -> None:
+    def handle_established(self, receipt: memoryview) -> None:
         self.open = True
-        if self.request.out is not None:
-            self.endpoint = self.request.out.endpoint
+        if self.request.attempt is not None:
+            self.endpoint = self.request.attempt.endpoint
         opened = message(
             Message.CHANNEL_OPEN_CONFIRMATION, "IIII", self.remote, self.number, WINDOW, PACKET_DATA
         )
@@ -135,11 +135,11 @@
         self.reason = reason
         self.session.drop(self)
 
-    def move(self, reason: str) -> None:
-        self.session.broker.client_ended(self.request, False)
+    def migrate(self, reason: str) -> None:
+        self.session.broker.handle_client_ended(self.request, False)
         self.end(Reason(reason), MOVE_REQUEST)
 
-    def endpoint_ended(self, outcome: int, reset: bool) -> None:
+    def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
         if reset:
             self.end(Reason.ENDPOINT_RESET, RESET_REQUEST)
         elif outcome == Outcome.OK:
@@ -151,7 +151,7 @@
 
     @property
     def link(self) -> UpstreamConnection | None:
-        return self.request.out.link if self.request.out is not None else None
+        return self.request.attempt.link if self.request.attempt is not None else None
 
     def received(self, data: memoryview) -> None:
         if len(data) > self.granted:
@@ -162,7 +162,7 @@
         if link is None:
             return
         link.deliver(data)
-        if not link.congested and self.owed >= WINDOW // 2:
+        if not link.is_congested and self.owed >= WINDOW // 2:
             self.resume()
 
     def write_some(self) -> None:
@@ -266,14 +266,14 @@
         for channel in list(self.channels.values()):
             if channel.closing is None and not channel.close_sent:
                 channel.reason = self.reason or Reason.CLIENT_LEFT
-            self.broker.client_ended(channel.request, reset)
+            self.broker.handle_client_ended(channel.request, reset)
             self.drop(channel)
         self.turns.clear()
 
     def report(self) -> None:
         self.frontend.sessions.discard(self)
         self.frontend.connection_limiter.remove(self)
-        log.ended(
+        log.connection_ended(
             "session",
             self.reason or Reason.CLIENT_LEFT,
             peer=f"{self.peer[0]}:{self.peer[1]}",
@@ -293,7 +293,7 @@
                         return
                 case Timeout(tag="opener"):
                     self.reason = Reason.REQUEST_TIMEOUT
-                case Timeout(tag="leave") if self.frontend.leaving:
+                case Timeout(tag="leave") if self.frontend.is_draining:
                     self.leave()
 
     def identified(self) -> bool:
@@ -324,7 +324,7 @@
                     self.part_overdue()
                 case Timeout(tag="stalled") if self.stalled():
                     self.reason = Reason.STALLED
-            if self.frontend.leaving and not self.channels and self.reason is None:
+            if self.frontend.is_draining and not self.channels and self.reason is None:
                 self.leave()
 
     def turn(self, mask: int) -> None:
@@ -375,7 +375,7 @@
     def give_turns(self) -> None:
         """Round and round, a packet each; a channel without window leaves the round until it has some."""
         self.look_for_stall()
-        while self.turns and not self.stream.congested:
+        while self.turns and not self.stream.is_congested:
             channel = self.turns.popleft()
             channel.queued = False
             channel.write_some()
@@ -485,7 +485,7 @@
         if place is None or odd or wait_ms > MOST_WAIT_MS:
             self.refuse(remote, OpenFailure.CONNECT_FAILED, "unknown class, impossible tenant or deadline")
             return
-        if self.frontend.leaving or len(self.channels) >= MOST_CHANNELS:
+        if self.frontend.is_draining or len(self.channels) >= MOST_CHANNELS:
             self.refuse(remote, OpenFailure.RESOURCE_SHORTAGE, "come again after 0 ms")
             return
         if self.frontend.open >= MOST_OPEN:
@@ -521,7 +521,7 @@
         if not channel.close_sent:
             channel.close_sent = True
             self.write(message(Message.CHANNEL_CLOSE, "I", channel.remote))
-            self.broker.client_ended(channel.request, False)
+            self.broker.handle_client_ended(channel.request, False)
         self.drop(channel)
 
     def drop(self, channel: Channel) -> None:
@@ -531,7 +531,7 @@
         channel.pending.clear()
         if not self.channels and not self.stream.closed:
             self.frontend.connection_limiter.add(self)  # until it asks for another
-        log.ended(
+        log.connection_ended(
             "channel",
             channel.reason,
             id=channel.request.id,
@@ -562,7 +562,7 @@
 
     def leave(self) -> None:
         """Take no new session; those there are end once their channels have."""
-        self.leaving = True
+        self.is_draining = True
         self.close()
         self.wind_up()
 
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -76,17 +76,17 @@
     # ---- the broker's and the endpoint's side -----------------------------------------------
 
     @property
-    def congested(self) -> bool:
-        return self.stream.congested
+    def is_congested(self) -> bool:
+        return self.stream.is_congested
 
     @property
-    def present(self) -> bool:
+    def is_present(self) -> bool:
         """Asked before it has its answer: until then who talks is turned away, and so has left."""
-        return self.stream.waits
+        return self.stream.has_nothing_unread
 
-    def up(self, receipt: memoryview) -> None:
-        if self.request is not None and self.request.out is not None:
-            self.endpoint = self.request.out.endpoint
+    def handle_established(self, receipt: memoryview) -> None:
+        if self.request is not None and self.request.attempt is not None:
+            self.endpoint = self.request.attempt.endpoint
         self.stream.send(receipt)
         self.post(Resume())
 
@@ -103,10 +103,10 @@
     def fail(self) -> None:
         self.post(Failed())
 
-    def move(self, reason: str) -> None:
+    def migrate(self, reason: str) -> None:
         self.post(Moving(reason))
 
-    def endpoint_ended(self, outcome: int, reset: bool) -> None:
+    def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
         self.post(EndpointEnded(outcome, reset))
 
     # ---- the script -------------------------------------------------------------------------
@@ -135,7 +135,7 @@
         """Other clients must not pay for a fault met on this one."""
         log.fault(error)
         if self.request is not None:
-            self.broker.client_ended(self.request, True)
+            self.broker.handle_client_ended(self.request, True)
         self.stream.close(End.RESET)
         self.report(Reason.FAULT)
 
@@ -144,7 +144,7 @@
         self.frontend.connection_limiter.remove(self)
         if self.id is not None:
             self.frontend.ids.discard(self.id)
-        log.ended(
+        log.connection_ended(
             "client",
             reason,
             **({"error": self.error[:MOST_TOLD]} if self.error else {}),
@@ -172,7 +172,7 @@
         end = self.stream.fill()  # the line mostly comes with the connection
         while True:
             try:
-                while not self.stream.congested and (line := self.stream.line()) is not None:
+                while not self.stream.is_congested and (line := self.stream.line()) is not None:
                     if bytes(line[:6]).rstrip() not in (b"PING", b"STATS"):
                         self.hand_in(parse_request_line(bytes(line), self.frontend.names), arrived)
                         timer.cancel()
@@ -183,7 +183,7 @@
             except (BadLine, LineTooLong) as error:
                 return self.bad_line(str(error))
             # Without this, what is owed to someone who asks on and reads nothing would fill memory.
-            self.stream.want(not self.stream.congested)
+            self.stream.want(not self.stream.is_congested)
             if end is not None:
                 return Reason.PROBED if asked else Reason.EMPTY
             match (yield):
@@ -251,15 +251,15 @@
                     return Reason.FAILED
                 case Io():
                     end = self.stream.fill()
-                    if end is not None and not request.answered:
-                        harmless = self.broker.harmless(request)
-                        self.broker.client_ended(request, end is End.RESET)
+                    if end is not None and not request.is_answered:
+                        is_retry_safe = self.broker.is_retry_safe(request)
+                        self.broker.handle_client_ended(request, end is End.RESET)
                         # Perhaps it ended only its sending, and still reads.
-                        self.stream.send(b"BUSY\r\n" if harmless else FAILED)
+                        self.stream.send(b"BUSY\r\n" if is_retry_safe else FAILED)
                         return Reason.WITHDRAWN
-                    if self.stream.stop > self.stream.start and not request.answered:
+                    if self.stream.stop > self.stream.start and not request.is_answered:
                         # Unread, it would hide that the client ended; an endpoint could not use it.
-                        self.broker.client_ended(request, False)
+                        self.broker.handle_client_ended(request, False)
                         return self.bad_line(TALKS)
                     self.stream.want(end is None)
 
@@ -275,7 +275,7 @@
                     if mask & select.EPOLLOUT:
                         stream.flush()
                         self.look_for_stall()
-                        if not stream.congested and (out := request.out) and out.link is not None:
+                        if not stream.is_congested and (out := request.attempt) and out.link is not None:
                             out.link.resume()
                     if mask & ~select.EPOLLOUT:
                         end = stream.fill()
@@ -294,15 +294,15 @@
                     return Reason.ENDPOINT_MIGRATED if outcome == Outcome.CANCELLED else Reason.ENDPOINT_LEFT
                 case Moving(reason):
                     stream.send(b"MOVE\r\n")  # what was sent before it were whole lines
-                    self.broker.client_ended(request, False)
+                    self.broker.handle_client_ended(request, False)
                     return Reason(reason)
                 case Timeout(tag="stalled") if self.stalled():
-                    self.broker.client_ended(request, False)
+                    self.broker.handle_client_ended(request, False)
                     return Reason.STALLED
-        link = request.out.link if request.out is not None else None
+        link = request.attempt.link if request.attempt is not None else None
         if end is End.FIN and link is not None and (rest := stream.rest()):
             link.deliver(rest)
-        self.broker.client_ended(request, end is End.RESET)
+        self.broker.handle_client_ended(request, end is End.RESET)
         return Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
 
     def pass_on(self, request: ActiveRequest) -> bool:
@@ -310,17 +310,17 @@
 
         False once a line is too long to be one: both sides end.
         """
-        link = request.out.link if request.out is not None else None
+        link = request.attempt.link if request.attempt is not None else None
         if link is None:
             return True
         try:
-            while not link.congested and (line := self.stream.line()) is not None:
+            while not link.is_congested and (line := self.stream.line()) is not None:
                 link.deliver(line)
         except LineTooLong:
             self.error = "too long"
-            self.broker.client_ended(request, False)
+            self.broker.handle_client_ended(request, False)
             return False
-        self.stream.want(not link.congested)
+        self.stream.want(not link.is_congested)
         return True
 
 
@@ -342,7 +342,7 @@
         client = ClientConnection(self, sock, peer)
         client.start(client.run())
 
-    def send_off(self) -> None:
+    def notify_idle_clients(self) -> None:
         """Tell those who rest here that this proxy leaves."""
         for client in self.clients:
             client.post(Leaving())
@@ -356,4 +356,4 @@
     def readiness(self, asked: bytes) -> bytes:
         if not asked.startswith(b"PING"):
             return b"NO\r\n"
-        return b"ERR\r\n" if self.leaving else b"PONG\r\n"
+        return b"ERR\r\n" if self.is_draining else b"PONG\r\n"
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -97,7 +97,7 @@
         self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
     ) -> None:
         self.loop, self.broker, self.names, self.connection_limiter = loop, broker, names, connection_limiter
-        self.leaving = False
+        self.is_draining = False
         self.acceptor: Acceptor | None = None
 
     @property
@@ -113,14 +113,14 @@
 
     def pause(self, paused: bool) -> None:
         """Leave new connections to the process that takes this one's place, or take them again."""
-        self.leaving = paused
+        self.is_draining = paused
         if self.acceptor is not None:
             self.acceptor.pause(paused)
 
     def follow(self, acceptor: Acceptor) -> None:
         """Listen there from now on; what was accepted before goes on."""
         self.close()
-        self.leaving, self.acceptor = False, acceptor
+        self.is_draining, self.acceptor = False, acceptor
 
     def close(self) -> None:
         if self.acceptor is not None:
--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -27,7 +27,7 @@
 LOST_PART_NS = 2 * S  # over how long channels move once another proxy is the active one
 
 
-class Mover(Actor):
+class ChannelMigrator(Actor):
     """Moves a frontend's channels at an even pace once it no longer listens."""
 
     def __init__(self, loop: Loop, broker: Broker, frontend: ChannelsFrontend) -> None:
@@ -36,9 +36,9 @@
 
     def run(self) -> ActorCoroutine:
         steps = LOST_PART_NS // STEP_NS
-        while self.frontend.leaving and (channels := self.frontend.channels()):
+        while self.frontend.is_draining and (channels := self.frontend.channels()):
             for channel in channels[: -(-len(channels) // max(1, steps))]:
-                self.broker.move(channel.request.id, "migrated")
+                self.broker.migrate(channel.request.id, "migrated")
             steps -= 1
             self.set_timer(STEP_NS, "step")
             yield
@@ -48,7 +48,7 @@
     return min(MOST_DEADLINE_NS, max(c.deadline_ns for c in settings.offered)) + KILL_NS
 
 
-class Departure(Actor):
+class GracefulShutdown(Actor):
     """Answers everything, moves every client away at an even pace, and stops the loop.
 
     One that is replaced has stopped accepting, and has until the signal comes and then as long as any.
@@ -61,26 +61,26 @@
         close: Callable[[], None],
         held: Callable[[], int],
         open_streams: Callable[[], list[Stream]],
-        send_off: Callable[[], None],
+        notify_idle_clients: Callable[[], None],
         replaced: bool,
     ) -> None:
         super().__init__(loop)
         self.broker, self.close, self.held, self.replaced = broker, close, held, replaced
-        self.open_streams, self.send_off = open_streams, send_off
+        self.open_streams, self.notify_idle_clients = open_streams, notify_idle_clients
         now, time = loop.now(), kill_after(broker.settings) - SPARE_NS
         self.until = now + time + (SIGNAL_NS if replaced else 0)
         self.paced_from = now if replaced else now + time * MOVE_FROM // 100
         self.paced_until = self.until - time * (100 - MOVE_UNTIL) // 100
         self.accept_until = now + (0 if replaced else ACCEPT_NS)
 
-    def hurry(self) -> None:
+    def shorten(self) -> None:
         """The signal has come to one that is replaced: from now on the time is known."""
         now, time = self.loop.now(), kill_after(self.broker.settings) - SPARE_NS
         self.until = min(self.until, now + time)
         self.paced_until = min(self.paced_until, now + time * MOVE_UNTIL // 100)
 
     def run(self) -> ActorCoroutine:
-        log.note("shutdown-started", standing=len(self.broker.standing()), replaced=self.replaced)
+        log.note("shutdown-started", standing=len(self.broker.established()), replaced=self.replaced)
         accepting, due = not self.replaced, 0.0
         while self.loop.now() < self.until:
             self.set_timer(STEP_NS, "step")
@@ -91,18 +91,18 @@
             if accepting:
                 accepting = False
                 self.close()
-            standing = self.broker.standing() if now >= self.paced_from else []
+            standing = self.broker.established() if now >= self.paced_from else []
             due += len(standing) / max(1, (self.paced_until - now) // STEP_NS)
             for request in standing[: int(due)]:
-                self.broker.move(request.id, "migrated")
+                self.broker.migrate(request.id, "migrated")
             due -= int(due)
             if not self.held():
                 break
         for request in self.broker.unanswered():
-            self.broker.dismiss(request)
-        for request in self.broker.standing():
-            self.broker.move(request.id, "migrated")
-        self.send_off()
+            self.broker.answer_unserved(request)
+        for request in self.broker.established():
+            self.broker.migrate(request.id, "migrated")
+        self.notify_idle_clients()
         # Whoever has its last word is read from until it has ended too: a close over bytes unread, the exit's
         # as well, would reset that word away.
         until = max(self.until, self.loop.now()) + SPARE_NS - LAST_NS
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -34,18 +34,20 @@
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
 
-MEET_S = 2.5  # how long a new process waits for the state of one that may hang; then it goes on alone
-AGAIN_S = 0.05
-HELLO_NS = 1 * S
-BEAT_NS = 500 * MS
-MOST_STATE = 16 << 20
-MOST_LINE = 1 << 20  # of what follows the state
-MOST_FDS = 4
-MOST_STREAMS = 1 << 20
-MOST_UNANSWERED = 256  # bans that the other process has not confirmed; one that hangs is given up soon
-
-
-class Place:
+TAKEOVER_TIMEOUT_S = (
+    2.5  # how long a new process waits for the state of one that may hang; then it goes on alone
+)
+TAKEOVER_RETRY_S = 0.05
+HELLO_TIMEOUT_NS = 1 * S
+HEARTBEAT_INTERVAL_NS = 500 * MS
+MAX_STATE_BYTES = 16 << 20
+MAX_MESSAGE_BYTES = 1 << 20  # of what follows the state
+MAX_DESCRIPTORS = 4
+MAX_PEER_DESCRIPTORS = 1 << 20
+MAX_UNCONFIRMED_DRAINS = 256  # bans that the other process has not confirmed; one that hangs is given up soon
+
+
+class TakeoverSocketPath:
     """Where the processes of one proxy meet; the folder is held open, as its path may be too long to bind."""
 
     def __init__(self, name: str) -> None:
@@ -63,7 +65,7 @@
             return 0
 
 
-class Legacy(NamedTuple):
+class PredecessorState(NamedTuple):
     """What the process before handed over."""
 
     sock: socket.socket
@@ -72,18 +74,18 @@
     descriptors: list[int]
 
 
-def meet(place: Place) -> Legacy | None:
+def request_takeover(socket_path: TakeoverSocketPath) -> PredecessorState | None:
     """Ask the process there for its state; None where there is none that answers.
 
     Nothing is served yet, so this may wait. One that closes without a word is handing over to another
     just now, which will be there instead in a moment.
     """
-    until = time.monotonic() + MEET_S
+    until = time.monotonic() + TAKEOVER_TIMEOUT_S
     while (left := until - time.monotonic()) > 0:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.settimeout(left)
         try:
-            sock.connect(place.path())
+            sock.connect(socket_path.path())
         except OSError:  # nobody there, or a stale socket
             sock.close()
             return None
@@ -96,17 +98,17 @@
         except (OSError, ValueError) as error:
             sock.close()
             log.note("takeover-state-unreadable", error=str(error))
-            time.sleep(AGAIN_S)
+            time.sleep(TAKEOVER_RETRY_S)
     return None
 
 
-def read_state(sock: socket.socket) -> Legacy:
+def read_state(sock: socket.socket) -> PredecessorState:
     data, descriptors = b"", []
     while b"\n" not in data:
-        got, passed, _, _ = socket.recv_fds(sock, 1 << 16, MOST_FDS)
+        got, passed, _, _ = socket.recv_fds(sock, 1 << 16, MAX_DESCRIPTORS)
         descriptors += passed
         data += got
-        if not got or len(data) > MOST_STATE:
+        if not got or len(data) > MAX_STATE_BYTES:
             for fd in descriptors:
                 os.close(fd)
             raise ConnectionError("closed before its state was told")
@@ -114,7 +116,7 @@
     state = json.loads(line)
     if not isinstance(state, dict):
         raise ValueError("no state")
-    return Legacy(sock, state, rest, descriptors)
+    return PredecessorState(sock, state, rest, descriptors)
 
 
 def encode(say: str, **more: object) -> bytes:
@@ -136,16 +138,16 @@
         budget.level, budget.at = float(left[0]), int(left[1])
 
 
-class Inherited:
+class ImportedState:
     """The legacy, read; what makes no sense is left out, as the other process may be of another version."""
 
-    def __init__(self, legacy: Legacy | None, names: NameRegistry) -> None:
-        self.state = legacy.state if legacy is not None else {}
+    def __init__(self, predecessor: PredecessorState | None, names: NameRegistry) -> None:
+        self.state = predecessor.state if predecessor is not None else {}
         self.names = names
         self.active = self.state.get("active") is True
         self.list_update: EndpointListUpdate | None = None
-        self.holdings = Holdings()
-        descriptors = legacy.descriptors if legacy is not None else []
+        self.peer_resources = PeerResources()
+        descriptors = predecessor.descriptors if predecessor is not None else []
         passed = self.state.get("passed") or []
         self.sockets = {
             str(what): socket.socket(fileno=fd) for what, fd in zip(passed, descriptors, strict=False)
@@ -157,7 +159,7 @@
             except ValueError as error:
                 log.note("imported-list-rejected", error=str(error))
             try:
-                self.holdings = Holdings.read(self.state.get("holdings", {}))
+                self.peer_resources = PeerResources.read(self.state.get("holdings", {}))
             except MEANINGLESS as error:
                 log.note("imported-state-rejected", error=f"{type(error).__name__}: {log.words(error)}")
 
@@ -176,7 +178,7 @@
 
     def import_state(self, broker: Broker) -> None:
         """After the list is told."""
-        broker.drain()
+        broker.process_events()
         try:
             if self.state:
                 import_state(broker.balancer, broker.latency_estimator, self.state["memory"])
@@ -187,7 +189,7 @@
 MEANINGLESS = (AttributeError, KeyError, OverflowError, RecursionError, TypeError, ValueError)
 
 
-class Holdings(NamedTuple):
+class PeerResources(NamedTuple):
     """What another process of this proxy holds meanwhile, which counts together with what this one does."""
 
     streams: int = 0  # descriptors
@@ -195,7 +197,7 @@
     loads: Mapping[bytes, list[Standing]] = MappingProxyType({})  # by endpoint
 
     @classmethod
-    def read(cls, told: dict[str, Any]) -> Holdings:
+    def read(cls, told: dict[str, Any]) -> PeerResources:
         """Raises one of MEANINGLESS where it makes no sense."""
         streams, moved = int(told.get("streams", 0)), int(told.get("moved", 0))
         loads = {
@@ -205,7 +207,7 @@
             for endpoint, held in told.get("loads", {}).items()
         }
         known = [one.load for held in loads.values() for one in held if one.load is not None]
-        if not 0 <= streams <= MOST_STREAMS or not 0 <= moved < 1 << 62:
+        if not 0 <= streams <= MAX_PEER_DESCRIPTORS or not 0 <= moved < 1 << 62:
             raise ValueError("impossible holdings")
         if not all(math.isfinite(load) and load >= 0.0 for load in known):
             raise ValueError("impossible load")
@@ -219,7 +221,7 @@
     endpoint: bytes = b""
     out: bool = False
     number: int = 0
-    holdings: Holdings = Holdings()
+    peer_resources: PeerResources = PeerResources()
 
     @classmethod
     def read(cls, line: bytes | bytearray) -> Said:
@@ -231,7 +233,7 @@
             case "held":
                 return cls("held", number=int(told["number"]))
             case "beat":
-                return cls("beat", holdings=Holdings.read(told))
+                return cls("beat", peer_resources=PeerResources.read(told))
             case str(say):
                 return cls(say)
         raise ValueError("says nothing")
@@ -243,37 +245,39 @@
     def state(self) -> tuple[dict[str, Any], list[int]]:
         """All that another process needs to take over, and descriptors that pass with it."""
 
-    def step_back(self, back: bool) -> None:
+    def yield_to_successor(self, back: bool) -> None:
         """Stop accepting and move clients away, or accept again."""
 
-    def ban(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
         """Take it out or use it again, in this process alone."""
 
-    def holdings(self) -> dict[str, Any]:
+    def peer_resources(self) -> dict[str, Any]:
         """What counts together while both live."""
 
-    def holds_beside(self, holdings: Holdings) -> None: ...
+    def update_peer_resources(self, peer_resources: PeerResources) -> None: ...
 
 
-class Beside(Reading):
+class PeerProcess(Reading):
     """The process that this one replaces, or the one that replaces it."""
 
-    def __init__(self, succession: Succession, sock: socket.socket, legacy: Legacy | None = None) -> None:
-        loop = succession.loop
+    def __init__(
+        self, hot_restart: HotRestart, sock: socket.socket, predecessor: PredecessorState | None = None
+    ) -> None:
+        loop = hot_restart.loop
         super().__init__(loop)
-        self.succession, self.program, self.older = succession, succession.program, legacy is not None
+        self.hot_restart, self.program, self.older = hot_restart, hot_restart.program, predecessor is not None
         self.stream = Stream(loop, sock, lambda mask: self.post(Io(mask)))
-        self.read = bytearray(legacy.rest if legacy is not None else b"")
+        self.read = bytearray(predecessor.rest if predecessor is not None else b"")
         self.met = self.older  # the state has passed
         self.numbers = count()
         self.unanswered: dict[int, Callable[[], None]] = {}
 
     def run(self) -> ActorCoroutine:
         self.stream.arm()
-        self.set_timer(HELLO_NS, "hello")
-        self.set_timer(BEAT_NS, "beat")
+        self.set_timer(HELLO_TIMEOUT_NS, "hello")
+        self.set_timer(HEARTBEAT_INTERVAL_NS, "beat")
         end: End | None = None
-        while end is None and not self.stream.broken and self.heed_lines():
+        while end is None and not self.stream.broken and self.handle_lines():
             match (yield):
                 case Io(mask):
                     if mask & select.EPOLLOUT:
@@ -281,12 +285,14 @@
                         self.look_for_stall()
                     end = self.stream.fill()
                     self.read += self.stream.rest()
-                    if len(self.read) > MOST_LINE:
+                    if len(self.read) > MAX_MESSAGE_BYTES:
                         break
                 case Timeout(tag="beat"):
-                    if self.met and not self.stream.congested:  # one that hangs would fill memory with them
-                        self.say("beat", **self.program.holdings())
-                    self.set_timer(BEAT_NS, "beat")
+                    if (
+                        self.met and not self.stream.is_congested
+                    ):  # one that hangs would fill memory with them
+                        self.say("beat", **self.program.peer_resources())
+                    self.set_timer(HEARTBEAT_INTERVAL_NS, "beat")
                 case Timeout(tag="hello") if not self.met:
                     break
                 case Timeout(tag="stalled") if self.stalled():
@@ -303,22 +309,22 @@
         unanswered, self.unanswered = list(self.unanswered.values()), {}
         for done in unanswered:  # one that is gone sends nothing to anyone
             done()
-        self.succession.parted(self)
+        self.hot_restart.handle_peer_gone(self)
 
     def say(self, say: str, **more: object) -> None:
         self.stream.send(encode(say, **more))
         self.look_for_stall()
 
-    def ban(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
         """Have the other process hold it too; `done` once it does, or is gone."""
-        if self.coroutine is None or not self.met or len(self.unanswered) >= MOST_UNANSWERED:
+        if self.coroutine is None or not self.met or len(self.unanswered) >= MAX_UNCONFIRMED_DRAINS:
             done()  # it will be in the state, or in that of whoever replaces one that hangs
             return
         number = next(self.numbers)
         self.unanswered[number] = done
         self.say("ban", **{"provider": endpoint.decode()}, out=out, number=number)
 
-    def heed_lines(self) -> bool:
+    def handle_lines(self) -> bool:
         """Whether all of it could be read: one that speaks otherwise is of another version."""
         while (size := self.read.find(b"\n") + 1) > 0:
             try:
@@ -327,10 +333,10 @@
                 log.note("peer-message-unreadable", error=f"{type(error).__name__}: {log.words(error)}")
                 return False
             del self.read[:size]
-            self.heed(said)
+            self.handle_message(said)
         return True
 
-    def heed(self, said: Said) -> None:
+    def handle_message(self, said: Said) -> None:
         match said.say:
             case "hello" if not self.met:
                 state, descriptors = self.program.state()
@@ -339,33 +345,35 @@
                 self.stream.send(encode("state", **state))
                 self.met = True
             case "serving" if self.met:
-                self.succession.succeeded(self)
+                self.hot_restart.handle_successor_serving(self)
                 self.say("stopped")
             case "stopped" if self.older:
-                self.succession.joined()
+                self.hot_restart.handle_predecessor_stopped()
             case "ban":
                 held = partial(self.say, "held", number=said.number)
-                self.succession.ban(said.endpoint, said.out, held, self)
+                self.hot_restart.apply_administrative_drain(said.endpoint, said.out, held, self)
             case "held":
                 if (done := self.unanswered.pop(said.number, None)) is not None:
                     done()
             case "beat":
-                self.program.holds_beside(said.holdings)
+                self.program.update_peer_resources(said.peer_resources)
 
 
-class Meeting:
+class TakeoverListener:
     """Listens for the process that will replace this one; put in place in one step, over a stale socket."""
 
-    def __init__(self, loop: Loop, place: Place, take: Callable[[socket.socket], None]) -> None:
-        self.loop, self.place, self.take = loop, place, take
+    def __init__(
+        self, loop: Loop, socket_path: TakeoverSocketPath, take: Callable[[socket.socket], None]
+    ) -> None:
+        self.loop, self.socket_path, self.take = loop, socket_path, take
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        fresh = place.path(f".{os.getpid()}")
+        fresh = socket_path.path(f".{os.getpid()}")
         self.listener.bind(fresh)
         os.chmod(fresh, 0o600)
         self.listener.listen(4)
         self.listener.setblocking(False)
-        os.rename(fresh, place.path())
-        self.inode = place.inode()
+        os.rename(fresh, socket_path.path())
+        self.inode = socket_path.inode()
         loop.watch(self.listener.fileno(), select.EPOLLIN, self.accept)
 
     def accept(self, _mask: int) -> None:
@@ -380,82 +388,88 @@
             return
         self.loop.unwatch(self.listener.fileno())
         self.listener.close()
-        if self.place.inode() == self.inode:  # else another process has put its own there
-            os.unlink(self.place.path())
+        if self.socket_path.inode() == self.inode:  # else another process has put its own there
+            os.unlink(self.socket_path.path())
 
 
-class Succession:
+class HotRestart:
     """Which other processes of this proxy there are, and whose turn it is to accept."""
 
     def __init__(
-        self, loop: Loop, program: RestartOperations, place: Place | None, legacy: Legacy | None
+        self,
+        loop: Loop,
+        program: RestartOperations,
+        socket_path: TakeoverSocketPath | None,
+        predecessor: PredecessorState | None,
     ) -> None:
-        self.loop, self.program, self.place = loop, program, place
-        self.besides: list[Beside] = []
-        self.heir: Beside | None = None  # accepts in this one's place
-        self.joining = legacy is not None  # the one before may still accept
-        self.meeting: Meeting | None = None
-        if legacy is not None:
-            older = Beside(self, legacy.sock, legacy)
-            self.besides.append(older)
+        self.loop, self.program, self.socket_path = loop, program, socket_path
+        self.peer_processes: list[PeerProcess] = []
+        self.successor: PeerProcess | None = None  # accepts in this one's place
+        self.is_joining = predecessor is not None  # the one before may still accept
+        self.takeover_listener: TakeoverListener | None = None
+        if predecessor is not None:
+            older = PeerProcess(self, predecessor.sock, predecessor)
+            self.peer_processes.append(older)
             older.start(older.run())
             older.say("serving")
-            loop.call_later(HELLO_NS, self.joined)  # one that hangs accepts nothing either
-        self.be_found()
+            loop.call_later(
+                HELLO_TIMEOUT_NS, self.handle_predecessor_stopped
+            )  # one that hangs accepts nothing either
+        self.listen_for_successor()
 
-    def be_found(self) -> None:
+    def listen_for_successor(self) -> None:
         """Where nobody can find it, the proxy serves all the same; its replacement starts from nothing."""
-        if self.place is None:
+        if self.socket_path is None:
             return
-        if self.meeting is not None:
-            self.meeting.close()  # another process has put its own in its place since
+        if self.takeover_listener is not None:
+            self.takeover_listener.close()  # another process has put its own in its place since
         try:
-            self.meeting = Meeting(self.loop, self.place, self.take)
+            self.takeover_listener = TakeoverListener(self.loop, self.socket_path, self.take)
         except OSError as error:
             log.note("takeover-socket-unavailable", error=error.strerror)
 
     def take(self, sock: socket.socket) -> None:
-        if self.heir is not None or any(not beside.older for beside in self.besides):
+        if self.successor is not None or any(not peer_process.older for peer_process in self.peer_processes):
             sock.close()  # one at a time: it asks again, and finds the other one here
             return
-        newer = Beside(self, sock)
-        self.besides.append(newer)
+        newer = PeerProcess(self, sock)
+        self.peer_processes.append(newer)
         newer.start(newer.run())
 
     def resource_usage(self) -> dict[str, ResourceUsage]:
-        waiting = sum(len(beside.unanswered) for beside in self.besides)
+        waiting = sum(len(peer_process.unanswered) for peer_process in self.peer_processes)
         return {
-            "besides": ResourceUsage(len(self.besides), 2),
-            "besides.unanswered": ResourceUsage(waiting, 2 * MOST_UNANSWERED),
+            "besides": ResourceUsage(len(self.peer_processes), 2),
+            "besides.unanswered": ResourceUsage(waiting, 2 * MAX_UNCONFIRMED_DRAINS),
         }
 
-    def joined(self) -> None:
-        self.joining = False
+    def handle_predecessor_stopped(self) -> None:
+        self.is_joining = False
 
-    def succeeded(self, beside: Beside) -> None:
-        if self.heir is None:
-            self.heir = beside
+    def handle_successor_serving(self, peer_process: PeerProcess) -> None:
+        if self.successor is None:
+            self.successor = peer_process
             log.note("process-replaced")
-            self.program.step_back(True)
+            self.program.yield_to_successor(True)
 
-    def parted(self, beside: Beside) -> None:
-        if beside in self.besides:
-            self.besides.remove(beside)
-        self.program.holds_beside(Holdings())
-        if beside.older:
+    def handle_peer_gone(self, peer_process: PeerProcess) -> None:
+        if peer_process in self.peer_processes:
+            self.peer_processes.remove(peer_process)
+        self.program.update_peer_resources(PeerResources())
+        if peer_process.older:
             log.note("predecessor-gone")
-            self.joined()
-        if beside is self.heir:
-            self.heir = None
+            self.handle_predecessor_stopped()
+        if peer_process is self.successor:
+            self.successor = None
             log.note("successor-gone")
-            self.be_found()
-            self.program.step_back(False)
+            self.listen_for_successor()
+            self.program.yield_to_successor(False)
 
-    def ban(
-        self, endpoint: bytes, out: bool, done: Callable[[], None], told_by: Beside | None = None
+    def apply_administrative_drain(
+        self, endpoint: bytes, out: bool, done: Callable[[], None], told_by: PeerProcess | None = None
     ) -> None:
         """Here and in every other process; `done` once all that live hold it."""
-        others = [beside for beside in self.besides if beside is not told_by]
+        others = [peer_process for peer_process in self.peer_processes if peer_process is not told_by]
         left = 1 + len(others)
 
         def one_more() -> None:
@@ -464,12 +478,12 @@
             if not left:
                 done()
 
-        self.program.ban(endpoint, out, one_more)
-        for beside in others:
-            beside.ban(endpoint, out, one_more)
+        self.program.apply_administrative_drain(endpoint, out, one_more)
+        for peer_process in others:
+            peer_process.apply_administrative_drain(endpoint, out, one_more)
 
     def end(self) -> None:
-        for beside in self.besides:
-            beside.say("beat", **self.program.holdings())  # its last moves are in it
-        if self.meeting is not None:
-            self.meeting.close()
+        for peer_process in self.peer_processes:
+            peer_process.say("beat", **self.program.peer_resources())  # its last moves are in it
+        if self.takeover_listener is not None:
+            self.takeover_listener.close()
--- a/linnetshift/observability/log.py
+++ b/linnetshift/observability/log.py
@@ -75,7 +75,7 @@
     logger.info(event, extra={"pairs": pairs})
 
 
-def ended(side: str, reason: Reason, /, **pairs: object) -> None:
+def connection_ended(side: str, reason: Reason, /, **pairs: object) -> None:
     """The one line that an ended connection leaves."""
     own = {"side": side, "reason": reason}
     note("connection-ended", **(own | pairs | own))  # a report's column may have any name
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -17,7 +17,7 @@
 from linnetshift.config.errors import ConfigError
 from linnetshift.config.loader import read_files
 from linnetshift.config.proxy_file import Config
-from linnetshift.decision_loop import Module
+from linnetshift.decision_loop import DecisionLoop
 from linnetshift.discovery.endpoint_list import EndpointListUpdate, describe
 from linnetshift.discovery.watch import Discovery, WatchTimeouts
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
@@ -25,8 +25,15 @@
 from linnetshift.frontends.channels.session import MOST_OPEN, ChannelsFrontend
 from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
 from linnetshift.frontends.listener import Acceptor, Frontend
-from linnetshift.lifecycle.graceful_shutdown import Departure, Mover
-from linnetshift.lifecycle.hot_restart import Holdings, Inherited, Legacy, Place, Succession, spent
+from linnetshift.lifecycle.graceful_shutdown import ChannelMigrator, GracefulShutdown
+from linnetshift.lifecycle.hot_restart import (
+    HotRestart,
+    ImportedState,
+    PeerResources,
+    PredecessorState,
+    TakeoverSocketPath,
+    spent,
+)
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.events import EndpointList, EndpointState, ListForm
@@ -46,18 +53,18 @@
         config: Config,
         own: BrokerFile,
         given: socket.socket | None = None,
-        place: Place | None = None,
-        legacy: Legacy | None = None,
+        socket_path: TakeoverSocketPath | None = None,
+        predecessor: PredecessorState | None = None,
     ) -> None:
-        """`given` is the platform's listening socket, `legacy` what the process before handed over."""
+        """`given` is the platform's listening socket, `predecessor` what the process before handed over."""
         self.loop = loop = Loop()
         self.config, self.names, self.own = config, config.names, own
         self.connector = EndpointConnector(loop)
-        inherited = Inherited(legacy, self.names)
-        known = inherited.list_update or config.known
+        imported = ImportedState(predecessor, self.names)
+        known = imported.list_update or config.known
         pushed = not config.settings.must_poll
         # What the agent of pushed lists has counts as told from the start, whatever the file says.
-        self.module = Module(loop, waiting=pushed)
+        self.decision_loop = DecisionLoop(loop, waiting=pushed)
         self.discovery = Discovery(
             loop,
             config.discovery,
@@ -66,55 +73,61 @@
             self.listed,
             WatchTimeouts.of(config.settings),
             config.seed,
-            self.module.informed,
+            self.decision_loop.handle_discovery_ready,
         )
-        self.broker = self.module.broker = self.connector.broker = Broker(
-            config.settings, config.seed, loop.now, self.module, self.discovery, self.connector, own.contracts
+        self.broker = self.decision_loop.broker = self.connector.broker = Broker(
+            config.settings,
+            config.seed,
+            loop.now,
+            self.decision_loop,
+            self.discovery,
+            self.connector,
+            own.contracts,
         )
-        self.module.start(self.module.run())
+        self.decision_loop.start(self.decision_loop.run())
         self.discovery.start(self.discovery.run())
         if pushed:
             # Pushed lists stop at the agent on this machine, and the module never asks for them.
             self.discovery.watch(True)
         self.connection_limiter = ConnectionLimiter(loop, config.sockets)
-        inherited.restore(self.broker)
-        self.moved_beside = inherited.holdings.moved  # by the other process, so far
-        self.holds_beside(inherited.holdings)
+        imported.restore(self.broker)
+        self.peer_migrated = imported.peer_resources.moved  # by the other process, so far
+        self.update_peer_resources(imported.peer_resources)
         self.listed(known)
-        inherited.import_state(self.broker)
+        imported.import_state(self.broker)
         self.frontend = LineProtocolFrontend(loop, self.broker, self.names, self.connection_limiter)
         self.given = given
         self.frontend.listen(config.listen, given)
         self.channels = ChannelsFrontend(loop, self.broker, self.names, self.connection_limiter)
         self.vrrp: Vrrp | None = None
-        self.passed = inherited.sockets
+        self.passed = imported.sockets
         if own.vrrp is not None:
             socket_before = self.passed.pop("vrrp", None)
-            self.vrrp = Vrrp(loop, own.vrrp, self.elected, socket_before, inherited.active)
+            self.vrrp = Vrrp(loop, own.vrrp, self.handle_vrrp_change, socket_before, imported.active)
             self.vrrp.start(self.vrrp.run())
         elif own.channels is not None:
             self.channels.listen(own.channels, self.passed.pop("channels", None))
         for unused in self.passed.values():  # else what connects there would wait for nobody
             unused.close()
-        self.departure: Departure | None = None
-        self.departing = False  # by a signal
+        self.shutdown: GracefulShutdown | None = None
+        self.is_shutting_down = False  # by a signal
         self.admin_server = AdminServer(loop, self)
         if config.admin is not None:
             self.admin_server.follow(self.admin_server.open(config.admin))
-        self.succession = Succession(loop, self, place, legacy)
+        self.hot_restart = HotRestart(loop, self, socket_path, predecessor)
 
     def listed(self, list_update: EndpointListUpdate) -> None:
         event = self.broker.administrative_drains.bounded(list_update.event)
         if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
-            log.note("endpoint-list-received", **self.told_of(event))
+            log.note("endpoint-list-received", **self.describe_list(event))
         if left_out := len(list_update.event.entries) - len(event.entries):
             log.note("endpoint-limit-exceeded", left_out=left_out)
         self.connector.listed(
             event, {entry.endpoint: list_update.addresses[entry.endpoint] for entry in event.entries}
         )
-        self.broker.listed(event)
+        self.broker.handle_endpoint_list(event)
 
-    def told_of(self, event: EndpointList) -> dict[str, object]:
+    def describe_list(self, event: EndpointList) -> dict[str, object]:
         """A list or its changes in the words of the log; with it a run's logs tell how old each list was."""
         now = self.loop.now()
         cold = [
@@ -140,10 +153,10 @@
             **self.frontend.resource_usage(connections),
             **self.channels.resource_usage(connections),
             **self.admin_server.resource_usage(),
-            **self.succession.resource_usage(),
+            **self.hot_restart.resource_usage(),
         }
 
-    def crowded(self, endpoint: bytes) -> bool:
+    def is_drain_limit_reached(self, endpoint: bytes) -> bool:
         return self.broker.administrative_drains.full() and not self.broker.administrative_drains.holds(
             endpoint
         )
@@ -151,31 +164,31 @@
     # ---- what operators ask -----------------------------------------------------------------
 
     def readiness(self) -> str:
-        if self.departing:
+        if self.is_shutting_down:
             return "leaving"
-        if self.succession.heir is not None:
+        if self.hot_restart.successor is not None:
             return "replaced by another process"
-        if self.succession.joining:
+        if self.hot_restart.is_joining:
             return "taking over"
         if not self.broker.administrative_drains.listed:
             return "waiting for the list of providers"
         return "" if self.frontend.address is not None else "not listening"
 
-    def set_out(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
+    def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
         known = self.broker.administrative_drains.knows(endpoint)
         if known:
-            self.succession.ban(endpoint, out, lambda: done(True))
+            self.hot_restart.apply_administrative_drain(endpoint, out, lambda: done(True))
         else:
             done(False)
 
     # ---- the process before or after this one -----------------------------------------------
 
-    def ban(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
-        known = self.broker.take_out(endpoint) if out else self.broker.call_back(endpoint)
+    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+        known = self.broker.drain_endpoint(endpoint) if out else self.broker.restore_endpoint(endpoint)
         log.note(
             "administrative-drain-changed", endpoint=endpoint.decode(errors="replace"), out=out, known=known
         )
-        self.module.settled(done)
+        self.decision_loop.when_processed(done)
 
     def state(self) -> tuple[dict[str, Any], list[int]]:
         administrative_drains, connector = self.broker.administrative_drains, self.connector
@@ -193,76 +206,76 @@
             "list": {"rev": self.discovery.version, "all": True, "targets": targets},
             "bans": administrative_drains.state(),
             "budgets": spent(self.own.contracts, self.names),
-            "holdings": self.holdings(),
+            "holdings": self.peer_resources(),
             "memory": export_state(self.broker.balancer, self.broker.latency_estimator),
             "active": self.vrrp is not None and self.vrrp.router.state is State.ACTIVE,
             "passed": list(passing),
         }
         return state, list(passing.values())
 
-    def step_back(self, back: bool) -> None:
+    def yield_to_successor(self, back: bool) -> None:
         """Leave all that arrives to the new process and move what is here to it; or take it on again."""
-        if self.departing and not back:
+        if self.is_shutting_down and not back:
             return  # nobody will be here in a moment
         self.frontend.pause(back)
         self.channels.pause(back)
-        if self.departing:
+        if self.is_shutting_down:
             return  # and on its way as it is
         if self.vrrp is not None:
             self.vrrp.pause(back)
         if back:
-            self.depart(replaced=True)
-        elif self.departure is not None:
-            self.departure.end()
+            self.start_shutdown(replaced=True)
+        elif self.shutdown is not None:
+            self.shutdown.end()
 
-    def holdings(self) -> dict[str, Any]:
+    def peer_resources(self) -> dict[str, Any]:
         loads = {
             endpoint.decode(): [(one.load, one.group) for one in held]
             for endpoint, held in self.broker.loads().items()
         }
-        return {"streams": self.loop.streams, "loads": loads, "moved": self.broker.moved}
+        return {"streams": self.loop.streams, "loads": loads, "moved": self.broker.migrated}
 
-    def holds_beside(self, holdings: Holdings) -> None:
-        self.connection_limiter.beside = holdings.streams
-        self.broker.latency_estimator.elsewhere = dict(holdings.loads)
+    def update_peer_resources(self, peer_resources: PeerResources) -> None:
+        self.connection_limiter.peer_descriptors = peer_resources.streams
+        self.broker.latency_estimator.elsewhere = dict(peer_resources.loads)
         # It comes back here, and was this proxy's before.
-        for _ in range(min(holdings.moved - self.moved_beside, self.connection_limiter.descriptors)):
+        for _ in range(min(peer_resources.moved - self.peer_migrated, self.connection_limiter.descriptors)):
             self.broker.latency_estimator.guest(False, self.loop.now())
-        self.moved_beside = holdings.moved
-        self.broker.balancer.elsewhere = sum(map(len, holdings.loads.values()))
+        self.peer_migrated = peer_resources.moved
+        self.broker.balancer.elsewhere = sum(map(len, peer_resources.loads.values()))
 
     # ---- what happens to the program --------------------------------------------------------
 
-    def elected(self, active: bool) -> None:
+    def handle_vrrp_change(self, active: bool) -> None:
         """The channels frontend listens only while active; its channels move once it no longer is."""
         if active and self.own.channels is not None:
             self.channels.listen(self.own.channels, self.passed.pop("channels", None))
         elif not active:
-            self.move_channels()
+            self.migrate_channels()
 
-    def move_channels(self) -> None:
+    def migrate_channels(self) -> None:
         self.channels.leave()
-        mover = Mover(self.loop, self.broker, self.channels)
-        mover.start(mover.run())
+        migrator = ChannelMigrator(self.loop, self.broker, self.channels)
+        migrator.start(migrator.run())
 
     def held(self) -> int:
         """Connections that are owed something: who says nothing must not keep a proxy that leaves."""
         return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle()
 
-    def heed_signals(self, reader: int) -> None:
+    def watch_signals(self, reader: int) -> None:
         self.signals = reader
-        self.loop.watch(reader, select.EPOLLIN, self.signalled)
+        self.loop.watch(reader, select.EPOLLIN, self.handle_signals)
 
-    def signalled(self, _mask: int) -> None:
+    def handle_signals(self, _mask: int) -> None:
         caught = set(os.read(self.signals, 64))
         if signal.SIGHUP in caught:
             self.reload()
-        if caught != {signal.SIGHUP} and not self.departing:
-            self.departing = True
-            if self.departure is not None and self.succession.heir is not None:
-                self.departure.hurry()
+        if caught != {signal.SIGHUP} and not self.is_shutting_down:
+            self.is_shutting_down = True
+            if self.shutdown is not None and self.hot_restart.successor is not None:
+                self.shutdown.shorten()
             else:
-                self.depart(replaced=False)
+                self.start_shutdown(replaced=False)
 
     def reload(self) -> None:
         """Take up both files as they are now; what is under way, known or spent stays.
@@ -278,7 +291,7 @@
             if config.admin is not None and config.admin != self.admin_server.address:
                 admin_server = self.admin_server.open(config.admin)
             wanted = [(self.frontend, config.listen), (self.channels, own.channels)]
-            for frontend, address in () if self.frontend.leaving else wanted:
+            for frontend, address in () if self.frontend.is_draining else wanted:
                 if frontend is self.frontend and self.given is not None:
                     continue  # the platform's own: it is where it is
                 idle = frontend is self.channels and own.vrrp is not None and frontend.address is None
@@ -296,7 +309,7 @@
         if admin_server is not None or config.admin is None:
             self.admin_server.follow(admin_server)
         if own.channels is None and self.channels.address is not None:
-            self.move_channels()
+            self.migrate_channels()
         self.config, self.own = config, own
         dropped = self.names.follow(config.names)
         self.broker.configure(config.settings, own.contracts)
@@ -310,9 +323,9 @@
             classes=",".join(klass.name for klass in config.settings.offered),
             dropped=",".join(dropped),
         )
-        self.tell_reckoned()
+        self.log_settings()
 
-    def tell_reckoned(self) -> None:
+    def log_settings(self) -> None:
         """What was made of the settings, for staff to compare with what they meant."""
         settings = self.config.settings
         log.note(
@@ -334,20 +347,20 @@
         """By open requests, and by clients that have not heard of the last change."""
         return {i.klass for i in self.broker.requests.values()} | {*self.names.classes.values()}
 
-    def depart(self, replaced: bool) -> None:
-        self.frontend.leaving = True
+    def start_shutdown(self, replaced: bool) -> None:
+        self.frontend.is_draining = True
         if self.vrrp is not None and not replaced:
             self.vrrp.stop()
-        self.departure = Departure(
+        self.shutdown = GracefulShutdown(
             self.loop,
             self.broker,
             self.stop_listening,
             self.held,
             lambda: [each.stream for each in (*self.frontend.clients, *self.channels.sessions)],
-            self.frontend.send_off,
+            self.frontend.notify_idle_clients,
             replaced,
         )
-        self.departure.start(self.departure.run())
+        self.shutdown.start(self.shutdown.run())
 
     def stop_listening(self) -> None:
         self.frontend.close()
--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -36,21 +36,21 @@
     RETRY,
     RETURNED,
     SLOW_NOTE,
-    Adopted,
+    AdoptedConnection,
     AttemptEnded,
+    ConnectionEstablished,
+    ConnectionNote,
     EndpointEntry,
     EndpointList,
     EndpointState,
-    Established,
     Event,
     HealthCheckResult,
     ListForm,
-    Note,
     Outcome,
     PeerMessage,
     Request,
+    RequestWithdrawn,
     TimerFired,
-    Withdrawn,
 )
 from linnetshift.routing.group_affinity import GroupSizes
 from linnetshift.routing.load_shedding import SHED_STEP, LoadShedding
@@ -152,7 +152,7 @@
 class PendingRequest:
     """A request that awaits its final answer, or a connection that stands."""
 
-    request: Request | Adopted
+    request: Request | AdoptedConnection
     deadline: int
     load: float  # ns of work a second; 0 when unknown
     klass: RequestClass  # the rules it began with
@@ -226,15 +226,15 @@
                 self.handle_endpoint_list(event)
             case Request():
                 self.handle_request(event)
-            case Adopted():
+            case AdoptedConnection():
                 self.handle_adopted_connection(event)
-            case Established():
+            case ConnectionEstablished():
                 self.handle_established(event)
-            case Note():
+            case ConnectionNote():
                 self.handle_note(event)
             case AttemptEnded():
                 self.handle_attempt_ended(event)
-            case Withdrawn():
+            case RequestWithdrawn():
                 self.handle_withdrawn(event)
             case TimerFired():
                 self.handle_timer_fired(event)
@@ -562,7 +562,7 @@
                     other.avoid_until, other.spell = endpoint.avoid_until, endpoint.spell
                     other.overload = endpoint.overload
 
-    def handle_note(self, event: Note) -> None:
+    def handle_note(self, event: ConnectionNote) -> None:
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or not 0.0 <= event.value < 1e9:
             return
@@ -669,7 +669,7 @@
         else:
             self.give_up(pending)
 
-    def key_hash(self, request: Request | Adopted) -> int:
+    def key_hash(self, request: Request | AdoptedConnection) -> int:
         """Group key, else client key, else the request's own id, so that keyless requests spread."""
         return mix64(request.group or request.key or request.request_id)
 
@@ -800,7 +800,7 @@
                 pending.endpoint.trial = -1
             pending.endpoint = None
 
-    def handle_adopted_connection(self, event: Adopted) -> None:
+    def handle_adopted_connection(self, event: AdoptedConnection) -> None:
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or event.request_id in self.pending:
             return
@@ -811,7 +811,7 @@
         endpoint.take(pending)
         endpoint.open += 1
 
-    def handle_established(self, event: Established) -> None:
+    def handle_established(self, event: ConnectionEstablished) -> None:
         pending, endpoint = self.pending.get(event.request_id), self.endpoints.get(event.endpoint)
         if (
             pending is None
@@ -870,6 +870,6 @@
             pending.ran_at = self.now - event.elapsed_ns
         self.place(pending)
 
-    def handle_withdrawn(self, event: Withdrawn) -> None:
+    def handle_withdrawn(self, event: RequestWithdrawn) -> None:
         if event.request_id in self.pending:
             self.finish(self.pending[event.request_id])
--- a/linnetshift/routing/events.py
+++ b/linnetshift/routing/events.py
@@ -82,7 +82,7 @@
     budget_ns: int
 
 
-class Adopted(NamedTuple):
+class AdoptedConnection(NamedTuple):
     """A connection that was open through this node when it started."""
 
     request_id: int
@@ -95,7 +95,7 @@
     endpoint: bytes
 
 
-class Established(NamedTuple):
+class ConnectionEstablished(NamedTuple):
     """The attempt's connection stands; only its end is still to come."""
 
     request_id: int
@@ -104,7 +104,7 @@
     elapsed_ns: int
 
 
-class Note(NamedTuple):
+class ConnectionNote(NamedTuple):
     request_id: int
     attempt: int
     endpoint: bytes
@@ -122,7 +122,7 @@
     report: tuple[float, ...]
 
 
-class Withdrawn(NamedTuple):
+class RequestWithdrawn(NamedTuple):
     request_id: int
 
 
@@ -145,11 +145,11 @@
 Event = (
     EndpointList
     | Request
-    | Adopted
-    | Established
-    | Note
+    | AdoptedConnection
+    | ConnectionEstablished
+    | ConnectionNote
     | AttemptEnded
-    | Withdrawn
+    | RequestWithdrawn
     | TimerFired
     | HealthCheckResult
     | PeerMessage
--- a/linnetshift/simulation/codec.py
+++ b/linnetshift/simulation/codec.py
@@ -22,18 +22,18 @@
     Watch,
 )
 from linnetshift.routing.events import (
-    Adopted,
+    AdoptedConnection,
     AttemptEnded,
+    ConnectionEstablished,
+    ConnectionNote,
     EndpointEntry,
     EndpointList,
-    Established,
     Event,
     HealthCheckResult,
-    Note,
     PeerMessage,
     Request,
+    RequestWithdrawn,
     TimerFired,
-    Withdrawn,
 )
 
 
@@ -127,7 +127,7 @@
             raise WireError("event before any instance was named")
         event: WireEvent
         if code == 11:
-            event = Note._make(_NOTE.unpack_from(frame, at))
+            event = ConnectionNote._make(_NOTE.unpack_from(frame, at))
             at += _NOTE.size
         elif code == 2:
             rid, group, hint, klass, key, flags, tenant, budget = _REQUEST.unpack_from(frame, at)
@@ -135,7 +135,7 @@
             at += _REQUEST.size
         elif code == 3:
             rid, elapsed, attempt, endpoint = _BEGUN.unpack_from(frame, at)
-            event = Established(rid, attempt, endpoint, elapsed)
+            event = ConnectionEstablished(rid, attempt, endpoint, elapsed)
             at += _BEGUN.size
         elif code == 4:
             rid, endpoint, closed, attempt, elapsed, outcome, n = _RESULT.unpack_from(frame, at)
@@ -152,7 +152,7 @@
             event = HealthCheckResult(endpoint, outcome, elapsed, _FLOATS[n].unpack_from(frame, at))
             at += 4 * n
         elif code == 5:
-            event = Withdrawn(*_ID.unpack_from(frame, at))
+            event = RequestWithdrawn(*_ID.unpack_from(frame, at))
             at += _ID.size
         elif code == 8:
             sender, n = _MAIL.unpack_from(frame, at)
@@ -167,7 +167,7 @@
             at += n * _ENTRY.size
         elif code == 10:
             rid, _budget, hint, key, flags, group, endpoint, tenant, klass = _ADOPTED.unpack_from(frame, at)
-            event = Adopted(rid, klass, group, key, hint, flags, tenant, endpoint)
+            event = AdoptedConnection(rid, klass, group, key, hint, flags, tenant, endpoint)
             at += _ADOPTED.size
         elif code == 0:
             salt, n = _CREATE.unpack_from(frame, at)
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -37,7 +37,7 @@
         assert self.broker is not None
         address = self.addresses.get(attempt.endpoint)
         if address is None:
-            self.broker.ended(attempt, Outcome.CONNECT_FAILED)
+            self.broker.handle_attempt_ended(attempt, Outcome.CONNECT_FAILED)
             return
         asked = attempt.request
         log.note(
@@ -59,7 +59,7 @@
         address = self.addresses.get(endpoint)
         if address is None or broker.administrative_drains.holds(endpoint):
             # One that was taken out is asked nothing; FULL is what says nothing of an endpoint.
-            broker.health_checked(
+            broker.handle_health_check_result(
                 endpoint, Outcome.CONNECT_FAILED if address is None else Outcome.FULL, 0, ()
             )
             return
@@ -67,6 +67,6 @@
             self.loop,
             endpoint,
             broker.settings.report_columns,
-            lambda outcome, ns, figures: broker.health_checked(endpoint, outcome, ns, figures),
+            lambda outcome, ns, figures: broker.handle_health_check_result(endpoint, outcome, ns, figures),
         )
         prober.start(prober.run(address))
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -37,8 +37,8 @@
     # ---- the broker's and the client's side -----------------------------------------------
 
     @property
-    def congested(self) -> bool:
-        return self.stream is not None and self.stream.congested
+    def is_congested(self) -> bool:
+        return self.stream is not None and self.stream.is_congested
 
     def deliver(self, message: memoryview) -> None:
         if self.stream is not None and not self.hung_up:
@@ -49,15 +49,15 @@
     def resume(self) -> None:
         self.post(Resume())
 
-    def waiting_ns(self) -> int:
+    def oldest_unanswered_ns(self) -> int:
         return self.loop.now() - self.asked_at if self.asked_at else 0
 
-    def quiet_ns(self) -> int:
+    def idle_ns(self) -> int:
         if self.stream is None or not self.stream.reading:
             return 0  # its client does not take what it may have said
         return self.loop.now() - self.heard_at
 
-    def client_ended(self, reset: bool) -> None:
+    def handle_client_ended(self, reset: bool) -> None:
         self.hung_up = True
         self.post(Hangup(reset))
 
@@ -88,7 +88,7 @@
         self.report(Outcome.RESET, True)
 
     def report(self, outcome: Outcome, reset: bool) -> None:
-        log.ended(
+        log.connection_ended(
             "endpoint",
             self.reason,
             id=self.attempt.request.id,
@@ -98,7 +98,7 @@
         )
         if not self.hung_up:
             self.hung_up = True
-            self.broker.ended(self.attempt, outcome, reset)
+            self.broker.handle_attempt_ended(self.attempt, outcome, reset)
 
     def open(self) -> Steps:
         """The outcome, or None once the connection stands."""
@@ -112,12 +112,12 @@
         if not self.broker.may_send(self.attempt):
             self.reason = Reason.ABANDONED  # not a byte may reach it; the module places it anew, if it may
             return Outcome.MOOT
-        if not stream.present:
+        if not stream.is_present:
             self.reason = Reason.ENDPOINT_LEFT  # closed as soon as it was accepted: nothing can run there
             return Outcome.CONNECT_FAILED
-        self.attempt.sent = True
+        self.attempt.is_sent = True
         left = self.attempt.deadline - self.loop.now()
-        stream.send(self.attempt.request.request_line(max(1, left // MS)))
+        stream.send(self.attempt.request.encode_request_line(max(1, left // MS)))
         timer = self.set_timer(left, "answer")
         outcome = yield from self.first_answer(stream)
         timer.cancel()
@@ -129,7 +129,7 @@
                 case Io(mask):
                     if mask & select.EPOLLOUT:
                         stream.flush()
-                    unsent = stream.congested or stream.broken
+                    unsent = stream.is_congested or stream.broken
                     if mask & ~select.EPOLLOUT:
                         end = stream.fill()
                         outcome = self.judge(stream)
@@ -155,7 +155,7 @@
             return NOT_YET
         word, _, receipt = bytes(line).rstrip(b"\r\n").partition(b" ")
         if word == b"UP" and receipt and receipt.isascii() and receipt.decode().isprintable():
-            self.broker.up(self.attempt, line)
+            self.broker.handle_established(self.attempt, line)
             return None
         self.reason, outcome = ANSWERS.get(word, (Reason.ERROR, Outcome.ERROR))
         return outcome
@@ -171,7 +171,7 @@
                 case Io(mask):
                     if mask & select.EPOLLOUT:
                         stream.flush()
-                        if not stream.congested:
+                        if not stream.is_congested:
                             client.resume()
                     if mask & ~select.EPOLLOUT:
                         end = stream.fill()
@@ -207,12 +207,12 @@
             stream.rest()
             return None
         try:
-            while not client.congested and (line := stream.line()) is not None:
+            while not client.is_congested and (line := stream.line()) is not None:
                 self.heed(line)
                 client.deliver(line)
         except LineTooLong:
             return End.RESET
-        stream.want(not client.congested)
+        stream.want(not client.is_congested)
         return None
 
     def heed(self, line: memoryview) -> None:
@@ -221,13 +221,13 @@
         text = bytes(line[:64]).strip()
         if text.startswith(b"LOAD "):
             try:
-                self.broker.load_told(self.attempt, float(text[5:]))
+                self.broker.record_load_report(self.attempt, float(text[5:]))
             except ValueError:
                 log.note("load-report-invalid", endpoint=self.attempt.endpoint.decode("utf-8", "replace"))
             return
         self.last = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}.get(text, Outcome.RESET)
         if self.asked_at:
-            self.broker.answered_in(self.attempt, self.loop.now() - self.asked_at)
+            self.broker.record_response_time(self.attempt, self.loop.now() - self.asked_at)
             self.asked_at = 0
 
 
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -57,7 +57,7 @@
         took = self.loop.now() - self.began
         told: dict[str, object] = {"provider": self.endpoint.decode("utf-8", "replace"), "ms": took // MS}
         figures = dict(zip(self.columns, self.figures, strict=False))
-        log.ended("health-check", PROBED[outcome], **(told | figures | told))
+        log.connection_ended("health-check", PROBED[outcome], **(told | figures | told))
         self.told(outcome, took, self.figures)
 
     def answer(self, stream: Stream) -> Steps:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -16,8 +16,8 @@
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import (
     AttemptEnded,
+    ConnectionEstablished,
     EndpointEntry,
-    Established,
     Event,
     HealthCheckResult,
     Outcome,
@@ -70,7 +70,7 @@
         for action in self.nodes[node].step(self.now, list(events)):
             self.perform(node, action)
 
-    def later(self, delay: int, node: int, event: Event) -> None:
+    def call_later(self, delay: int, node: int, event: Event) -> None:
         heapq.heappush(self.due, (self.now + delay, next(self.order), node, event))
 
     def ask(self, node: int, **changes: object) -> int:
@@ -96,12 +96,14 @@
                     failed = AttemptEnded(
                         request, attempt, endpoint, False, limit, Outcome.CONNECT_FAILED, ()
                     )
-                    self.later(limit, node, failed)
+                    self.call_later(limit, node, failed)
                 elif endpoint in self.erring:
                     failed = AttemptEnded(request, attempt, endpoint, False, ANSWER_NS, Outcome.ERROR, ())
-                    self.later(ANSWER_NS, node, failed)
+                    self.call_later(ANSWER_NS, node, failed)
                 else:
-                    self.later(ANSWER_NS, node, Established(request, attempt, endpoint, ANSWER_NS))
+                    self.call_later(
+                        ANSWER_NS, node, ConnectionEstablished(request, attempt, endpoint, ANSWER_NS)
+                    )
             case HealthCheck(endpoint):
                 self.health_checks.append((self.now, node, endpoint))
                 limit = self.nodes[node].settings.connect_timeout_ns
@@ -112,14 +114,16 @@
                     outcome = Outcome.ERROR
                 elif wait > limit:
                     outcome, wait = Outcome.TIMEOUT, limit
-                self.later(wait, node, HealthCheckResult(endpoint, outcome, wait, ()))
+                self.call_later(wait, node, HealthCheckResult(endpoint, outcome, wait, ()))
             case SetTimer(delay, token):
-                self.later(delay, node, TimerFired(token))
+                self.call_later(delay, node, TimerFired(token))
             case Watch(on=True):
                 self.watches.append((self.now, node))
             case Migrate(request):
                 self.moves.append((self.now, node, request))
-                self.later(ANSWER_NS, node, AttemptEnded(request, 0, b"", True, 0, Outcome.CANCELLED, ()))
+                self.call_later(
+                    ANSWER_NS, node, AttemptEnded(request, 0, b"", True, 0, Outcome.CANCELLED, ())
+                )
             case Reject(request) | Fail(request):
                 self.answers.setdefault(request, []).append((self.now, action))
 
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -456,7 +456,7 @@
 
 
 @contextmanager
-def beside(old: RunningProxy) -> Iterator[RunningProxy]:
+def successor_of(old: RunningProxy) -> Iterator[RunningProxy]:
     """The program started again, with all that the old one has but the operators' address."""
     admin = free_port()
     env = {"GW_ADMIN_ADDR": f"127.0.0.1:{admin}"}
--- a/tests/test_aims.py
+++ b/tests/test_aims.py
@@ -9,7 +9,7 @@
 
 from linnetshift.routing.actions import Migrate, Send
 from linnetshift.routing.balancer import Balancer
-from linnetshift.routing.events import SLOW_NOTE, Established, Note
+from linnetshift.routing.events import SLOW_NOTE, ConnectionEstablished, ConnectionNote
 
 STRICT, LOOSE = 0, 1
 
@@ -22,7 +22,7 @@
 
 def standing(node: Balancer, number: int, klass: int) -> bytes:
     (send,) = only(node.step(2 * S, [request(number, klass=klass, key=5)]), Send)
-    node.step(2 * S, [Established(number, 0, send.endpoint, MS)])
+    node.step(2 * S, [ConnectionEstablished(number, 0, send.endpoint, MS)])
     where: bytes = send.endpoint
     return where
 
@@ -36,7 +36,7 @@
     # A loose class was sent away from endpoints that served it well, by the aim of a strict one.
     node = two_classes()
     home = standing(node, 1, LOOSE)
-    node.step(3 * S, [Note(1, 0, home, SLOW_NOTE, ms)])
+    node.step(3 * S, [ConnectionNote(1, 0, home, SLOW_NOTE, ms)])
     assert (standing(node, 2, STRICT) == home) is strict_there
     assert (standing(node, 3, LOOSE) == home) is loose_there
 
@@ -48,7 +48,7 @@
         standing(node, number, STRICT if number % 10 == 0 else LOOSE)
     moved = set()
     for turn in range(12):  # at 30 ms the strict are late, and the loose far from it
-        for move in only(node.step((3 + turn) * S, [Note(1, 0, home, SLOW_NOTE, 30.0)]), Migrate):
+        for move in only(node.step((3 + turn) * S, [ConnectionNote(1, 0, home, SLOW_NOTE, 30.0)]), Migrate):
             moved.add(move.request_id)
     assert moved and all(number % 10 == 0 for number in moved)
     assert node.shedding.admit == 1.0
@@ -60,10 +60,10 @@
     numbers = {}
     for key in range(200):
         (send,) = only(node.step(2 * S, [request(key + 1, klass=LOOSE, key=key + 1)]), Send)
-        node.step(2 * S, [Established(key + 1, 0, send.endpoint, MS)])
+        node.step(2 * S, [ConnectionEstablished(key + 1, 0, send.endpoint, MS)])
         numbers[send.endpoint] = key + 1
     for ms, admits in ((300.0, True), (500.0, False)):
         for _ in range(3):
-            notes = [Note(number, 0, where, SLOW_NOTE, ms) for where, number in numbers.items()]
+            notes = [ConnectionNote(number, 0, where, SLOW_NOTE, ms) for where, number in numbers.items()]
             node.step(node.now + S, list(notes))
         assert (node.shedding.admit == 1.0) is admits
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -19,7 +19,7 @@
 from linnetshift.event_loop.loop import Loop
 from linnetshift.frontends.channels import session
 from linnetshift.lifecycle import hot_restart
-from linnetshift.lifecycle.hot_restart import Beside
+from linnetshift.lifecycle.hot_restart import PeerProcess
 from linnetshift.observability.resource_usage import ResourceUsage, over
 from linnetshift.routing.events import EndpointEntry, EndpointState, ListForm
 from linnetshift.routing.settings import Settings
@@ -42,11 +42,13 @@
     # Machines are replaced under new names: each one stayed in four maps, and one more if it was slow.
     around = Around()
     for number in range(100):
-        around.broker.listed(listed(*names(number), form=ListForm.DELTA))
+        around.broker.handle_endpoint_list(listed(*names(number), form=ListForm.DELTA))
         around.broker.latency_estimator.dropped(endpoint(number), around.now)
         around.broker.latency_estimator.answered(endpoint(number), None, 5, around.now)
-        around.broker.listed(listed(*names(number, state=EndpointState.REMOVED), form=ListForm.DELTA))
-        around.broker.drain()
+        around.broker.handle_endpoint_list(
+            listed(*names(number, state=EndpointState.REMOVED), form=ListForm.DELTA)
+        )
+        around.broker.process_events()
         assert over(around.broker.resource_usage(16)) == []
     known = around.broker.administrative_drains.listed
     assert list(known)[-1] == endpoint(99) and len(known) == 16
@@ -62,11 +64,11 @@
     kept = AdministrativeDrains(lambda: 1)
     event = kept.bounded(listed(*names(*range(20))))
     assert [each.endpoint for each in event.entries] == [endpoint(n) for n in range(8)]
-    kept.lay_over(event)
+    kept.overlay(event)
     # What is known already is heard of all the same; only new names find no room.
     change = listed(*names(3, 4, state=EndpointState.DRAINING), *names(50), form=ListForm.DELTA)
     assert [each.endpoint for each in kept.bounded(change).entries] == [endpoint(3), endpoint(4)]
-    kept.lay_over(listed(*names(5, state=EndpointState.REMOVED), form=ListForm.DELTA))
+    kept.overlay(listed(*names(5, state=EndpointState.REMOVED), form=ListForm.DELTA))
     assert len(kept.bounded(listed(*names(51, 52), form=ListForm.DELTA)).entries) == 1
     # A whole list frees the places of those that it does not name.
     assert len(kept.bounded(listed(*names(*range(60, 68)))).entries) == 8
@@ -74,18 +76,18 @@
 
 def test_a_ban_is_never_forgotten_and_one_too_many_is_refused(few: None) -> None:
     around = Around()
-    around.broker.listed(listed(*names(*range(8))))
+    around.broker.handle_endpoint_list(listed(*names(*range(8))))
     for number in range(4):
-        assert around.broker.take_out(endpoint(number))
-    assert not around.broker.take_out(endpoint(4)) and around.broker.take_out(endpoint(0))
+        assert around.broker.drain_endpoint(endpoint(number))
+    assert not around.broker.drain_endpoint(endpoint(4)) and around.broker.drain_endpoint(endpoint(0))
     for number in range(100, 200):
-        around.broker.listed(listed(*names(number)))
+        around.broker.handle_endpoint_list(listed(*names(number)))
     assert all(
         around.broker.administrative_drains.holds(endpoint(n))
         and around.broker.administrative_drains.knows(endpoint(n))
         for n in range(4)
     )
-    assert around.broker.call_back(endpoint(0))
+    assert around.broker.restore_endpoint(endpoint(0))
     assert around.broker.administrative_drains.back and over(around.broker.resource_usage(16)) == []
 
 
@@ -161,7 +163,7 @@
 
 def test_a_process_beside_this_one_that_hangs_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     # What it was told twice a second piled up for as long as it hung.
-    monkeypatch.setattr(hot_restart, "BEAT_NS", MS)
+    monkeypatch.setattr(hot_restart, "HEARTBEAT_INTERVAL_NS", MS)
     monkeypatch.setattr(connection_limits, "STALL_NS", 100 * MS)
     beat = 1 << 20
 
@@ -169,18 +171,18 @@
         """The succession and the program of a process that is beside another."""
 
         loop = Loop()
-        parted_from: Beside | None = None
+        parted_from: PeerProcess | None = None
 
-        def holdings(self) -> dict[str, str]:
+        def peer_resources(self) -> dict[str, str]:
             return {"loads": "x" * beat}
 
-        def parted(self, beside: Beside) -> None:
+        def handle_peer_gone(self, beside: PeerProcess) -> None:
             self.parted_from = beside
 
     around = Around()
     around.program = around  # type: ignore[attr-defined]
     ours, theirs = socket.socketpair()
-    beside = Beside(around, ours)  # type: ignore[arg-type]
+    beside = PeerProcess(around, ours)  # type: ignore[arg-type]
     beside.met = True
     beside.start(beside.run())
     until, most = time.monotonic() + WAIT, 0
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -18,8 +18,8 @@
 class Around:
     """Timers, discovery, endpoints and a client; it writes down what it is asked for."""
 
-    congested = False
-    present = True
+    is_congested = False
+    is_present = True
 
     def __init__(self, contracts: Contracts | None = None) -> None:
         self.now = 1 * S
@@ -29,22 +29,22 @@
         settings = Settings.parse(raw_settings())
         made = contracts or Contracts()
         self.broker = Broker(settings, 1, lambda: self.now, self, self, self, made)
-        self.broker.listed(listed(*(entry(n) for n in range(4))))
-        self.broker.drain()
+        self.broker.handle_endpoint_list(listed(*(entry(n) for n in range(4))))
+        self.broker.process_events()
 
     def submit(self, wait_ns: int = 1 * S, flags: int = 0) -> ActiveRequest:
         made = ActiveRequest(self, 0, 0, 7, 0, flags, 0, self.now + wait_ns, lambda ms: b"%d" % ms)
         self.broker.submit(made)
-        self.broker.drain()
+        self.broker.process_events()
         return made
 
-    def wake(self, delay_ns: int, token: int) -> None:
-        self.later(delay_ns, lambda: self.broker.timer_fired(token))
+    def set_balancer_timer(self, delay_ns: int, token: int) -> None:
+        self.call_later(delay_ns, lambda: self.broker.timer_fired(token))
 
-    def later(self, delay_ns: int, fire: Callable[[], None]) -> None:
+    def call_later(self, delay_ns: int, fire: Callable[[], None]) -> None:
         self.timers.append((self.now + delay_ns, fire))
 
-    def soon(self) -> None: ...
+    def schedule_processing(self) -> None: ...
 
     def watch(self, on: bool) -> None: ...
 
@@ -55,7 +55,7 @@
     def open(self, attempt: Attempt) -> None:
         self.attempts.append(attempt)
 
-    def up(self, receipt: memoryview) -> None:
+    def handle_established(self, receipt: memoryview) -> None:
         self.asked.append("up")
 
     def deliver(self, message: memoryview) -> None: ...
@@ -68,10 +68,10 @@
     def fail(self) -> None:
         self.asked.append("fail")
 
-    def move(self, reason: str) -> None:
+    def migrate(self, reason: str) -> None:
         self.asked.append(("move", reason))
 
-    def endpoint_ended(self, outcome: int, reset: bool) -> None:
+    def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
         self.asked.append(("ended", outcome, reset))
 
     def pass_time(self, until: int) -> None:
@@ -80,7 +80,7 @@
         self.timers = [(at, fire) for at, fire in self.timers if at > until]
         for fire in due:
             fire()
-        self.broker.drain()
+        self.broker.process_events()
 
 
 def test_an_answer_comes_even_from_a_module_that_forgets() -> None:
@@ -99,7 +99,7 @@
     (attempt,) = around.attempts
     around.broker.perform(Send(request.id, endpoint(2), 0))
     assert around.attempts == [attempt]  # the module's mistake must not break the rule
-    around.broker.up(attempt, memoryview(b"UP\r\n"))
+    around.broker.handle_established(attempt, memoryview(b"UP\r\n"))
     around.broker.perform(Fail(request.id))
     around.broker.perform(Reject(request.id, 0))
     around.pass_time(9 * S)
@@ -110,17 +110,17 @@
 def test_a_failed_attempt_is_followed_by_another(outcome: Outcome) -> None:
     around = Around()
     around.submit()
-    around.broker.ended(around.attempts[0], outcome)
-    around.broker.drain()
+    around.broker.handle_attempt_ended(around.attempts[0], outcome)
+    around.broker.process_events()
     assert [attempt.number for attempt in around.attempts] == [0, 1]
 
 
 def test_what_was_reported_too_late_changes_nothing() -> None:
     around = Around()
     request = around.submit()
-    around.broker.client_ended(request, False)
-    around.broker.ended(around.attempts[0], Outcome.RESET)
-    around.broker.drain()
+    around.broker.handle_client_ended(request, False)
+    around.broker.handle_attempt_ended(around.attempts[0], Outcome.RESET)
+    around.broker.process_events()
     assert around.asked == [] and len(around.attempts) == 1
 
 
@@ -130,7 +130,7 @@
     first = around.submit()
     around.submit()
     assert around.asked == [("reject", 1 * S, "concurrency")]
-    around.broker.client_ended(first, False)
+    around.broker.handle_client_ended(first, False)
     around.submit()
     assert len(around.asked) == 1
 
@@ -158,13 +158,15 @@
 def test_an_adopted_connection_asks_its_endpoint_again() -> None:
     # A proxy that was stalled at its start took connections that had come up for refused ones.
     around = Around()
-    made = ActiveRequest(around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopt=endpoint(1))
+    made = ActiveRequest(
+        around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopted_endpoint=endpoint(1)
+    )
     around.broker.submit(made)
     for _ in range(3):
-        around.broker.ended(around.attempts[-1], Outcome.CONNECT_FAILED)
+        around.broker.handle_attempt_ended(around.attempts[-1], Outcome.CONNECT_FAILED)
         around.pass_time(around.now + 200 * MS)
-    assert [attempt.endpoint for attempt in around.attempts] == [endpoint(1)] * 4 and not made.answered
-    around.broker.ended(around.attempts[-1], Outcome.ERROR)
+    assert [attempt.endpoint for attempt in around.attempts] == [endpoint(1)] * 4 and not made.is_answered
+    around.broker.handle_attempt_ended(around.attempts[-1], Outcome.ERROR)
     assert around.asked == ["fail"]
 
 
@@ -174,10 +176,10 @@
     def __init__(self, waiting: int, quiet: int) -> None:
         self.waiting, self.quiet = waiting, quiet
 
-    def waiting_ns(self) -> int:
+    def oldest_unanswered_ns(self) -> int:
         return self.waiting
 
-    def quiet_ns(self) -> int:
+    def idle_ns(self) -> int:
         return self.quiet
 
 
@@ -199,8 +201,8 @@
     for link in links:
         around.submit()
         around.attempts[-1].link = Quiet(*link)  # type: ignore[assignment]
-        around.broker.up(around.attempts[-1], memoryview(b"UP\r\n"))
-    around.broker.review_silence()
+        around.broker.handle_established(around.attempts[-1], memoryview(b"UP\r\n"))
+    around.broker.review_unresponsive_endpoints()
     assert around.asked.count(("move", "unresponsive")) == moved
 
 
@@ -208,6 +210,8 @@
     # Past the module, a stranger could choose an endpoint that drains or is still cold.
     around = Around()
     around.now += broker.ADOPT_NS + 1
-    made = ActiveRequest(around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopt=endpoint(1))
+    made = ActiveRequest(
+        around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopted_endpoint=endpoint(1)
+    )
     around.broker.submit(made)
-    assert made.answered and not around.attempts and around.asked == ["fail"]
+    assert made.is_answered and not around.attempts and around.asked == ["fail"]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,9 +8,9 @@
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import (
     MID_FLOW,
+    ConnectionEstablished,
     EndpointEntry,
     EndpointState,
-    Established,
     ListForm,
     Outcome,
     TimerFired,
@@ -66,7 +66,7 @@
 def test_a_gone_endpoint_stays_known_while_a_connection_stands_there() -> None:
     node = balancer(1)
     (send,) = node.step(2 * S, [request(1)])
-    node.step(2 * S + MS, [Established(1, 0, send.endpoint, MS), listed(entry(5))])
+    node.step(2 * S + MS, [ConnectionEstablished(1, 0, send.endpoint, MS), listed(entry(5))])
     assert endpoint(0) in node.endpoints
     node.step(3 * S, [ended(send, 0, Outcome.RESET, S, closed=True), listed(entry(5))])
     assert endpoint(0) not in node.endpoints
@@ -127,7 +127,7 @@
     for number in range(100):  # ten connections a second in ordinary times
         now += 100 * MS
         for send in only(node.step(now, [request(number)]), Send):
-            node.step(now + MS, [Established(number, 0, send.endpoint, MS)])
+            node.step(now + MS, [ConnectionEstablished(number, 0, send.endpoint, MS)])
     node.step(now, [listed(entry(1, started_ns=now), form=ListForm.DELTA)])
     wave = only(node.step(now + 100 * MS, [request(1000 + n) for n in range(400)]), Send)
     assert len(wave) >= 390
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -10,7 +10,7 @@
 from linnetshift.lifecycle.graceful_shutdown import kill_after
 from linnetshift.routing.actions import Migrate, Send
 from linnetshift.routing.balancer import TICK_TOKEN, Balancer
-from linnetshift.routing.events import EndpointState, Established, ListForm, TimerFired
+from linnetshift.routing.events import ConnectionEstablished, EndpointState, ListForm, TimerFired
 from linnetshift.routing.settings import Settings
 
 STANDING = 40
@@ -21,7 +21,7 @@
     node = balancer(endpoints=1)
     for number in range(STANDING):
         (sent,) = only(node.step(1 * S, [request(number)]), Send)
-        node.step(1 * S, [Established(number, 0, sent.endpoint, 5 * MS)])
+        node.step(1 * S, [ConnectionEstablished(number, 0, sent.endpoint, 5 * MS)])
     node.step(1 * S, [listed(entry(0), entry(1, **others))])
     return node
 
@@ -82,7 +82,7 @@
     number = 0 if sent.endpoint == endpoint(0) else 1
     draining = entry(number, state=EndpointState.DRAINING)
     node.step(1 * S, [listed(draining, form=ListForm.DELTA)])
-    node.step(1 * S, [Established(1, 0, sent.endpoint, 5 * MS)])
+    node.step(1 * S, [ConnectionEstablished(1, 0, sent.endpoint, 5 * MS)])
     assert sum(moves(node, 200)) == 1
 
 
--- a/tests/test_ended.py
+++ b/tests/test_ended.py
@@ -398,7 +398,7 @@
         sender.start()
         (reading,) = one.program.frontend.clients
         until = time.monotonic() + WAIT
-        while not reading.congested:
+        while not reading.is_congested:
             assert time.monotonic() < until
             time.sleep(0.001)
         left = len(much)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,11 +12,11 @@
 from linnetshift.routing.events import (
     RETURNED,
     SLOW_NOTE,
+    ConnectionEstablished,
+    ConnectionNote,
     EndpointEntry,
     EndpointState,
-    Established,
     ListForm,
-    Note,
     Outcome,
     Request,
 )
@@ -49,8 +49,8 @@
         )
 
 
-def note(fleet: Fleet, node: int, number: int, where: bytes, ms: float) -> Note:
-    return Note(number, 0, where, SLOW_NOTE, ms)
+def note(fleet: Fleet, node: int, number: int, where: bytes, ms: float) -> ConnectionNote:
+    return ConnectionNote(number, 0, where, SLOW_NOTE, ms)
 
 
 @pytest.mark.parametrize("nodes, late, served", [(40, 2, True), (40, 5, False), (2, 2, True), (2, 5, False)])
@@ -170,7 +170,7 @@
 def test_a_drop_that_a_node_sees_tells_of_those_that_come_back_to_it() -> None:
     node = balancer(8)
     (send,) = only(node.step(2 * S, [request(1)]), Send)
-    node.step(2 * S, [Established(1, 0, send.endpoint, MS)])
+    node.step(2 * S, [ConnectionEstablished(1, 0, send.endpoint, MS)])
     node.step(2 * S, [ended(send, 0, Outcome.RESET, closed=True)])
     assert node.returns.came(2 * S) == pytest.approx(0.3)
     assert node.returns.came(2 * S) == pytest.approx(0.15)  # the other came for another reason
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import MS, S, balancer, ended, only, request
-from proxy import WAIT, beside, launch, proxy
+from proxy import WAIT, launch, proxy, successor_of
 from test_ops import DOWN, UP, lands_on
 from test_platform import ranked
 
@@ -23,7 +23,7 @@
         standing, endpoint = old.standing()
         unheard = old.client()  # accepted by the old one, and silent so far
         assert old.alive()
-        with beside(old) as new:
+        with successor_of(old) as new:
             new.becomes_ready()
             assert old.call("GET /ops/readiness") == 503
             unheard.send(b"OPEN 5 6 c=feed,t=acme,d=2000\r\n")
@@ -44,7 +44,7 @@
     with proxy(tmp_path, endpoints=2, admin_server=True, held=True, rules={"warmUpNs": 1}) as old:
         first, second = ranked(old)
         assert old.call(DOWN % first.uid) == 200
-        with beside(old) as new:
+        with successor_of(old) as new:
             new.becomes_ready()
             kept = [lands_on(new, second.uid)]
             assert new.call(UP % first.uid) == 200
@@ -61,14 +61,14 @@
         if how == "stale-socket":
             old.process.kill()
             old.process.wait(WAIT)
-        with beside(old) as new:
+        with successor_of(old) as new:
             new.becomes_ready()
             if how == "new-dies":
                 new.process.kill()
                 old.logged("event=successor-gone")
                 assert old.call("GET /ops/readiness") == 200
                 old.standing()
-                with beside(old) as next_one:
+                with successor_of(old) as next_one:
                     next_one.becomes_ready()
             elif how == "old-dies":
                 old.process.kill()
@@ -76,7 +76,7 @@
                 new.becomes_ready()
                 new.standing()
             elif how == "third":
-                with beside(new) as third:
+                with successor_of(new) as third:
                     third.becomes_ready()
                     assert new.call("GET /ops/readiness") == 503
                     third.standing()
@@ -91,7 +91,7 @@
     )
     with proxy(tmp_path, own=own, admin_server=True, held=True) as old:
         assert old.client(b"SSH-2.0-t\r\n", old.extra_port).line().startswith(b"SSH-2.0-")
-        with beside(old) as new:
+        with successor_of(old) as new:
             new.becomes_ready()
             old.process.send_signal(signal.SIGKILL)
             old.process.wait(WAIT)
@@ -114,7 +114,7 @@
         running.leave()
         assert running.process.wait(WAIT) == 0
         waiting = running.client(b"PING\r\n")  # held for the next process, not refused
-        with beside(running) as after:
+        with successor_of(running) as after:
             assert waiting.line() == b"PONG\r\n"
             after.becomes_ready()
 
--- a/tests/test_kinds_of_site.py
+++ b/tests/test_kinds_of_site.py
@@ -12,7 +12,14 @@
 from linnetshift.broker.snapshot import export_state, import_state
 from linnetshift.routing.actions import HealthCheck, Migrate, Send
 from linnetshift.routing.balancer import TICK_TOKEN, Balancer
-from linnetshift.routing.events import SLOW_NOTE, Established, HealthCheckResult, Note, Outcome, TimerFired
+from linnetshift.routing.events import (
+    SLOW_NOTE,
+    ConnectionEstablished,
+    ConnectionNote,
+    HealthCheckResult,
+    Outcome,
+    TimerFired,
+)
 from linnetshift.routing.settings import CROSS_ZONE_COST_SCALE, Settings
 
 
@@ -36,7 +43,7 @@
     """So many stand, spread over the groups; where each group stands."""
     for n in range(1, connections + 1):
         for send in only(node.step(2 * S + n * MS, [request(n, group=1 + n % groups)]), Send):
-            node.step(2 * S + n * MS, [Established(n, 0, send.endpoint, MS)])
+            node.step(2 * S + n * MS, [ConnectionEstablished(n, 0, send.endpoint, MS)])
     return {g: {h.id for h in node.endpoints.values() if g in h.groups} for g in range(1, groups + 1)}
 
 
@@ -55,7 +62,7 @@
 def test_a_full_endpoint_s_group_goes_on_to_the_next_one() -> None:
     node = balancer(8)
     (home,) = crowd(node, 12, 1)[1]
-    node.step(4 * S, [Note(1, 0, home, SLOW_NOTE, 60.0)])
+    node.step(4 * S, [ConnectionNote(1, 0, home, SLOW_NOTE, 60.0)])
     (send,) = only(node.step(4 * S + MS, [request(500, group=1)]), Send)
     assert send.endpoint != home
 
@@ -109,7 +116,7 @@
     (send,) = only(node.step(2 * S, [request(1)]), Send)
     node.step(2 * S, [ended(send, 0, Outcome.ERROR)])
     (other,) = only(node.step(2 * S + MS, [request(2)]), Send)
-    node.step(2 * S + 2 * MS, [Established(2, 0, other.endpoint, MS)])
+    node.step(2 * S + 2 * MS, [ConnectionEstablished(2, 0, other.endpoint, MS)])
     assert not only(node.step(2 * S + 60 * MS, [TimerFired(TICK_TOKEN)]), Send)
 
 
@@ -121,7 +128,7 @@
         assert node.endpoints[endpoint(0)].faults == 1
         if then == "serves":
             (again,) = only(node.step(node.now + S, [request(9)]), Send)
-            node.step(node.now, [Established(9, 0, again.endpoint, MS)])
+            node.step(node.now, [ConnectionEstablished(9, 0, again.endpoint, MS)])
         else:
             node.step(node.now, [listed(entry(0, started_ns=node.now))])
         assert node.endpoints[endpoint(0)].faults == 0
@@ -164,11 +171,11 @@
     node = balancer(8)
     crowd(node, 40, 4)
     node.step(4 * S, [listed(*(entry(n, started_ns=4 * S if n < 5 else 0) for n in range(8)))])
-    late = [Note(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5)]
+    late = [ConnectionNote(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5)]
     node.step(5 * S, late)
     node.step(6 * S + MS, late)
     assert node.shedding.admit == 1.0
-    warm = [Note(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5, 8)]
+    warm = [ConnectionNote(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5, 8)]
     node.step(7 * S + 2 * MS, late + warm)
     node.step(8 * S + 3 * MS, late + warm)
     assert node.shedding.admit < 1.0
@@ -216,8 +223,10 @@
         for check_health in only(actions, HealthCheck):
             actions += node.step(node.now, [HealthCheckResult(check_health.endpoint, Outcome.OK, MS, ())])
         for send in only(actions, Send):
-            node.step(node.now, [Established(number, 0, send.endpoint, MS)])
+            node.step(node.now, [ConnectionEstablished(number, 0, send.endpoint, MS)])
             served += 1
             # A message that takes 5 ms is slow nowhere, whether or not an aim for it is told.
-            assert not only(node.step(node.now, [Note(number, 0, send.endpoint, SLOW_NOTE, 5.0)]), Migrate)
+            assert not only(
+                node.step(node.now, [ConnectionNote(number, 0, send.endpoint, SLOW_NOTE, 5.0)]), Migrate
+            )
     assert served == 40
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -125,14 +125,14 @@
 def test_what_is_called_back_counts_as_cold(starts: list[int], seen: int) -> None:
     now = 5 * S
     administrative_drains = AdministrativeDrains(lambda: now)
-    administrative_drains.lay_over(listed(entry(1), entry(2)))
-    administrative_drains.take_out(endpoint(1))
+    administrative_drains.overlay(listed(entry(1), entry(2)))
+    administrative_drains.drain_endpoint(endpoint(1))
     for form in (ListForm.FULL, ListForm.CACHED, ListForm.DELTA):
-        shown = administrative_drains.lay_over(listed(entry(1), entry(2), form=form)).entries
+        shown = administrative_drains.overlay(listed(entry(1), entry(2), form=form)).entries
         assert [e.state for e in shown] == [EndpointState.DRAINING, EndpointState.READY]
     now = 9 * S
-    administrative_drains.call_back(endpoint(1))
+    administrative_drains.restore_endpoint(endpoint(1))
     for started in starts:
-        shown = administrative_drains.lay_over(listed(entry(1, started_ns=started))).entries
+        shown = administrative_drains.overlay(listed(entry(1, started_ns=started))).entries
     assert shown == (entry(1, started_ns=seen),)
     assert administrative_drains.knows(endpoint(2))  # gone from the list by now
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -19,17 +19,17 @@
 from linnetshift.routing.events import (
     LOAD_NOTE,
     SLOW_NOTE,
-    Adopted,
+    AdoptedConnection,
     AttemptEnded,
+    ConnectionEstablished,
+    ConnectionNote,
     EndpointState,
-    Established,
     HealthCheckResult,
     ListForm,
-    Note,
     Outcome,
     PeerMessage,
+    RequestWithdrawn,
     TimerFired,
-    Withdrawn,
 )
 
 
@@ -131,7 +131,7 @@
     assert other.endpoint != bad
     trial, next_one = only(node.step(4 * S, [request(3, group=5), request(4, group=5)]), Send)
     assert trial.endpoint == bad and next_one.endpoint != bad
-    node.step(4 * S + MS, [Established(3, 0, bad, MS)])
+    node.step(4 * S + MS, [ConnectionEstablished(3, 0, bad, MS)])
     (after,) = only(node.step(4 * S + 2 * MS, [request(5, group=5)]), Send)
     assert after.endpoint == bad
 
@@ -139,11 +139,11 @@
 def test_a_hot_endpoint_is_passed_over_until_its_messages_are_fast_again() -> None:
     node = balancer(8)
     (send,) = node.step(2 * S, [request(1, group=5)])
-    node.step(2 * S + MS, [Established(1, 0, send.endpoint, MS)])
-    node.step(2 * S + 2 * MS, [Note(1, 0, send.endpoint, SLOW_NOTE, 30.0)])
+    node.step(2 * S + MS, [ConnectionEstablished(1, 0, send.endpoint, MS)])
+    node.step(2 * S + 2 * MS, [ConnectionNote(1, 0, send.endpoint, SLOW_NOTE, 30.0)])
     (other,) = only(node.step(2 * S + 3 * MS, [request(2, group=5)]), Send)
     assert other.endpoint != send.endpoint
-    node.step(2 * S + 4 * MS, [Note(1, 0, send.endpoint, SLOW_NOTE, 5.0)])
+    node.step(2 * S + 4 * MS, [ConnectionNote(1, 0, send.endpoint, SLOW_NOTE, 5.0)])
     (back,) = only(node.step(2 * S + 5 * MS, [request(3, group=5)]), Send)
     assert back.endpoint == send.endpoint
 
@@ -151,10 +151,10 @@
 def test_withdrawn_and_unknown_requests_are_left_alone() -> None:
     node = balancer(8)
     (send,) = node.step(2 * S, [request(1)])
-    assert node.step(2 * S + MS, [Withdrawn(1), Withdrawn(99)]) == []
+    assert node.step(2 * S + MS, [RequestWithdrawn(1), RequestWithdrawn(99)]) == []
     assert node.step(2 * S + 2 * MS, [ended(send, 0, Outcome.RESET), ended(send, 3, Outcome.OK)]) == []
-    assert node.step(2 * S + 3 * MS, [Established(1, 0, send.endpoint, 1), TimerFired(12345)]) == []
-    assert node.step(2 * S + 4 * MS, [Note(1, 0, endpoint(200), SLOW_NOTE, 1e9)]) == []
+    assert node.step(2 * S + 3 * MS, [ConnectionEstablished(1, 0, send.endpoint, 1), TimerFired(12345)]) == []
+    assert node.step(2 * S + 4 * MS, [ConnectionNote(1, 0, endpoint(200), SLOW_NOTE, 1e9)]) == []
     assert not node.pending and all(not h.open and not h.standing for h in node.endpoints.values())
 
 
@@ -162,16 +162,22 @@
 def test_absurd_notes_do_not_poison(value: float) -> None:
     node = balancer(8)
     (send,) = node.step(2 * S, [request(1, group=5)])
-    node.step(2 * S + MS, [Established(1, 0, send.endpoint, MS)])
+    node.step(2 * S + MS, [ConnectionEstablished(1, 0, send.endpoint, MS)])
     for kind in (LOAD_NOTE, SLOW_NOTE, 77):
-        assert node.step(3 * S, [Note(1, 0, send.endpoint, kind, value)]) == []
+        assert node.step(3 * S, [ConnectionNote(1, 0, send.endpoint, kind, value)]) == []
     (again,) = only(node.step(3 * S + MS, [request(2, group=5)]), Send)
     assert again.endpoint == send.endpoint
 
 
 def test_adopted_connections_are_counted_and_released() -> None:
     node = balancer(4)
-    node.step(2 * S, [Adopted(7, 0, 1, 2, 0, 0, 0, endpoint(1)), Adopted(8, 0, 1, 2, 0, 0, 0, endpoint(99))])
+    node.step(
+        2 * S,
+        [
+            AdoptedConnection(7, 0, 1, 2, 0, 0, 0, endpoint(1)),
+            AdoptedConnection(8, 0, 1, 2, 0, 0, 0, endpoint(99)),
+        ],
+    )
     assert len(node.endpoints[endpoint(1)].standing) == 1 and list(node.pending) == [7]
     node.step(3 * S, [AttemptEnded(7, 0, endpoint(1), True, S, Outcome.OK, ())])
     assert not node.pending and not node.endpoints[endpoint(1)].standing
@@ -185,7 +191,7 @@
     out = []
     for _ in range(6):
         now += 50 * MS
-        node.step(now, [Established(s.request_id, 0, s.endpoint, 50 * MS) for s in sends])
+        node.step(now, [ConnectionEstablished(s.request_id, 0, s.endpoint, 50 * MS) for s in sends])
         sends = only(node.step(now, [TimerFired(1 << 16)]), Send)
         out.append(len(sends))
     assert out[0] == 16 and out[1] == 32 and sum(out) + 8 == 300
@@ -197,18 +203,18 @@
     for number in range(200):  # errors, whatever the endpoint
         now += 20 * MS
         for send in only(node.step(now, [request(number)]), Send):
-            node.step(now + MS, [ended(send, 0, Outcome.ERROR, MS), Withdrawn(number)])
+            node.step(now + MS, [ended(send, 0, Outcome.ERROR, MS), RequestWithdrawn(number)])
     sends = only(node.step(now + S, [request(1000 + n) for n in range(40)]), Send)
     assert 1 <= len(sends) <= 8
     assert all(send.timeout_ns == 2 * S for send in sends)  # else the store works for nobody
-    node.step(now + 2 * S, [Established(s.request_id, 0, s.endpoint, S) for s in sends])
+    node.step(now + 2 * S, [ConnectionEstablished(s.request_id, 0, s.endpoint, S) for s in sends])
     assert node.window.size <= 8 and node.setting_up == 0
 
 
-def crowd(node: object, connections: int) -> list[Established]:
+def crowd(node: object, connections: int) -> list[ConnectionEstablished]:
     # type: ignore[attr-defined]
     sends = only(node.step(2 * S, [request(n, group=n + 1) for n in range(connections)]), Send)
-    stands = [Established(s.request_id, 0, s.endpoint, MS) for s in sends]
+    stands = [ConnectionEstablished(s.request_id, 0, s.endpoint, MS) for s in sends]
     node.step(2 * S + MS, stands)  # type: ignore[attr-defined]
     return stands
 
@@ -218,11 +224,11 @@
     stands = crowd(node, 200)
     hot = stands[0].endpoint
     own = len(node.endpoints[hot].standing)
-    moves = only(node.step(3 * S, [Note(stands[0].request_id, 0, hot, SLOW_NOTE, 45.0)]), Migrate)
+    moves = only(node.step(3 * S, [ConnectionNote(stands[0].request_id, 0, hot, SLOW_NOTE, 45.0)]), Migrate)
     assert 0 < len(moves) <= own * 0.05 + 1
     alone = balancer(1)
     stands = crowd(alone, 50)
-    assert not only(alone.step(3 * S, [Note(0, 0, endpoint(0), SLOW_NOTE, 45.0)]), Migrate)
+    assert not only(alone.step(3 * S, [ConnectionNote(0, 0, endpoint(0), SLOW_NOTE, 45.0)]), Migrate)
 
 
 def test_when_most_endpoints_are_late_the_same_keys_are_shed_at_every_node() -> None:
@@ -234,7 +240,7 @@
         now = 3 * S
         for _ in range(4):
             now += S
-            node.step(now, [Note(r, 0, h, SLOW_NOTE, 500.0) for h, r in by_endpoint.items()])
+            node.step(now, [ConnectionNote(r, 0, h, SLOW_NOTE, 500.0) for h, r in by_endpoint.items()])
         refused = only(node.step(now + MS, [request(500 + n, group=n + 1) for n in range(300)]), Reject)
         assert 150 < len(refused) < 280 and all(r.retry_after_ns > 0 for r in refused)
         shed.append({r.request_id for r in refused})
@@ -368,12 +374,12 @@
     node.shedding.admit = 0.5  # still shedding after a jam
     hot = stands[0].endpoint
     for _ in range(40):  # first it lets go of what is not admitted, then of the rest
-        node.step(node.now + S, [Note(stands[0].request_id, 0, hot, SLOW_NOTE, 500.0)])
+        node.step(node.now + S, [ConnectionNote(stands[0].request_id, 0, hot, SLOW_NOTE, 500.0)])
         if not node.endpoints[hot].standing:
             break
         if all(node.admitted(item) for item in node.endpoints[hot].standing.values()):
             before = len(node.endpoints[hot].standing)
-            moves = only(node.step(node.now + S, [Note(0, 0, hot, SLOW_NOTE, 60.0)]), Migrate)
+            moves = only(node.step(node.now + S, [ConnectionNote(0, 0, hot, SLOW_NOTE, 60.0)]), Migrate)
             assert moves and len(moves) <= before * 0.15 + 1
             return
     raise AssertionError("the host never came down to its admitted connections")
@@ -385,7 +391,7 @@
     for number in (1, 2):
         (first,) = only(node.step(2 * S, [request(number, key=5)]), Send)
         (second,) = only(node.step(2 * S, [ended(first, 0, Outcome.ERROR)]), Send)
-        node.step(2 * S + MS, [Established(number, 1, second.endpoint, MS)])
+        node.step(2 * S + MS, [ConnectionEstablished(number, 1, second.endpoint, MS)])
     (again,) = only(node.step(2 * S + 2 * MS, [request(3, key=5)]), Send)
     assert second.endpoint == again.endpoint != first.endpoint
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -27,18 +27,18 @@
     RETURNED,
     SLOW_NOTE,
     AttemptEnded,
+    ConnectionEstablished,
+    ConnectionNote,
     EndpointList,
     EndpointState,
-    Established,
     Event,
     HealthCheckResult,
     ListForm,
-    Note,
     Outcome,
     PeerMessage,
     Request,
+    RequestWithdrawn,
     TimerFired,
-    Withdrawn,
 )
 from linnetshift.routing.settings import Effect, Scope, Settings
 
@@ -92,7 +92,7 @@
         takes = max(self.most_standing / (warm_up / S), self.first_stands / 10) / self.least_total
         assert recent <= 2 + self.settings.fall_multiple * takes * window / S
 
-    def later(self, delay: int, event: Event) -> None:
+    def call_later(self, delay: int, event: Event) -> None:
         self.order += 1
         heapq.heappush(self.due, (self.now + delay, self.order, event))
 
@@ -128,11 +128,11 @@
                 del self.owed[request]
                 self.answered += 1
             case SetTimer(delay, token):
-                self.later(max(delay, 1), TimerFired(token))
+                self.call_later(max(delay, 1), TimerFired(token))
             case Migrate(request):
                 where = self.standing.pop(request)
                 attempt = self.attempts[request]
-                self.later(MS, AttemptEnded(request, attempt, where, True, S, Outcome.CANCELLED, ()))
+                self.call_later(MS, AttemptEnded(request, attempt, where, True, S, Outcome.CANCELLED, ()))
             case HealthCheck() | SendPeerMessage():
                 raise AssertionError("not permitted here")
 
@@ -147,18 +147,18 @@
     def answer(self, request: int, attempt: int, where: bytes, timeout: int) -> None:
         delay = self.random.randrange(1, 300) * MS
         if self.random.random() >= self.failing and delay < timeout:
-            self.later(delay, Established(request, attempt, where, delay))
+            self.call_later(delay, ConnectionEstablished(request, attempt, where, delay))
             return
         outcome = self.random.choice(FAILURES)
         delay = timeout if outcome == Outcome.TIMEOUT else min(delay, timeout)
-        self.later(delay, AttemptEnded(request, attempt, where, False, delay, outcome, ()))
+        self.call_later(delay, AttemptEnded(request, attempt, where, False, delay, outcome, ()))
 
     def advance(self, until: int) -> None:
         while self.due and self.due[0][0] <= until:
             at, _, event = heapq.heappop(self.due)
             self.now = max(self.now, -(-at // (4 * MS)) * 4 * MS)  # batches come in steps
             match event:
-                case Established(request, _, where, _):
+                case ConnectionEstablished(request, _, where, _):
                     del self.out[request]
                     del self.owed[request]
                     self.standing[request] = where
@@ -217,7 +217,7 @@
                 world.cold_sends.pop(endpoint(n), None)
                 world.feed([EndpointList(ListForm.DELTA, 2, (entry(n, started_ns=world.now),))])
             case ("slow", value):
-                notes = [Note(r, 0, h, SLOW_NOTE, value) for r, h in world.standing.items()]
+                notes = [ConnectionNote(r, 0, h, SLOW_NOTE, value) for r, h in world.standing.items()]
                 known = [n for n in notes if n.request_id in world.standing]
                 for note in known:
                     if note.request_id in world.standing:
@@ -225,7 +225,7 @@
             case ("noise", kind):
                 world.feed(
                     [
-                        [Withdrawn(10**6)],
+                        [RequestWithdrawn(10**6)],
                         [TimerFired(4242)],
                         [PeerMessage(60000, b"\xff\x00junk")],
                         [HealthCheckResult(endpoint(3), 1, 5, (float("nan"),))],
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -27,18 +27,18 @@
     Watch,
 )
 from linnetshift.routing.events import (
-    Adopted,
+    AdoptedConnection,
     AttemptEnded,
+    ConnectionEstablished,
+    ConnectionNote,
     EndpointEntry,
     EndpointList,
-    Established,
     Event,
     HealthCheckResult,
-    Note,
     PeerMessage,
     Request,
+    RequestWithdrawn,
     TimerFired,
-    Withdrawn,
 )
 from linnetshift.simulation import adapter, codec
 
@@ -71,16 +71,16 @@
 EVENTS = [  # pairs, since tuples of one content are equal whatever their type
     (Request(1, 0, 2, 4, 3, 8, 5, 6), struct.pack(">BIQQBQHIQ", 2, 1, 2, 3, 0, 4, 8, 5, 6)),
     (
-        Adopted(1, 0, 5, 3, 2, 16, 6, endpoint(1)),
+        AdoptedConnection(1, 0, 5, 3, 2, 16, 6, endpoint(1)),
         struct.pack(">BIQQQHQ6sIB", 10, 1, 9, 2, 3, 16, 5, endpoint(1), 6, 0),
     ),
-    (Established(1, 2, endpoint(3), 4), struct.pack(">BIQB6s", 3, 1, 4, 2, endpoint(3))),
-    (Note(1, 2, endpoint(3), 1, 0.5), struct.pack(">BIB6sBf", 11, 1, 2, endpoint(3), 1, 0.5)),
+    (ConnectionEstablished(1, 2, endpoint(3), 4), struct.pack(">BIQB6s", 3, 1, 4, 2, endpoint(3))),
+    (ConnectionNote(1, 2, endpoint(3), 1, 0.5), struct.pack(">BIB6sBf", 11, 1, 2, endpoint(3), 1, 0.5)),
     (
         AttemptEnded(1, 2, endpoint(3), True, 4, 5, (0.5, 1.5)),
         struct.pack(">BI6sBBQHB2f", 4, 1, endpoint(3), 1, 2, 4, 5, 2, 0.5, 1.5),
     ),
-    (Withdrawn(4), struct.pack(">BI", 5, 4)),
+    (RequestWithdrawn(4), struct.pack(">BI", 5, 4)),
     (TimerFired(4), struct.pack(">BI", 6, 4)),
     (
         HealthCheckResult(endpoint(3), 1, 9, (0.25,)),
