--- a/linnetshift/broker/snapshot.py
+++ b/linnetshift/broker/snapshot.py
@@ -10,39 +10,12 @@
 
 from linnetshift.broker.latency_estimator import LatencyEstimator
 from linnetshift.routing.balancer import Balancer
-
-OF_ENDPOINT = (
-    "hot_until",
-    "slow_ns",
-    "late_until",
-    "avoid_until",
-    "spell",
-    "overload",
-    "struck_at",
-    "good_at",
-    "faults",
-)
-OF_NODE = (
-    "load_each",
-    "each_fill",
-)
-OF_WINDOW = ("size", "failing", "cut_at")
-OF_BUCKET = ("level", "at")
-OF_SLOW_START = ("fresh", "fresh_at")
-OF_SHEDDING = ("admit", "at", "jammed")
+from linnetshift.routing.snapshot import export_balancer_state, import_balancer_state
 
 
 def export_state(balancer: Balancer, latency_estimator: LatencyEstimator) -> dict[str, Any]:
     return {
-        "node": {key: getattr(balancer, key) for key in OF_NODE},
-        "window": {key: getattr(balancer.window, key) for key in OF_WINDOW},
-        "shedding": {key: getattr(balancer.shedding, key) for key in OF_SHEDDING},
-        "slow_start": {key: getattr(balancer.slow_start, key) for key in OF_SLOW_START},
-        "bucket": {key: getattr(balancer.slow_start.bucket, key) for key in OF_BUCKET},
-        "hosts": {
-            endpoint.id.hex(): {key: getattr(endpoint, key) for key in OF_ENDPOINT}
-            for endpoint in balancer.endpoints.values()
-        },
+        **export_balancer_state(balancer),
         "guests": [latency_estimator.guests, latency_estimator.guests_at],
         "shed": {endpoint.hex(): at for endpoint, at in latency_estimator.shed_at.items()},
     }
@@ -50,25 +23,7 @@
 
 def import_state(balancer: Balancer, latency_estimator: LatencyEstimator, memory: dict[str, Any]) -> None:
     """Once the list is known; an endpoint that is not listed any more is left out."""
-    deployment_facts = [
-        (balancer.endpoints.get(bytes.fromhex(name)), endpoint) for name, endpoint in memory["hosts"].items()
-    ]
-    window = memory.get("window", {})  # an earlier version's had its place among the node's
-    bucket, shedding = memory.get("bucket", {}), memory.get("shedding", {})
-    of_all = [
-        (balancer, OF_NODE, memory["node"]),
-        (balancer.window, OF_WINDOW, window),
-        (balancer.slow_start, OF_SLOW_START, memory.get("slow_start", {})),
-        (balancer.slow_start.bucket, OF_BUCKET, bucket),
-        (balancer.shedding, OF_SHEDDING, shedding),
-    ]
-    for known, keys, told in of_all + [
-        (endpoint, OF_ENDPOINT, told) for endpoint, told in deployment_facts if endpoint is not None
-    ]:
-        for key in keys:
-            kind = type(getattr(known, key))  # a figure of another kind is another version's
-            if isinstance(told.get(key), kind):
-                setattr(known, key, told[key])
+    import_balancer_state(balancer, memory)
     latency_estimator.guests, latency_estimator.guests_at = (
         float(memory["guests"][0]),
         int(memory["guests"][1]),
