--- a/rig/decision_recordings.py
+++ b/rig/decision_recordings.py
@@ -445,6 +445,7 @@
             self.start(number)
         else:
             instance.live = False
+            self.after(SECOND // 2, partial(self.send_late, number, instance.life))
         if restart_after_s > 0.0:
             self.after(restart_after_s * SECOND, partial(self.start, number))
         passing = self.scenario.family.get("mode") == "pass"
@@ -473,6 +474,18 @@
                     self.random.uniform(1, 30) * MILLISECOND, partial(self.tell, other.number, message)
                 )
 
+    def misreport(self, number: int) -> None:
+        """Messages that an endpoint is silent, from senders that are not peers."""
+        for instance in self.instances:
+            for sender in (self.scenario.balancers, self.scenario.balancers + 1, instance.number):
+                self.tell(instance.number, mail(sender, b"s" + self.endpoints[number].address))
+
+    def send_late(self, number: int, life: int) -> None:
+        """An event for an instance that was killed and has not started again."""
+        instance = self.instances[number]
+        if not instance.live and instance.life == life:
+            self.batch.setdefault(number, []).append(inbound(self.new_request(number)))
+
     def notify_me(self, instance: Instance, delay_ns: int, token: int) -> None:
         self.after(delay_ns, partial(self.fire, instance.number, instance.life, token))
 
@@ -541,6 +554,14 @@
         for instance in self.instances:
             self.send_list(instance.number, instance.life, whole=True)
 
+    def send_cached(self, *missing: int) -> None:
+        """Everyone falls back to a cached list, in which some endpoints are missing."""
+        left_out = [self.endpoints[number] for number in missing]
+        entries = [e.entry() for e in self.endpoints if e.state != GONE and e not in left_out]
+        for instance in self.instances:
+            instance.version = 0
+            self.tell(instance.number, membership(CACHED, self.version, entries))
+
     # ---- endpoints --------------------------------------------------------------------------
 
     def fault(self, fault: int | None, *numbers: int) -> None:
@@ -566,6 +587,18 @@
         self.changed(self.endpoints[number])
         self.after(SECOND, partial(self.drop, number))
 
+    def unlist(self, number: int) -> None:
+        """Discovery forgets an endpoint that serves on."""
+        self.endpoints[number].state = GONE
+        self.changed(self.endpoints[number])
+
+    def flap(self, *numbers: int) -> None:
+        """Endpoints that were ready drain, and the other way round."""
+        for number in numbers:
+            endpoint = self.endpoints[number]
+            endpoint.state = READY if endpoint.state == DRAINING else DRAINING
+            self.changed(endpoint)
+
     def restart(self, number: int) -> None:
         """An endpoint comes back as a new process."""
         endpoint = self.endpoints[number]
@@ -692,7 +725,7 @@
             case -1:
                 return BEGUN, 5 * setup
             case other:
-                return int(other), 10 * MILLISECOND
+                return int(other), self.random.uniform(2, 300) * MILLISECOND
 
     def submit(self, instance: Instance, request_id: int, timeout_ns: int, address: bytes) -> None:
         request, endpoint = self.requests[request_id], self.endpoint_at(address)
@@ -860,7 +893,8 @@
     service("open"),
     service("keyed-all", "by_key"),
     service("keyed-zone", "by_key", "zone", windowNs=3 * SECOND),
-    service("keyed-cell", "by_key", "cell", windowNs=700 * MILLISECOND),
+    service("keyed-zone-shortly", "by_key", "zone", windowNs=400 * MILLISECOND),
+    service("keyed-cell", "by_key", "cell", windowNs=650 * MILLISECOND),
     service("once", "once", aimNs=800 * MILLISECOND, hardLimitNs=4 * SECOND),
 )
 
@@ -874,6 +908,8 @@
             (9, "fault", None, 1, 6),
             (12, "fault", SLOW, 2, 3),
             (16, "fault", None, 2, 3),
+            (16.5, "misreport", 5),
+            (17, "misreport", 7),
             (18, "fault", CONNECT_FAILED, 0, 2, 4, 6, 8, 10),  # all of zone 0
             (22, "fault", None, 0, 2, 4, 6, 8, 10),
         ),
@@ -884,9 +920,14 @@
         instances=5,
         balancers=20,
         endpoints=8,
-        arrivals_per_s=8.0,
-        capacity=6.0,
+        arrivals_per_s=14.0,
+        lifetime_s=5.0,
+        capacity=7.0,
+        groups=12,
         timeline=(
+            *every(3, 28, 0.9, "drop", 4),
+            *every(3.4, 28, 1.3, "drop", 7),
+            *every(9, 12, 0.4, "flap", 0, 6),
             (5, "fault", CONNECT_FAILED, 1),
             (8, "drop", 2, 3),
             (11, "fault", None, 1),
@@ -894,7 +935,8 @@
             (14, "restart", 6),
             (16, "wave", 30),
             (20, "drop", 1, 2),
-            (23, "fault", SLOW, 0, 2),
+            (22, "fault", SLOW, *range(8)),
+            (26, "fault", None, *range(8)),
         ),
     ),
     Scenario(
@@ -906,6 +948,10 @@
         odd_per_s=3.0,
         family={"mode": "pass"},
         timeline=(
+            (2, "unlist", 7),
+            (3, "unlist", 8),
+            (3.2, "recall", 7),
+            (5, "recall", 8),
             (5, "drain", 0, 4.0),
             (6, "stop", 1, 0.0),
             (6.5, "drain", 3, 3.0),
@@ -943,7 +989,9 @@
             (20, "discovery", True),
             (21, "publish"),
             (22, "restart", 4),
-            (24, "publish"),
+            (23, "send_cached", 0, 7),
+            (25, "publish"),
+            *every(26, 29, 0.25, "flap", 8, 9, 10),
         ),
     ),
     Scenario(
@@ -987,6 +1035,10 @@
             (20, "fault", None, *range(14)),
             (21, "fault", ERROR, *range(14)),
             (23, "fault", None, *range(14)),
+            (23.5, "fault", ERROR, 2, 3, 4),
+            *((25.5, "flap", number) for number in (2, 3, 4)),
+            *((26.5, "restart", number) for number in (2, 3, 4)),
+            (26.6, "fault", ERROR, 2, 3, 4),
         ),
     ),
     Scenario(
@@ -996,7 +1048,7 @@
         groups=0,
         withdrawn_share=0.1,
         odd_per_s=3.0,
-        services=(EFFECTS[0], EFFECTS[1], EFFECTS[4]),
+        services=(EFFECTS[0], EFFECTS[1], EFFECTS[-1]),
         allowed={"probing": False, "peerMessages": False, "retryAfter": False},
         timeline=(
             *every(2, 8, 0.31, "end_oddly", CANCELLED, 0.6),
@@ -1018,11 +1070,14 @@
         arrivals_per_s=22.0,
         columns=("utilization",),
         services=(service("fast"), service("slow", aimNs=900 * MILLISECOND)),
-        family={"messageAimNs": [60 * MILLISECOND, 400 * MILLISECOND]},
+        family={"messageAimNs": [60 * MILLISECOND, 400 * MILLISECOND], "mode": "pass"},
         timeline=(
             (6, "fault", SLOW, 0, 1, 2, 3),
             (11, "fault", SLOW, *range(6)),
+            (11.5, "drain", 3, 6.0),
+            (12.5, "stop", 1, 1.0),
             (13, "restart", 0),
+            (14, "stop", 2, 0.0),
             (15, "fault", None, *range(6)),
             (18, "add"),
             (19, "drain", 1, 4.0),
