--- a/rig/decision_recordings.py
+++ b/rig/decision_recordings.py
@@ -50,9 +50,11 @@
 HINTED, RETRY, MID_FLOW, RETURNED = 1, 2, 8, 16
 LOAD_NOTE, SLOW_NOTE = 1, 2
 
-# Faults of an endpoint, and the outcome of an attempt there; a slow one serves, but late.
+# An endpoint's fault is the outcome of each attempt there, or one of these: a slow one serves, but late, and
+# messages at a busy one take less than their aim and more than a third of it.
 SLOW = -1
 BEGUN = -2
+BUSY = -3
 
 _FRAME = struct.Struct(">IIQ")
 _ENTRY = struct.Struct(">6sHHHBfQ")
@@ -366,6 +368,7 @@
         self.batch: dict[int, list[bytes]] = {}
         self.version = 1
         self.discovery_up = True
+        self.arrivals_per_s = scenario.arrivals_per_s
         self.asks = scenario.settings.get("discovery") == "ask"
         self.endpoints = [self.new_endpoint() for _ in range(scenario.endpoints)]
         for endpoint in self.endpoints[: scenario.cold]:
@@ -391,7 +394,7 @@
             self.after(0, partial(self.start, instance.number))
         for second, name, *arguments in self.scenario.timeline:
             self.after(second * SECOND, partial(getattr(self, name), *arguments))
-        self.after(self.pause(self.scenario.arrivals_per_s), self.arrive)
+        self.after(self.pause(self.arrivals_per_s), self.arrive)
         self.after(SECOND, self.send_notes)
         if self.scenario.odd_per_s:
             self.after(self.pause(self.scenario.odd_per_s), self.send_odd)
@@ -683,9 +686,12 @@
         return request
 
     def arrive(self) -> None:
-        self.after(self.pause(self.scenario.arrivals_per_s), self.arrive)
+        self.after(self.pause(self.arrivals_per_s), self.arrive)
         self.ask(self.new_request(self.live_instance()))
 
+    def set_arrivals(self, per_s: float) -> None:
+        self.arrivals_per_s = per_s
+
     def wave(self, requests: int) -> None:
         """Many clients at one moment."""
         for _ in range(requests):
@@ -713,19 +719,18 @@
     def fate(self, endpoint: Endpoint) -> tuple[int, float]:
         """What becomes of work that is sent to an endpoint now, and when that shows."""
         setup = SETUP_NS * self.random.uniform(0.5, 1.5) * max(1.0, self.load(endpoint) * 2) ** 3
-        if endpoint.fault is None and endpoint.state == READY:
-            return BEGUN, setup
-        match endpoint.fault:
-            case None | 2:
+        fault = endpoint.fault
+        if fault in (None, BUSY, SLOW):
+            if endpoint.state != READY:
                 return FULL, 2 * MILLISECOND
-            case 3:
-                return TIMEOUT, math.inf
-            case 4:
-                return CONNECT_FAILED, CONNECT_TIMEOUT_NS
-            case -1:
-                return BEGUN, 5 * setup
-            case other:
-                return int(other), self.random.uniform(2, 300) * MILLISECOND
+            return BEGUN, 5 * setup if fault == SLOW else setup
+        if fault == TIMEOUT:
+            return TIMEOUT, math.inf
+        if fault == CONNECT_FAILED:
+            return CONNECT_FAILED, CONNECT_TIMEOUT_NS
+        if fault == FULL:
+            return FULL, 2 * MILLISECOND
+        return int(fault), self.random.uniform(2, 300) * MILLISECOND
 
     def submit(self, instance: Instance, request_id: int, timeout_ns: int, address: bytes) -> None:
         request, endpoint = self.requests[request_id], self.endpoint_at(address)
@@ -825,9 +830,10 @@
             if self.random.random() < 0.1:
                 self.tell(request.instance, note(LOAD_NOTE, self.random.uniform(2e4, 1.5e5)))
             load = self.load(endpoint)
-            if load > 0.8 and (request.instance, endpoint.address) not in told:
+            if (load > 0.8 or endpoint.fault == BUSY) and (request.instance, endpoint.address) not in told:
                 told.add((request.instance, endpoint.address))
-                took = 30.0 * load**4 * self.random.uniform(0.8, 1.2)
+                took = 50.0 if endpoint.fault == BUSY else 30.0 * load**4
+                took *= self.random.uniform(0.8, 1.2)
                 self.tell(request.instance, note(SLOW_NOTE, took))
 
     def send_odd(self) -> None:
@@ -912,6 +918,8 @@
             (17, "misreport", 7),
             (18, "fault", CONNECT_FAILED, 0, 2, 4, 6, 8, 10),  # all of zone 0
             (22, "fault", None, 0, 2, 4, 6, 8, 10),
+            (24, "set_arrivals", 0.2),
+            (25.5, "fault", SLOW, *range(12)),
         ),
     ),
     Scenario(
@@ -942,12 +950,15 @@
     Scenario(
         "adopted-connections",
         seed=103,
+        duration_s=33.0,
         instances=4,
         adopted=8,
         withdrawn_share=0.15,
         odd_per_s=3.0,
         family={"mode": "pass"},
         timeline=(
+            *((0.05, "unlist", number) for number in (9, 10, 11)),
+            *((0.9, "recall", number) for number in (9, 10, 11)),
             (2, "unlist", 7),
             (3, "unlist", 8),
             (3.2, "recall", 7),
@@ -962,6 +973,9 @@
             (16, "stop", 3, 3.0),
             (17, "drop", 1, 2),
             (20, "stop", 1, 0.0),
+            (22, "fault", BUSY, *(number for number in range(12) if number not in (3, 5))),
+            (23.5, "drain", 4, 7.0),
+            (23.5, "drain", 6, 7.0),
         ),
     ),
     Scenario(
@@ -1073,12 +1087,12 @@
         family={"messageAimNs": [60 * MILLISECOND, 400 * MILLISECOND], "mode": "pass"},
         timeline=(
             (6, "fault", SLOW, 0, 1, 2, 3),
+            (10, "drain", 3, 7.0),
             (11, "fault", SLOW, *range(6)),
-            (11.5, "drain", 3, 6.0),
             (12.5, "stop", 1, 1.0),
             (13, "restart", 0),
             (14, "stop", 2, 0.0),
-            (15, "fault", None, *range(6)),
+            (16, "fault", None, *range(6)),
             (18, "add"),
             (19, "drain", 1, 4.0),
             (22, "restart", 1),
