--- a/linnetshift/frontends/__init__.py
+++ b/linnetshift/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""What clients connect to."""
+"""The servers that clients connect to: the line protocol and the channels protocol."""
--- a/linnetshift/frontends/line_protocol/__init__.py
+++ b/linnetshift/frontends/line_protocol/__init__.py
@@ -1,1 +1,5 @@
-"""The platform's line protocol."""
+"""The platform's line protocol: one request and one established connection per client connection.
+
+A client sends a request line, waits for one answer, and on success exchanges lines with its endpoint until
+either side ends. Source: the platform's wire document.
+"""
--- /dev/null
+++ b/linnetshift/frontends/line_protocol/frontend.py
@@ -0,0 +1,51 @@
+"""The frontend of the line protocol: accepts clients and answers queries for this proxy's readiness."""
+
+from __future__ import annotations
+
+import socket
+
+from linnetshift.broker.broker import Broker
+from linnetshift.config.names import NameRegistry
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.connection_limits import ConnectionLimiter
+from linnetshift.event_loop.loop import Loop
+from linnetshift.frontends.line_protocol import protocol
+from linnetshift.frontends.line_protocol.client_connection import ClientConnection
+from linnetshift.frontends.line_protocol.messages import ShutdownNotice
+from linnetshift.frontends.listener import Frontend
+from linnetshift.observability.resource_usage import ResourceUsage
+
+
+class LineProtocolFrontend(Frontend):
+    """Accepts clients on the address that the platform gave."""
+
+    def __init__(
+        self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
+    ) -> None:
+        """Create a frontend that listens nowhere yet."""
+        super().__init__(loop, broker, names, connection_limiter)
+        self.clients: set[ClientConnection] = set()
+        self.ids: set[int] = set()  # of open requests, as their clients gave them
+
+    def take(self, sock: socket.socket, peer: Address) -> None:
+        """Serve a connection that was accepted; owns the socket from now on."""
+        client = ClientConnection(self, sock, peer)
+        client.start(client.run())
+
+    def notify_idle_clients(self) -> None:
+        """Have each client that has sent no request yet answered and closed, since this proxy shuts down."""
+        for client in self.clients:
+            client.post(ShutdownNotice())
+
+    def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
+        """Return the sizes of the containers here; `connections` bounds how many may be open at once."""
+        return {
+            "platform.consumers": ResourceUsage(len(self.clients), connections),
+            "platform.ids": ResourceUsage(len(self.ids), connections),
+        }
+
+    def answer_query(self, query: bytes) -> bytes:
+        """Return the answer to a query line: whether this proxy takes requests, or that it has no figures."""
+        if not query.startswith(protocol.PING):
+            return protocol.NO_STATS_LINE
+        return protocol.ERROR_LINE if self.is_draining else protocol.PONG_LINE
--- /dev/null
+++ b/linnetshift/frontends/line_protocol/message_relay.py
@@ -0,0 +1,116 @@
+"""The last state of a client connection: established, with lines relayed both ways."""
+
+from __future__ import annotations
+
+import select
+from typing import TYPE_CHECKING
+
+from linnetshift.broker.active_request import ActiveRequest
+from linnetshift.event_loop.loop import Io, Timeout
+from linnetshift.event_loop.outbound_connection import Resume, Steps
+from linnetshift.event_loop.stream import End, LineTooLong
+from linnetshift.frontends.line_protocol import protocol
+from linnetshift.frontends.line_protocol.messages import EndpointEnded, MigrationRequested
+from linnetshift.observability.log import Reason
+from linnetshift.routing.events import Outcome
+
+if TYPE_CHECKING:
+    from linnetshift.frontends.line_protocol.client_connection import ClientConnection
+
+
+class MessageRelay:
+    """Relays the client's lines to the endpoint until either side ends.
+
+    The other direction needs no turn of this actor: the endpoint's connection calls
+    `ClientConnection.deliver`. Lives as long as its `run`; the connection holds no reference to it.
+    """
+
+    def __init__(self, connection: ClientConnection, request: ActiveRequest) -> None:
+        """Relay for a request that its endpoint has accepted."""
+        self.connection = connection
+        self.request = request
+        self.stream = connection.stream
+        self.broker = connection.broker
+
+    def run(self) -> Steps:
+        """Return the `Reason` why the connection ends; the broker knows by then if the client ended it."""
+        stream = self.stream
+        end: End | None = None
+        self._relay_lines()
+        while end is None:
+            match (yield):
+                case Io(mask):
+                    if mask & select.EPOLLOUT:
+                        self._flush()
+                    if mask & ~select.EPOLLOUT:
+                        end = stream.fill()
+                        if not self._relay_lines():
+                            return Reason.BAD_LINE
+                    if stream.broken and end is None:
+                        end = End.RESET
+                case Resume():
+                    if not self._relay_lines():
+                        return Reason.BAD_LINE
+                case message:
+                    reason = self._handle(message)
+                    if reason is not None:
+                        return reason
+        return self._handle_client_end(end)
+
+    def _relay_lines(self) -> bool:
+        """Send whole lines to the endpoint while it takes them; stop reading when it does not.
+
+        False once a line is longer than the protocol allows: both sides end.
+        """
+        attempt = self.request.attempt
+        link = attempt.link if attempt is not None else None
+        if link is None:
+            return True
+        try:
+            while not link.is_congested and (line := self.stream.line()) is not None:
+                link.deliver(line)
+        except LineTooLong:
+            self.connection.set_line_too_long()
+            self.broker.handle_client_ended(self.request, False)
+            return False
+        self.stream.want(not link.is_congested)
+        return True
+
+    def _flush(self) -> None:
+        """Write what the client left unread, and have the endpoint go on once there is nothing left."""
+        self.stream.flush()
+        self.connection.look_for_stall()
+        attempt = self.request.attempt
+        if not self.stream.is_congested and attempt is not None and attempt.link is not None:
+            attempt.link.resume()
+
+    def _handle(self, message: object) -> Reason | None:
+        """Handle what is neither input nor output; a reason if the connection ends with it."""
+        match message:
+            case EndpointEnded(outcome, was_reset):
+                return _endpoint_end_reason(outcome, was_reset)
+            case MigrationRequested(reason):
+                self.stream.send(protocol.MOVE_LINE)  # what was sent before it were whole lines
+                self.broker.handle_client_ended(self.request, False)
+                return Reason(reason)
+            case Timeout(tag="stalled") if self.connection.stalled():
+                self.broker.handle_client_ended(self.request, False)
+                return Reason.STALLED
+        return None
+
+    def _handle_client_end(self, end: End) -> Reason:
+        """End the endpoint's side as the client ended its own; an unfinished line goes before a plain end."""
+        attempt = self.request.attempt
+        link = attempt.link if attempt is not None else None
+        if end is End.FIN and link is not None and (rest := self.stream.rest()):
+            link.deliver(rest)
+        self.broker.handle_client_ended(self.request, end is End.RESET)
+        return Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
+
+
+def _endpoint_end_reason(outcome: int, was_reset: bool) -> Reason:
+    if was_reset:
+        return Reason.ENDPOINT_RESET
+    if outcome == Outcome.OK:
+        return Reason.SERVED
+    return Reason.ENDPOINT_MIGRATED if outcome == Outcome.CANCELLED else Reason.ENDPOINT_LEFT
--- /dev/null
+++ b/linnetshift/frontends/line_protocol/protocol.py
@@ -0,0 +1,42 @@
+"""The words of the line protocol, as they stand on the wire.
+
+Everything that a client connection reads or writes by itself is named here; lines that it relays between a
+client and an endpoint are not looked at.
+"""
+
+from __future__ import annotations
+
+LINE_END = b"\r\n"
+
+# Request line: OPEN <request id> <key> [<field>=<value>,...], both numbers in hexadecimal.
+OPEN = b"OPEN"
+MAX_HEXADECIMAL_DIGITS = 16  # ids, keys and groups are 64 bits wide
+
+CLASS_FIELD = b"c"
+TENANT_FIELD = b"t"
+RETRY_FIELD = b"r"  # "1": the client sent this request before and got no answer
+RETURNED_FIELD = b"again"  # "1": the client comes back from a connection that was migrated
+DEADLINE_FIELD = b"d"  # milliseconds, counted from when the client sent the line
+MAX_DEADLINE_DIGITS = 9
+ADOPTED_FIELD = b"at"  # the endpoint that held this connection before the start of the run
+GROUP_FIELD = b"g"
+LOAD_HINT_FIELD = b"h"
+FLAG_SET = b"1"
+
+# Readiness queries, which may come before the request line.
+PING = b"PING"
+STATS = b"STATS"
+QUERIES = (PING, STATS)
+QUERY_PREFIX_BYTES = 6  # of a line: the longest query and the first byte of its end
+PONG_LINE = b"PONG\r\n"
+NO_STATS_LINE = b"NO\r\n"  # this proxy has no load report of its own
+
+# Answers to a request line, and the notice that ends an established connection.
+ERROR_LINE = b"ERR\r\n"
+BUSY_LINE = b"BUSY\r\n"  # not executed: a retry is safe at once
+MOVE_LINE = b"MOVE\r\n"
+
+
+def encode_busy(retry_after_ms: int) -> bytes:
+    """Return the answer to a rejected request; 0 leaves the time of the retry to the client."""
+    return b"BUSY %d\r\n" % retry_after_ms if retry_after_ms else BUSY_LINE
--- /dev/null
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -0,0 +1,95 @@
+"""The first state of a client connection: from accept to the request line."""
+
+from __future__ import annotations
+
+import select
+from typing import TYPE_CHECKING
+
+from linnetshift.event_loop.connection_limits import REQUEST_LINE_TIMEOUT_NS
+from linnetshift.event_loop.loop import Io, Timeout
+from linnetshift.event_loop.outbound_connection import Steps, Stop
+from linnetshift.event_loop.stream import End, LineTooLong
+from linnetshift.frontends.line_protocol import protocol
+from linnetshift.frontends.line_protocol.messages import ShutdownNotice
+from linnetshift.frontends.line_protocol.request_line import RequestLineError, parse_request_line
+from linnetshift.observability.log import Reason
+
+if TYPE_CHECKING:
+    from linnetshift.frontends.line_protocol.client_connection import ClientConnection
+
+REQUEST_LINE_TIMER = "request-line"
+
+
+class RequestReader:
+    """Answers queries on one connection until its request line has come and is with the broker.
+
+    Lives as long as its `run`; the connection holds no reference to it.
+    """
+
+    def __init__(self, connection: ClientConnection) -> None:
+        """Read from the connection's stream, which must be armed."""
+        self.connection = connection
+        self.stream = connection.stream
+        self.frontend = connection.frontend
+        self.arrived_ns = connection.loop.since  # when the loop saw what was read last
+        self.was_queried = False
+        self.end: End | None = None
+
+    def run(self) -> Steps:
+        """Return None once a request is with the broker, else the `Reason` why the connection ends."""
+        timer = self.connection.set_timer(REQUEST_LINE_TIMEOUT_NS, REQUEST_LINE_TIMER)
+        self.end = self.stream.fill()  # the line mostly comes with the connection
+        while True:
+            try:
+                is_submitted = self._process_lines()
+            except (RequestLineError, LineTooLong) as error:
+                return self.connection.answer_bad_line(str(error))
+            if is_submitted:
+                timer.cancel()
+                return None
+            # Without this, answers to a client that queries on and reads nothing would fill memory.
+            self.stream.want(not self.stream.is_congested)
+            if self.end is not None:
+                return Reason.PROBED if self.was_queried else Reason.EMPTY
+            reason = self._handle((yield))
+            if reason is not None:
+                return reason
+
+    def _process_lines(self) -> bool:
+        """Answer queries while the client reads the answers; whether a request line came and is submitted."""
+        while not self.stream.is_congested and (line := self.stream.line()) is not None:
+            prefix = bytes(line[: protocol.QUERY_PREFIX_BYTES])
+            if prefix.rstrip() not in protocol.QUERIES:
+                request_line = parse_request_line(bytes(line), self.frontend.names)
+                self.connection.submit(request_line, self.arrived_ns)
+                return True
+            self.stream.send(self.frontend.answer_query(prefix))
+            self.frontend.connection_limiter.answered(self.connection)
+            self.was_queried = True
+        return False
+
+    def _handle(self, message: object) -> Reason | None:
+        """Handle one message of the mailbox; a reason if the connection ends with it."""
+        match message:
+            case Io(mask):
+                self._handle_io(mask)
+            case Stop():
+                return Reason.EVICTED
+            case ShutdownNotice():
+                # A request that crosses this on its way finds its answer; nothing read later is sent on.
+                self.stream.fill()
+                self.stream.send(protocol.BUSY_LINE)
+                return Reason.SHUT_DOWN
+            case Timeout(tag=tag) if tag == REQUEST_LINE_TIMER:
+                self.stream.send(protocol.ERROR_LINE)
+                return Reason.REQUEST_TIMEOUT
+        return None
+
+    def _handle_io(self, mask: int) -> None:
+        if mask & select.EPOLLOUT:
+            self.stream.flush()
+        self.arrived_ns = self.connection.loop.since
+        unread_before = self.stream.stop - self.stream.start
+        self.end = self.stream.fill()
+        if self.stream.stop > unread_before:
+            self.frontend.connection_limiter.talks(self.connection)
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -23,7 +23,7 @@
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import MS, Loop, S
 from linnetshift.frontends.channels.session import MOST_OPEN, ChannelsFrontend
-from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
+from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
 from linnetshift.frontends.listener import Acceptor, Frontend
 from linnetshift.lifecycle.graceful_shutdown import ChannelMigrator, GracefulShutdown
 from linnetshift.lifecycle.hot_restart import (
