--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -556,7 +556,7 @@
         self.sessions: set[Session] = set()
         self.open = 0  # channels of all sessions
 
-    def take(self, sock: socket.socket, peer: Address) -> None:
+    def handle_connection(self, sock: socket.socket, peer: Address) -> None:
         session = Session(self, sock, peer)
         session.start(session.run())
 
@@ -566,8 +566,8 @@
         self.close()
         self.wind_up()
 
-    def pause(self, paused: bool) -> None:
-        super().pause(paused)
+    def set_paused(self, paused: bool) -> None:
+        super().set_paused(paused)
         if paused:
             self.wind_up()
 
--- a/linnetshift/frontends/line_protocol/frontend.py
+++ b/linnetshift/frontends/line_protocol/frontend.py
@@ -27,7 +27,7 @@
         self.clients: set[ClientConnection] = set()
         self.ids: set[int] = set()  # of open requests, as their clients gave them
 
-    def take(self, sock: socket.socket, peer: Address) -> None:
+    def handle_connection(self, sock: socket.socket, peer: Address) -> None:
         """Serve a connection that was accepted; owns the socket from now on."""
         client = ClientConnection(self, sock, peer)
         client.start(client.run())
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -1,10 +1,11 @@
-"""A listening socket, and what all frontends share."""
+"""Listening sockets, and what the frontends have in common."""
 
 from __future__ import annotations
 
 import errno
 import select
 import socket
+from abc import ABC, abstractmethod
 from collections.abc import Callable
 
 from linnetshift.broker.broker import Broker
@@ -16,15 +17,18 @@
 from linnetshift.event_loop.loop import MS, Loop
 from linnetshift.observability import log
 
-BACKLOG = 1024
-ACCEPTS = 64  # at one turn of the loop
-PAUSE_NS = 50 * MS  # without descriptors, how long nothing is accepted
+BACKLOG = 1024  # connections that the kernel keeps for a listening socket
+MAX_ACCEPTS_PER_TURN = 64  # of the loop, so that a flood leaves time for established connections
+# How long nothing is accepted while descriptors or buffers are short.
+ACCEPT_PAUSE_NS = 50 * MS
+DESCRIPTOR_SHORTAGE = frozenset({errno.EMFILE, errno.ENFILE})
+SHORTAGE = DESCRIPTOR_SHORTAGE | {errno.ENOBUFS, errno.ENOMEM}
 
 
 class Acceptor:
-    """A listening socket that hands each connection on and outlives a want of descriptors.
+    """Owns a listening socket, passes each connection on and survives a shortage of descriptors.
 
-    One that was given is shared with other processes: it is only watched, never bound, shut down or told to
+    An inherited socket is shared with other processes: it is only watched, never bound, shut down or told to
     listen anew.
     """
 
@@ -32,97 +36,133 @@
         self,
         loop: Loop,
         address: Address,
-        take: Callable[[socket.socket, Address], None],
-        given: socket.socket | None = None,
+        on_accept: Callable[[socket.socket, Address], None],
+        inherited: socket.socket | None = None,
         make_room: Callable[[], bool] | None = None,
     ) -> None:
-        """`make_room` is called for want of a descriptor, and says whether there may be one now."""
-        self.loop, self.address, self.take = loop, address, take
+        """Accept at once, on a new socket bound to `address` unless one is inherited; raises OSError.
+
+        `on_accept` owns the socket that it is called with. `make_room` is called for want of a descriptor and
+        returns whether there may be one now; by default it is the loop's.
+        """
+        self.loop = loop
+        self.address = address
+        self.on_accept = on_accept
         self.make_room = make_room or loop.make_room
-        self.paused = False
-        self.given = given is not None
-        if given is None:
-            self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self.listener.bind(address)
-            self.listener.listen(BACKLOG)
-        else:
-            self.listener = given
+        self.is_paused = False
+        self.is_inherited = inherited is not None
+        self.listener = inherited if inherited is not None else _open_listener(address)
         self.listener.setblocking(False)
-        self.accept_again()
+        self._watch()
 
-    def pause(self, paused: bool) -> None:
-        """Leave what arrives to another process, or take it again."""
-        self.paused = paused
-        if paused and self.listener.fileno() >= 0:
+    @property
+    def is_open(self) -> bool:
+        """Whether the socket is not closed yet."""
+        return self.listener.fileno() >= 0
+
+    def set_paused(self, paused: bool) -> None:
+        """Leave new connections to another process that shares the socket, or accept them again."""
+        self.is_paused = paused
+        if paused and self.is_open:
             self.loop.unwatch(self.listener.fileno())
-        self.accept_again()
+        self._watch()
+
+    def close(self) -> None:
+        """Close the socket, after what is in its queue is accepted; a second call does nothing."""
+        if not self.is_open:
+            return
+        if not self.is_inherited and not self.is_paused:
+            # Those in the queue were accepted by this machine, and a close would reset them.
+            self._accept(2 * BACKLOG)
+        # First: closing does not end epoll's interest in a socket that other processes hold too.
+        self.loop.unwatch(self.listener.fileno())
+        self.listener.close()
+
+    def _watch(self) -> None:
+        if self.is_open and not self.is_paused:
+            self.loop.watch(self.listener.fileno(), select.EPOLLIN, self._handle_readable)
 
-    def accept_again(self) -> None:
-        if self.listener.fileno() >= 0 and not self.paused:
-            self.loop.watch(self.listener.fileno(), select.EPOLLIN, self.accept)
+    def _handle_readable(self, _mask: int) -> None:
+        self._accept(MAX_ACCEPTS_PER_TURN)
 
-    def accept(self, _mask: int, most: int = ACCEPTS) -> None:
-        for _ in range(most):
+    def _accept(self, limit: int) -> None:
+        """Accept what is in the queue, at most `limit` connections; pause when resources are short."""
+        for _ in range(limit):
             try:
                 sock, peer = self.listener.accept()
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno in (errno.EMFILE, errno.ENFILE) and self.make_room():
+                if error.errno in DESCRIPTOR_SHORTAGE and self.make_room():
                     continue
-                if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                    # The backlog stays readable: without a pause this would spin until some end.
-                    self.loop.unwatch(self.listener.fileno())
-                    self.loop.call_later(PAUSE_NS, self.accept_again)
+                if error.errno in SHORTAGE:
+                    self._pause_for(ACCEPT_PAUSE_NS)
                     log.note("accept-paused", error=error.strerror)
                     return
                 continue  # the peer was gone before it was accepted
-            self.take(sock, peer)
+            self.on_accept(sock, peer)
+
+    def _pause_for(self, delay_ns: int) -> None:
+        """Stop watching for a while: the queue stays readable, and the loop would spin until some end."""
+        self.loop.unwatch(self.listener.fileno())
+        self.loop.call_later(delay_ns, self._watch)
 
-    def close(self) -> None:
-        if self.listener.fileno() >= 0 and not self.given and not self.paused:
-            # Those in the queue were accepted by this machine, and a close would reset them.
-            self.accept(0, 2 * BACKLOG)
-        if self.listener.fileno() >= 0:
-            # First: closing does not end epoll's interest in a socket that other processes hold too.
-            self.loop.unwatch(self.listener.fileno())
-            self.listener.close()
 
+def _open_listener(address: Address) -> socket.socket:
+    """Return a socket that listens on the address; raises OSError, with nothing left open."""
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind(address)
+        listener.listen(BACKLOG)
+    except OSError:
+        listener.close()
+        raise
+    return listener
 
-class Frontend:
-    """What takes connections in, at an address that may change while the program runs."""
+
+class Frontend(ABC):
+    """Accepts clients of one protocol, at an address that may change while the program runs."""
 
     def __init__(
         self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
     ) -> None:
-        self.loop, self.broker, self.names, self.connection_limiter = loop, broker, names, connection_limiter
+        """Create a frontend that listens nowhere yet."""
+        self.loop = loop
+        self.broker = broker
+        self.names = names
+        self.connection_limiter = connection_limiter
         self.is_draining = False
         self.acceptor: Acceptor | None = None
 
     @property
     def address(self) -> Address | None:
+        """Where this frontend listens; None while it does not."""
         return self.acceptor.address if self.acceptor is not None else None
 
-    def take(self, sock: socket.socket, peer: Address) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def handle_connection(self, sock: socket.socket, peer: Address) -> None:
+        """Serve a connection that was accepted; owns the socket from now on."""
 
-    def listen(self, address: Address, given: socket.socket | None = None) -> None:
+    def listen(self, address: Address, inherited: socket.socket | None = None) -> None:
+        """Listen on the address unless this frontend does already; raises OSError."""
         if address != self.address:
-            self.follow(Acceptor(self.loop, address, self.take, given))
+            self.use_acceptor(Acceptor(self.loop, address, self.handle_connection, inherited))
 
-    def pause(self, paused: bool) -> None:
-        """Leave new connections to the process that takes this one's place, or take them again."""
+    def set_paused(self, paused: bool) -> None:
+        """Leave new connections to the process that takes this one's place, or accept them again."""
         self.is_draining = paused
         if self.acceptor is not None:
-            self.acceptor.pause(paused)
+            self.acceptor.set_paused(paused)
 
-    def follow(self, acceptor: Acceptor) -> None:
-        """Listen there from now on; what was accepted before goes on."""
+    def use_acceptor(self, acceptor: Acceptor) -> None:
+        """Own this acceptor in place of the present one, which is closed; accepted connections go on."""
         self.close()
-        self.is_draining, self.acceptor = False, acceptor
+        self.is_draining = False
+        self.acceptor = acceptor
 
     def close(self) -> None:
+        """Stop listening; accepted connections go on."""
         if self.acceptor is not None:
             self.acceptor.close()
             self.acceptor = None
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -217,8 +217,8 @@
         """Leave all that arrives to the new process and move what is here to it; or take it on again."""
         if self.is_shutting_down and not back:
             return  # nobody will be here in a moment
-        self.frontend.pause(back)
-        self.channels.pause(back)
+        self.frontend.set_paused(back)
+        self.channels.set_paused(back)
         if self.is_shutting_down:
             return  # and on its way as it is
         if self.vrrp is not None:
@@ -296,7 +296,7 @@
                     continue  # the platform's own: it is where it is
                 idle = frontend is self.channels and own.vrrp is not None and frontend.address is None
                 if address is not None and address != frontend.address and not idle:
-                    bound.append((frontend, Acceptor(self.loop, address, frontend.take)))
+                    bound.append((frontend, Acceptor(self.loop, address, frontend.handle_connection)))
         except (ConfigError, OSError) as error:
             for acceptor in [acceptor for _, acceptor in bound] + (
                 [admin_server] if admin_server is not None else []
@@ -305,7 +305,7 @@
             log.note("configuration-rejected", error=str(error))
             return
         for frontend, acceptor in bound:
-            frontend.follow(acceptor)
+            frontend.use_acceptor(acceptor)
         if admin_server is not None or config.admin is None:
             self.admin_server.follow(admin_server)
         if own.channels is None and self.channels.address is not None:
