--- a/tests/test_strangers.py
+++ b/tests/test_connections_without_a_request.py
@@ -1,4 +1,4 @@
-"""What strangers send, or do not send, costs usual clients nothing."""
+"""Connections without a valid request cost usual clients nothing, whatever they send or leave out."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 from proxy import OPEN, WAIT, RunningProxy, Terminal, launch, proxy
-from test_platform import answer
+from test_line_protocol import answer
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 
@@ -50,7 +50,7 @@
         b"x" * 5000,
     ],
 )
-def test_a_bad_first_line_fails_alone(one: RunningProxy, line: bytes) -> None:
+def test_bad_request_line_fails_alone(one: RunningProxy, line: bytes) -> None:
     # What one client sends must neither be passed on (it voids the run) nor hurt the others.
     client = one.client(line)
     assert client.line() == b"ERR\r\n"
@@ -59,7 +59,7 @@
     assert one.alive()
 
 
-def test_the_id_of_an_open_request_is_taken(one: RunningProxy) -> None:
+def test_second_request_with_an_open_id_fails(one: RunningProxy) -> None:
     # Sent on, endpoints called it a second copy one after the other, six attempts for each.
     line = OPEN % (7, 2000)
     client = one.client(line)
@@ -74,7 +74,7 @@
     assert again.line() == b"UP r1\r\n"
 
 
-def test_what_two_endpoints_call_an_error_is_one(tmp_path: Path) -> None:
+def test_error_of_two_endpoints_fails_the_request(tmp_path: Path) -> None:
     with proxy(tmp_path, endpoints=3) as running:
         client = running.open()
         for _ in range(2):
@@ -83,7 +83,7 @@
         running.logged("side=client reason=failed .*attempts=2")
 
 
-def test_a_client_that_talks_before_its_answer_is_turned_away(one: RunningProxy) -> None:
+def test_client_that_sends_before_its_answer_is_closed(one: RunningProxy) -> None:
     # Its lines filled the buffer, and that it ended was not seen any more.
     client = one.open()
     endpoint = one.listeners[0].accept()
@@ -93,7 +93,7 @@
     assert endpoint.ended() in ("fin", "reset")
 
 
-def test_an_endless_line_ends_a_standing_connection(one: RunningProxy) -> None:
+def test_overlong_line_ends_an_established_connection(one: RunningProxy) -> None:
     client, endpoint = one.standing()
     client.send(b"x" * 5000)
     assert endpoint.ended() == "fin"
@@ -101,7 +101,7 @@
     assert "reason=bad-line" in one.logged("side=client")
 
 
-def test_what_is_still_sent_is_let_go_until_the_answer_arrives(one: RunningProxy) -> None:
+def test_input_after_a_bad_line_is_discarded_until_the_answer_arrives(one: RunningProxy) -> None:
     # A close with bytes unread resets the answer away; keeping them would fill memory.
     client = one.client()
     client.sock.settimeout(None)
@@ -118,7 +118,7 @@
     assert client.ended() == "fin"
 
 
-def test_a_slow_opener_is_not_waited_for(one: RunningProxy) -> None:
+def test_unfinished_request_line_times_out(one: RunningProxy) -> None:
     # Each half-open client would hold a descriptor for good.
     client = one.client(b"OPEN 9b1f03aa5c7e2d41 7f")
     assert client.line() == b"ERR\r\n"
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
-def test_a_silent_crowd_makes_room_for_others(tmp_path: Path, frontend: str) -> None:
+def test_idle_connections_are_evicted_for_others(tmp_path: Path, frontend: str) -> None:
     # Hundreds that say nothing used to take every descriptor, those to endpoints included.
     with proxy(tmp_path, own=CHANNELS, before=few) as running:
         standing, endpoint = running.standing()
@@ -142,14 +142,14 @@
 
 
 @pytest.mark.parametrize(
-    "frontend, crowd, pieces",
+    ("frontend", "crowd", "pieces"),
     [
         ("platform", b"", [b"OPEN 9b1f03aa5c7e2d41 7f3a", b"9c21e0b4d655 c=fe", b"ed,t=acme,d=2000\r\n"]),
         ("platform", b"PING\r\n", [b"", b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme\r\n"]),
         ("channels", b"", [b"SSH-", b"2.0-", b"terminal\r\n"]),
     ],
 )
-def test_a_slow_client_outlasts_the_crowd(
+def test_slow_client_outlasts_idle_connections(
     tmp_path: Path, frontend: str, crowd: bytes, pieces: list[bytes]
 ) -> None:
     # The longest waiting went first, which in a flood is whoever's line takes long.
@@ -173,7 +173,7 @@
         assert kept
 
 
-def test_who_is_shed_over_bytes_unread_gets_its_answer_and_a_plain_end(tmp_path: Path) -> None:
+def test_evicted_connection_with_unread_bytes_gets_its_answer_and_a_plain_end(tmp_path: Path) -> None:
     # The close over them reset the answer away.
     with proxy(tmp_path, before=few) as running:
         quiet = [running.client() for _ in range(8)]
@@ -188,7 +188,7 @@
         assert len(crowd) == 30
 
 
-def test_without_descriptors_it_waits_and_lives(tmp_path: Path) -> None:
+def test_accepting_pauses_without_descriptors(tmp_path: Path) -> None:
     # Accepting again at once would spin; dying would lose every connection that stands.
     with proxy(tmp_path, before=few) as running:
         crowd = [running.open(60000) for _ in range(60)]
@@ -205,7 +205,7 @@
         running.standing()
 
 
-def test_a_log_that_nobody_reads_stops_nothing(one: RunningProxy, tmp_path: Path) -> None:
+def test_unread_log_blocks_nothing(one: RunningProxy, tmp_path: Path) -> None:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     while True:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,8 +9,8 @@
 import pytest
 from conftest import MS, S, balancer, ended, only, request
 from proxy import WAIT, launch, proxy, successor_of
+from test_line_protocol import ranked
 from test_ops import DOWN, UP, lands_on
-from test_platform import ranked
 
 from linnetshift.broker.latency_estimator import LatencyEstimator, Standing
 from linnetshift.broker.snapshot import export_state, import_state
--- a/tests/test_platform.py
+++ b/tests/test_line_protocol.py
@@ -1,4 +1,4 @@
-"""The real program, met as its clients, its endpoints and its discovery meet it."""
+"""The running proxy as its clients, its endpoints and its discovery see it."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
         yield running
 
 
-def test_serves_and_passes_lines_on(one: RunningProxy) -> None:
+def test_lines_are_relayed_both_ways(one: RunningProxy) -> None:
     client = one.open(2000)
     endpoint = one.listeners[0].accept()
-    head, _, told = endpoint.line().partition(b",d=")
+    head, _, remaining_ms = endpoint.line().partition(b",d=")
     assert head.split()[2:] == OPEN.partition(b",d=")[0].split()[2:]
-    assert 0 < int(told) <= 2000  # what remains of the client's patience, never more
+    assert 0 < int(remaining_ms) <= 2000  # what remains of the client's deadline, never more
     endpoint.send(b"UP a b\r\nLOAD 12.5\r\nfirst\r\n")
     assert [client.line() for _ in range(3)] == [b"UP a b\r\n", b"LOAD 12.5\r\n", b"first\r\n"]
     client.send(b"M 1 x\r\nM 2")
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("how", ["fin", "reset"])
 @pytest.mark.parametrize("side", ["client", "endpoint"])
-def test_ends_the_other_side_the_same_way(one: RunningProxy, side: str, how: str) -> None:
+def test_end_of_one_side_ends_the_other_the_same_way(one: RunningProxy, side: str, how: str) -> None:
     # A reset passed on as a plain end would look like a connection served to its end.
     client, endpoint = one.standing()
     ending, other = (client, endpoint) if side == "client" else (endpoint, client)
@@ -53,10 +53,6 @@
     }
 
 
-def refuse(listener: Listener) -> None:
-    listener.sock.close()
-
-
 def answer(listener: Listener, reply: bytes, how: str) -> Conn:
     conn = listener.accept()
     conn.line()
@@ -68,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    "reply, how, reason",
+    ("reply", "how", "reason"),
     [
         (b"ERR\r\n", "fin", "error"),
         (b"BUSY\r\n", "fin", "endpoint-full"),
@@ -84,7 +80,7 @@
         (b"", "refused", "unreachable"),
     ],
 )
-def test_a_failed_attempt_is_closed_before_the_next(
+def test_failed_attempt_is_closed_before_the_next(
     tmp_path: Path, reply: bytes, how: str, reason: str
 ) -> None:
     # Two attempts of one request out together would break a rule, whatever became of the first.
@@ -114,8 +110,8 @@
     return first, next(other for other in running.listeners if other is not first)
 
 
-@pytest.mark.parametrize("asked, answer", [(b"PING\r\n", b"PONG\r\n"), (b"STATS\r\n", b"NO\r\n")])
-def test_readiness(one: RunningProxy, asked: bytes, answer: bytes) -> None:
+@pytest.mark.parametrize(("asked", "answer"), [(b"PING\r\n", b"PONG\r\n"), (b"STATS\r\n", b"NO\r\n")])
+def test_readiness_query_is_answered(one: RunningProxy, asked: bytes, answer: bytes) -> None:
     conn = one.client(asked)
     assert conn.line() == answer
     conn.send(b"PING\r\n")
@@ -124,13 +120,13 @@
     one.logged("reason=probed")
 
 
-def test_unknown_names_do_not_matter(one: RunningProxy) -> None:
+def test_unknown_names_are_accepted(one: RunningProxy) -> None:
     client = one.client(b"OPEN 1 2 c=feed,t=nobody,zz=9,h=1.5,d=1000\r\n")
     one.listeners[0].serve()
     assert client.line() == b"UP r1\r\n"
 
 
-def test_a_rejection_says_when_to_come_again(one: RunningProxy) -> None:
+def test_rejected_request_reports_retry_after(one: RunningProxy) -> None:
     # Given up by the module, so answered at once and long before the client's own 60 s.
     client = one.open(60000)
     for _ in range(4):
@@ -139,13 +135,13 @@
     one.logged("side=client reason=rejected")
 
 
-def test_a_silent_endpoint_costs_no_more_than_the_deadline(one: RunningProxy) -> None:
+def test_unresponsive_endpoint_costs_no_more_than_the_deadline(one: RunningProxy) -> None:
     client = one.open(300)
     one.listeners[0].accept()
     assert client.line() in (b"ERR\r\n", b"BUSY 1000\r\n", b"BUSY\r\n")
 
 
-def test_a_client_that_leaves_takes_its_attempt_along(one: RunningProxy) -> None:
+def test_client_that_leaves_ends_its_attempt(one: RunningProxy) -> None:
     client = one.open()
     endpoint = one.listeners[0].accept()
     endpoint.line()
@@ -154,7 +150,7 @@
     one.logged("side=client reason=withdrawn")
 
 
-def test_an_adopted_connection_goes_to_its_holder(tmp_path: Path) -> None:
+def test_adopted_connection_goes_to_the_endpoint_that_had_it(tmp_path: Path) -> None:
     with proxy(tmp_path, endpoints=2) as running:
         _, second = ranked(running)
         line = b"OPEN 1 7f3a9c21e0b4d655 c=feed,t=acme,d=4294967,at=%s\r\n" % second.uid.encode()
@@ -164,7 +160,7 @@
         assert client.line() == b"UP r1\r\n"
 
 
-def test_nothing_is_lost_on_a_client_that_reads_late(one: RunningProxy) -> None:
+def test_slow_reader_loses_no_lines(one: RunningProxy) -> None:
     # Reading on while a client does not would fill memory; dropping would lose lines.
     client, endpoint = one.standing()
     lines = 3000
@@ -178,7 +174,9 @@
 
 
 @pytest.mark.parametrize("unfinished", [b"", b"half a li"])
-def test_a_draining_endpoint_is_left_between_two_lines(tmp_path: Path, unfinished: bytes) -> None:
+def test_client_of_a_draining_endpoint_is_migrated_between_two_lines(
+    tmp_path: Path, unfinished: bytes
+) -> None:
     # The inherited module moved nobody: what stood on a draining endpoint was cut off when it stopped.
     with proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
@@ -197,7 +195,7 @@
         assert again.line() == b"UP r1\r\n"
 
 
-def test_an_endpoint_that_brings_nothing_back_is_left(one: RunningProxy) -> None:
+def test_client_of_an_unresponsive_endpoint_is_migrated(one: RunningProxy) -> None:
     # A machine that vanished sends no reset; only the missing reply tells.
     client, _endpoint = one.standing()
     client.send(b"M 1 x\r\n")
@@ -205,7 +203,7 @@
     one.logged("side=client reason=unresponsive")
 
 
-def test_a_planned_stop_answers_and_moves_everyone(tmp_path: Path) -> None:
+def test_graceful_shutdown_answers_and_migrates_everyone(tmp_path: Path) -> None:
     with proxy(tmp_path, endpoints=1) as running:
         standing = [running.standing() for _ in range(5)]
         waiting = running.open(60000)
@@ -220,7 +218,7 @@
         assert running.process.wait(WAIT) == 0
 
 
-def test_the_discovery_is_watched_and_missed(tmp_path: Path) -> None:
+def test_discovery_is_watched_on_after_failed_calls(tmp_path: Path) -> None:
     with proxy(tmp_path) as running:
         discovery = running.discovery
         assert discovery.calls.get(timeout=WAIT).startswith("/catalog/members?since=1&timeout_ms=")
@@ -234,7 +232,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer, says",
+    ("answer", "report"),
     [
         ({"rev": 2, "all": True, "targets": []}, "response-ignored .*an empty list"),
         ({"rev": 0, "all": True, "targets": [{}]}, "response-ignored .*version 0 after 1"),
@@ -246,20 +244,18 @@
         ([], "response-ignored .*no list"),
     ],
 )
-def test_one_bad_answer_of_the_discovery_empties_no_list(
-    one: RunningProxy, answer: object, says: str
-) -> None:
+def test_invalid_discovery_response_empties_no_list(one: RunningProxy, answer: object, report: str) -> None:
     # Taken at its word, it would have every connection moved and every new one refused.
     client, endpoint = one.standing()
     one.discovery.says(answer)
-    one.logged(says)
+    one.logged(report)
     endpoint.send(b"still\r\n")
     assert client.line() == b"still\r\n"
     one.standing()
 
 
 @pytest.mark.parametrize(
-    "text, says",
+    ("text", "report"),
     [
         (None, "cannot read"),
         ("{", "is not JSON"),
@@ -269,18 +265,19 @@
         (json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": {}}), "settings key"),
     ],
 )
-def test_a_bad_configuration_is_said_in_one_line(tmp_path: Path, text: str | None, says: str) -> None:
+def test_invalid_configuration_is_reported_in_one_line(tmp_path: Path, text: str | None, report: str) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
     process = launch(str(path))
     _, error = process.communicate(timeout=WAIT)
     assert process.returncode == 2
-    assert says in error and error.count("\n") == 1
+    assert report in error
+    assert error.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    "own, says",
+    ("own", "report"),
     [
         ("[channels", "is not TOML"),
         ("[channels]\nenabled = true\n", "'listen' is missing"),
@@ -289,18 +286,20 @@
         ('[[contract]]\nteam = "acme"\nrate_per_s = 0\n', "rate_per_s must be above 0"),
     ],
 )
-def test_a_bad_broker_file_is_said_in_one_line(
-    one: RunningProxy, tmp_path: Path, own: str, says: str
-) -> None:
+@pytest.mark.usefixtures("one")
+def test_invalid_broker_file_is_reported_in_one_line(tmp_path: Path, own: str, report: str) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(own)
     process = launch(str(tmp_path / "config.json"), str(path))
     _, error = process.communicate(timeout=WAIT)
     assert process.returncode == 2
-    assert says in error and error.count("\n") == 1
+    assert report in error
+    assert error.count("\n") == 1
 
 
-def test_an_address_in_use_is_said_in_one_line(one: RunningProxy, tmp_path: Path) -> None:
+@pytest.mark.usefixtures("one")
+def test_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     process = launch(str(tmp_path / "config.json"))
     _, error = process.communicate(timeout=WAIT)
-    assert process.returncode == 2 and error.count("\n") == 1
+    assert process.returncode == 2
+    assert error.count("\n") == 1
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -7,8 +7,8 @@
 import pytest
 from conftest import S, endpoint, entry, listed
 from proxy import Conn, RunningProxy, proxy, settings
-from test_platform import ranked
-from test_strangers import few
+from test_connections_without_a_request import few
+from test_line_protocol import ranked
 
 from linnetshift.broker.administrative_drains import AdministrativeDrains
 from linnetshift.routing.events import EndpointState, ListForm
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -17,7 +17,7 @@
 import pytest
 from conftest import MS, S
 from proxy import WAIT, Conn, Listener, RunningProxy, Terminal, free_port, proxy, settings
-from test_platform import ranked
+from test_line_protocol import ranked
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 ONCE = {"effect": "once"}
--- /dev/null
+++ b/tests/test_request_line.py
@@ -0,0 +1,77 @@
+"""Parsing a request line, and the line that its endpoint is sent."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+from typing import cast
+
+import pytest
+
+from linnetshift.config.names import UNKNOWN, NameRegistry
+from linnetshift.event_loop.connection_limits import MOST_WAIT_MS
+from linnetshift.event_loop.loop import MS
+from linnetshift.frontends.line_protocol import protocol
+from linnetshift.frontends.line_protocol.request_line import RequestLineError, parse_request_line
+from linnetshift.routing.events import RETRY, RETURNED
+
+NAMES = cast(NameRegistry, SimpleNamespace(classes={"feed": 3}, tenants={"acme": 5}))
+
+
+def test_all_fields_are_parsed() -> None:
+    parsed = parse_request_line(b"OPEN 1f 2A c=feed,t=acme,r=1,again=1,d=250,at=e7,g=9,h=1.5\r\n", NAMES)
+    assert (parsed.id, parsed.key, parsed.group) == (0x1F, 0x2A, 9)
+    assert (parsed.klass, parsed.tenant, parsed.flags) == (3, 5, RETRY | RETURNED)
+    assert (parsed.wait_ns, parsed.load_hint, parsed.adopted_endpoint) == (250 * MS, 1, b"e7")
+
+
+def test_absent_fields_have_defaults_and_unknown_ones_are_ignored() -> None:
+    parsed = parse_request_line(b"OPEN 1 2 c=feed,r=0,zz\r\n", NAMES)
+    assert (parsed.tenant, parsed.flags, parsed.group) == (UNKNOWN, 0, 0)
+    assert (parsed.wait_ns, parsed.load_hint, parsed.adopted_endpoint) == (0, 0, b"")
+
+
+@pytest.mark.parametrize(
+    ("line", "encoded"),
+    [
+        (b"OPEN 1F 2 c=feed,d=250,zz,t=\xff\r\n", b"OPEN 1F 2 c=feed,d=7,zz,t=\xff\r\n"),
+        (b"OPEN 1 2 t=acme,c=feed\r\n", b"OPEN 1 2 t=acme,c=feed\r\n"),
+    ],
+)
+def test_encoded_line_differs_in_the_deadline_alone(line: bytes, encoded: bytes) -> None:
+    assert parse_request_line(line, NAMES).encode(7) == encoded
+
+
+def test_only_an_adopted_connection_may_wait_longer_than_the_limit() -> None:
+    line = b"OPEN 1 2 c=feed,d=%d" % (MOST_WAIT_MS + 1)
+    with pytest.raises(RequestLineError, match=r"^endless deadline$"):
+        parse_request_line(line + b"\r\n", NAMES)
+    assert parse_request_line(line + b",at=e7\r\n", NAMES).wait_ns == MOST_WAIT_MS * MS
+
+
+@pytest.mark.parametrize(
+    ("line", "error"),
+    [
+        (b"OPEN 1 2 c=feed\n", "not an OPEN line"),
+        (b"OPEN 1 2 c=feed d=5\r\n", "not an OPEN line"),
+        (b"OPEN 1 2 c=feed,t=a\x7f\r\n", "control characters"),
+        (b"OPEN x 2 c=feed,c=feed\r\n", "a name twice"),
+        (b"OPEN x 2 c=other,d=0\r\n", "unknown class"),
+        (b"OPEN 1 2\r\n", "unknown class"),
+        (b"OPEN x 2 c=feed,d=0,h=x\r\n", "bad deadline"),
+        (b"OPEN 1 2 c=feed,d=0000000001\r\n", "bad deadline"),
+        (b"OPEN x 2 c=feed,h=x\r\n", "bad hexadecimal number"),
+        (b"OPEN 1 00000000000000002 c=feed\r\n", "bad hexadecimal number"),
+        (b"OPEN 1 2 c=feed,g=\r\n", "bad hexadecimal number"),
+        (b"OPEN 1 2 c=feed,h=9223372036854775808\r\n", "bad hint"),
+        (b"OPEN 1 2 c=feed,h=inf\r\n", "bad hint"),
+    ],
+)
+def test_error_names_the_first_fault_of_the_line(line: bytes, error: str) -> None:
+    # The text goes into the log: the order of the checks is visible there.
+    with pytest.raises(RequestLineError, match=f"^{error}$"):
+        parse_request_line(line, NAMES)
+
+
+@pytest.mark.parametrize(("retry_after_ms", "line"), [(0, b"BUSY\r\n"), (1000, b"BUSY 1000\r\n")])
+def test_rejection_names_a_time_only_where_there_is_one(retry_after_ms: int, line: bytes) -> None:
+    assert protocol.encode_busy(retry_after_ms) == line
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import MS, S, raw_settings
 from proxy import WAIT, DiscoveryServer, Kept, Listener, RunningProxy, inside, launch, proxy, world
-from test_platform import ranked
+from test_line_protocol import ranked
 
 from linnetshift.discovery.http_call import CONNECT_NS, Answer
 from linnetshift.discovery.watch import MOST_CALL_NS, MOST_PATIENCE, SOON_WAIT_MS, WatchTimeouts
