--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -27,7 +27,9 @@
 if TYPE_CHECKING:
     from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
 
-ANSWER_NS = 4 * MS  # answers leave this much before the client gives up
+# How long before the client gives up its answer is sent. The deadline counts from when the client sent the
+# line, which was before the loop saw it.
+ANSWER_NS = 4 * MS
 EARLY_INPUT = "talks on before its answer"
 LINE_TOO_LONG = "too long"
 
@@ -57,7 +59,7 @@
         self.retry_after_ms = 0
 
     def ready(self, mask: int) -> None:
-        """Be called by the loop when the socket is ready."""
+        """Post the epoll mask of the socket; the loop's callback."""
         self.post(Io(mask))
 
     def evict(self) -> None:
@@ -141,13 +143,12 @@
     def submit(self, request_line: RequestLine, arrived_ns: int) -> None:
         """Submit the request to the broker; raises `RequestLineError` where the protocol forbids it.
 
-        The deadline counts from when the client sent the line, which was before the loop saw it at
-        `arrived_ns`: ANSWER_NS leaves room for that.
+        `arrived_ns` is when the loop saw the line.
         """
         if self.stream.stop > self.stream.start:
             raise RequestLineError(EARLY_INPUT)
         if request_line.id in self.frontend.ids:
-            # Endpoints take it for a second copy of the other's request, and say ERR one after the other.
+            # An endpoint takes it for a copy of the other request and answers ERR; so would each retry's.
             raise RequestLineError("the id of an open invocation")
         self.id = request_line.id
         self.frontend.ids.add(request_line.id)
@@ -200,11 +201,11 @@
         if end is not None and not request.is_answered:
             is_retry_safe = self.broker.is_retry_safe(request)
             self.broker.handle_client_ended(request, end is End.RESET)
-            # Perhaps it ended only its sending, and still reads.
+            # The client may have ended only its sending side, and still read.
             self.stream.send(protocol.BUSY_LINE if is_retry_safe else protocol.ERROR_LINE)
             return Reason.WITHDRAWN
         if self.stream.stop > self.stream.start and not request.is_answered:
-            # Unread, it would hide that the client ended; an endpoint could not use it.
+            # Left unread, it would hide the end of the client's side; an endpoint could not use it.
             self.broker.handle_client_ended(request, False)
             return self.answer_bad_line(EARLY_INPUT)
         self.stream.want(end is None)
@@ -222,7 +223,7 @@
         self.stream.close(end)
 
     def _report(self, reason: Reason) -> None:
-        """Take this connection off the frontend's books and log its end."""
+        """Remove this connection from the frontend's sets and log its end."""
         self.frontend.clients.discard(self)
         self.frontend.connection_limiter.remove(self)
         if self.id is not None:
--- a/linnetshift/frontends/line_protocol/request_line.py
+++ b/linnetshift/frontends/line_protocol/request_line.py
@@ -55,7 +55,7 @@
     fields = [field.partition(b"=") for field in tokens[3].split(b",")] if len(tokens) == 4 else []
     values = {name: value for name, _, value in fields}
     if len(values) < len(fields):
-        raise RequestLineError("a name twice")  # endpoints may heed the other one
+        raise RequestLineError("a name twice")  # an endpoint may take the other one
     klass = names.classes.get(_decode(values.get(protocol.CLASS_FIELD, b"")))
     if klass is None:
         raise RequestLineError("unknown class")
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -18,7 +18,7 @@
 from linnetshift.observability import log
 
 BACKLOG = 1024  # connections that the kernel keeps for a listening socket
-MAX_ACCEPTS_PER_TURN = 64  # of the loop, so that a flood leaves time for established connections
+MAX_ACCEPTS_PER_WAKEUP = 64  # so that a flood leaves time for established connections
 # How long nothing is accepted while descriptors or buffers are short.
 ACCEPT_PAUSE_NS = 50 * MS
 DESCRIPTOR_SHORTAGE = frozenset({errno.EMFILE, errno.ENFILE})
@@ -83,7 +83,7 @@
             self.loop.watch(self.listener.fileno(), select.EPOLLIN, self._handle_readable)
 
     def _handle_readable(self, _mask: int) -> None:
-        self._accept(MAX_ACCEPTS_PER_TURN)
+        self._accept(MAX_ACCEPTS_PER_WAKEUP)
 
     def _accept(self, limit: int) -> None:
         """Accept what is in the queue, at most `limit` connections; pause when resources are short."""
--- a/tests/test_connections_without_a_request.py
+++ b/tests/test_connections_without_a_request.py
@@ -60,7 +60,7 @@
 
 
 def test_second_request_with_an_open_id_fails(one: RunningProxy) -> None:
-    # Sent on, endpoints called it a second copy one after the other, six attempts for each.
+    # Sent on, one endpoint after the other took it for a copy: six attempts for each.
     line = OPEN % (7, 2000)
     client = one.client(line)
     endpoint = one.listeners[0].serve()
@@ -119,7 +119,7 @@
 
 
 def test_unfinished_request_line_times_out(one: RunningProxy) -> None:
-    # Each half-open client would hold a descriptor for good.
+    # Each unfinished request would hold a descriptor for good.
     client = one.client(b"OPEN 9b1f03aa5c7e2d41 7f")
     assert client.line() == b"ERR\r\n"
     assert client.ended() == "fin"
@@ -128,14 +128,14 @@
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 def test_idle_connections_are_evicted_for_others(tmp_path: Path, frontend: str) -> None:
-    # Hundreds that say nothing used to take every descriptor, those to endpoints included.
+    # Hundreds of idle connections used to take every descriptor, those to endpoints included.
     with proxy(tmp_path, own=CHANNELS, before=few) as running:
         standing, endpoint = running.standing()
         port = running.extra_port if frontend == "channels" else running.port
         crowd = [running.client(port=port) for _ in range(60)]
         running.logged("reason=evicted")
         running.standing()
-        crowd[0].line()  # the longest silent one is told, or greeted
+        crowd[0].line()  # the longest idle one gets an answer, or a greeting
         assert crowd[0].ended() == "fin"
         endpoint.send(b"on\r\n")
         assert standing.line() == b"on\r\n"
@@ -152,7 +152,7 @@
 def test_slow_client_outlasts_idle_connections(
     tmp_path: Path, frontend: str, crowd: bytes, pieces: list[bytes]
 ) -> None:
-    # The longest waiting went first, which in a flood is whoever's line takes long.
+    # The oldest was evicted first, which in a flood is the client whose line takes long.
     with proxy(tmp_path, own=CHANNELS, before=few) as running:
         slow = running.client(port=running.extra_port if frontend == "channels" else running.port)
         for piece in pieces[:-1]:
@@ -189,13 +189,13 @@
 
 
 def test_accepting_pauses_without_descriptors(tmp_path: Path) -> None:
-    # Accepting again at once would spin; dying would lose every connection that stands.
+    # Accepting again at once would spin; ending would lose every established connection.
     with proxy(tmp_path, before=few) as running:
         crowd = [running.open(60000) for _ in range(60)]
         running.logged("event=accept-paused")
         for conn in crowd:
             conn.close()
-        # Attempts that were out may have been sent; nothing is for those that had left before.
+        # Attempts under way may have been sent; none is made for clients that had left before.
         last = running.client(b"OPEN 77 2 c=feed,t=acme,d=20000\r\n")
         attempt = running.listeners[0].accept()
         while not attempt.line().startswith(b"OPEN 77 "):
--- a/tests/test_line_protocol.py
+++ b/tests/test_line_protocol.py
@@ -127,7 +127,7 @@
 
 
 def test_rejected_request_reports_retry_after(one: RunningProxy) -> None:
-    # Given up by the module, so answered at once and long before the client's own 60 s.
+    # The decision comes at once, long before the client's own 60 s.
     client = one.open(60000)
     for _ in range(4):
         answer(one.listeners[0], b"BUSY\r\n", "fin")
@@ -177,7 +177,7 @@
 def test_client_of_a_draining_endpoint_is_migrated_between_two_lines(
     tmp_path: Path, unfinished: bytes
 ) -> None:
-    # The inherited module moved nobody: what stood on a draining endpoint was cut off when it stopped.
+    # An earlier version migrated nothing: connections to a draining endpoint were cut off when it stopped.
     with proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         client = running.open()
@@ -245,7 +245,7 @@
     ],
 )
 def test_invalid_discovery_response_empties_no_list(one: RunningProxy, answer: object, report: str) -> None:
-    # Taken at its word, it would have every connection moved and every new one refused.
+    # Applied as it is, it would migrate every connection and reject every new request.
     client, endpoint = one.standing()
     one.discovery.says(answer)
     one.logged(report)
