--- a/linnetshift/broker/administrative_drains.py
+++ b/linnetshift/broker/administrative_drains.py
@@ -73,7 +73,7 @@
         if entry.endpoint in self.since and entry.state == EndpointState.READY:
             entry = entry._replace(state=EndpointState.DRAINING)
         if entry.endpoint in self.since:
-            entry = entry._replace(leave_ns=LEAVE_NS)
+            entry = entry._replace(drain_within_ns=LEAVE_NS)
         return entry
 
     def trim(self) -> list[bytes]:
--- a/linnetshift/broker/deployment_facts.py
+++ b/linnetshift/broker/deployment_facts.py
@@ -34,7 +34,9 @@
     def listed(self, entries: Collection[EndpointEntry], whole: bool, now: int) -> None:
         """A list, or its changes; one that operators took out (it has a time to leave) says nothing."""
         told = {entry.endpoint for entry in entries}
-        draining = {e.endpoint for e in entries if e.state == EndpointState.DRAINING and not e.leave_ns}
+        draining = {
+            e.endpoint for e in entries if e.state == EndpointState.DRAINING and not e.drain_within_ns
+        }
         self.drains = {
             endpoint: at
             for endpoint, at in self.drains.items()
--- a/linnetshift/config/names.py
+++ b/linnetshift/config/names.py
@@ -17,7 +17,7 @@
     def __init__(
         self, settings: dict[str, object], known: Settings, former: NameRegistry | None = None
     ) -> None:
-        self.classes = {known.classes[number].name: number for number in known.numbers}
+        self.classes = {known.classes[number].name: number for number in known.offered_numbers}
         before: tuple[dict[str, int], ...] = former.lists() if former is not None else ({}, {}, {})
         self.tenants, self.zones, self.kinds = (
             self._places(settings.get(key), places)
--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -67,7 +67,7 @@
         listen, discovery = parse_address(str(raw["listen"])), parse_address(str(raw["discovery"]))
         settings = Settings.parse(raw["settings"])
         if former is not None:
-            settings = settings.following(former.settings, in_use)
+            settings = settings.numbered_after(former.settings, in_use)
         names = NameRegistry(raw["settings"], settings, former.names if former is not None else None)
         zones = names.told(raw["settings"].get("zones"))
         if 0 <= settings.zone < len(zones):
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -313,7 +313,9 @@
         self.config, self.own = config, own
         dropped = self.names.follow(config.names)
         self.broker.configure(config.settings, own.contracts)
-        self.loop.call_later(DROPPED_NS, lambda: self.names.forget(dropped, self.config.settings.numbers))
+        self.loop.call_later(
+            DROPPED_NS, lambda: self.names.forget(dropped, self.config.settings.offered_numbers)
+        )
         if config.known.event.version > self.discovery.version:
             self.listed(config.known)
         self.discovery.relocate(config.discovery, WatchTimeouts.of(config.settings))
@@ -339,7 +341,7 @@
             else "none",
             attempts=min(c.max_attempts for c in settings.offered),
             aim_ms=min(c.latency_objective_ns for c in settings.offered) // MS,
-            cold_from=settings.cold_from,
+            cold_from=settings.initial_capacity_share,
             warm_ms=settings.warm_up_ns // MS,
         )
 
--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -114,7 +114,7 @@
     state: int = EndpointState.READY
     weight: float = 1.0
     started: int = 0
-    leave_ns: int = 0  # how soon after word that it drains it may stop, where that is known
+    drain_within_ns: int = 0  # how soon after word that it drains it may stop, where that is known
     told: int = 0  # when this node learned that it drains or is gone
     open: int = 0  # this node's attempts and connections there
     standing: dict[int, PendingRequest] = field(default_factory=dict)  # the connections among them
@@ -205,7 +205,7 @@
         columns = settings.report_columns
         self.load_column = columns.index("x0") if settings.may_health_check and "x0" in columns else -1
         self.held_column = columns.index("outstanding") if "outstanding" in columns else -1
-        self.tip_ns = settings.tip_after_ns or settings.warm_up_ns
+        self.tip_ns = settings.overload_window_ns or settings.warm_up_ns
         self.tick_ns = min(c.latency_objective_ns for c in settings.offered) // 8
         self.message_latency_objective = min(c.message_latency_objective_ns for c in settings.offered)
 
@@ -279,7 +279,11 @@
 
     def update(self, endpoint: Endpoint, entry: EndpointEntry) -> None:
         endpoint.zone, endpoint.cell, endpoint.kind = entry.zone, entry.cell, entry.kind
-        endpoint.state, endpoint.started, endpoint.leave_ns = entry.state, entry.started_ns, entry.leave_ns
+        endpoint.state, endpoint.started, endpoint.drain_within_ns = (
+            entry.state,
+            entry.started_ns,
+            entry.drain_within_ns,
+        )
         endpoint.weight = (
             entry.weight if 0.0 < entry.weight < 1e9 else 1.0
         )  # NaN and absurd figures count as 1
@@ -538,7 +542,7 @@
     def leave_hung(self) -> None:
         for endpoint in list(self.hung.values()):
             ready = endpoint.state == EndpointState.READY
-            left = max(1, (endpoint.told + (endpoint.leave_ns or LEAVE_NS) - self.now) // self.tick_ns)
+            left = max(1, (endpoint.told + (endpoint.drain_within_ns or LEAVE_NS) - self.now) // self.tick_ns)
             count = int(len(endpoint.standing) * (HUNG_SHARE if ready else 1.0 / left) + self.random.random())
             for pending in list(endpoint.standing.values())[:count]:
                 if self.better_endpoint(pending, endpoint, not ready and left <= LAST_TICKS) is not None:
--- a/linnetshift/routing/events.py
+++ b/linnetshift/routing/events.py
@@ -60,7 +60,7 @@
     state: int
     weight: float
     started_ns: int
-    leave_ns: int = 0  # while it drains: how soon its connections must be gone, where that is known
+    drain_within_ns: int = 0  # while it drains: how soon its connections must be gone, where that is known
 
 
 class EndpointList(NamedTuple):
--- a/linnetshift/routing/settings.py
+++ b/linnetshift/routing/settings.py
@@ -84,16 +84,16 @@
     balancers: int
     zone: int
     classes: tuple[RequestClass, ...]
-    numbers: tuple[int, ...]  # of the classes that are offered
+    offered_numbers: tuple[int, ...]  # of the classes that are offered
     tenants: tuple[Tenant, ...]
     must_poll: bool
     must_poll_within_ns: int
     answer_slack_ns: int
     drain_grace_ns: int
-    cold_from: float
+    initial_capacity_share: float
     warm_up_ns: int
-    fall_multiple: float
-    tip_after_ns: int
+    overload_multiple: float
+    overload_window_ns: int
     connect_timeout_ns: int
     parallel_attempts: bool
     may_health_check: bool
@@ -163,16 +163,16 @@
             balancers=max(1, _get(raw, "balancers", int)),
             zone=_get(raw, "zone", int),
             classes=classes,
-            numbers=tuple(range(len(classes))),
+            offered_numbers=tuple(range(len(classes))),
             tenants=tenants,
             must_poll=_word(raw, "discovery", {"push": False, "ask": True}),
             must_poll_within_ns=int(_optional(rules.get("mustAskInNs"), 10_000_000_000)),
             answer_slack_ns=_get(rules, "answerSlackNs", int, "rules."),
             drain_grace_ns=_get(rules, "drainGraceNs", int, "rules."),
-            cold_from=_get(rules, "coldFrom", float, "rules."),
+            initial_capacity_share=_get(rules, "coldFrom", float, "rules."),
             warm_up_ns=_get(rules, "warmUpNs", int, "rules."),
-            fall_multiple=_get(rules, "fallMultiple", float, "rules."),
-            tip_after_ns=_get(rules, "tipAfterNs", int, "rules."),
+            overload_multiple=_get(rules, "fallMultiple", float, "rules."),
+            overload_window_ns=_get(rules, "tipAfterNs", int, "rules."),
             connect_timeout_ns=_positive(allowed, "connectTimeoutNs", "allowed."),
             parallel_attempts=_get(allowed, "parallelTries", bool, "allowed."),
             may_health_check=_get(allowed, "probing", bool, "allowed."),
@@ -197,9 +197,9 @@
 
     @property
     def offered(self) -> list[RequestClass]:
-        return [self.classes[number] for number in self.numbers]
+        return [self.classes[number] for number in self.offered_numbers]
 
-    def following(self, former: Settings, in_use: Collection[int] | None = None) -> Settings:
+    def numbered_after(self, former: Settings, in_use: Collection[int] | None = None) -> Settings:
         """With the numbers that classes had before; one whose rules are new gets a number of its own.
 
         A number that is neither offered any more nor `in_use` (None: all are) is given anew, or each reload
@@ -220,7 +220,7 @@
                 classes.append(klass)
             kept.add(number)
         numbers = tuple(classes.index(klass) for klass in self.classes)
-        return replace(self, classes=tuple(classes), numbers=numbers)
+        return replace(self, classes=tuple(classes), offered_numbers=numbers)
 
 
 def _bad(key: str) -> Any:
--- a/linnetshift/routing/slow_start.py
+++ b/linnetshift/routing/slow_start.py
@@ -91,8 +91,8 @@
     over.
     """
     fill = (max(standing, told) if told else standing / LOADED) * 1e9 / settings.warm_up_ns
-    least = endpoints * 1e9 / (settings.tip_after_ns or settings.warm_up_ns) / settings.balancers
-    return SAFETY * max(max(fresh, fill) * settings.fall_multiple, least)
+    least = endpoints * 1e9 / (settings.overload_window_ns or settings.warm_up_ns) / settings.balancers
+    return SAFETY * max(max(fresh, fill) * settings.overload_multiple, least)
 
 
 def warmth(settings: Settings, started: int, now: int) -> float:
@@ -100,4 +100,8 @@
     up.
     """
     age = (now - started) / settings.warm_up_ns if started else 1.0
-    return 1.0 if age >= 1.0 else settings.cold_from + (1.0 - settings.cold_from) * max(age, 0.0)
+    return (
+        1.0
+        if age >= 1.0
+        else settings.initial_capacity_share + (1.0 - settings.initial_capacity_share) * max(age, 0.0)
+    )
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -106,8 +106,8 @@
     settings = rules(1000, 2000)
     held = settings.classes[1]
     for aim in range(3000, 3050):
-        settings = rules(1000, aim).following(settings, {1, *settings.numbers})
-        assert settings.offered[1].latency_objective_ns == aim and settings.numbers[0] == 0
+        settings = rules(1000, aim).numbered_after(settings, {1, *settings.offered_numbers})
+        assert settings.offered[1].latency_objective_ns == aim and settings.offered_numbers[0] == 0
         assert settings.classes[1] == held
     assert len(settings.classes) <= 4
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -46,7 +46,7 @@
 def test_all_are_gone_before_one_that_was_taken_out_stops() -> None:
     # A share of what was left, at each tick, left the last ones to be cut off two seconds later.
     node = full_endpoint()
-    out = entry(0, state=EndpointState.DRAINING, leave_ns=LEAVE_NS)
+    out = entry(0, state=EndpointState.DRAINING, drain_within_ns=LEAVE_NS)
     node.step(1 * S, [listed(out, form=ListForm.DELTA)])
     paced = moves(node, int(LEAVE_NS / (50 * MS)) + 1)
     assert sum(paced) == STANDING and max(paced) <= 4
--- a/tests/test_kinds_of_site.py
+++ b/tests/test_kinds_of_site.py
@@ -139,7 +139,7 @@
     # A process that took over while all endpoints were cold earned no token: it held each request to its end.
     node = balancer(0, balancers=nodes, rules={"warmUpNs": 10_000 * S})
     node.step(2 * S, [listed(entry(1, started_ns=2 * S))])
-    cold, tip, served = node.endpoints[endpoint(1)], node.settings.tip_after_ns, 0
+    cold, tip, served = node.endpoints[endpoint(1)], node.settings.overload_window_ns, 0
     for turn in range(1, 80 * nodes + 1):
         actions = node.step(2 * S + turn * tip + turn, [request(turn, budget_ns=S)])
         served += len(only(actions, Send))
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -21,7 +21,7 @@
         ([GOES], False, [endpoint(1)], 2 * S, [("drain", "serves-on")]),
         ([GOES], False, [endpoint(1)], S // 2, []),  # it may be sending them away at this moment
         ([GOES], False, [endpoint(2)], 2 * S, []),
-        ([GOES._replace(leave_ns=S)], False, [endpoint(1)], 2 * S, []),  # operators took it out
+        ([GOES._replace(drain_within_ns=S)], False, [endpoint(1)], 2 * S, []),  # operators took it out
     ],
 )
 def test_a_drain_is_judged_by_what_still_stands(
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -67,10 +67,10 @@
 
 def test_a_number_never_changes_its_meaning() -> None:
     first = Settings.parse(raw_settings())
-    second = Settings.parse(raw_settings(**service(effect="once"))).following(first)
-    third = Settings.parse(raw_settings()).following(second)
-    fewer = Settings.parse(raw_settings(allowed={"maxAttempts": 2})).following(third)
-    assert [s.numbers for s in (first, second, third, fewer)] == [(0,), (1,), (0,), (2,)]
+    second = Settings.parse(raw_settings(**service(effect="once"))).numbered_after(first)
+    third = Settings.parse(raw_settings()).numbered_after(second)
+    fewer = Settings.parse(raw_settings(allowed={"maxAttempts": 2})).numbered_after(third)
+    assert [s.offered_numbers for s in (first, second, third, fewer)] == [(0,), (1,), (0,), (2,)]
     assert fewer.classes[:2] == second.classes
     assert [klass.max_attempts for klass in fewer.classes] == [4, 4, 2]
     more = Settings.parse(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -73,7 +73,9 @@
 
     def warmth(self, where: bytes) -> float:
         age = (self.now - self.started.get(where, -(10**12))) / self.settings.warm_up_ns
-        return min(1.0, self.settings.cold_from + (1 - self.settings.cold_from) * age)
+        return min(
+            1.0, self.settings.initial_capacity_share + (1 - self.settings.initial_capacity_share) * age
+        )
 
     def check_cold(self, where: bytes) -> None:
         """Rule 4 as one node can keep it: its sends in any window, as if every node sent as many.
@@ -85,12 +87,12 @@
         self.least_total = min(self.least_total, total)
         if self.warmth(where) >= 1.0:
             return
-        window, warm_up = self.settings.tip_after_ns, self.settings.warm_up_ns
+        window, warm_up = self.settings.overload_window_ns, self.settings.warm_up_ns
         sends = self.cold_sends.setdefault(where, [])
         sends.append(self.now)
         recent = sum(self.now - at < window for at in sends)
         takes = max(self.most_standing / (warm_up / S), self.first_stands / 10) / self.least_total
-        assert recent <= 2 + self.settings.fall_multiple * takes * window / S
+        assert recent <= 2 + self.settings.overload_multiple * takes * window / S
 
     def call_later(self, delay: int, event: Event) -> None:
         self.order += 1
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -98,8 +98,8 @@
 
     def allowed(age: float) -> float:
         """Connections in a window; what stands over the endpoints is the least that fills a warm one."""
-        warmth = min(1.0, rules.cold_from + (1 - rules.cold_from) * age / warm)
-        return rules.fall_multiple * standing / endpoints / warm * warmth * window
+        warmth = min(1.0, rules.initial_capacity_share + (1 - rules.initial_capacity_share) * age / warm)
+        return rules.overload_multiple * standing / endpoints / warm * warmth * window
 
     worst = sent = 0.0
     for cold in range(8):
