--- a/linnetshift/routing/settings.py
+++ b/linnetshift/routing/settings.py
@@ -1,4 +1,8 @@
-"""Settings of a routing instance: request classes, tenants, rules and what is allowed."""
+"""Settings of a routing instance: request classes, tenants, rules and what the site allows.
+
+They arrive as one JSON object when an instance starts, and again when they change. Keys, units and meanings
+are those of "Read your settings" in the simulator's wire protocol; times are whole nanoseconds.
+"""
 
 from __future__ import annotations
 
@@ -6,43 +10,73 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, replace
 from enum import IntEnum
-from typing import Any
+from typing import Any, NamedTuple
 
-type_name = {int: "a whole number", float: "a number", bool: "true or false", str: "a text", list: "a list"}
+from linnetshift.routing.settings_reader import SettingsError, SettingsReader, number_or
+
+CROSS_ZONE_COST_SCALE = 0.056
+"""The price of crossing data centres at which an endpoint of another one has 1/e of its weight.
+
+Measured once, where a crossing costs 0.13 of a request: a tenth of the weight served best there.
+"""
+
+DEFAULT_MUST_POLL_WITHIN_NS = 10_000_000_000
+"""How long a polling instance may go without polling where the site does not say; most sites have this."""
+
+WEIGHT_SOURCES_WITHOUT_SIZE = ("silent", "live")
+"""Values of `weightSource` with which a listed weight is not the endpoint's size in standard cores."""
 
 
 class Effect(IntEnum):
-    """What a second run of a request of a class would do."""
+    """What a second execution of a request of a class would do."""
 
     IDEMPOTENT = 0
+    """No further effect, whenever and wherever it runs."""
     IDEMPOTENT_BY_KEY = 1
+    """No further effect within the idempotency window, on endpoints of the same `Scope`."""
     NOT_IDEMPOTENT = 2
+    """A second effect: it may be sent again only after proof that it never ran."""
+
+
+EFFECTS: Mapping[str, Effect] = {
+    "repeatable": Effect.IDEMPOTENT,
+    "by_key": Effect.IDEMPOTENT_BY_KEY,
+    "once": Effect.NOT_IDEMPOTENT,
+}
+"""The effects under their values of `services[].effect`."""
 
 
 class Scope(IntEnum):
-    """Which endpoints discard a keyed request's repeats together."""
+    """Which endpoints discard the repeats of a request with an idempotency key together.
+
+    The names, in lower case, are the values of `services[].group`.
+    """
 
     ALL = 0
     ZONE = 1
     CELL = 2
 
 
-# ---- settings ----------------------------------------------------------------------------------
-
-
-class SettingsError(ValueError):
-    """A required setting is missing or has the wrong type; the text names its key."""
-
-
-CROSS_ZONE_COST_SCALE = 0.056
-"""The price of crossing data centres at which an endpoint of another one has 1/e of its weight.
-
-Measured once, where a crossing costs 0.13 of a request: a tenth of the weight served best there.
-"""
+DISCOVERY_MUST_POLL: Mapping[str, bool] = {"push": False, "ask": True}
+"""Whether an instance has to poll for the list, under the values of `discovery`."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """The rules of one class of requests (`services[]`).
+
+    Attributes:
+        name: What configuration files and log lines call it.
+        latency_objective_ns: The answer earns its full worth within this time.
+        deadline_ns: How long a client waits in all, over all its attempts.
+        message_latency_objective_ns: How long a message may take on an established connection.
+        effect: What a second execution would do.
+        scope: Where repeats are discarded; matters with `Effect.IDEMPOTENT_BY_KEY` only.
+        idempotency_window_ns: And for how long, from the send of the first attempt that may have executed.
+        priority_weight: Worth of a request, relative to other classes.
+        max_attempts: Attempts that may be made for one request.
+    """
+
     name: str
     latency_objective_ns: int
     deadline_ns: int
@@ -54,19 +88,31 @@
     max_attempts: int
 
     def may_retry(self, first_ns: int, at_ns: int) -> bool:
-        """Whether one more run then has no further effect; `first_ns`: when what may have run was sent."""
+        """Whether an execution at `at_ns` has no further effect.
+
+        `first_ns` is when the first attempt that may have executed was sent, on the same clock. Whether the
+        endpoint lies in the `scope` is for the caller to check.
+        """
         if self.effect == Effect.IDEMPOTENT_BY_KEY:
             return at_ns < first_ns + self.idempotency_window_ns
         return self.effect == Effect.IDEMPOTENT
 
     def client_may_retry(self, first_ns: int, at_ns: int) -> bool:
-        """Whether it is harmless to come again until then, wherever the client comes."""
-        everywhere = self.effect == Effect.IDEMPOTENT or self.scope == Scope.ALL
-        return everywhere and self.may_retry(first_ns, at_ns)
+        """Whether a client may retry until `at_ns` without further effect, whichever proxy it reaches."""
+        is_safe_on_every_endpoint = self.effect == Effect.IDEMPOTENT or self.scope == Scope.ALL
+        return is_safe_on_every_endpoint and self.may_retry(first_ns, at_ns)
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """One tenant (`tenants[]`).
+
+    Attributes:
+        name: What configuration files and log lines call it.
+        fraction: Its share of the service, 0 to 1.
+        quota_connections: Open connections that it may have over all proxies; 0.0 where the site sets none.
+    """
+
     name: str
     fraction: float
     quota_connections: float
@@ -74,17 +120,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a node is told at its start, and again when the settings change.
+    """What an instance is given at its start, and again when the settings change.
 
-    A class's number is its place in `classes` and stands for its rules for good: those that are no longer
+    A class's number is its place in `classes` and stands for its rules for good: classes that are no longer
     offered keep theirs, for the requests that began with them.
+
+    Attributes:
+        node: Number of this instance, from 0.
+        balancers: Number of instances, at least 1.
+        zone: Zone of this instance.
+        classes: All classes that a request in progress may have.
+        offered_numbers: Numbers of the classes that new requests may have, in the order of the settings.
+        tenants: Tenants by number; none at some sites.
+        must_poll: Whether list changes come only to instances that asked for them.
+        must_poll_within_ns: After this long without a poll, what was listed then counts as known.
+        answer_slack_ns: A final answer is in time until this long after the client's deadline.
+        drain_grace_ns: An endpoint may get attempts until this long after notice that it drains or is gone.
+        initial_capacity_share: Share of its capacity that an endpoint has at its start, 0 to 1.
+        warm_up_ns: Age at which it has all of it.
+        overload_multiple: An endpoint that warms up fails when sent more than this multiple of its capacity
+        overload_window_ns: over this time; 0 where a site has no such rule.
+        connect_timeout_ns: After this a connection attempt has failed.
+        parallel_attempts: Whether a request may have two attempts in flight.
+        may_health_check: Whether `HealthCheck` may be used.
+        may_message_peers: Whether `SendPeerMessage` may be used.
+        may_cancel: Whether `Cancel` may be used.
+        max_retry_after_ns: Longest retry-after that clients obey; 0 where they get none.
+        weights_are_sizes: Whether weights are sizes in standard cores; live ones fall under load.
+        pass_through: Whether packets of a connection may arrive at another proxy than the one that placed it.
+        over_share_weight: Worth of a request beyond its tenant's share, as a fraction of its class's.
+        report_columns: Names of the values of a load report, in order.
+        reports_message_time: Whether notes of message times are sent.
+        step_ns: Shortest time between two batches of events.
+        cross_zone_cost: Price of an attempt that crosses zones, in requests; 0.0 where it is free.
     """
 
     node: int
     balancers: int
     zone: int
     classes: tuple[RequestClass, ...]
-    offered_numbers: tuple[int, ...]  # of the classes that are offered
+    offered_numbers: tuple[int, ...]
     tenants: tuple[Tenant, ...]
     must_poll: bool
     must_poll_within_ns: int
@@ -100,94 +175,52 @@
     may_message_peers: bool
     may_cancel: bool
     max_retry_after_ns: int
-    weights_are_sizes: bool  # in standard cores; live ones fall with what an endpoint holds
+    weights_are_sizes: bool
     pass_through: bool
     over_share_weight: float
     report_columns: tuple[str, ...]
     reports_message_time: bool
     step_ns: int
-    cross_zone_cost: float  # what crossing data centres costs; 0 where it costs nothing
+    cross_zone_cost: float
 
     @classmethod
     def parse(cls, raw: Mapping[str, Any]) -> Settings:
-        """Read the settings object; unknown keys are skipped."""
-        rules, allowed = _get(raw, "rules", dict), _get(raw, "allowed", dict)
-        family = raw.get("familyInfo") or {}
-        aims = family.get("messageAimNs") or []
-        shortest = int(min((_optional(aim, 0) for aim in aims), default=0))
-        quotas = family.get("tenantQuotaConnections") or []
-        max_attempts = _positive(allowed, "maxAttempts", "allowed.")
-        classes = tuple(
-            RequestClass(
-                name=str(c.get("name", i)),
-                latency_objective_ns=_positive(c, "aimNs", f"services[{i}]."),
-                deadline_ns=_positive(c, "hardLimitNs", f"services[{i}]."),
-                # One added without an aim of its own shares the shortest; where none is told, that of the
-                # set-up serves: at 0 every endpoint is slow.
-                message_latency_objective_ns=(int(_optional(aims[i], 0)) if i < len(aims) else shortest)
-                or int(c["aimNs"]),
-                effect=_word(
-                    c,
-                    "effect",
-                    {
-                        "repeatable": Effect.IDEMPOTENT,
-                        "by_key": Effect.IDEMPOTENT_BY_KEY,
-                        "once": Effect.NOT_IDEMPOTENT,
-                    },
-                    f"services[{i}].",
-                ),
-                scope=Scope[str(c.get("group", "all")).upper()]
-                if str(c.get("group", "all")).upper() in Scope.__members__
-                else _bad(f"services[{i}].group"),
-                idempotency_window_ns=int(_optional(c.get("windowNs"), 0)),
-                priority_weight=_optional(c.get("worth"), 1.0),
-                max_attempts=max_attempts,
-            )
-            for i, c in enumerate(_get(raw, "services", list))
-        )
-        if len({c.name for c in classes}) < len(classes):
-            raise SettingsError("settings key 'services' names a class twice")
-        if not classes:
-            raise SettingsError("settings key 'services' must name at least one class")
-        tenants = tuple(
-            Tenant(
-                name=str(t.get("name", i)),
-                fraction=_optional(t.get("fraction"), 0.0),
-                quota_connections=_optional(quotas[i], 0.0) if i < len(quotas) else 0.0,
-            )
-            for i, t in enumerate(raw.get("tenants") or [])
-        )
-        report = raw.get("report") or {}
+        """Read the settings object, skipping unknown keys; `SettingsError` names the path of a bad value."""
+        reader = SettingsReader(raw)
+        rules = reader.required_object("rules")
+        allowed = reader.required_object("allowed")
+        family = reader.optional_object("familyInfo")
+        classes = _read_classes(reader, allowed, family)
+        tenants = _read_tenants(reader, family)
+        report = reader.optional_object("report")
         return cls(
-            node=_get(raw, "myNumber", int),
-            balancers=max(1, _get(raw, "balancers", int)),
-            zone=_get(raw, "zone", int),
+            node=reader.required_int("myNumber"),
+            balancers=max(1, reader.required_int("balancers")),
+            zone=reader.required_int("zone"),
             classes=classes,
             offered_numbers=tuple(range(len(classes))),
             tenants=tenants,
-            must_poll=_word(raw, "discovery", {"push": False, "ask": True}),
-            must_poll_within_ns=int(_optional(rules.get("mustAskInNs"), 10_000_000_000)),
-            answer_slack_ns=_get(rules, "answerSlackNs", int, "rules."),
-            drain_grace_ns=_get(rules, "drainGraceNs", int, "rules."),
-            initial_capacity_share=_get(rules, "coldFrom", float, "rules."),
-            warm_up_ns=_get(rules, "warmUpNs", int, "rules."),
-            overload_multiple=_get(rules, "fallMultiple", float, "rules."),
-            overload_window_ns=_get(rules, "tipAfterNs", int, "rules."),
-            connect_timeout_ns=_positive(allowed, "connectTimeoutNs", "allowed."),
-            parallel_attempts=_get(allowed, "parallelTries", bool, "allowed."),
-            may_health_check=_get(allowed, "probing", bool, "allowed."),
-            may_message_peers=_get(allowed, "peerMessages", bool, "allowed."),
-            may_cancel=_get(allowed, "mayCancel", bool, "allowed."),
-            max_retry_after_ns=int(_optional(allowed.get("maxRetryAfterNs"), 0))
-            if allowed.get("retryAfter")
-            else 0,
-            weights_are_sizes=raw.get("weightSource") not in ("silent", "live"),
-            pass_through=family.get("mode") == "pass",
-            over_share_weight=_optional(raw.get("overShareWorth"), 1.0),
-            report_columns=tuple(str(c) for c in report.get("columns") or []),
-            reports_message_time=bool(family.get("tellsDelay", False)),
-            step_ns=int(_optional(raw.get("stepNs"), 0)),
-            cross_zone_cost=_optional((raw.get("fees") or {}).get("crossZone"), 0.0),
+            must_poll=reader.required_choice("discovery", DISCOVERY_MUST_POLL),
+            must_poll_within_ns=int(rules.optional_number("mustAskInNs", DEFAULT_MUST_POLL_WITHIN_NS)),
+            answer_slack_ns=rules.required_int("answerSlackNs"),
+            drain_grace_ns=rules.required_int("drainGraceNs"),
+            initial_capacity_share=rules.required_float("coldFrom"),
+            warm_up_ns=rules.required_int("warmUpNs"),
+            overload_multiple=rules.required_float("fallMultiple"),
+            overload_window_ns=rules.required_int("tipAfterNs"),
+            connect_timeout_ns=allowed.positive_int("connectTimeoutNs"),
+            parallel_attempts=allowed.required_bool("parallelTries"),
+            may_health_check=allowed.required_bool("probing"),
+            may_message_peers=allowed.required_bool("peerMessages"),
+            may_cancel=allowed.required_bool("mayCancel"),
+            max_retry_after_ns=_read_max_retry_after_ns(allowed),
+            weights_are_sizes=raw.get("weightSource") not in WEIGHT_SOURCES_WITHOUT_SIZE,
+            pass_through=family.values.get("mode") == "pass",
+            over_share_weight=reader.optional_number("overShareWorth", 1.0),
+            report_columns=tuple(str(name) for name in report.optional_list("columns")),
+            reports_message_time=bool(family.values.get("tellsDelay", False)),
+            step_ns=int(reader.optional_number("stepNs", 0)),
+            cross_zone_cost=reader.optional_object("fees").optional_number("crossZone", 0.0),
         )
 
     @property
@@ -197,59 +230,113 @@
 
     @property
     def offered(self) -> list[RequestClass]:
+        """The classes that new requests may have, in the order of the settings."""
         return [self.classes[number] for number in self.offered_numbers]
 
     def numbered_after(self, former: Settings, in_use: Collection[int] | None = None) -> Settings:
-        """With the numbers that classes had before; one whose rules are new gets a number of its own.
+        """Return these settings with the class numbers of `former`, which they replace.
 
-        A number that is neither offered any more nor `in_use` (None: all are) is given anew, or each reload
-        with other rules would leave a class behind for good.
+        A class whose rules are new gets a number of its own. Numbers neither offered any more nor `in_use`
+        (None: all are) are given anew, or each reload with other rules would leave a class behind for good.
         """
         classes = list(former.classes)
-        kept = {classes.index(klass) for klass in self.classes if klass in classes}
+        kept = {classes.index(offered) for offered in self.classes if offered in classes}
         used = range(len(classes)) if in_use is None else in_use
-        free = [n for n in range(len(classes)) if n not in kept and n not in used]
-        for klass in self.classes:
-            if klass in (classes[n] for n in kept):
+        free = [number for number in range(len(classes)) if number not in kept and number not in used]
+        for offered in self.classes:
+            if offered in (classes[number] for number in kept):
                 continue
             if free:
                 number = free.pop(0)
-                classes[number] = klass
+                classes[number] = offered
             else:
                 number = len(classes)
-                classes.append(klass)
+                classes.append(offered)
             kept.add(number)
-        numbers = tuple(classes.index(klass) for klass in self.classes)
+        numbers = tuple(classes.index(offered) for offered in self.classes)
         return replace(self, classes=tuple(classes), offered_numbers=numbers)
 
 
-def _bad(key: str) -> Any:
-    raise SettingsError(f"settings key '{key}' has a value this version does not know")
-
-
-def _get(raw: Mapping[str, Any], key: str, kind: type, path: str = "") -> Any:
-    if key not in raw:
-        raise SettingsError(f"settings key '{path}{key}' is missing")
-    value = raw[key]
-    if kind is float and type(value) is int:
-        value = float(value)
-    if type(value) is not kind:
-        raise SettingsError(f"settings key '{path}{key}' must be {type_name.get(kind, 'an object')}")
-    return value
-
-
-def _positive(raw: Mapping[str, Any], key: str, path: str) -> int:
-    value: int = _get(raw, key, int, path)
-    if value <= 0:
-        raise SettingsError(f"settings key '{path}{key}' must be above 0")
-    return value
-
-
-def _optional(value: Any, default: float) -> float:
-    """A number that some sites leave out, or send as null."""
-    return float(value) if isinstance(value, int | float) else default
-
-
-def _word(raw: Mapping[str, Any], key: str, words: Mapping[str, Any], path: str = "") -> Any:
-    value = _get(raw, key, str, path)
-    return words[value] if value in words else _bad(path + key)
+class _MessageObjectives(NamedTuple):
+    """Objectives for the time of a message on an established connection, as sent by the site."""
+
+    values: list[Any]  # one for each class, in nanoseconds; some sites send fewer, or nulls
+    shortest_ns: int
+
+    def of_class(self, index: int) -> int:
+        """Return the objective in nanoseconds, 0 for none; a class added without one shares the shortest."""
+        if index < len(self.values):
+            return int(number_or(self.values[index], 0))
+        return self.shortest_ns
+
+
+def _read_message_objectives(family: SettingsReader) -> _MessageObjectives:
+    """Read `messageAimNs`; empty at sites that set none."""
+    values = family.optional_list("messageAimNs")
+    shortest_ns = int(min((number_or(value, 0) for value in values), default=0))
+    return _MessageObjectives(values, shortest_ns)
+
+
+def _read_classes(
+    reader: SettingsReader, allowed: SettingsReader, family: SettingsReader
+) -> tuple[RequestClass, ...]:
+    """Read `services`: at least one class, each with a name of its own."""
+    objectives = _read_message_objectives(family)
+    max_attempts = allowed.positive_int("maxAttempts")
+    classes: list[RequestClass] = []
+    for index, values in enumerate(reader.required_list("services")):
+        service = SettingsReader(values, f"services[{index}].")
+        classes.append(_read_class(service, index, objectives, max_attempts))
+    if len({each.name for each in classes}) < len(classes):
+        raise SettingsError("settings key 'services' names a class twice")
+    if not classes:
+        raise SettingsError("settings key 'services' must name at least one class")
+    return tuple(classes)
+
+
+def _read_class(
+    service: SettingsReader, index: int, objectives: _MessageObjectives, max_attempts: int
+) -> RequestClass:
+    """Read one of `services`; a message objective of 0 stands for none."""
+    name = service.optional_text("name", index)
+    latency_objective_ns = service.positive_int("aimNs")
+    return RequestClass(
+        name=name,
+        latency_objective_ns=latency_objective_ns,
+        deadline_ns=service.positive_int("hardLimitNs"),
+        # Without an objective for messages that of the set-up serves: with 0 every endpoint would be slow.
+        message_latency_objective_ns=objectives.of_class(index) or latency_objective_ns,
+        effect=service.required_choice("effect", EFFECTS),
+        scope=_read_scope(service),
+        idempotency_window_ns=int(service.optional_number("windowNs", 0)),
+        priority_weight=service.optional_number("worth", 1.0),
+        max_attempts=max_attempts,
+    )
+
+
+def _read_scope(service: SettingsReader) -> Scope:
+    """Read `group` of one of `services`; all endpoints where it is left out."""
+    name = service.optional_text("group", "all").upper()
+    if name not in Scope.__members__:
+        raise service.unknown_value("group")
+    return Scope[name]
+
+
+def _read_tenants(reader: SettingsReader, family: SettingsReader) -> tuple[Tenant, ...]:
+    """Read `tenants`, with their connection quotas where the site has some."""
+    quotas = family.optional_list("tenantQuotaConnections")
+    tenants: list[Tenant] = []
+    for index, values in enumerate(reader.optional_list("tenants")):
+        tenant = SettingsReader(values)
+        name = tenant.optional_text("name", index)
+        fraction = tenant.optional_number("fraction", 0.0)
+        quota = number_or(quotas[index], 0.0) if index < len(quotas) else 0.0
+        tenants.append(Tenant(name, fraction, quota))
+    return tuple(tenants)
+
+
+def _read_max_retry_after_ns(allowed: SettingsReader) -> int:
+    """Read the longest retry-after; 0 where clients are not given any."""
+    if not allowed.values.get("retryAfter"):
+        return 0
+    return int(allowed.optional_number("maxRetryAfterNs", 0))
--- a/linnetshift/simulation/adapter.py
+++ b/linnetshift/simulation/adapter.py
@@ -13,7 +13,8 @@
 from linnetshift.routing.actions import Action
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import Event
-from linnetshift.routing.settings import Settings, SettingsError
+from linnetshift.routing.settings import Settings
+from linnetshift.routing.settings_reader import SettingsError
 from linnetshift.simulation import codec
 
 
--- /dev/null
+++ b/tests/test_settings.py
@@ -0,0 +1,152 @@
+"""Reading the settings: defaults, and errors that name the path of the value."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+from conftest import MS, S, raw_settings
+
+from linnetshift.routing.settings import Effect, Scope, Settings
+from linnetshift.routing.settings_reader import SettingsError, SettingsReader, number_or
+
+READER = SettingsReader(
+    {"count": 3, "zero": 0, "share": 0.5, "flag": True, "name": "push", "items": [1], "none": None}, "rules."
+)
+
+
+def test_required_values_come_with_their_type() -> None:
+    assert READER.required_int("count") == 3
+    assert READER.positive_int("count") == 3
+    assert READER.required_float("share") == 0.5
+    assert READER.required_bool("flag") is True
+    assert READER.required_list("items") == [1]
+    assert READER.required_choice("name", {"push": Effect.IDEMPOTENT}) is Effect.IDEMPOTENT
+
+
+def test_whole_number_serves_as_float() -> None:
+    value = READER.required_float("count")
+    assert value == 3.0
+    assert type(value) is float
+
+
+@pytest.mark.parametrize(
+    ("method", "key", "text"),
+    [
+        ("required_int", "absent", "settings key 'rules.absent' is missing"),
+        ("required_float", "absent", "settings key 'rules.absent' is missing"),
+        ("required_object", "absent", "settings key 'rules.absent' is missing"),
+        ("required_int", "flag", "settings key 'rules.flag' must be a whole number"),
+        ("required_int", "none", "settings key 'rules.none' must be a whole number"),
+        ("positive_int", "share", "settings key 'rules.share' must be a whole number"),
+        ("positive_int", "zero", "settings key 'rules.zero' must be above 0"),
+        ("required_float", "flag", "settings key 'rules.flag' must be a number"),
+        ("required_bool", "count", "settings key 'rules.count' must be true or false"),
+        ("required_list", "name", "settings key 'rules.name' must be a list"),
+        ("required_object", "items", "settings key 'rules.items' must be an object"),
+    ],
+)
+def test_error_names_path_and_type_of_the_value(method: str, key: str, text: str) -> None:
+    with pytest.raises(SettingsError) as raised:
+        getattr(READER, method)(key)
+    assert str(raised.value) == text
+
+
+def test_choice_refuses_other_types_and_unknown_words() -> None:
+    with pytest.raises(SettingsError) as raised:
+        READER.required_choice("count", {"push": 1})
+    assert str(raised.value) == "settings key 'rules.count' must be a text"
+    with pytest.raises(SettingsError) as raised:
+        READER.required_choice("name", {"ask": 1})
+    assert str(raised.value) == "settings key 'rules.name' has a value this version does not know"
+
+
+def test_objects_below_carry_the_path_of_their_parent() -> None:
+    reader = SettingsReader({"allowed": {"fees": {}}})
+    below = reader.required_object("allowed").required_object("fees")
+    assert below.path == "allowed.fees."
+    assert reader.optional_object("report").values == {}
+
+
+def test_optional_values_fall_back_to_their_default() -> None:
+    assert READER.optional_number("share", 0.0) == 0.5
+    assert READER.optional_number("none", 2.0) == 2.0
+    assert READER.optional_number("name", 2.0) == 2.0
+    assert READER.optional_list("none") == []
+    assert READER.optional_text("count", "x") == "3"
+    assert READER.optional_text("absent", 7) == "7"
+    assert (number_or(4, 0), type(number_or(4, 0))) == (4.0, float)
+
+
+def test_class_takes_its_rules_and_site_wide_limits() -> None:
+    settings = Settings.parse(raw_settings())
+    (feed,) = settings.offered
+    assert feed.name == "feed"
+    assert feed.latency_objective_ns == 400 * MS
+    assert feed.deadline_ns == 2 * S
+    assert feed.message_latency_objective_ns == 60 * MS
+    assert feed.idempotency_window_ns == 3 * S
+    assert (feed.effect, feed.scope) == (Effect.IDEMPOTENT, Scope.ALL)
+    assert (feed.priority_weight, feed.max_attempts) == (2.0, 4)
+
+
+def services(*changes: dict[str, Any]) -> list[dict[str, Any]]:
+    return [{**raw_settings()["services"][0], "name": f"class-{n}", **each} for n, each in enumerate(changes)]
+
+
+@pytest.mark.parametrize(
+    ("objectives", "expected"),
+    [
+        ([60 * MS, 90 * MS], [60 * MS, 90 * MS]),
+        ([60 * MS], [60 * MS, 60 * MS]),
+        ([90 * MS, None], [90 * MS, 400 * MS]),
+        ([0], [400 * MS, 400 * MS]),
+        ([], [400 * MS, 400 * MS]),
+        (None, [400 * MS, 400 * MS]),
+    ],
+    ids=str,
+)
+def test_message_objective_falls_back_to_the_shortest_then_to_that_of_the_set_up(
+    objectives: list[int | None] | None, expected: list[int]
+) -> None:
+    raw = raw_settings(services=services({}, {}), familyInfo={"messageAimNs": objectives})
+    assert [each.message_latency_objective_ns for each in Settings.parse(raw).classes] == expected
+
+
+@pytest.mark.parametrize(
+    ("changes", "text"),
+    [
+        ({"services": []}, "settings key 'services' must name at least one class"),
+        ({"services": services({}, {"name": "class-0"})}, "settings key 'services' names a class twice"),
+        ({"services": services({}, {"aimNs": 0})}, "settings key 'services[1].aimNs' must be above 0"),
+        (
+            {"services": services({"effect": "twice"})},
+            "settings key 'services[0].effect' has a value this version does not know",
+        ),
+        (
+            {"services": services({"group": "planet"})},
+            "settings key 'services[0].group' has a value this version does not know",
+        ),
+        ({"allowed": {"maxAttempts": 0}}, "settings key 'allowed.maxAttempts' must be above 0"),
+        ({"rules": {"fallMultiple": "3"}}, "settings key 'rules.fallMultiple' must be a number"),
+    ],
+    ids=lambda value: value if isinstance(value, str) else "",
+)
+def test_bad_settings_name_the_path_of_the_value(changes: dict[str, Any], text: str) -> None:
+    with pytest.raises(SettingsError) as raised:
+        Settings.parse(raw_settings(**changes))
+    assert str(raised.value) == text
+
+
+def test_retry_after_is_0_where_clients_are_given_none() -> None:
+    assert Settings.parse(raw_settings()).max_retry_after_ns == 1 * S
+    assert Settings.parse(raw_settings(allowed={"retryAfter": False})).max_retry_after_ns == 0
+
+
+def test_tenants_without_a_quota_have_0() -> None:
+    raw = raw_settings(
+        tenants=[{"name": "a", "fraction": 0.25}, {}], familyInfo={"tenantQuotaConnections": [3]}
+    )
+    first, second = Settings.parse(raw).tenants
+    assert (first.name, first.fraction, first.quota_connections) == ("a", 0.25, 3.0)
+    assert (second.name, second.fraction, second.quota_connections) == ("1", 0.0, 0.0)
