--- a/linnetshift/simulation/__init__.py
+++ b/linnetshift/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire."""
+"""Routing decisions driven by the simulator: its wire, and the adapter that runs many instances."""
--- a/linnetshift/simulation/__main__.py
+++ b/linnetshift/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m linnetshift.simulation`: the decisions on the simulator's wire."""
+"""Entry point of `python -m linnetshift.simulation`, the `sim` command of the deploy file."""
 
 import sys
 
--- a/linnetshift/simulation/adapter.py
+++ b/linnetshift/simulation/adapter.py
@@ -1,13 +1,15 @@
-"""Adapter between the bench's wire and the decision module.
+"""Adapter between the simulator's wire and the routing decisions.
 
-Reads batches from standard input and writes one reply for each to standard output. Each
-instance is a `Balancer` of its own; nothing is shared between them.
+Reads batches of events from standard input and writes one reply of actions for each to standard output, until
+the input ends. Each instance is a `Balancer` of its own; nothing is shared between them. Time is the batch's
+clock and nothing else.
 """
 
 from __future__ import annotations
 
 import json
 import sys
+from collections.abc import Iterable
 from typing import BinaryIO
 
 from linnetshift.routing.actions import Action
@@ -16,9 +18,59 @@
 from linnetshift.routing.settings import Settings
 from linnetshift.routing.settings_reader import SettingsError
 from linnetshift.simulation import codec
+from linnetshift.simulation.wire import LENGTH_BYTES, Create, Halt, InstanceFault, WireError, WireEvent
 
 
-def create(event: codec.Create) -> Balancer:
+class InstanceTable:
+    """The instances of this process, by the number that the simulator gives them."""
+
+    def __init__(self) -> None:
+        """Start without instances; batches create them."""
+        self._instances: dict[int, Balancer] = {}
+
+    def run_batch(self, frame: bytes) -> bytes:
+        """Decide one batch and return the reply; what its events raise becomes a fault of their instance.
+
+        Raises WireError where the frame breaks the wire's rules.
+        """
+        now_ns, groups = codec.decode_batch(frame)
+        replies: list[tuple[int, list[Action]]] = []
+        for number, events in groups:
+            try:
+                actions = self._run_instance(number, now_ns, events)
+            except Exception as error:
+                # The edge that contains an instance's fault: whatever its decisions raise, the simulator has
+                # to learn which instance failed and why, and one that dies silently tells neither.
+                fault = InstanceFault(number, f"{type(error).__name__}: {error}")
+                return codec.encode_reply(replies, fault)
+            replies.append((number, actions))
+        return codec.encode_reply(replies)
+
+    def _run_instance(self, number: int, now_ns: int, events: Iterable[WireEvent]) -> list[Action]:
+        """Hand an instance its events in one step; those for one that does not live are void."""
+        pending: list[Event] = []
+        for event in events:
+            if isinstance(event, Create | Halt):
+                self._stop(number, now_ns, pending)
+                pending = []
+                if isinstance(event, Create):
+                    self._instances[number] = create_balancer(event)
+            elif number in self._instances:
+                pending.append(event)
+        if pending:
+            return self._instances[number].step(now_ns, pending)
+        return []
+
+    def _stop(self, number: int, now_ns: int, pending: list[Event]) -> None:
+        """End an instance, if it lives, after its last events; the actions on these are lost with it."""
+        balancer = self._instances.get(number)
+        if balancer is not None:
+            balancer.step(now_ns, pending)
+            del self._instances[number]
+
+
+def create_balancer(event: Create) -> Balancer:
+    """Start an instance without state; raises SettingsError, whose text names the key, on bad settings."""
     try:
         raw = json.loads(event.settings)
     except ValueError as error:
@@ -28,55 +80,28 @@
     return Balancer(Settings.parse(raw), event.salt)
 
 
-def run_batch(nodes: dict[int, Balancer], frame: bytes) -> bytes:
-    """Decide one batch; an exception in the module becomes a fault of its instance."""
-    now, groups = codec.decode_batch(frame)
-    replies: list[tuple[int, list[Action]]] = []
-    for number, events in groups:
-        try:
-            replies.append((number, run_instance(nodes, number, now, events)))
-        except Exception as error:
-            return codec.encode_reply(replies, (number, f"{type(error).__name__}: {error}"))
-    return codec.encode_reply(replies)
-
-
-def run_instance(
-    nodes: dict[int, Balancer], number: int, now: int, events: list[codec.WireEvent]
-) -> list[Action]:
-    actions: list[Action] = []
-    pending: list[Event] = []
-    for event in events:
-        if isinstance(event, codec.Create | codec.Halt):
-            if number in nodes:
-                nodes[number].step(now, pending)  # its answers die with it
-            pending = []
-            nodes.pop(number, None)
-            if isinstance(event, codec.Create):
-                nodes[number] = create(event)
-        elif number in nodes:
-            pending.append(event)
-    if pending and number in nodes:
-        actions = nodes[number].step(now, pending)
-    return actions
-
-
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    nodes: dict[int, Balancer] = {}
-    while header := source.read(4):
-        if len(header) < 4:
-            raise codec.WireError("input ends inside a frame's length")
+    """Answer the batches from `source` on `sink`, flushed one by one, until `source` ends.
+
+    Raises WireError where the input ends inside a frame or breaks the wire's rules otherwise.
+    """
+    instances = InstanceTable()
+    while header := source.read(LENGTH_BYTES):
+        if len(header) < LENGTH_BYTES:
+            raise WireError("input ends inside a frame's length")
         size = codec.frame_size(header)
-        body = source.read(size - 4)
-        if len(body) < size - 4:
-            raise codec.WireError("input ends inside a frame")
-        sink.write(run_batch(nodes, header + body))
+        body = source.read(size - LENGTH_BYTES)
+        if len(body) < size - LENGTH_BYTES:
+            raise WireError("input ends inside a frame")
+        sink.write(instances.run_batch(header + body))
         sink.flush()
 
 
 def main() -> int:
+    """Serve standard input and output; returns 1 as exit status after malformed input or a closed output."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except codec.WireError as error:
+    except WireError as error:
         print(f"linnetshift: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
--- a/linnetshift/simulation/codec.py
+++ b/linnetshift/simulation/codec.py
@@ -1,11 +1,20 @@
-"""Binary codec for the bench's wire: batches of events in, one reply of actions for each batch."""
+"""Binary codec for the simulator's wire: batches of events in, one reply of actions for each batch.
+
+All numbers are big-endian without padding. A frame is a header and records; a record is a code of one byte
+and the fields of that code, in the order of the simulator's wire protocol ("Handle these", "Send these").
+
+Decoders are functions `(frame, offset) -> (event, offset behind it)` in a table by event code, encoders are
+functions `(action) -> fields` in a table by type of action. They build the typed messages of
+`linnetshift.routing.events` and `.actions` directly, without a form in between: they run for each message.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
+import struct
+from collections.abc import Callable, Iterable, Mapping
 from itertools import starmap
 from struct import Struct
-from typing import NamedTuple
+from typing import Any, NoReturn
 
 from linnetshift.routing.actions import (
     Action,
@@ -28,212 +37,313 @@
     ConnectionNote,
     EndpointEntry,
     EndpointList,
-    Event,
     HealthCheckResult,
     PeerMessage,
     Request,
     RequestWithdrawn,
     TimerFired,
 )
+from linnetshift.simulation.wire import (
+    LENGTH_BYTES,
+    MAX_FRAME_BYTES,
+    MAX_TEXT_BYTES,
+    ActionCode,
+    Create,
+    EventCode,
+    Halt,
+    InstanceEvents,
+    InstanceFault,
+    WireError,
+    WireEvent,
+)
 
+BATCH_HEADER = Struct(">IIQ")
+"""Bytes of the frame, number of records, clock in nanoseconds."""
+REPLY_HEADER = Struct(">I")
+"""Bytes of the frame."""
+FLOAT_BYTES = 4
+"""Size of one value of a load report."""
 
-class WireError(ValueError):
-    """A frame that breaks the wire's rules."""
-
-
-class Create(NamedTuple):
-    """An instance starts without state."""
-
-    salt: int
-    settings: bytes
+# Plain numbers for the two codes that are met in each frame: a look-up in the enumeration costs more than the
+# comparison.
+_SELECT_INSTANCE_EVENT = int(EventCode.SELECT_INSTANCE)
+_SELECT_INSTANCE_ACTION = int(ActionCode.SELECT_INSTANCE)
 
+_U32 = Struct(">I")
+_CREATE_HEAD = Struct(">QI")
+_LIST_HEAD = Struct(">BQI")
+_LIST_ENTRY = Struct(">6sHHHBfQ")
+_REQUEST = Struct(">IQQBQHIQ")
+_ADOPTED_CONNECTION = Struct(">IQQQHQ6sIB")
+_CONNECTION_ESTABLISHED = Struct(">IQB6s")
+_CONNECTION_NOTE = Struct(">IB6sBf")
+_ATTEMPT_ENDED_HEAD = Struct(">I6sBBQHB")
+_HEALTH_CHECK_RESULT_HEAD = Struct(">HQ6sB")
+_PEER_MESSAGE_HEAD = Struct(">HH")
+_LOAD_REPORTS = [Struct(f">{count}f") for count in range(256)]  # by number of values, a single byte
 
-class Halt(NamedTuple):
-    """An instance is killed."""
+_SELECT_INSTANCE = Struct(">BI")
+_SEND = Struct(">Iq6s")
+_REJECT = Struct(">IQ")
+_CANCEL = Struct(">IB")
+_SET_TIMER = Struct(">QI")
+_ENDPOINT = Struct(">6s")
+_FLAG = Struct(">B")
+_LENGTH = Struct(">H")
 
 
-WireEvent = Event | Create | Halt
-
-HEADER = Struct(">IIQ")
-REPLY_HEADER = Struct(">I")
-MAX_FRAME = 1 << 30
-
-_ON = Struct(">I")
-_CREATE = Struct(">QI")
-_LIST = Struct(">BQI")
-_ENTRY = Struct(">6sHHHBfQ")
-_REQUEST = Struct(">IQQBQHIQ")
-_ADOPTED = Struct(">IQQQHQ6sIB")
-_BEGUN = Struct(">IQB6s")
-_NOTE = Struct(">IB6sBf")
-_RESULT = Struct(">I6sBBQHB")
-_ID = Struct(">I")
-_SAMPLED = Struct(">HQ6sB")
-_MAIL = Struct(">HH")
-_FLOATS = [Struct(f">{n}f") for n in range(256)]
-
-_SEND = Struct(">BIq6s")
-_DENY = Struct(">BIQ")
-_ONE = Struct(">BI")
-_CANCEL = Struct(">BIB")
-_TIMER = Struct(">BQI")
-_ENDPOINT = Struct(">B6s")
-_TELL = Struct(">BHH")
-_TEXT = Struct(">BH")
-_FLAG = Struct(">BB")
+# ---- batches -----------------------------------------------------------------------------------
 
 
 def frame_size(header: bytes) -> int:
-    """Length of the whole frame that `header` (the first four bytes or more) opens."""
-    size = int.from_bytes(header[:4], "big")
-    if not HEADER.size <= size <= MAX_FRAME:
+    """Length in bytes of the whole frame that `header` (the first four bytes or more) opens.
+
+    Raises WireError where no frame has that length.
+    """
+    size = int.from_bytes(header[:LENGTH_BYTES], "big")
+    if not BATCH_HEADER.size <= size <= MAX_FRAME_BYTES:
         raise WireError(f"frame length {size} is out of range")
     return size
 
 
-def decode_batch(frame: bytes) -> tuple[int, list[tuple[int, list[WireEvent]]]]:
-    """The batch's clock, and its events by instance, in order of arrival."""
-    if len(frame) < HEADER.size:
+def decode_batch(frame: bytes) -> tuple[int, list[InstanceEvents]]:
+    """Decode one whole frame into its clock, in nanoseconds, and its events by instance.
+
+    An instance may come more than once. Raises WireError where the frame breaks the wire's rules.
+    """
+    if len(frame) < BATCH_HEADER.size:
         raise WireError("frame is shorter than its header")
-    size, count, now = HEADER.unpack_from(frame)
+    size, count, now_ns = BATCH_HEADER.unpack_from(frame)
     if size != len(frame):
         raise WireError(f"frame says {size} bytes but has {len(frame)}")
     try:
-        groups = list(_records(frame, count))
-    except (IndexError, WireError) as error:
-        raise WireError(str(error)) from None
-    except Exception as error:  # struct.error: a field runs past the end
+        groups = _decode_records(frame, count)
+    except struct.error as error:  # a field runs past the end
         raise WireError(f"truncated record: {error}") from None
-    return now, groups
+    return now_ns, groups
 
 
-def _records(frame: bytes, count: int) -> Iterator[tuple[int, list[WireEvent]]]:
-    at, end = HEADER.size, len(frame)
-    node: int | None = None
-    events: list[WireEvent] = []
+def _decode_records(frame: bytes, count: int) -> list[InstanceEvents]:
+    """Decode the `count` records behind the header, which have to fill the frame."""
+    groups: list[InstanceEvents] = []
+    events: list[WireEvent] | None = None
+    offset = BATCH_HEADER.size
+    end = len(frame)
     for _ in range(count):
-        if at >= end:
+        if offset >= end:
             raise WireError("frame holds fewer records than it says")
-        code = frame[at]
-        at += 1
-        if code == 12:
-            if node is not None:
-                yield node, events
-            (node,) = _ON.unpack_from(frame, at)
+        code = frame[offset]
+        offset += 1
+        if code == _SELECT_INSTANCE_EVENT:
+            (instance,) = _U32.unpack_from(frame, offset)
+            offset += _U32.size
             events = []
-            at += _ON.size
+            groups.append((instance, events))
             continue
-        if node is None:
+        if events is None:
             raise WireError("event before any instance was named")
-        event: WireEvent
-        if code == 11:
-            event = ConnectionNote._make(_NOTE.unpack_from(frame, at))
-            at += _NOTE.size
-        elif code == 2:
-            rid, group, hint, klass, key, flags, tenant, budget = _REQUEST.unpack_from(frame, at)
-            event = Request(rid, klass, group, key, hint, flags, tenant, budget)
-            at += _REQUEST.size
-        elif code == 3:
-            rid, elapsed, attempt, endpoint = _BEGUN.unpack_from(frame, at)
-            event = ConnectionEstablished(rid, attempt, endpoint, elapsed)
-            at += _BEGUN.size
-        elif code == 4:
-            rid, endpoint, closed, attempt, elapsed, outcome, n = _RESULT.unpack_from(frame, at)
-            at += _RESULT.size
-            report = _FLOATS[n].unpack_from(frame, at)
-            event = AttemptEnded(rid, attempt, endpoint, bool(closed), elapsed, outcome, report)
-            at += 4 * n
-        elif code == 6:
-            event = TimerFired(*_ID.unpack_from(frame, at))
-            at += _ID.size
-        elif code == 7:
-            outcome, elapsed, endpoint, n = _SAMPLED.unpack_from(frame, at)
-            at += _SAMPLED.size
-            event = HealthCheckResult(endpoint, outcome, elapsed, _FLOATS[n].unpack_from(frame, at))
-            at += 4 * n
-        elif code == 5:
-            event = RequestWithdrawn(*_ID.unpack_from(frame, at))
-            at += _ID.size
-        elif code == 8:
-            sender, n = _MAIL.unpack_from(frame, at)
-            at += _MAIL.size
-            event = PeerMessage(sender, _take(frame, at, n))
-            at += n
-        elif code == 1:
-            form, version, n = _LIST.unpack_from(frame, at)
-            at += _LIST.size
-            rows = _take(frame, at, n * _ENTRY.size)
-            event = EndpointList(form, version, tuple(starmap(EndpointEntry, _ENTRY.iter_unpack(rows))))
-            at += n * _ENTRY.size
-        elif code == 10:
-            rid, _budget, hint, key, flags, group, endpoint, tenant, klass = _ADOPTED.unpack_from(frame, at)
-            event = AdoptedConnection(rid, klass, group, key, hint, flags, tenant, endpoint)
-            at += _ADOPTED.size
-        elif code == 0:
-            salt, n = _CREATE.unpack_from(frame, at)
-            at += _CREATE.size
-            event = Create(salt, _take(frame, at, n))
-            at += n
-        elif code == 9:
-            event = Halt()
-        else:
-            raise WireError(f"unknown event code {code}")
+        event, offset = _DECODER_BY_CODE[code](frame, offset)
         events.append(event)
-    if at != end:
-        raise WireError(f"{end - at} bytes follow the last record")
-    if node is not None:
-        yield node, events
+    if offset != end:
+        raise WireError(f"{end - offset} bytes follow the last record")
+    return groups
+
+
+# ---- decoders, one for each event --------------------------------------------------------------
+
+
+def _decode_create(frame: bytes, offset: int) -> tuple[Create, int]:
+    salt, size = _CREATE_HEAD.unpack_from(frame, offset)
+    offset += _CREATE_HEAD.size
+    return Create(salt, _bytes_at(frame, offset, size)), offset + size
+
+
+def _decode_endpoint_list(frame: bytes, offset: int) -> tuple[EndpointList, int]:
+    form, version, count = _LIST_HEAD.unpack_from(frame, offset)
+    offset += _LIST_HEAD.size
+    size = count * _LIST_ENTRY.size
+    rows = _LIST_ENTRY.iter_unpack(_bytes_at(frame, offset, size))
+    return EndpointList(form, version, tuple(starmap(EndpointEntry, rows))), offset + size
+
+
+def _decode_request(frame: bytes, offset: int) -> tuple[Request, int]:
+    request_id, group, load_hint, klass, key, flags, tenant, budget_ns = _REQUEST.unpack_from(frame, offset)
+    event = Request(request_id, klass, group, key, load_hint, flags, tenant, budget_ns)
+    return event, offset + _REQUEST.size
+
+
+def _decode_connection_established(frame: bytes, offset: int) -> tuple[ConnectionEstablished, int]:
+    request_id, elapsed_ns, attempt, endpoint = _CONNECTION_ESTABLISHED.unpack_from(frame, offset)
+    event = ConnectionEstablished(request_id, attempt, endpoint, elapsed_ns)
+    return event, offset + _CONNECTION_ESTABLISHED.size
+
+
+def _decode_attempt_ended(frame: bytes, offset: int) -> tuple[AttemptEnded, int]:
+    request_id, endpoint, closed, attempt, elapsed_ns, outcome, count = _ATTEMPT_ENDED_HEAD.unpack_from(
+        frame, offset
+    )
+    offset += _ATTEMPT_ENDED_HEAD.size
+    report = _LOAD_REPORTS[count].unpack_from(frame, offset)
+    event = AttemptEnded(request_id, attempt, endpoint, bool(closed), elapsed_ns, outcome, report)
+    return event, offset + FLOAT_BYTES * count
+
+
+def _decode_request_withdrawn(frame: bytes, offset: int) -> tuple[RequestWithdrawn, int]:
+    return RequestWithdrawn(*_U32.unpack_from(frame, offset)), offset + _U32.size
+
+
+def _decode_timer_fired(frame: bytes, offset: int) -> tuple[TimerFired, int]:
+    return TimerFired(*_U32.unpack_from(frame, offset)), offset + _U32.size
+
+
+def _decode_health_check_result(frame: bytes, offset: int) -> tuple[HealthCheckResult, int]:
+    outcome, elapsed_ns, endpoint, count = _HEALTH_CHECK_RESULT_HEAD.unpack_from(frame, offset)
+    offset += _HEALTH_CHECK_RESULT_HEAD.size
+    report = _LOAD_REPORTS[count].unpack_from(frame, offset)
+    return HealthCheckResult(endpoint, outcome, elapsed_ns, report), offset + FLOAT_BYTES * count
+
+
+def _decode_peer_message(frame: bytes, offset: int) -> tuple[PeerMessage, int]:
+    sender, size = _PEER_MESSAGE_HEAD.unpack_from(frame, offset)
+    offset += _PEER_MESSAGE_HEAD.size
+    return PeerMessage(sender, _bytes_at(frame, offset, size)), offset + size
+
+
+def _decode_halt(_frame: bytes, offset: int) -> tuple[Halt, int]:
+    return Halt(), offset
+
 
+def _decode_adopted_connection(frame: bytes, offset: int) -> tuple[AdoptedConnection, int]:
+    fields = _ADOPTED_CONNECTION.unpack_from(frame, offset)
+    request_id, _budget_ns, load_hint, key, flags, group, endpoint, tenant, klass = fields
+    event = AdoptedConnection(request_id, klass, group, key, load_hint, flags, tenant, endpoint)
+    return event, offset + _ADOPTED_CONNECTION.size
 
-def _take(frame: bytes, at: int, size: int) -> bytes:
-    if at + size > len(frame):
+
+def _decode_connection_note(frame: bytes, offset: int) -> tuple[ConnectionNote, int]:
+    note = ConnectionNote._make(_CONNECTION_NOTE.unpack_from(frame, offset))
+    return note, offset + _CONNECTION_NOTE.size
+
+
+def _decode_unknown(frame: bytes, offset: int) -> NoReturn:
+    raise WireError(f"unknown event code {frame[offset - 1]}")
+
+
+def _bytes_at(frame: bytes, offset: int, size: int) -> bytes:
+    """Return `size` bytes; raises WireError where the frame ends before."""
+    if offset + size > len(frame):
         raise WireError("truncated record: a field runs past the end of the frame")
-    return frame[at : at + size]
+    return frame[offset : offset + size]
+
+
+Decoder = Callable[[bytes, int], tuple[WireEvent, int]]
+
+_DECODERS: Mapping[int, Decoder] = {
+    EventCode.CREATE: _decode_create,
+    EventCode.ENDPOINT_LIST: _decode_endpoint_list,
+    EventCode.REQUEST: _decode_request,
+    EventCode.CONNECTION_ESTABLISHED: _decode_connection_established,
+    EventCode.ATTEMPT_ENDED: _decode_attempt_ended,
+    EventCode.REQUEST_WITHDRAWN: _decode_request_withdrawn,
+    EventCode.TIMER_FIRED: _decode_timer_fired,
+    EventCode.HEALTH_CHECK_RESULT: _decode_health_check_result,
+    EventCode.PEER_MESSAGE: _decode_peer_message,
+    EventCode.HALT: _decode_halt,
+    EventCode.ADOPTED_CONNECTION: _decode_adopted_connection,
+    EventCode.CONNECTION_NOTE: _decode_connection_note,
+}
+
+# By each value of the code's byte: a list is read faster than a map with enumeration members as keys.
+_DECODER_BY_CODE = [_DECODERS.get(code, _decode_unknown) for code in range(256)]
+
+
+# ---- replies -----------------------------------------------------------------------------------
 
 
 def encode_reply(
-    replies: Iterable[tuple[int, Iterable[Action]]], fault: tuple[int, str] | None = None
+    replies: Iterable[tuple[int, Iterable[Action]]], fault: InstanceFault | None = None
 ) -> bytes:
-    """One reply frame; instances without actions take no room. A fault names its instance and text."""
+    """Encode one reply frame from the actions by instance; instances without actions take no room."""
     out = bytearray(REPLY_HEADER.size)
-    for node, actions in replies:
+    for instance, actions in replies:
         start = len(out)
-        out += _ONE.pack(13, node)
+        out += _SELECT_INSTANCE.pack(_SELECT_INSTANCE_ACTION, instance)
         empty = len(out)
         for action in actions:
-            out += encode_action(action)
+            code, encode = _ENCODERS[type(action)]
+            out.append(code)
+            out += encode(action)
         if len(out) == empty:
             del out[start:]
     if fault is not None:
-        text = fault[1].encode()[:65535]
-        out += _ONE.pack(13, fault[0])
-        out += _TEXT.pack(9, len(text)) + text
+        out += _SELECT_INSTANCE.pack(_SELECT_INSTANCE_ACTION, fault.instance)
+        out.append(ActionCode.FAULT)
+        out += _encode_text(fault.text)
     REPLY_HEADER.pack_into(out, 0, len(out))
     return bytes(out)
 
 
-def encode_action(action: Action) -> bytes:
-    match action:
-        case Send(request, endpoint, timeout_ns):
-            return _SEND.pack(0, request, timeout_ns, endpoint)
-        case SetTimer(delay_ns, token):
-            return _TIMER.pack(4, delay_ns, token)
-        case Reject(request, retry_after_ns):
-            return _DENY.pack(1, request, retry_after_ns)
-        case Fail(request):
-            return _ONE.pack(2, request)
-        case Cancel(request, attempt):
-            return _CANCEL.pack(3, request, attempt)
-        case Migrate(request):
-            return _ONE.pack(12, request)
-        case HealthCheck(endpoint):
-            return _ENDPOINT.pack(5, endpoint)
-        case SendPeerMessage(peer, data):
-            return _TELL.pack(7, peer, len(data)) + data
-        case Log(text):
-            line = text.encode()[:65535]
-            return _TEXT.pack(8, len(line)) + line
-        case Watch(on):
-            return _FLAG.pack(10, on)
-        case FetchList():
-            return b"\x0b"
+def _encode_text(text: str) -> bytes:
+    """Encode a text behind its length, cut to `MAX_TEXT_BYTES`."""
+    data = text.encode()[:MAX_TEXT_BYTES]
+    return _LENGTH.pack(len(data)) + data
+
+
+# ---- encoders of an action's fields, one for each action ---------------------------------------
+
+
+def _encode_send(action: Send) -> bytes:
+    return _SEND.pack(action.request_id, action.timeout_ns, action.endpoint)
+
+
+def _encode_reject(action: Reject) -> bytes:
+    return _REJECT.pack(action.request_id, action.retry_after_ns)
+
+
+def _encode_request_id(action: Fail | Migrate) -> bytes:
+    return _U32.pack(action.request_id)
+
+
+def _encode_cancel(action: Cancel) -> bytes:
+    return _CANCEL.pack(action.request_id, action.attempt)
+
+
+def _encode_set_timer(action: SetTimer) -> bytes:
+    return _SET_TIMER.pack(action.delay_ns, action.token)
+
+
+def _encode_health_check(action: HealthCheck) -> bytes:
+    return _ENDPOINT.pack(action.endpoint)
+
+
+def _encode_send_peer_message(action: SendPeerMessage) -> bytes:
+    return _PEER_MESSAGE_HEAD.pack(action.peer, len(action.data)) + action.data
+
+
+def _encode_log(action: Log) -> bytes:
+    return _encode_text(action.text)
+
+
+def _encode_watch(action: Watch) -> bytes:
+    return _FLAG.pack(action.on)
+
+
+def _encode_fetch_list(_action: FetchList) -> bytes:
+    return b""
+
+
+Encoder = Callable[[Any], bytes]
+
+_ENCODERS: Mapping[type[Action], tuple[int, Encoder]] = {
+    Send: (ActionCode.SEND, _encode_send),
+    Reject: (ActionCode.REJECT, _encode_reject),
+    Fail: (ActionCode.FAIL, _encode_request_id),
+    Cancel: (ActionCode.CANCEL, _encode_cancel),
+    SetTimer: (ActionCode.SET_TIMER, _encode_set_timer),
+    HealthCheck: (ActionCode.HEALTH_CHECK, _encode_health_check),
+    SendPeerMessage: (ActionCode.SEND_PEER_MESSAGE, _encode_send_peer_message),
+    Log: (ActionCode.LOG, _encode_log),
+    Watch: (ActionCode.WATCH, _encode_watch),
+    FetchList: (ActionCode.FETCH_LIST, _encode_fetch_list),
+    Migrate: (ActionCode.MIGRATE, _encode_request_id),
+}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -41,6 +41,7 @@
     TimerFired,
 )
 from linnetshift.simulation import adapter, codec
+from linnetshift.simulation.wire import Halt
 
 
 def frame(*records: bytes, now: int = S, count: int | None = None) -> bytes:
@@ -88,7 +89,7 @@
     ),
     (PeerMessage(3, b"hi"), struct.pack(">BHH", 8, 3, 2) + b"hi"),
     (EndpointList(2, 3, (entry(1), entry(2))), members(2, entry(1), entry(2))),
-    (codec.Halt(), HALT),
+    (Halt(), HALT),
 ]
 
 
