--- a/linnetshift/routing/__init__.py
+++ b/linnetshift/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions: pure, told of time and events, without I/O."""
+"""Routing decisions: events and settings in, actions out, without clock or I/O of their own."""
--- a/linnetshift/routing/actions.py
+++ b/linnetshift/routing/actions.py
@@ -1,25 +1,34 @@
-"""Actions that the balancer returns from a step."""
+"""Actions that the balancer returns from a step, in the order in which they are to be carried out.
+
+Each takes effect at the time of the step. Times are whole nanoseconds; `request_id` and `endpoint` are as in
+`linnetshift.routing.events`. Source: "Send these" in the simulator's wire protocol.
+"""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# ---- actions -----------------------------------------------------------------------------------
+ALL_PEERS = 0xFFFF
+"""Peer number that stands for every other instance: all bits of the wire's field."""
 
 
 class Send(NamedTuple):
-    """Start an attempt; it ends by itself after `timeout_ns`."""
+    """Start an attempt; it ends by itself after `timeout_ns`.
+
+    Attempts of one request are numbered 0, 1, 2 in the order of these actions. Each ends with exactly one
+    `AttemptEnded`.
+    """
 
     request_id: int
     endpoint: bytes
-    timeout_ns: int
+    timeout_ns: int  # at most until the client gives up; one that is negative expires at once
 
 
 class Reject(NamedTuple):
     """Final answer: not done, and a retry does no harm."""
 
     request_id: int
-    retry_after_ns: int
+    retry_after_ns: int  # how long the client should stay away; 0: no advice
 
 
 class Fail(NamedTuple):
@@ -29,48 +38,60 @@
 
 
 class Cancel(NamedTuple):
+    """Stop waiting for an attempt; it ends as `Outcome.CANCELLED` unless another outcome is on its way.
+
+    No effect on an attempt whose connection is established.
+    """
+
     request_id: int
-    attempt: int
+    attempt: int  # its number
 
 
 class Migrate(NamedTuple):
-    """End an open connection politely; its client comes again."""
+    """End an established connection in an orderly way; its client comes back with a new request."""
 
     request_id: int
 
 
 class SetTimer(NamedTuple):
-    delay_ns: int
-    token: int
+    """Ask for a `TimerFired`; timers cannot be revoked, those no longer wanted are to be ignored."""
+
+    delay_ns: int  # from now
+    token: int  # below 2**32; comes back with the event
 
 
 class HealthCheck(NamedTuple):
+    """Check an endpoint; `HealthCheckResult` answers."""
+
     endpoint: bytes
 
 
 class SendPeerMessage(NamedTuple):
-    """Message to one peer by number, or to all with `ALL_PEERS`."""
+    """Message to one peer by number, or to all with `ALL_PEERS`; it may get lost."""
 
     peer: int
-    data: bytes
+    data: bytes  # at most 256 bytes
 
 
 class Log(NamedTuple):
+    """Write a line for staff."""
+
     text: str
 
 
 class Watch(NamedTuple):
-    """Ask to be told of changes to the list of endpoints."""
+    """Ask discovery for changes of the list of endpoints from now on, or no longer.
+
+    One `EndpointList` answers the call, also where it fails; what was missed comes with it.
+    """
 
     on: bool
 
 
 class FetchList(NamedTuple):
-    """Ask for the whole list once."""
+    """Ask discovery for the whole list once."""
 
 
-ALL_PEERS = 0xFFFF
-
 Action = (
     Send
     | Reject
