--- /dev/null
+++ b/tests/test_handed_over_state.py
@@ -0,0 +1,276 @@
+"""Every value of the state that an older process handed over is found again in the process that takes it.
+
+`tests/data/handed-over-state.json` was recorded once (see `tests/data/README.md`) and holds a different value
+in nearly every field, so a key that is misread, left out or swapped with another one is seen here.
+"""
+
+from __future__ import annotations
+
+import json
+import math
+import socket
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
+
+import pytest
+from proxy import ROOT, free_port
+
+from linnetshift.broker.snapshot import export_state, import_state
+from linnetshift.config.broker_file import read_broker_file
+from linnetshift.config.proxy_file import read_config
+from linnetshift.lifecycle.hot_restart import PredecessorState
+from linnetshift.proxy import Proxy
+from linnetshift.routing.balancer import Balancer, Endpoint
+from linnetshift.routing.events import EndpointState
+from linnetshift.vrrp.router import State
+
+RECORDED = Path(__file__).parent / "data" / "handed-over-state.json"
+
+# Where the balancer keeps each value of the state's "memory", by stored part and key.
+BALANCER_VALUES: dict[tuple[str, str], Callable[[Balancer], object]] = {
+    ("node", "load_each"): lambda balancer: balancer.load_each,
+    ("node", "each_fill"): lambda balancer: balancer.each_fill,
+    ("window", "size"): lambda balancer: balancer.window.size,
+    ("window", "failing"): lambda balancer: balancer.window.failing,
+    ("window", "cut_at"): lambda balancer: balancer.window.cut_at,
+    ("shedding", "admit"): lambda balancer: balancer.shedding.admit,
+    ("shedding", "at"): lambda balancer: balancer.shedding.at,
+    ("shedding", "jammed"): lambda balancer: balancer.shedding.jammed,
+    ("slow_start", "fresh"): lambda balancer: balancer.slow_start.fresh,
+    ("slow_start", "fresh_at"): lambda balancer: balancer.slow_start.fresh_at,
+    ("bucket", "level"): lambda balancer: balancer.slow_start.bucket.level,
+    ("bucket", "at"): lambda balancer: balancer.slow_start.bucket.at,
+}
+# Where an endpoint of the balancer keeps each value of its record under "hosts".
+ENDPOINT_VALUES: dict[str, Callable[[Endpoint], object]] = {
+    "hot_until": lambda endpoint: endpoint.hot_until,
+    "slow_ns": lambda endpoint: endpoint.slow_ns,
+    "late_until": lambda endpoint: endpoint.late_until,
+    "avoid_until": lambda endpoint: endpoint.avoid_until,
+    "spell": lambda endpoint: endpoint.spell,
+    "overload": lambda endpoint: endpoint.overload,
+    "struck_at": lambda endpoint: endpoint.struck_at,
+    "good_at": lambda endpoint: endpoint.good_at,
+    "faults": lambda endpoint: endpoint.faults,
+}
+
+
+def balancer_endpoints(balancer: Balancer) -> dict[bytes, Endpoint]:
+    return balancer.endpoints
+
+
+def endpoint_fields(endpoint: Endpoint) -> tuple[int, int, int]:
+    """State, start and leave time as the balancer was given them."""
+    return endpoint.state, endpoint.started, endpoint.leave_ns
+
+
+def connections_at_peers(balancer: Balancer) -> int:
+    return balancer.elsewhere
+
+
+BROKER_FILE = """
+[channels]
+enabled = true
+listen = "127.0.0.1:CHANNELS"
+
+[vrrp]
+enabled = true
+vrid = 7
+listen = "127.0.0.1:VRRP"
+peers = []
+
+[[contract]]
+team = "taymobile"
+rate_per_s = 5
+rate_burst = 10
+retries_per_s = 1
+retries_burst = 3
+
+[[contract]]
+team = "glenlink"
+rate_per_s = 5
+retries_per_s = 2
+retries_burst = 6
+"""
+
+
+def recorded_state() -> dict[str, Any]:
+    state: dict[str, Any] = json.loads(RECORDED.read_text())
+    return state
+
+
+@pytest.fixture
+def recorded() -> dict[str, Any]:
+    return recorded_state()
+
+
+@pytest.fixture
+def successor(tmp_path: Path, recorded: dict[str, Any]) -> Iterator[Proxy]:
+    """A proxy that has just taken over the recorded state; its event loop does not run."""
+    settings = json.loads((ROOT / "example" / "config.json").read_text())
+    settings.update(listen=f"127.0.0.1:{free_port()}", admin_addr=f"127.0.0.1:{free_port()}")
+    config_file = tmp_path / "config.json"
+    config_file.write_text(json.dumps(settings))
+    broker_file = tmp_path / "broker.toml"
+    broker_file.write_text(
+        BROKER_FILE.replace("CHANNELS", str(free_port())).replace("VRRP", str(free_port()))
+    )
+    config = read_config(str(config_file))
+    own = read_broker_file(str(broker_file), config.names, config.settings)
+    ours, theirs = socket.socketpair()
+    proxy = Proxy(config, own, predecessor=PredecessorState(ours, recorded, b"", []))
+    yield proxy
+    proxy.frontend.close()
+    proxy.channels.close()
+    assert proxy.vrrp is not None
+    proxy.vrrp.sock.close()
+    assert proxy.admin_server.acceptor is not None
+    proxy.admin_server.acceptor.close()
+    ours.close()
+    theirs.close()
+
+
+def names_by_place(places: dict[str, int]) -> dict[int, str]:
+    return {place: name for name, place in places.items()}
+
+
+def test_endpoint_list_is_read(successor: Proxy, recorded: dict[str, Any]) -> None:
+    listed = successor.broker.administrative_drains.listed
+    zones = names_by_place(successor.names.zones)
+    kinds = names_by_place(successor.names.kinds)
+    targets = recorded["list"]["targets"]
+
+    assert successor.discovery.version == recorded["list"]["rev"] == 42
+    assert len(targets) == 5
+    for target in targets:
+        uid = target["uid"].encode()
+        entry = listed[uid]
+        host, port = successor.connector.addresses[uid]
+        assert {
+            "uid": entry.endpoint.decode(),
+            "endpoint": f"{host}:{port}",
+            "az": zones[entry.zone],
+            "model": kinds[entry.kind],
+            "pod_group": entry.cell,
+            "state": "DRAINING" if entry.state == EndpointState.DRAINING else "SERVING",
+            "capacity_hint": entry.weight,
+            "boot_ms": entry.started_ns // 1_000_000,
+        } == target
+    assert successor.broker.latency_estimator.weights == {
+        target["uid"].encode(): target["capacity_hint"] for target in targets
+    }
+
+
+def test_administrative_drains_are_read(successor: Proxy) -> None:
+    drains = successor.broker.administrative_drains
+    endpoints = balancer_endpoints(successor.broker.balancer)
+
+    assert drains.listed[b"s-gone"].state == EndpointState.REMOVED
+    assert b"s-gone" not in endpoints
+    assert drains.state() == {
+        "gone": ["s-gone"],
+        "out": {"s-out": 5_000_000_000_001},
+        "back": {"s-back": (5_000_000_000_002, 5_000_000_000_003)},
+    }
+    assert endpoint_fields(endpoints[b"s-out"]) == (EndpointState.DRAINING, 1_004_000_000, 1_700_000_000)
+    assert endpoint_fields(endpoints[b"s-back"]) == (EndpointState.READY, 5_000_000_000_003, 0)
+    assert endpoint_fields(endpoints[b"s-draining"]) == (EndpointState.DRAINING, 1_003_000_000, 0)
+    assert endpoint_fields(endpoints[b"s-ready"]) == (EndpointState.READY, 1_001_000_000, 0)
+    assert endpoint_fields(endpoints[b"s-cold"]) == (EndpointState.READY, 1_002_000_000, 0)
+
+
+def test_token_buckets_of_contracts_are_read(successor: Proxy) -> None:
+    teams = successor.broker.contracts.teams
+    taymobile = teams[successor.names.tenants["taymobile"]]
+    glenlink = teams[successor.names.tenants["glenlink"]]
+
+    buckets = (taymobile.rate, taymobile.retries, glenlink.rate, glenlink.retries)
+    assert [(bucket.level, bucket.at) for bucket in buckets if bucket is not None] == [
+        (4.25, 6_000_000_000_001),
+        (1.5, 6_000_000_000_002),
+        (math.inf, 0),  # the older process had no rate limit for this team
+        (2.75, 6_000_000_000_003),
+    ]
+
+
+def test_peer_resources_are_read(successor: Proxy) -> None:
+    broker = successor.broker
+
+    assert successor.connection_limiter.peer_descriptors == 37
+    assert successor.peer_migrated == 91
+    assert broker.migrated == 0
+    assert connections_at_peers(broker.balancer) == 3
+    assert broker.latency_estimator.elsewhere == {
+        b"s-ready": [(81000.5, 71, 0), (None, 72, 0)],
+        b"s-draining": [(64000.25, 0, 0)],
+    }
+
+
+@pytest.mark.parametrize("part, key", BALANCER_VALUES)
+def test_balancer_state_is_read(successor: Proxy, recorded: dict[str, Any], part: str, key: str) -> None:
+    assert BALANCER_VALUES[part, key](successor.broker.balancer) == recorded["memory"][part][key]
+
+
+def test_balancer_values_are_all_checked(recorded: dict[str, Any]) -> None:
+    memory = recorded["memory"]
+    parts = ("node", "window", "shedding", "slow_start", "bucket")
+
+    assert {(part, key) for part in parts for key in memory[part]} == set(BALANCER_VALUES)
+    assert {*memory} == {*parts, "hosts", "guests", "shed"}
+    assert len(memory["hosts"]) == 5
+    assert all(values.keys() == ENDPOINT_VALUES.keys() for values in memory["hosts"].values())
+
+
+@pytest.mark.parametrize("key", ENDPOINT_VALUES)
+def test_ejection_state_of_endpoints_is_read(successor: Proxy, recorded: dict[str, Any], key: str) -> None:
+    endpoints = balancer_endpoints(successor.broker.balancer)
+    hosts = recorded["memory"]["hosts"]
+
+    assert {name: ENDPOINT_VALUES[key](endpoints[bytes.fromhex(name)]) for name in hosts} == {
+        name: values[key] for name, values in hosts.items()
+    }
+
+
+def test_latency_estimator_state_is_read(successor: Proxy) -> None:
+    estimator = successor.broker.latency_estimator
+
+    assert (estimator.guests, estimator.guests_at) == (-4.5, 9_000_000_000_001)
+    assert estimator.shed_at == {b"s-ready": 9_000_000_000_002, b"s-draining": 9_000_000_000_003}
+
+
+def test_vrrp_stays_active_and_channels_listen_without_descriptors(successor: Proxy) -> None:
+    assert successor.vrrp is not None
+    assert successor.vrrp.router.state is State.ACTIVE
+    assert successor.channels.acceptor is not None
+    assert successor.hot_restart.is_joining
+
+
+def test_state_is_handed_on_under_the_same_keys(successor: Proxy, recorded: dict[str, Any]) -> None:
+    state, descriptors = successor.state()
+    written = json.loads(json.dumps(state))
+
+    assert written.keys() == recorded.keys() - {"say"}
+    for part in ("bans", "memory", "active", "passed"):
+        assert written[part] == recorded[part]
+    assert written["list"]["rev"] == recorded["list"]["rev"]
+    assert sorted(written["list"]["targets"], key=lambda target: str(target["uid"])) == sorted(
+        recorded["list"]["targets"], key=lambda target: str(target["uid"])
+    )
+    assert written["budgets"]["taymobile"] == recorded["budgets"]["taymobile"]
+    assert written["budgets"]["glenlink"] == [[math.inf, 0], [2.75, 6_000_000_000_003]]
+    assert written["holdings"].keys() == recorded["holdings"].keys()
+    assert len(descriptors) == 2
+
+
+def test_unknown_keys_of_another_version_are_left_alone(successor: Proxy, recorded: dict[str, Any]) -> None:
+    broker = successor.broker
+    memory = recorded["memory"]
+    before = export_state(broker.balancer, broker.latency_estimator)
+    memory["later"] = {"key": 1}
+    memory["window"]["later"] = 1
+    memory["hosts"]["732d7265616479"]["later"] = 1
+    memory["hosts"]["00"] = {"faults": 9}  # not listed any more
+
+    import_state(broker.balancer, broker.latency_estimator, memory)
+    assert export_state(broker.balancer, broker.latency_estimator) == before
