--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -94,7 +94,7 @@
         self.balancer.configure(settings)
         aim = min(c.message_latency_objective_ns for c in settings.offered)
         self.latency_estimator.configure(aim, settings.balancers, settings.weights_are_sizes)
-        contracts.follow(self.contracts, Counter(i.tenant for i in self.requests.values()))
+        contracts.replace(self.contracts, Counter(i.tenant for i in self.requests.values()))
         self.contracts = contracts
 
     def post(self, event: Event) -> None:
--- a/linnetshift/config/broker_file.py
+++ b/linnetshift/config/broker_file.py
@@ -7,11 +7,12 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from linnetshift.broker.contracts import Budget, Contract, Contracts
+from linnetshift.broker.contracts import Contract, Contracts
 from linnetshift.config.errors import ConfigError
 from linnetshift.config.names import NameRegistry
 from linnetshift.event_loop.address import Address, parse_address
 from linnetshift.routing.settings import Settings
+from linnetshift.util.token_bucket import TokenBucket
 from linnetshift.vrrp.router import VrrpConfig
 
 OWN_FILE = Path(__file__).parent.parent.parent / "deploy" / "broker.toml"
@@ -88,11 +89,11 @@
     return Contracts(teams)
 
 
-def read_budget(item: dict[str, Any], rate_key: str, burst_key: str) -> Budget | None:
+def read_budget(item: dict[str, Any], rate_key: str, burst_key: str) -> TokenBucket | None:
     if rate_key not in item:
         return None
     rate = float(item[rate_key])
     burst = float(item.get(burst_key, max(1.0, rate)))
     if not 0.0 < rate < float("inf") or not 1.0 <= burst < float("inf"):
         raise ValueError(f"{rate_key} must be above 0 and {burst_key} 1 or more")
-    return Budget(rate, burst)
+    return TokenBucket(rate, burst)
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -23,7 +23,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from linnetshift.broker.broker import Broker
-from linnetshift.broker.contracts import Budget, Contracts
+from linnetshift.broker.contracts import Contracts
 from linnetshift.broker.latency_estimator import Standing
 from linnetshift.broker.snapshot import import_state
 from linnetshift.config.names import NameRegistry
@@ -33,6 +33,7 @@
 from linnetshift.event_loop.stream import End, Stream
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
+from linnetshift.util.token_bucket import TokenBucket
 
 TAKEOVER_TIMEOUT_S = (
     2.5  # how long a new process waits for the state of one that may hang; then it goes on alone
@@ -127,15 +128,17 @@
     """What is left of each team's budgets: rate and retries, as level and time."""
     teams = {place: name for name, place in names.tenants.items()}
     return {
-        teams[team]: [None if b is None else [b.level, b.at] for b in (contract.rate, contract.retries)]
+        teams[team]: [
+            None if b is None else [b.level, b.refilled_at_ns] for b in (contract.rate, contract.retries)
+        ]
         for team, contract in contracts.teams.items()
         if team in teams
     }
 
 
-def take_over(budget: Budget | None, left: list[float] | None) -> None:
+def take_over(budget: TokenBucket | None, left: list[float] | None) -> None:
     if budget is not None and left is not None:
-        budget.level, budget.at = float(left[0]), int(left[1])
+        budget.level, budget.refilled_at_ns = float(left[0]), int(left[1])
 
 
 class ImportedState:
--- /dev/null
+++ b/linnetshift/util/token_bucket.py
@@ -0,0 +1,54 @@
+"""A token bucket on the caller's clock, for rate limits and paced admission."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+NS_PER_S = 1e9
+
+
+@dataclass(slots=True)
+class TokenBucket:
+    """Allows `rate_per_s` tokens a second, of which up to `capacity` may be saved up.
+
+    It never reads a clock: callers pass the time in ns, from one clock that does not go back. A bucket is
+    full at first; one that must start empty is made with `level=0.0` and the time of its making. Rate and
+    capacity may be changed between two calls, and apply from the next refill on.
+    """
+
+    rate_per_s: float
+    capacity: float
+    level: float = math.inf
+    refilled_at_ns: int = 0
+
+    def refill(self, now_ns: int) -> None:
+        """Add what has accrued since the last refill, up to the capacity."""
+        accrued = self.rate_per_s * (now_ns - self.refilled_at_ns) / NS_PER_S
+        self.level = min(self.capacity, self.level + accrued)
+        self.refilled_at_ns = now_ns
+
+    def wait_ns(self, now_ns: int) -> int:
+        """Refill, and tell how long until a whole token is there; 0 when one is there now.
+
+        The rate must be above 0.
+        """
+        self.refill(now_ns)
+        if self.level >= 1.0:
+            return 0
+        return math.ceil((1.0 - self.level) / self.rate_per_s * NS_PER_S)
+
+    def take(self) -> float:
+        """Take one token, or what is left of one; how much was taken.
+
+        A caller that admits with probability `taken` keeps to the rate on average also while the level is
+        below one.
+        """
+        taken = min(1.0, self.level)
+        self.level -= taken
+        return taken
+
+    def copy_level(self, other: TokenBucket) -> None:
+        """Go on from the level of `other`, whose place this bucket takes."""
+        self.level = other.level
+        self.refilled_at_ns = other.refilled_at_ns
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -9,10 +9,11 @@
 
 from linnetshift.broker import broker
 from linnetshift.broker.broker import ActiveRequest, Attempt, Broker
-from linnetshift.broker.contracts import Budget, Contract, Contracts
+from linnetshift.broker.contracts import Contract, Contracts
 from linnetshift.routing.actions import Fail, Reject, Send
 from linnetshift.routing.events import RETRY, Outcome
 from linnetshift.routing.settings import Settings
+from linnetshift.util.token_bucket import TokenBucket
 
 
 class Around:
@@ -139,9 +140,9 @@
     "contract, flags, limit, wait",
     [
         (Contract(services=frozenset()), 0, "service", 60 * S),
-        (Contract(rate=Budget(2.0, 1.0)), 0, "rate", S // 2),
-        (Contract(retries=Budget(4.0, 1.0)), RETRY, "retries", S // 4),
-        (Contract(retries=Budget(4.0, 1.0)), 0, "", 0),
+        (Contract(rate=TokenBucket(2.0, 1.0)), 0, "rate", S // 2),
+        (Contract(retries=TokenBucket(4.0, 1.0)), RETRY, "retries", S // 4),
+        (Contract(retries=TokenBucket(4.0, 1.0)), 0, "", 0),
     ],
 )
 def test_breaches_say_when_to_come_again(contract: Contract, flags: int, limit: str, wait: int) -> None:
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -186,7 +186,7 @@
     glenlink = teams[successor.names.tenants["glenlink"]]
 
     buckets = (taymobile.rate, taymobile.retries, glenlink.rate, glenlink.retries)
-    assert [(bucket.level, bucket.at) for bucket in buckets if bucket is not None] == [
+    assert [(bucket.level, bucket.refilled_at_ns) for bucket in buckets if bucket is not None] == [
         (4.25, 6_000_000_000_001),
         (1.5, 6_000_000_000_002),
         (math.inf, 0),  # the older process had no rate limit for this team
