--- a/linnetshift/broker/active_request.py
+++ b/linnetshift/broker/active_request.py
@@ -4,147 +4,145 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
 
-from linnetshift.routing.events import Outcome
-
-
-class TimerHandle(Protocol):
-    """What a timer is held by."""
-
-    def cancel(self) -> None: ...
-
-
-class Client(Protocol):
-    """The side that asked. Messages are slices that hold only until the call returns."""
-
-    @property
-    def is_congested(self) -> bool:
-        """Whether messages should wait; `UpstreamConnection.resume` is called once they need not."""
-
-    @property
-    def is_present(self) -> bool:
-        """Whether it has not left, as its connection tells at this very moment."""
-
-    def handle_established(self, receipt: memoryview) -> None: ...
-
-    def deliver(self, message: memoryview) -> None: ...
-
-    def resume(self) -> None: ...
-
-    def reject(self, retry_after_ns: int, breach: str) -> None:
-        """Final answer: not done, and coming back is harmless; `breach` names a contract's limit."""
-
-    def fail(self) -> None: ...
-
-    def migrate(self, reason: str) -> None:
-        """Send the client away politely, between two messages."""
-
-    def handle_endpoint_ended(self, outcome: int, reset: bool) -> None: ...
+from linnetshift.broker.ports import Client, TimerHandle, UpstreamConnection
+from linnetshift.routing.events import AdoptedConnection, Outcome, Request
 
 
 class DetachedClient:
-    """The client of a request that is over: whoever still holds that says its last word to nobody.
+    """The client of a request that is over: it ignores whatever it is still called with.
 
-    Without it request and client would hold each other for as long as no collector comes.
+    A request that kept its real client would form a reference cycle with it, which only the garbage collector
+    could free.
     """
 
     is_congested = False
     is_present = False
 
-    def handle_established(self, receipt: memoryview) -> None: ...
+    def handle_established(self, receipt: memoryview) -> None:
+        """Ignore the final answer."""
 
-    def deliver(self, message: memoryview) -> None: ...
+    def deliver(self, message: memoryview) -> None:
+        """Drop the message."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Do nothing: there is nothing left to read."""
 
-    def reject(self, retry_after_ns: int, breach: str) -> None: ...
+    def reject(self, retry_after_ns: int, breach: str) -> None:
+        """Ignore the final answer."""
 
-    def fail(self) -> None: ...
+    def fail(self) -> None:
+        """Ignore the final answer."""
 
-    def migrate(self, reason: str) -> None: ...
+    def migrate(self, reason: str) -> None:
+        """Do nothing: there is nobody left to migrate."""
 
-    def handle_endpoint_ended(self, outcome: int, reset: bool) -> None: ...
+    def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
+        """Do nothing: there is nobody left to notify."""
 
 
 DETACHED_CLIENT = DetachedClient()
 
 
-class UpstreamConnection(Protocol):
-    """The connection to an endpoint that an attempt uses."""
-
-    @property
-    def is_congested(self) -> bool: ...
-
-    def deliver(self, message: memoryview) -> None: ...
-
-    def resume(self) -> None: ...
-
-    def oldest_unanswered_ns(self) -> int:
-        """How long the oldest message that wants a reply has waited for it."""
-
-    def idle_ns(self) -> int:
-        """How long ago anything last came from the endpoint."""
-
-    def handle_client_ended(self, reset: bool) -> None:
-        """End it the way the client ended its own."""
-
-    def abandon(self) -> None:
-        """Close it now and report nothing more."""
-
-
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
+    """A client's request from its submission until it is rejected, fails or its connection ends.
+
+    Frontends fill in the first fields. The broker owns those from `id` on.
+    """
+
     client: Client
-    klass: int
-    tenant: int
-    key: int
-    group: int
-    flags: int
-    load_hint: int
-    deadline: int  # on the broker's clock
-    # What the endpoint is sent first, given the milliseconds that its answer is waited for.
+    klass: int  # number of its request class in `Settings.classes`
+    tenant: int  # number of its tenant in the settings
+    key: int  # what it is placed by
+    group: int  # clients of one group share state at an endpoint; 0: none given
+    flags: int  # RETRY, MID_FLOW and RETURNED of `routing.events`
+    load_hint: int  # as given in the request line; 0: none given
+    deadline: int  # for the final answer, in ns of the broker's clock
+    # Makes the request line for an endpoint, given the milliseconds that its answer is waited for.
     encode_request_line: Callable[[int], bytes]
-    adopted_endpoint: bytes = b""  # the endpoint that held this connection before the start
-    id: int = 0
-    began: int = 0
-    attempts: int = 0
+    adopted_endpoint: bytes = b""  # the endpoint that held this connection before the proxy started
+    id: int = 0  # unique in this process; 0 before the submission
+    began: int = 0  # when it was submitted, in ns of the broker's clock
+    attempts: int = 0  # how many have been started; the next one's number
     possibly_executed_at: int = 0  # when the first attempt that may have run was begun; 0 while none may have
-    attempt: Attempt | None = None  # the attempt that is under way or stands
-    is_answered: bool = False
-    overdue_timer: TimerHandle | None = None  # until it is answered: what then answers in the module's place
-
-    def release(self) -> Client:
-        """It is over, and holds nobody from now on; the client, to be told so."""
-        client, self.client = self.client, DETACHED_CLIENT
-        self.settle()
+    attempt: Attempt | None = None  # the attempt that is under way or established
+    is_answered: bool = False  # its client has its final answer, or is owed none
+    overdue_timer: TimerHandle | None = None  # answers in the balancer's place, unless it does so in time
+
+    def detach_client(self) -> Client:
+        """Mark the request as over, and give up its client, which is returned for a last notification."""
+        client = self.client
+        self.client = DETACHED_CLIENT
+        self.mark_answered()
         return client
 
-    def settle(self) -> None:
-        """It has its answer."""
+    def mark_answered(self) -> None:
+        """Record that the final answer is given: nothing answers in the balancer's place any more."""
         self.is_answered = True
         if self.overdue_timer is not None:
             self.overdue_timer.cancel()
             self.overdue_timer = None
 
-    def part(self) -> UpstreamConnection | None:
-        """No attempt is out or stands any more; its link, which the attempt holds no longer."""
-        attempt, self.attempt = self.attempt, None
+    def detach_connection(self) -> UpstreamConnection | None:
+        """End the current attempt, if any, and give up its connection, which is returned to be closed."""
+        attempt = self.attempt
+        self.attempt = None
         if attempt is None:
             return None
-        link, attempt.link = attempt.link, None
+        link = attempt.link
+        attempt.link = None
         return link
 
+    def to_request_event(self, budget_ns: int) -> Request:
+        """The event that asks the balancer to place it within `budget_ns`."""
+        return Request(
+            request_id=self.id,
+            klass=self.klass,
+            group=self.group,
+            key=self.key,
+            load_hint=self.load_hint,
+            flags=self.flags,
+            tenant=self.tenant,
+            budget_ns=budget_ns,
+        )
+
+    def to_adopted_event(self, endpoint: bytes) -> AdoptedConnection:
+        """The event that tells the balancer of a connection which `endpoint` already served."""
+        return AdoptedConnection(
+            request_id=self.id,
+            klass=self.klass,
+            group=self.group,
+            key=self.key,
+            load_hint=self.load_hint,
+            flags=self.flags,
+            tenant=self.tenant,
+            endpoint=endpoint,
+        )
+
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One try to have one endpoint serve a request, and the connection that comes of it."""
+
     request: ActiveRequest
-    number: int
+    number: int  # counted from 0 within the request
     endpoint: bytes
-    began: int
+    began: int  # in ns of the broker's clock, as is the deadline
     deadline: int
-    link: UpstreamConnection | None = None
+    link: UpstreamConnection | None = None  # set by the connector; None again once the attempt is over
     is_established: bool = False
-    is_sent: bool = False  # its line has gone out, or part of it: from now on it may run
-    load: float | None = None  # as the endpoint last told
+    is_sent: bool = False  # its request line has gone out, or part of it: from now on it may run
+    load: float | None = None  # us of work a second, as the endpoint last reported for this connection
     outcome_on_client_end: int = Outcome.CANCELLED  # how it ends when the client's side ends it
+
+
+__all__ = [
+    "DETACHED_CLIENT",
+    "ActiveRequest",
+    "Attempt",
+    "Client",
+    "DetachedClient",
+    "TimerHandle",
+    "UpstreamConnection",
+]
--- a/linnetshift/broker/administrative_drains.py
+++ b/linnetshift/broker/administrative_drains.py
@@ -1,136 +1,203 @@
-"""Endpoints that operators have taken out: laid over every list on its way to the module.
+"""Endpoints that operators have drained: an overlay on every endpoint list on its way to the balancer.
 
-An endpoint that is taken out is listed as draining, whatever discovery says of it, until it is called
-back. So the module needs no rule for it: it sends nothing new there and moves off what stands.
+A drained endpoint is listed as draining, whatever discovery reports of it, until it is restored. So the
+balancer needs no rule for it: it sends nothing new there and migrates what is established.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.events import EndpointEntry, EndpointList, EndpointState, ListForm
 
-LEAVE_NS = 1_700_000_000  # operators restart what they took out some 2 s after the call
+# Operators restart an endpoint that they drained some 2 s after the call.
+LEAVE_NS = 1_700_000_000
 # Machines are replaced under new names, and a discovery service may go wrong: without bounds, names would
-# pile up.
-MOST_LISTED = 8192  # endpoints that the list names at once; what is beyond is left out
-MOST_KNOWN = 2 * MOST_LISTED  # with those that are gone
-MOST_OUT = 4096  # bans; each holds until the call back, so one more is answered no
+# pile up. So many endpoints may be listed at once; those beyond are left out.
+MAX_LISTED = 8192
+# Listed endpoints together with those that are removed, whose entries are still needed for a restore.
+MAX_KNOWN = 2 * MAX_LISTED
+# A drain holds until the restore and is never dropped, so one more than these is refused.
+MAX_DRAINED = 4096
+
+# Keys of the state that is handed over to another process.
+_REMOVED_KEY = "gone"
+_DRAINED_KEY = "out"
+_RESTORED_KEY = "back"
+
+
+class RestoredEndpoint(NamedTuple):
+    """When an endpoint was drained, and when it was restored, in ns of the system's monotonic clock."""
+
+    drained_at_ns: int
+    restored_at_ns: int
+
+
+def is_whole_list(event: EndpointList) -> bool:
+    """Whether an endpoint that the event does not name is not listed any more."""
+    return event.form in (ListForm.FULL, ListForm.CACHED)
 
 
 class AdministrativeDrains:
+    """Every endpoint ever listed, and which of them operators have drained or restored.
+
+    Attributes:
+        listed: the latest entry of each endpoint as discovery reported it, removed ones included, those
+            reported longest ago first.
+        drained_at_ns: when each endpoint that is drained now was drained.
+        restored: endpoints restored since discovery last reported a restart of theirs.
+    """
+
     def __init__(self, clock: Callable[[], int]) -> None:
+        """Start with nothing listed; `clock` gives ns of the system's monotonic clock."""
         self.clock = clock
-        self.version = 0
-        self.listed: dict[bytes, EndpointEntry] = {}  # as discovery last told, also of those that are gone
-        self.since: dict[bytes, int] = {}  # when each was taken out
-        self.back: dict[bytes, tuple[int, int]] = {}  # of those called back: when taken out, when called
-
-    def bounded(self, event: EndpointList) -> EndpointList:
-        """The event without those new entries that would be too many to keep."""
-        if len(event.entries) + len(self.listed) <= MOST_LISTED:
+        self.version = 0  # of the latest list
+        self.listed: dict[bytes, EndpointEntry] = {}
+        self.drained_at_ns: dict[bytes, int] = {}
+        self.restored: dict[bytes, RestoredEndpoint] = {}
+
+    # ---- the endpoint list ------------------------------------------------------------------
+
+    def limit_entries(self, event: EndpointList) -> EndpointList:
+        """The event without those new entries that would be more than MAX_LISTED."""
+        if len(event.entries) + len(self.listed) <= MAX_LISTED:
             return event
-        named = {entry.endpoint for entry in event.entries}
-        whole = event.form in (ListForm.FULL, ListForm.CACHED)
-        stays = {
-            h
-            for h, e in self.listed.items()
-            if e.state != EndpointState.REMOVED and not (whole and h not in named)
-        }
-        room = MOST_LISTED - len(stays)
+        remaining = self._endpoints_listed_after(event)
+        room = MAX_LISTED - len(remaining)
         kept = []
         for entry in event.entries:
-            if entry.endpoint in stays or entry.state == EndpointState.REMOVED:
+            if entry.endpoint in remaining or entry.state == EndpointState.REMOVED:
                 kept.append(entry)
             elif room > 0:
                 room -= 1
                 kept.append(entry)
         return event._replace(entries=tuple(kept))
 
+    def _endpoints_listed_after(self, event: EndpointList) -> set[bytes]:
+        """Endpoints listed now that the event does not remove by leaving them out of a full list."""
+        present = {
+            endpoint for endpoint, entry in self.listed.items() if entry.state != EndpointState.REMOVED
+        }
+        if not is_whole_list(event):
+            return present
+        return present & {entry.endpoint for entry in event.entries}
+
     def overlay(self, event: EndpointList) -> EndpointList:
-        """The list or change as the module is to see it."""
+        """Record a list or its changes, and return it as the balancer is to see it."""
         if event.form == ListForm.FAILED:
             return event
         self.version = event.version
-        if event.form in (ListForm.FULL, ListForm.CACHED):
+        if is_whole_list(event):
             named = {entry.endpoint for entry in event.entries}
             for endpoint, entry in self.listed.items():
                 if endpoint not in named:
                     self.listed[endpoint] = entry._replace(state=EndpointState.REMOVED)
         for entry in event.entries:
-            self.listed.pop(entry.endpoint, None)  # to the end: those told of longest ago come first
+            self.listed.pop(entry.endpoint, None)  # to the end: those reported longest ago come first
             self.listed[entry.endpoint] = entry
-        return event._replace(entries=tuple(self.shown(entry) for entry in event.entries))
-
-    def shown(self, entry: EndpointEntry) -> EndpointEntry:
-        taken, called = self.back.get(entry.endpoint, (0, 0))
-        if called and entry.started_ns > taken:
-            del self.back[entry.endpoint]  # discovery has heard of the restart: its word is the exact one
-        elif called:
-            entry = entry._replace(started_ns=called)
-        if entry.endpoint in self.since and entry.state == EndpointState.READY:
+        return event._replace(entries=tuple(self._overlay_entry(entry) for entry in event.entries))
+
+    def _overlay_entry(self, entry: EndpointEntry) -> EndpointEntry:
+        restored = self.restored.get(entry.endpoint)
+        if restored is not None and restored.restored_at_ns:
+            if entry.started_ns > restored.drained_at_ns:
+                del self.restored[entry.endpoint]  # discovery has the exact time of the restart
+            else:
+                entry = entry._replace(started_ns=restored.restored_at_ns)
+        if entry.endpoint not in self.drained_at_ns:
+            return entry
+        if entry.state == EndpointState.READY:
             entry = entry._replace(state=EndpointState.DRAINING)
-        if entry.endpoint in self.since:
-            entry = entry._replace(leave_ns=LEAVE_NS)
-        return entry
-
-    def trim(self) -> list[bytes]:
-        """Forget those gone for longest; their names, which nobody else need keep either."""
-        over = len(self.listed) - MOST_KNOWN
-        if over <= 0:
+        return entry._replace(leave_ns=LEAVE_NS)
+
+    def entry_update(self, endpoint: bytes) -> EndpointList:
+        """What the balancer is to see of one known endpoint after a drain or restore."""
+        entry = self._overlay_entry(self.listed[endpoint])
+        return EndpointList(ListForm.DELTA, self.version, (entry,))
+
+    def forget_removed(self) -> list[bytes]:
+        """Drop the endpoints removed for longest, where more than MAX_KNOWN are known; their names."""
+        excess = len(self.listed) - MAX_KNOWN
+        if excess <= 0:
             return []
-        gone = [h for h, e in self.listed.items() if e.state == EndpointState.REMOVED and h not in self.since]
-        for endpoint in gone[:over]:
+        removed = [
+            endpoint
+            for endpoint, entry in self.listed.items()
+            if entry.state == EndpointState.REMOVED and endpoint not in self.drained_at_ns
+        ]
+        forgotten = removed[:excess]
+        for endpoint in forgotten:
             del self.listed[endpoint]
-            self.back.pop(endpoint, None)
-        return gone[:over]
+            self.restored.pop(endpoint, None)
+        return forgotten
 
-    def full(self) -> bool:
-        """Whether one more cannot be taken out."""
-        return len(self.since) >= MOST_OUT
+    def is_known(self, endpoint: bytes) -> bool:
+        """Whether it was ever listed, as far as is still remembered."""
+        return endpoint in self.listed
 
-    def resource_usage(self) -> dict[str, ResourceUsage]:
-        return {
-            "names.known": ResourceUsage(len(self.listed), MOST_KNOWN + MOST_OUT),
-            "bans.out": ResourceUsage(len(self.since), MOST_OUT),
-            "bans.back": ResourceUsage(len(self.back), MOST_KNOWN + MOST_OUT),
-        }
+    def is_listed_ready(self, endpoint: bytes) -> bool:
+        """Whether discovery last reported that it serves; an administrative drain does not count."""
+        return endpoint in self.listed and self.listed[endpoint].state == EndpointState.READY
 
-    def holds(self, endpoint: bytes) -> bool:
-        return endpoint in self.since
+    # ---- drains and restores ----------------------------------------------------------------
 
-    def ready(self, endpoint: bytes) -> bool:
-        """Whether discovery last told that it serves."""
-        return endpoint in self.listed and self.listed[endpoint].state == EndpointState.READY
+    def is_full(self) -> bool:
+        """Whether no more endpoints can be drained."""
+        return len(self.drained_at_ns) >= MAX_DRAINED
 
-    def knows(self, endpoint: bytes) -> bool:
-        """Whether it was ever listed."""
-        return endpoint in self.listed
+    def is_drained(self, endpoint: bytes) -> bool:
+        """Whether operators have drained it and not restored it since."""
+        return endpoint in self.drained_at_ns
 
     def drain_endpoint(self, endpoint: bytes) -> None:
-        self.since[endpoint] = self.clock()
+        """List it as draining from now on."""
+        self.drained_at_ns[endpoint] = self.clock()
 
     def restore_endpoint(self, endpoint: bytes) -> None:
-        """It has been restarted meanwhile, so it counts as cold from now on unless the list knows better."""
-        self.back[endpoint] = self.since.pop(endpoint), self.clock()
+        """List a drained endpoint as discovery does again.
+
+        It has been restarted meanwhile, so it is listed as started now unless discovery knows better.
+        """
+        drained_at_ns = self.drained_at_ns.pop(endpoint)
+        self.restored[endpoint] = RestoredEndpoint(drained_at_ns, self.clock())
 
-    def state(self) -> dict[str, Any]:
-        """What another process needs to hold the same bans; `restore` takes it."""
-        gone = [h for h, entry in self.listed.items() if entry.state == EndpointState.REMOVED]
+    # ---- state and usage --------------------------------------------------------------------
+
+    def export_state(self) -> dict[str, Any]:
+        """What another process needs to hold the same drains; `import_state` takes it."""
+        removed = [
+            endpoint for endpoint, entry in self.listed.items() if entry.state == EndpointState.REMOVED
+        ]
         return {
-            "gone": [endpoint.decode() for endpoint in gone],
-            "out": {endpoint.decode(): since for endpoint, since in self.since.items()},
-            "back": {endpoint.decode(): times for endpoint, times in self.back.items()},
+            _REMOVED_KEY: [endpoint.decode() for endpoint in removed],
+            _DRAINED_KEY: {endpoint.decode(): at_ns for endpoint, at_ns in self.drained_at_ns.items()},
+            _RESTORED_KEY: {
+                endpoint.decode(): [restored.drained_at_ns, restored.restored_at_ns]
+                for endpoint, restored in self.restored.items()
+            },
         }
 
-    def restore(self, state: dict[str, Any]) -> None:
-        for endpoint in map(str.encode, state["gone"]):
+    def import_state(self, state: dict[str, Any]) -> None:
+        """Take over exported drains, before the first list is recorded.
+
+        Raises AttributeError, KeyError, TypeError or ValueError where the state makes no sense.
+        """
+        for endpoint in map(str.encode, state[_REMOVED_KEY]):
             self.listed.setdefault(endpoint, EndpointEntry(endpoint, 0, 0, 0, EndpointState.REMOVED, 1.0, 0))
-        self.since = {endpoint.encode(): int(since) for endpoint, since in state["out"].items()}
-        self.back = {endpoint.encode(): (int(t), int(c)) for endpoint, (t, c) in state["back"].items()}
+        self.drained_at_ns = {
+            endpoint.encode(): int(at_ns) for endpoint, at_ns in state[_DRAINED_KEY].items()
+        }
+        self.restored = {
+            endpoint.encode(): RestoredEndpoint(int(drained_at_ns), int(restored_at_ns))
+            for endpoint, (drained_at_ns, restored_at_ns) in state[_RESTORED_KEY].items()
+        }
 
-    def change(self, endpoint: bytes) -> EndpointList:
-        """What the module is told of one endpoint after a call."""
-        return EndpointList(ListForm.DELTA, self.version, (self.shown(self.listed[endpoint]),))
+    def resource_usage(self) -> dict[str, ResourceUsage]:
+        """Sizes and bounds, under their names in `GET /ops/census`."""
+        return {
+            "names.known": ResourceUsage(len(self.listed), MAX_KNOWN + MAX_DRAINED),
+            "bans.out": ResourceUsage(len(self.drained_at_ns), MAX_DRAINED),
+            "bans.back": ResourceUsage(len(self.restored), MAX_KNOWN + MAX_DRAINED),
+        }
--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from itertools import count
 
-from linnetshift.broker.active_request import ActiveRequest, Attempt, Client, UpstreamConnection
-from linnetshift.broker.administrative_drains import MOST_KNOWN, MOST_OUT, AdministrativeDrains
+from linnetshift.broker.active_request import ActiveRequest, Attempt
+from linnetshift.broker.administrative_drains import MAX_DRAINED, MAX_KNOWN, AdministrativeDrains
 from linnetshift.broker.contracts import Contracts
 from linnetshift.broker.deployment_facts import DeploymentFacts
 from linnetshift.broker.latency_estimator import LatencyEstimator, Standing
-from linnetshift.broker.ports import Connector, Discovery, Timers
+from linnetshift.broker.ports import Client, Connector, Discovery, Timers, UpstreamConnection
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.actions import (
     Action,
@@ -35,7 +35,6 @@
     NEVER_RAN,
     RETURNED,
     SLOW_NOTE,
-    AdoptedConnection,
     AttemptEnded,
     ConnectionEstablished,
     ConnectionNote,
@@ -44,7 +43,6 @@
     HealthCheckResult,
     ListForm,
     Outcome,
-    Request,
     RequestWithdrawn,
     TimerFired,
 )
@@ -141,26 +139,28 @@
 
     def handle_endpoint_list(self, event: EndpointList) -> None:
         self.apply_endpoint_list(self.administrative_drains.overlay(event))
-        for name in self.administrative_drains.trim():
+        for name in self.administrative_drains.forget_removed():
             self.latency_estimator.forget(name)
             self.zones.pop(name, None)
             self.starts.pop(name, None)
 
     def drain_endpoint(self, endpoint: bytes) -> bool:
         """Send nothing new there until it is called back; whether it was ever listed and is out now."""
-        if self.administrative_drains.full() and not self.administrative_drains.holds(endpoint):
+        if self.administrative_drains.is_full() and not self.administrative_drains.is_drained(endpoint):
             return False
-        if self.administrative_drains.knows(endpoint) and not self.administrative_drains.holds(endpoint):
+        if self.administrative_drains.is_known(endpoint) and not self.administrative_drains.is_drained(
+            endpoint
+        ):
             self.administrative_drains.drain_endpoint(endpoint)
-            self.apply_endpoint_list(self.administrative_drains.change(endpoint))
-        return self.administrative_drains.knows(endpoint)
+            self.apply_endpoint_list(self.administrative_drains.entry_update(endpoint))
+        return self.administrative_drains.is_known(endpoint)
 
     def restore_endpoint(self, endpoint: bytes) -> bool:
         """Use it again at once; whether it was ever listed."""
-        if self.administrative_drains.holds(endpoint):
+        if self.administrative_drains.is_drained(endpoint):
             self.administrative_drains.restore_endpoint(endpoint)
-            self.apply_endpoint_list(self.administrative_drains.change(endpoint))
-        return self.administrative_drains.knows(endpoint)
+            self.apply_endpoint_list(self.administrative_drains.entry_update(endpoint))
+        return self.administrative_drains.is_known(endpoint)
 
     def apply_endpoint_list(self, event: EndpointList) -> None:
         if event.form in (ListForm.FULL, ListForm.CACHED):
@@ -191,7 +191,7 @@
         request.id, request.began = next(self.ids), self.clock()
         breach = self.contracts.admit(request.tenant, request.klass, request.flags, request.began)
         if breach is not None:
-            request.release().reject(breach.wait_ns, breach.limit)
+            request.detach_client().reject(breach.wait_ns, breach.limit)
             return
         self.requests[request.id] = request
         if request.adopted_endpoint and request.began - self.started > ADOPT_NS:
@@ -204,18 +204,7 @@
         left = max(1, request.deadline - request.began)
         number = request.id  # the request itself would be held until then, answered or not
         request.overdue_timer = self.timers.call_later(left + OVERDUE_NS, lambda: self.overdue(number))
-        self.post(
-            Request(
-                request.id,
-                request.klass,
-                request.group,
-                request.key,
-                request.load_hint,
-                request.flags,
-                request.tenant,
-                left,
-            )
-        )
+        self.post(request.to_request_event(left))
 
     def overdue(self, request_id: int) -> None:
         """Whatever keeps the module from it, an answer is owed before the client gives up."""
@@ -227,22 +216,11 @@
         """The endpoint serves: the final answer, and the start of the standing connection."""
         request, now = attempt.request, self.clock()
         attempt.is_established = True
-        request.settle()
+        request.mark_answered()
         if request.flags & RETURNED:
             self.latency_estimator.guest(True, now)
         if request.adopted_endpoint:
-            self.post(
-                AdoptedConnection(
-                    request.id,
-                    request.klass,
-                    request.group,
-                    request.key,
-                    request.load_hint,
-                    request.flags,
-                    request.tenant,
-                    attempt.endpoint,
-                )
-            )
+            self.post(request.to_adopted_event(attempt.endpoint))
         else:
             self.post(
                 ConnectionEstablished(request.id, attempt.number, attempt.endpoint, now - attempt.began)
@@ -254,13 +232,13 @@
         request = attempt.request
         if request.attempt is not attempt:
             return
-        request.part()
+        request.detach_connection()
         if outcome not in NEVER_RAN:
             request.possibly_executed_at = request.possibly_executed_at or attempt.began
         if attempt.is_established or request.is_answered:
             client = self.forget(request)
             if attempt.is_established:
-                if outcome == Outcome.RESET and self.administrative_drains.knows(attempt.endpoint):
+                if outcome == Outcome.RESET and self.administrative_drains.is_known(attempt.endpoint):
                     self.latency_estimator.dropped(attempt.endpoint, self.clock())
                 if outcome != Outcome.OK:
                     self.latency_estimator.guest(False, self.clock())
@@ -280,7 +258,7 @@
         request.overdue_timer = self.timers.call_later(ADOPT_AGAIN_NS, lambda: self.adopt(request))
 
     def adopt(self, request: ActiveRequest) -> None:
-        if self.administrative_drains.holds(
+        if self.administrative_drains.is_drained(
             request.adopted_endpoint
         ):  # this goes past the module, which would not send there
             self.fail(request.id)
@@ -301,7 +279,7 @@
         if request.id not in self.requests:
             return
         attempt, waiting = request.attempt, not request.is_answered
-        link = request.part()
+        link = request.detach_connection()
         self.forget(request)
         if waiting and not request.adopted_endpoint:
             self.post(RequestWithdrawn(request.id))
@@ -317,7 +295,7 @@
 
     def record_response_time(self, attempt: Attempt, elapsed_ns: int) -> None:
         """An endpoint's reply to a client's message came after so long."""
-        if not self.administrative_drains.knows(attempt.endpoint):
+        if not self.administrative_drains.is_known(attempt.endpoint):
             return  # trimmed: nothing is kept under its name any more
         zone = self.zones.get(attempt.endpoint)
         far = zone if zone != self.settings.zone else None
@@ -326,7 +304,7 @@
     def record_load_report(self, attempt: Attempt, load: float) -> None:
         """The connection's load, or the time that messages take at the endpoint: the figure tells which."""
         endpoint = attempt.endpoint
-        if not self.administrative_drains.knows(endpoint):
+        if not self.administrative_drains.is_known(endpoint):
             return  # trimmed: nothing is kept under its name any more
         if self.settings.reports_message_time and self.latency_estimator.tells_time(
             endpoint, load, self.clock()
@@ -413,8 +391,8 @@
         request, endpoint, now = attempt.request, attempt.endpoint, self.clock()
         if request.attempt is not attempt or request.is_answered or not request.client.is_present:
             return False
-        if self.administrative_drains.holds(endpoint) or not (
-            request.adopted_endpoint or self.administrative_drains.ready(endpoint)
+        if self.administrative_drains.is_drained(endpoint) or not (
+            request.adopted_endpoint or self.administrative_drains.is_listed_ready(endpoint)
         ):
             return False
         klass, first = self.settings.classes[request.klass], request.possibly_executed_at
@@ -452,7 +430,7 @@
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
             return None
-        attempt, link = request.attempt, request.part()
+        attempt, link = request.attempt, request.detach_connection()
         client = self.forget(request)
         if link is not None:
             link.abandon()
@@ -480,11 +458,11 @@
         """It is over; its client, which it holds no longer."""
         if self.requests.pop(request.id, None) is not None:
             self.contracts.release(request.tenant)
-        return request.release()
+        return request.detach_client()
 
     def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
         """What is held; `connections` is the most that may be open or waiting at once."""
-        names, balancer = MOST_KNOWN + MOST_OUT, self.balancer
+        names, balancer = MAX_KNOWN + MAX_DRAINED, self.balancer
         return {
             "broker.invocations": ResourceUsage(len(self.requests), connections),
             "broker.inbox": ResourceUsage(len(self.inbox), 8 * connections + names),
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -170,7 +170,7 @@
         """Before the list is told."""
         try:
             if self.state:
-                broker.administrative_drains.restore(self.state["bans"])
+                broker.administrative_drains.import_state(self.state["bans"])
                 for team, left in self.state["budgets"].items():
                     contract = broker.contracts.teams.get(self.names.tenants[team])
                     if contract is not None:
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from linnetshift.admin.server import AdminServer
-from linnetshift.broker.administrative_drains import MOST_LISTED
+from linnetshift.broker.administrative_drains import MAX_LISTED
 from linnetshift.broker.broker import Broker
 from linnetshift.broker.snapshot import export_state
 from linnetshift.config.broker_file import BrokerFile
@@ -117,7 +117,7 @@
         self.hot_restart = HotRestart(loop, self, socket_path, predecessor)
 
     def listed(self, list_update: EndpointListUpdate) -> None:
-        event = self.broker.administrative_drains.bounded(list_update.event)
+        event = self.broker.administrative_drains.limit_entries(list_update.event)
         if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
             log.note("endpoint-list-received", **self.describe_list(event))
         if left_out := len(list_update.event.entries) - len(event.entries):
@@ -148,7 +148,7 @@
         return {
             **self.loop.resource_usage(connections),
             **self.broker.resource_usage(connections),
-            **self.connector.resource_usage(MOST_LISTED),
+            **self.connector.resource_usage(MAX_LISTED),
             **self.connection_limiter.resource_usage(connections),
             **self.frontend.resource_usage(connections),
             **self.channels.resource_usage(connections),
@@ -157,8 +157,9 @@
         }
 
     def is_drain_limit_reached(self, endpoint: bytes) -> bool:
-        return self.broker.administrative_drains.full() and not self.broker.administrative_drains.holds(
-            endpoint
+        return (
+            self.broker.administrative_drains.is_full()
+            and not self.broker.administrative_drains.is_drained(endpoint)
         )
 
     # ---- what operators ask -----------------------------------------------------------------
@@ -175,7 +176,7 @@
         return "" if self.frontend.address is not None else "not listening"
 
     def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
-        known = self.broker.administrative_drains.knows(endpoint)
+        known = self.broker.administrative_drains.is_known(endpoint)
         if known:
             self.hot_restart.apply_administrative_drain(endpoint, out, lambda: done(True))
         else:
@@ -204,7 +205,7 @@
         passing = {what: fd for what, fd in passing.items() if fd >= 0}
         state = {
             "list": {"rev": self.discovery.version, "all": True, "targets": targets},
-            "bans": administrative_drains.state(),
+            "bans": administrative_drains.export_state(),
             "budgets": spent(self.own.contracts, self.names),
             "holdings": self.peer_resources(),
             "memory": export_state(self.broker.balancer, self.broker.latency_estimator),
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -57,7 +57,7 @@
         broker = self.broker
         assert broker is not None
         address = self.addresses.get(endpoint)
-        if address is None or broker.administrative_drains.holds(endpoint):
+        if address is None or broker.administrative_drains.is_drained(endpoint):
             # One that was taken out is asked nothing; FULL is what says nothing of an endpoint.
             broker.handle_health_check_result(
                 endpoint, Outcome.CONNECT_FAILED if address is None else Outcome.FULL, 0, ()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -31,11 +31,11 @@
 
 @pytest.fixture
 def few(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(administrative_drains, "MOST_LISTED", 8)
-    monkeypatch.setattr(administrative_drains, "MOST_KNOWN", 16)
-    monkeypatch.setattr(administrative_drains, "MOST_OUT", 4)
-    monkeypatch.setattr(broker, "MOST_KNOWN", 16)
-    monkeypatch.setattr(broker, "MOST_OUT", 4)
+    monkeypatch.setattr(administrative_drains, "MAX_LISTED", 8)
+    monkeypatch.setattr(administrative_drains, "MAX_KNOWN", 16)
+    monkeypatch.setattr(administrative_drains, "MAX_DRAINED", 4)
+    monkeypatch.setattr(broker, "MAX_KNOWN", 16)
+    monkeypatch.setattr(broker, "MAX_DRAINED", 4)
 
 
 def test_names_that_come_and_go_are_forgotten_everywhere(few: None) -> None:
@@ -62,16 +62,16 @@
 
 def test_a_list_that_is_too_long_is_cut_and_goes_on(few: None) -> None:
     kept = AdministrativeDrains(lambda: 1)
-    event = kept.bounded(listed(*names(*range(20))))
+    event = kept.limit_entries(listed(*names(*range(20))))
     assert [each.endpoint for each in event.entries] == [endpoint(n) for n in range(8)]
     kept.overlay(event)
     # What is known already is heard of all the same; only new names find no room.
     change = listed(*names(3, 4, state=EndpointState.DRAINING), *names(50), form=ListForm.DELTA)
-    assert [each.endpoint for each in kept.bounded(change).entries] == [endpoint(3), endpoint(4)]
+    assert [each.endpoint for each in kept.limit_entries(change).entries] == [endpoint(3), endpoint(4)]
     kept.overlay(listed(*names(5, state=EndpointState.REMOVED), form=ListForm.DELTA))
-    assert len(kept.bounded(listed(*names(51, 52), form=ListForm.DELTA)).entries) == 1
+    assert len(kept.limit_entries(listed(*names(51, 52), form=ListForm.DELTA)).entries) == 1
     # A whole list frees the places of those that it does not name.
-    assert len(kept.bounded(listed(*names(*range(60, 68)))).entries) == 8
+    assert len(kept.limit_entries(listed(*names(*range(60, 68)))).entries) == 8
 
 
 def test_a_ban_is_never_forgotten_and_one_too_many_is_refused(few: None) -> None:
@@ -83,12 +83,12 @@
     for number in range(100, 200):
         around.broker.handle_endpoint_list(listed(*names(number)))
     assert all(
-        around.broker.administrative_drains.holds(endpoint(n))
-        and around.broker.administrative_drains.knows(endpoint(n))
+        around.broker.administrative_drains.is_drained(endpoint(n))
+        and around.broker.administrative_drains.is_known(endpoint(n))
         for n in range(4)
     )
     assert around.broker.restore_endpoint(endpoint(0))
-    assert around.broker.administrative_drains.back and over(around.broker.resource_usage(16)) == []
+    assert around.broker.administrative_drains.restored and over(around.broker.resource_usage(16)) == []
 
 
 def rules(*aims: int) -> Settings:
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -168,10 +168,10 @@
 
     assert drains.listed[b"s-gone"].state == EndpointState.REMOVED
     assert b"s-gone" not in endpoints
-    assert drains.state() == {
+    assert drains.export_state() == {
         "gone": ["s-gone"],
         "out": {"s-out": 5_000_000_000_001},
-        "back": {"s-back": (5_000_000_000_002, 5_000_000_000_003)},
+        "back": {"s-back": [5_000_000_000_002, 5_000_000_000_003]},
     }
     assert endpoint_fields(endpoints[b"s-out"]) == (EndpointState.DRAINING, 1_004_000_000, 1_700_000_000)
     assert endpoint_fields(endpoints[b"s-back"]) == (EndpointState.READY, 5_000_000_000_003, 0)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -135,4 +135,4 @@
     for started in starts:
         shown = administrative_drains.overlay(listed(entry(1, started_ns=started))).entries
     assert shown == (entry(1, started_ns=seen),)
-    assert administrative_drains.knows(endpoint(2))  # gone from the list by now
+    assert administrative_drains.is_known(endpoint(2))  # gone from the list by now
