--- a/linnetshift/broker/active_request.py
+++ b/linnetshift/broker/active_request.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from linnetshift.broker.ports import Client, TimerHandle, UpstreamConnection
-from linnetshift.routing.events import AdoptedConnection, Outcome, Request
+from linnetshift.routing.events import AdoptedConnection, AttemptEnded, Outcome, Request
 
 
 class DetachedClient:
@@ -136,13 +136,15 @@
     load: float | None = None  # us of work a second, as the endpoint last reported for this connection
     outcome_on_client_end: int = Outcome.CANCELLED  # how it ends when the client's side ends it
 
-
-__all__ = [
-    "DETACHED_CLIENT",
-    "ActiveRequest",
-    "Attempt",
-    "Client",
-    "DetachedClient",
-    "TimerHandle",
-    "UpstreamConnection",
-]
+    def to_ended_event(self, now_ns: int, outcome: int) -> AttemptEnded:
+        """The event that reports to the balancer how the attempt or its connection ended."""
+        request = self.request
+        return AttemptEnded(
+            request_id=request.id,
+            attempt=self.number,
+            endpoint=self.endpoint,
+            closed=request.is_answered,
+            elapsed_ns=now_ns - self.began,
+            outcome=outcome,
+            report=(),
+        )
--- a/linnetshift/broker/administrative_drains.py
+++ b/linnetshift/broker/administrative_drains.py
@@ -40,6 +40,11 @@
     return event.form in (ListForm.FULL, ListForm.CACHED)
 
 
+def max_names() -> int:
+    """The most endpoints that may be known by name at once."""
+    return MAX_KNOWN + MAX_DRAINED
+
+
 class AdministrativeDrains:
     """Every endpoint ever listed, and which of them operators have drained or restored.
 
@@ -197,7 +202,7 @@
     def resource_usage(self) -> dict[str, ResourceUsage]:
         """Sizes and bounds, under their names in `GET /ops/census`."""
         return {
-            "names.known": ResourceUsage(len(self.listed), MAX_KNOWN + MAX_DRAINED),
+            "names.known": ResourceUsage(len(self.listed), max_names()),
             "bans.out": ResourceUsage(len(self.drained_at_ns), MAX_DRAINED),
-            "bans.back": ResourceUsage(len(self.restored), MAX_KNOWN + MAX_DRAINED),
+            "bans.back": ResourceUsage(len(self.restored), max_names()),
         }
--- /dev/null
+++ b/linnetshift/broker/attempts.py
@@ -0,0 +1,201 @@
+"""Attempts: their start, what becomes of them, and the adoption of connections from before a start."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from linnetshift.broker.active_request import ActiveRequest, Attempt
+from linnetshift.broker.endpoint_views import EndpointViews
+from linnetshift.broker.event_inbox import EventInbox
+from linnetshift.broker.ports import Connector, Timers
+from linnetshift.broker.request_table import RequestTable
+from linnetshift.routing.events import (
+    NEVER_RAN,
+    RETURNED,
+    AttemptEnded,
+    ConnectionEstablished,
+    Outcome,
+    RequestWithdrawn,
+)
+
+# Connections that were open before the proxy's start come back through it within 40 s of the start.
+ADOPTION_PERIOD_NS = 60_000_000_000
+# Pause before an endpoint that could not be reached is tried again for an adoption.
+ADOPTION_RETRY_NS = 200_000_000
+
+
+class AttemptTracker:
+    """Starts attempts as the balancer decides, and reports to it and to the client what becomes of them."""
+
+    def __init__(
+        self,
+        table: RequestTable,
+        endpoints: EndpointViews,
+        connector: Connector,
+        clock: Callable[[], int],
+        timers: Timers,
+        inbox: EventInbox,
+    ) -> None:
+        """The time of the call counts as the proxy's start."""
+        self.table = table
+        self.endpoints = endpoints
+        self.connector = connector
+        self.clock = clock
+        self.timers = timers
+        self.inbox = inbox
+        self._started_ns = clock()
+
+    # ---- starts -----------------------------------------------------------------------------
+
+    def send(self, request_id: int, endpoint: bytes, timeout_ns: int) -> None:
+        """Start an attempt as the balancer decided; `timeout_ns` 0: until the request's deadline.
+
+        A request that is answered or withdrawn since, or has an attempt under way (two must never be out
+        together), is reported as moot; so is one whose client's end is about to be read.
+        """
+        request = self.table.requests.get(request_id)
+        if request is None or request.is_answered or request.attempt is not None:
+            self._report_moot(request_id, 0 if request is None else request.attempts, endpoint)
+            return
+        if not request.client.is_present:
+            self._report_moot(request_id, request.attempts, endpoint)
+            return
+        left_ns = request.deadline - self.clock()
+        allowed_ns = min(timeout_ns, left_ns) if timeout_ns > 0 else left_ns
+        self._open(request, endpoint, self.clock() + allowed_ns)
+
+    def _report_moot(self, request_id: int, number: int, endpoint: bytes) -> None:
+        self.inbox.post(
+            AttemptEnded(
+                request_id=request_id,
+                attempt=number,
+                endpoint=endpoint,
+                closed=True,
+                elapsed_ns=0,
+                outcome=Outcome.MOOT,
+                report=(),
+            )
+        )
+
+    def _open(self, request: ActiveRequest, endpoint: bytes, deadline: int) -> None:
+        attempt = Attempt(request, request.attempts, endpoint, self.clock(), deadline)
+        request.attempts += 1
+        request.attempt = attempt
+        self.connector.open(attempt)
+
+    def may_send(self, attempt: Attempt) -> bool:
+        """Whether the attempt's request line may go out now; asked at that very moment by whoever sends it.
+
+        Its connection took a while to come up since the balancer decided. Meanwhile the list may have
+        reported that the endpoint drains, operators may have drained it, the client may have left, its
+        deadline or the idempotency window may be over.
+        """
+        request = attempt.request
+        if request.attempt is not attempt or request.is_answered or not request.client.is_present:
+            return False
+        drains = self.endpoints.administrative_drains
+        if drains.is_drained(attempt.endpoint):
+            return False
+        if not request.adopted_endpoint and not drains.is_listed_ready(attempt.endpoint):
+            return False
+        now_ns = self.clock()
+        if now_ns >= attempt.deadline:
+            return False
+        first_ns = request.possibly_executed_at
+        return not first_ns or self.table.settings.classes[request.klass].may_retry(first_ns, now_ns)
+
+    # ---- adoption ---------------------------------------------------------------------------
+
+    def begin_adoption(self, request: ActiveRequest) -> None:
+        """Reconnect the request with the endpoint that served it before the proxy's start.
+
+        Later than that the request fails: it would choose its endpoint past the balancer, a draining one too.
+        """
+        if request.began - self._started_ns > ADOPTION_PERIOD_NS:
+            self.table.fail(request.id)
+        else:
+            self._adopt(request)
+
+    def _adopt(self, request: ActiveRequest) -> None:
+        # This bypasses the balancer, which sends nothing to an endpoint that operators have drained.
+        if self.endpoints.administrative_drains.is_drained(request.adopted_endpoint):
+            self.table.fail(request.id)
+        elif not request.is_answered:
+            self._open(request, request.adopted_endpoint, request.deadline)
+
+    def _retry_adoption(self, request: ActiveRequest, outcome: Outcome) -> None:
+        """No other endpoint will do: while it cannot be reached, it is tried again until the deadline."""
+        if outcome not in NEVER_RAN or self.clock() + ADOPTION_RETRY_NS >= request.deadline:
+            self.table.fail(request.id)
+            return
+        request.overdue_timer = self.timers.call_later(ADOPTION_RETRY_NS, lambda: self._adopt(request))
+
+    # ---- outcomes ---------------------------------------------------------------------------
+
+    def handle_established(self, attempt: Attempt, receipt: memoryview) -> None:
+        """Give the final answer: the endpoint serves, and the connection is established from now on."""
+        request = attempt.request
+        now_ns = self.clock()
+        attempt.is_established = True
+        request.mark_answered()
+        if request.flags & RETURNED:
+            self.endpoints.latency_estimator.record_client_migrated_in(now_ns)
+        if request.adopted_endpoint:
+            self.inbox.post(request.to_adopted_event(attempt.endpoint))
+        else:
+            self.inbox.post(
+                ConnectionEstablished(request.id, attempt.number, attempt.endpoint, now_ns - attempt.began)
+            )
+        request.client.handle_established(receipt)
+
+    def handle_ended(self, attempt: Attempt, outcome: Outcome, reset: bool) -> None:
+        """The attempt's connection is closed: over if it was established, else the balancer may retry."""
+        request = attempt.request
+        if request.attempt is not attempt:
+            return
+        request.detach_connection()
+        if outcome not in NEVER_RAN and not request.possibly_executed_at:
+            request.possibly_executed_at = attempt.began
+        if attempt.is_established:
+            client = self.table.remove(request)
+            self.endpoints.record_connection_ended(attempt.endpoint, outcome)
+            client.handle_endpoint_ended(outcome, reset)
+        elif request.is_answered:
+            self.table.remove(request)
+        elif request.adopted_endpoint:
+            self._retry_adoption(request, outcome)
+            return
+        self._report_ended(attempt, outcome)
+
+    def handle_client_ended(self, request: ActiveRequest, reset: bool) -> None:
+        """The client left, or has been migrated; no effect on a request that is over."""
+        if request.id not in self.table.requests:
+            return
+        attempt = request.attempt
+        was_waiting = not request.is_answered
+        link = request.detach_connection()
+        self.table.remove(request)
+        if was_waiting and not request.adopted_endpoint:
+            self.inbox.post(RequestWithdrawn(request.id))
+        if attempt is None:
+            return
+        if link is not None:
+            if attempt.is_established:
+                link.handle_client_ended(reset)
+            else:
+                link.abandon()
+        if attempt.is_established or not request.adopted_endpoint:
+            self._report_ended(attempt, attempt.outcome_on_client_end)
+
+    def cancel(self, request_id: int, number: int) -> None:
+        """End the attempt of that number, unless it is over or established."""
+        request = self.table.requests.get(request_id)
+        attempt = request.attempt if request is not None else None
+        if attempt is None or attempt.number != number or attempt.is_established:
+            return
+        if attempt.link is not None:
+            attempt.link.abandon()
+        self.handle_ended(attempt, Outcome.CANCELLED, reset=False)
+
+    def _report_ended(self, attempt: Attempt, outcome: int) -> None:
+        self.inbox.post(attempt.to_ended_event(self.clock(), outcome))
--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -1,21 +1,24 @@
-"""Requests, attempts and outcomes: what happens goes to the decision module, what it says is done.
+"""Requests, attempts and outcomes: events go to the balancer, and its actions are carried out.
 
-The broker knows no wire and no socket. Fronts hand it requests; endpoints tell it what became of
-attempts. Everything that comes in waits in one inbox and is decided in one `step`.
+The broker knows no wire and no socket. Frontends submit requests, and connections to endpoints report what
+became of attempts. All that comes in during one turn of the event loop is decided in one step of the
+balancer.
 """
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable
-from itertools import count
 
 from linnetshift.broker.active_request import ActiveRequest, Attempt
-from linnetshift.broker.administrative_drains import MAX_DRAINED, MAX_KNOWN, AdministrativeDrains
+from linnetshift.broker.administrative_drains import max_names
+from linnetshift.broker.attempts import AttemptTracker
+from linnetshift.broker.connection_review import ConnectionReview
 from linnetshift.broker.contracts import Contracts
-from linnetshift.broker.deployment_facts import DeploymentFacts
-from linnetshift.broker.latency_estimator import LatencyEstimator, Standing
-from linnetshift.broker.ports import Client, Connector, Discovery, Timers, UpstreamConnection
+from linnetshift.broker.endpoint_views import EndpointViews
+from linnetshift.broker.event_inbox import EventInbox
+from linnetshift.broker.latency_estimator import EstablishedConnection
+from linnetshift.broker.ports import Connector, Discovery, Timers, UpstreamConnection
+from linnetshift.broker.request_table import RequestTable
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.actions import (
     Action,
@@ -30,37 +33,24 @@
     Watch,
 )
 from linnetshift.routing.balancer import Balancer
-from linnetshift.routing.events import (
-    LOAD_NOTE,
-    NEVER_RAN,
-    RETURNED,
-    SLOW_NOTE,
-    AttemptEnded,
-    ConnectionEstablished,
-    ConnectionNote,
-    EndpointList,
-    Event,
-    HealthCheckResult,
-    ListForm,
-    Outcome,
-    RequestWithdrawn,
-    TimerFired,
-)
+from linnetshift.routing.events import EndpointList, Outcome, TimerFired
 from linnetshift.routing.settings import Settings
 
-# A connection that brings nothing back must be ended or moved within 7 s.
-STALLED_NS = 4_000_000_000
-# A sound endpoint answers a line at once, a jammed one too: one that owes an answer for so long, and from
-# which nothing has come on any connection since, has vanished, and all of its clients are moved.
-SILENT_NS = 400_000_000
-# The module's own answer comes by the deadline; this long after it the broker answers in its place.
-OVERDUE_NS = 8_000_000
-# Connections that were open before the run come back through us within 40 s of its start.
-ADOPT_NS = 60_000_000_000
-ADOPT_AGAIN_NS = 200_000_000
+MIGRATED_REASON = "migrated"
+# The most events that one connection can add to the inbox in one turn of the event loop.
+MAX_EVENTS_PER_CONNECTION = 8
 
 
 class Broker:
+    """Joins frontends, connections to endpoints, discovery and the balancer; the parts' common surface.
+
+    Attributes:
+        settings, contracts: as last configured.
+        balancer: decides on all events; its actions are carried out by `perform`.
+        requests: those under way, by id.
+        administrative_drains, latency_estimator, deployment_facts: views of the endpoints.
+    """
+
     def __init__(
         self,
         settings: Settings,
@@ -71,54 +61,63 @@
         connector: Connector,
         contracts: Contracts,
     ) -> None:
-        self.settings, self.contracts = settings, contracts
+        """`clock` gives ns of the system's monotonic clock; `seed` is the balancer's random source's."""
+        self.settings = settings
         self.balancer = Balancer(settings, seed)
-        self.clock, self.timers, self.discovery, self.connector = clock, timers, discovery, connector
-        self.started = clock()
-        self.inbox: list[Event] = []
-        self.requests: dict[int, ActiveRequest] = {}
-        self.ids = count(1)
-        self.zones: dict[bytes, int] = {}
-        self.starts: dict[bytes, int] = {}
-        self.latency_estimator = LatencyEstimator()
-        self.deployment_facts = DeploymentFacts()
-        self.migrated = 0  # clients told to move, ever
-        self.administrative_drains = AdministrativeDrains(clock)
-        self.configure(settings, contracts)
+        self.clock = clock
+        self.timers = timers
+        self.discovery = discovery
+        self.connector = connector
+        self.inbox = EventInbox(timers)
+        self.endpoint_views = EndpointViews(settings, clock, self.inbox)
+        self.administrative_drains = self.endpoint_views.administrative_drains
+        self.latency_estimator = self.endpoint_views.latency_estimator
+        self.deployment_facts = self.endpoint_views.deployment_facts
+        self.request_table = RequestTable(settings, contracts, clock, timers, self.inbox)
+        self.requests = self.request_table.requests
+        self.attempts = AttemptTracker(
+            self.request_table, self.endpoint_views, connector, clock, timers, self.inbox
+        )
+        self.connection_review = ConnectionReview(self.request_table, self.endpoint_views, clock, self.inbox)
+
+    @property
+    def contracts(self) -> Contracts:
+        """The contracts that requests are admitted by."""
+        return self.request_table.contracts
+
+    @property
+    def migrated(self) -> int:
+        """How many clients have been asked to migrate since the start."""
+        return self.connection_review.migrated
 
     def configure(self, settings: Settings, contracts: Contracts) -> None:
-        """Also while running: what is known and under way stays."""
+        """Apply settings and contracts while running; what is known and under way stays."""
         self.settings = settings
         self.balancer.configure(settings)
-        aim = min(c.message_latency_objective_ns for c in settings.offered)
-        self.latency_estimator.configure(aim, settings.balancers, settings.weights_are_sizes)
-        contracts.replace(self.contracts, Counter(i.tenant for i in self.requests.values()))
-        self.contracts = contracts
+        self.endpoint_views.configure(settings)
+        self.request_table.configure(settings, contracts)
 
-    def post(self, event: Event) -> None:
-        if not self.inbox:
-            self.timers.schedule_processing()
-        self.inbox.append(event)
+    # ---- the balancer -----------------------------------------------------------------------
 
     def process_events(self) -> None:
-        events, self.inbox = self.inbox, []
+        """Let the balancer decide on all that has come in, and do what it says."""
+        events = self.inbox.take()
         if not events:
             return
-        # News of endpoints goes first: what came in the same turn is not to be placed by an older list.
-        events.sort(key=lambda event: type(event) is not EndpointList)
         for action in self.balancer.step(self.clock(), events):
             self.perform(action)
 
     def perform(self, action: Action) -> None:
+        """Carry out one action of the balancer."""
         match action:
             case Send(request_id, endpoint, timeout_ns):
-                self.send(request_id, endpoint, timeout_ns)
+                self.attempts.send(request_id, endpoint, timeout_ns)
             case Reject(request_id, retry_after_ns):
                 self.reject(request_id, retry_after_ns)
             case Fail(request_id):
                 self.fail(request_id)
             case Migrate(request_id):
-                self.migrate(request_id, "migrated")
+                self.migrate(request_id, MIGRATED_REASON)
             case Cancel(request_id, number):
                 self.cancel(request_id, number)
             case SetTimer(delay_ns, token):
@@ -130,363 +129,141 @@
             case HealthCheck(endpoint):
                 self.connector.check_health(endpoint)
             case _:
-                pass  # there are no peers to tell, and the module's log lines are the bench's
-
-    # ---- what comes in ----------------------------------------------------------------------
+                pass  # peer messages have no receiver here, and the log lines are for the simulator
 
     def timer_fired(self, token: int) -> None:
-        self.post(TimerFired(token))
+        """A timer that the balancer set has fired."""
+        self.inbox.post(TimerFired(token))
+
+    # ---- endpoints --------------------------------------------------------------------------
 
     def handle_endpoint_list(self, event: EndpointList) -> None:
-        self.apply_endpoint_list(self.administrative_drains.overlay(event))
-        for name in self.administrative_drains.forget_removed():
-            self.latency_estimator.forget(name)
-            self.zones.pop(name, None)
-            self.starts.pop(name, None)
+        """Discovery reported a list or its changes, or failed to."""
+        self.endpoint_views.handle_endpoint_list(event)
+
+    def handle_health_check_result(
+        self, endpoint: bytes, outcome: Outcome, elapsed_ns: int, report: tuple[float, ...]
+    ) -> None:
+        """A health check ended; `report` holds the load report's columns, or nothing."""
+        self.endpoint_views.handle_health_check_result(endpoint, outcome, elapsed_ns, report)
 
     def drain_endpoint(self, endpoint: bytes) -> bool:
-        """Send nothing new there until it is called back; whether it was ever listed and is out now."""
-        if self.administrative_drains.is_full() and not self.administrative_drains.is_drained(endpoint):
-            return False
-        if self.administrative_drains.is_known(endpoint) and not self.administrative_drains.is_drained(
-            endpoint
-        ):
-            self.administrative_drains.drain_endpoint(endpoint)
-            self.apply_endpoint_list(self.administrative_drains.entry_update(endpoint))
-        return self.administrative_drains.is_known(endpoint)
+        """Have nothing new sent there until it is restored; whether it was ever listed and is drained now."""
+        return self.endpoint_views.drain_endpoint(endpoint)
 
     def restore_endpoint(self, endpoint: bytes) -> bool:
-        """Use it again at once; whether it was ever listed."""
-        if self.administrative_drains.is_drained(endpoint):
-            self.administrative_drains.restore_endpoint(endpoint)
-            self.apply_endpoint_list(self.administrative_drains.entry_update(endpoint))
-        return self.administrative_drains.is_known(endpoint)
-
-    def apply_endpoint_list(self, event: EndpointList) -> None:
-        if event.form in (ListForm.FULL, ListForm.CACHED):
-            self.zones, self.latency_estimator.weights = {}, {}
-            named = {entry.endpoint for entry in event.entries}
-            self.starts = {endpoint: at for endpoint, at in self.starts.items() if endpoint in named}
-        for entry in event.entries:
-            if self.starts.get(entry.endpoint, entry.started_ns) != entry.started_ns:
-                self.latency_estimator.restarted(entry.endpoint)
-            self.starts[entry.endpoint] = entry.started_ns
-            self.zones[entry.endpoint] = entry.zone
-            if entry.weight > 0.0:
-                self.latency_estimator.weights[entry.endpoint] = entry.weight
-        self.deployment_facts.listed(
-            event.entries, event.form in (ListForm.FULL, ListForm.CACHED), self.clock()
-        )
-        self.post(event)
+        """Use a drained endpoint again at once; whether it was ever listed."""
+        return self.endpoint_views.restore_endpoint(endpoint)
 
-    def handle_health_check_result(
-        self, endpoint: bytes, outcome: Outcome, elapsed_ns: int, report: tuple[float, ...]
-    ) -> None:
-        if outcome == Outcome.OK and self.settings.report_columns:
-            self.deployment_facts.reported(bool(report))
-        self.post(HealthCheckResult(endpoint, outcome, elapsed_ns, report))
+    # ---- requests and their final answers ---------------------------------------------------
 
     def submit(self, request: ActiveRequest) -> None:
-        """One final answer is owed from here on."""
-        request.id, request.began = next(self.ids), self.clock()
-        breach = self.contracts.admit(request.tenant, request.klass, request.flags, request.began)
-        if breach is not None:
-            request.detach_client().reject(breach.wait_ns, breach.limit)
-            return
-        self.requests[request.id] = request
-        if request.adopted_endpoint and request.began - self.started > ADOPT_NS:
-            # Whoever still names an endpoint would choose it past the module, a draining one too.
-            self.fail(request.id)
+        """Take a request over from a frontend; one final answer is owed to its client from here on."""
+        if not self.request_table.add(request):
             return
         if request.adopted_endpoint:
-            self.adopt(request)
-            return
-        left = max(1, request.deadline - request.began)
-        number = request.id  # the request itself would be held until then, answered or not
-        request.overdue_timer = self.timers.call_later(left + OVERDUE_NS, lambda: self.overdue(number))
-        self.post(request.to_request_event(left))
+            self.attempts.begin_adoption(request)
+        else:
+            self.request_table.ask_balancer(request)
 
-    def overdue(self, request_id: int) -> None:
-        """Whatever keeps the module from it, an answer is owed before the client gives up."""
-        if (client := self.answer(request_id)) is not None:
-            self.post(RequestWithdrawn(request_id))
-            client.fail()
+    def handle_client_ended(self, request: ActiveRequest, reset: bool) -> None:
+        """The client left, or has been migrated; no effect on a request that is over."""
+        self.attempts.handle_client_ended(request, reset)
 
-    def handle_established(self, attempt: Attempt, receipt: memoryview) -> None:
-        """The endpoint serves: the final answer, and the start of the standing connection."""
-        request, now = attempt.request, self.clock()
-        attempt.is_established = True
-        request.mark_answered()
-        if request.flags & RETURNED:
-            self.latency_estimator.guest(True, now)
-        if request.adopted_endpoint:
-            self.post(request.to_adopted_event(attempt.endpoint))
-        else:
-            self.post(
-                ConnectionEstablished(request.id, attempt.number, attempt.endpoint, now - attempt.began)
-            )
-        request.client.handle_established(receipt)
+    def reject(self, request_id: int, retry_after_ns: int = 0) -> None:
+        """Answer that nothing was done and a retry does no harm; no effect on an answered request."""
+        self.request_table.reject(request_id, retry_after_ns)
 
-    def handle_attempt_ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
-        """The link is closed: before the connection stood the module may try again, afterwards it is over."""
-        request = attempt.request
-        if request.attempt is not attempt:
-            return
-        request.detach_connection()
-        if outcome not in NEVER_RAN:
-            request.possibly_executed_at = request.possibly_executed_at or attempt.began
-        if attempt.is_established or request.is_answered:
-            client = self.forget(request)
-            if attempt.is_established:
-                if outcome == Outcome.RESET and self.administrative_drains.is_known(attempt.endpoint):
-                    self.latency_estimator.dropped(attempt.endpoint, self.clock())
-                if outcome != Outcome.OK:
-                    self.latency_estimator.guest(False, self.clock())
-                if outcome == Outcome.CANCELLED:
-                    self.deployment_facts.sent_away()
-                client.handle_endpoint_ended(outcome, reset)
-        elif request.adopted_endpoint:
-            self.retry_adoption(request, outcome)
-            return
-        self.report_attempt_ended(attempt, outcome)
+    def fail(self, request_id: int) -> None:
+        """Answer that it is not served, which promises nothing; no effect on an answered request."""
+        self.request_table.fail(request_id)
 
-    def retry_adoption(self, request: ActiveRequest, outcome: Outcome) -> None:
-        """Only one endpoint will do: while it cannot be reached, it is asked again."""
-        if outcome not in NEVER_RAN or self.clock() + ADOPT_AGAIN_NS >= request.deadline:
-            self.fail(request.id)
-            return
-        request.overdue_timer = self.timers.call_later(ADOPT_AGAIN_NS, lambda: self.adopt(request))
-
-    def adopt(self, request: ActiveRequest) -> None:
-        if self.administrative_drains.is_drained(
-            request.adopted_endpoint
-        ):  # this goes past the module, which would not send there
-            self.fail(request.id)
-        elif not request.is_answered:
-            self.open(request, request.adopted_endpoint, request.deadline)
-
-    def report_attempt_ended(self, attempt: Attempt, outcome: int) -> None:
-        elapsed = self.clock() - attempt.began
-        request = attempt.request
-        self.post(
-            AttemptEnded(
-                request.id, attempt.number, attempt.endpoint, request.is_answered, elapsed, outcome, ()
-            )
-        )
+    def answer_unserved(self, request: ActiveRequest) -> None:
+        """Answer now, without the balancer: reject where a retry is harmless, else fail."""
+        self.request_table.answer_unserved(request)
 
-    def handle_client_ended(self, request: ActiveRequest, reset: bool) -> None:
-        """The client left, or has been sent away."""
-        if request.id not in self.requests:
-            return
-        attempt, waiting = request.attempt, not request.is_answered
-        link = request.detach_connection()
-        self.forget(request)
-        if waiting and not request.adopted_endpoint:
-            self.post(RequestWithdrawn(request.id))
-        if attempt is None:
-            return
-        if link is not None:
-            if attempt.is_established:
-                link.handle_client_ended(reset)
-            else:
-                link.abandon()
-        if attempt.is_established or not request.adopted_endpoint:
-            self.report_attempt_ended(attempt, attempt.outcome_on_client_end)
+    def is_retry_safe(self, request: ActiveRequest) -> bool:
+        """Whether the client may be told that a retry is harmless."""
+        return self.request_table.is_retry_safe(request)
 
-    def record_response_time(self, attempt: Attempt, elapsed_ns: int) -> None:
-        """An endpoint's reply to a client's message came after so long."""
-        if not self.administrative_drains.is_known(attempt.endpoint):
-            return  # trimmed: nothing is kept under its name any more
-        zone = self.zones.get(attempt.endpoint)
-        far = zone if zone != self.settings.zone else None
-        self.latency_estimator.answered(attempt.endpoint, far, elapsed_ns, self.clock())
-
-    def record_load_report(self, attempt: Attempt, load: float) -> None:
-        """The connection's load, or the time that messages take at the endpoint: the figure tells which."""
-        endpoint = attempt.endpoint
-        if not self.administrative_drains.is_known(endpoint):
-            return  # trimmed: nothing is kept under its name any more
-        if self.settings.reports_message_time and self.latency_estimator.tells_time(
-            endpoint, load, self.clock()
-        ):
-            self.deployment_facts.found("message-times", "told")
-            self.note(attempt, SLOW_NOTE, load)
-            return
-        attempt.load = load
-        self.note(attempt, LOAD_NOTE, load)
+    def established(self) -> list[ActiveRequest]:
+        """Requests whose connection is established."""
+        return self.request_table.established()
 
-    def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
-        """What stands, by endpoint."""
-        held: dict[bytes, list[tuple[Attempt, UpstreamConnection]]] = {}
-        for request in self.established():
-            attempt = request.attempt
-            if attempt is not None and attempt.link is not None:
-                held.setdefault(attempt.endpoint, []).append((attempt, attempt.link))
-        return held
+    def unanswered(self) -> list[ActiveRequest]:
+        """Requests that still wait for their final answer."""
+        return self.request_table.unanswered()
 
-    def review_unresponsive_endpoints(self) -> None:
-        """Some times a second: a machine that vanished neither answers nor resets."""
-        for held in self.linked().values():
-            quiet = min(link.idle_ns() for _, link in held)
-            longest = max(link.oldest_unanswered_ns() for _, link in held)
-            vanished = longest > SILENT_NS and quiet >= longest
-            for attempt, link in held:
-                if attempt.outcome_on_client_end == Outcome.CANCELLED and (
-                    vanished or link.oldest_unanswered_ns() > STALLED_NS
-                ):
-                    attempt.outcome_on_client_end = Outcome.RESET
-                    self.migrate(attempt.request.id, "unresponsive")
+    # ---- attempts ---------------------------------------------------------------------------
 
-    def review_latency(self) -> None:
-        """Once a second: note the endpoints whose messages are slow, each on one connection."""
-        linked = self.linked()
-        self.deployment_facts.review(linked.keys(), self.clock())
-        if self.settings.reports_message_time:
-            first = {endpoint: held[0][0] for endpoint, held in linked.items()}
-            for endpoint, ms in self.latency_estimator.review(self.loads(), self.clock()):
-                self.note(first[endpoint], SLOW_NOTE, ms)
-
-    def loads(self) -> dict[bytes, list[Standing]]:
-        """What stands asks of each endpoint."""
-        return {
-            endpoint: [
-                Standing(attempt.load, attempt.request.group, link.oldest_unanswered_ns())
-                for attempt, link in held
-            ]
-            for endpoint, held in self.linked().items()
-        }
+    def may_send(self, attempt: Attempt) -> bool:
+        """Whether the attempt's request line may go out now; asked at that very moment."""
+        return self.attempts.may_send(attempt)
 
-    def note(self, attempt: Attempt, kind: int, value: float) -> None:
-        self.post(ConnectionNote(attempt.request.id, attempt.number, attempt.endpoint, kind, value))
+    def handle_established(self, attempt: Attempt, receipt: memoryview) -> None:
+        """The endpoint serves; `receipt` is its line that says so."""
+        self.attempts.handle_established(attempt, receipt)
 
-    # ---- what the module says ---------------------------------------------------------------
+    def handle_attempt_ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
+        """The attempt's connection is closed; `reset` tells how."""
+        self.attempts.handle_ended(attempt, outcome, reset)
 
-    def send(self, request_id: int, endpoint: bytes, timeout_ns: int) -> None:
-        request = self.requests.get(request_id)
-        if request is None or request.is_answered or request.attempt is not None:
-            # Withdrawn in the meantime. Two attempts of one request must never be out together.
-            number = 0 if request is None else request.attempts
-            self.post(AttemptEnded(request_id, number, endpoint, True, 0, Outcome.MOOT, ()))
-            return
-        if not request.client.is_present:  # its end is about to be read
-            self.post(AttemptEnded(request_id, request.attempts, endpoint, True, 0, Outcome.MOOT, ()))
-            return
-        left = request.deadline - self.clock()
-        within = min(timeout_ns, left) if timeout_ns > 0 else left
-        self.open(request, endpoint, self.clock() + within)
+    def cancel(self, request_id: int, number: int) -> None:
+        """End the attempt of that number, unless it is over or established."""
+        self.attempts.cancel(request_id, number)
 
-    def open(self, request: ActiveRequest, endpoint: bytes, deadline: int) -> None:
-        attempt = Attempt(request, request.attempts, endpoint, self.clock(), deadline)
-        request.attempts += 1
-        request.attempt = attempt
-        self.connector.open(attempt)
+    # ---- established connections ------------------------------------------------------------
 
-    def may_send(self, attempt: Attempt) -> bool:
-        """Whether the attempt's line may go out now. Asked at that instant, and by whoever sends.
+    def record_response_time(self, attempt: Attempt, elapsed_ns: int) -> None:
+        """The endpoint's reply to a client's message took so long."""
+        self.endpoint_views.record_response_time(attempt, elapsed_ns)
 
-        Its connection took a while to come up, since the module decided: meanwhile the list may have told
-        that the endpoint leaves, operators may have taken it out, the client may have left, its time or the
-        time for repeats may be over.
-        """
-        request, endpoint, now = attempt.request, attempt.endpoint, self.clock()
-        if request.attempt is not attempt or request.is_answered or not request.client.is_present:
-            return False
-        if self.administrative_drains.is_drained(endpoint) or not (
-            request.adopted_endpoint or self.administrative_drains.is_listed_ready(endpoint)
-        ):
-            return False
-        klass, first = self.settings.classes[request.klass], request.possibly_executed_at
-        return now < attempt.deadline and (not first or klass.may_retry(first, now))
+    def record_load_report(self, attempt: Attempt, figure: float) -> None:
+        """The endpoint reported a connection's load in us/s, or its message time in ms."""
+        self.connection_review.record_load_report(attempt, figure)
 
-    def is_retry_safe(self, request: ActiveRequest) -> bool:
-        """Whether the client may be told that coming again is harmless."""
-        attempt = request.attempt
-        first = request.possibly_executed_at or (
-            attempt.began if attempt is not None and attempt.is_sent else 0
-        )
-        klass, again_by = (
-            self.settings.classes[request.klass],
-            self.clock() + self.settings.max_retry_after_ns,
-        )
-        return not first or klass.client_may_retry(first, again_by)
+    def migrate(self, request_id: int, reason: str) -> None:
+        """Ask the client of an established connection to come back elsewhere; `reason` is for the log."""
+        self.connection_review.migrate(request_id, reason)
 
-    def answer_unserved(self, request: ActiveRequest) -> None:
-        """Answer it now, past the module: rejected where coming again is harmless, else failed."""
-        if self.is_retry_safe(request):
-            self.reject(request.id)
-        else:
-            self.fail(request.id)
+    def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
+        """Established attempts with their connections, by endpoint."""
+        return self.connection_review.linked()
 
-    def reject(self, request_id: int, retry_after_ns: int = 0) -> None:
-        if (client := self.answer(request_id)) is not None:
-            client.reject(retry_after_ns, "")
+    def loads(self) -> dict[bytes, list[EstablishedConnection]]:
+        """What established connections ask of each endpoint."""
+        return self.connection_review.loads()
 
-    def fail(self, request_id: int) -> None:
-        if (client := self.answer(request_id)) is not None:
-            client.fail()
-
-    def answer(self, request_id: int) -> Client | None:
-        """The client to give its one final answer, unless it has had it."""
-        request = self.requests.get(request_id)
-        if request is None or request.is_answered:
-            return None
-        attempt, link = request.attempt, request.detach_connection()
-        client = self.forget(request)
-        if link is not None:
-            link.abandon()
-        if attempt is not None:
-            self.report_attempt_ended(attempt, Outcome.CANCELLED)
-        return client
+    def review_unresponsive_endpoints(self) -> None:
+        """Migrate the clients of endpoints that vanished; called several times a second."""
+        self.connection_review.review_unresponsive_endpoints()
 
-    def cancel(self, request_id: int, number: int) -> None:
-        request = self.requests.get(request_id)
-        attempt = request.attempt if request is not None else None
-        if attempt is None or attempt.number != number or attempt.is_established:
-            return
-        if attempt.link is not None:
-            attempt.link.abandon()
-        self.handle_attempt_ended(attempt, Outcome.CANCELLED)
+    def review_latency(self) -> None:
+        """Notify the balancer of endpoints whose messages are slow; called once a second."""
+        self.connection_review.review_latency()
 
-    def migrate(self, request_id: int, reason: str) -> None:
-        request = self.requests.get(request_id)
-        if request is not None and request.attempt is not None and request.attempt.is_established:
-            self.latency_estimator.guest(False, self.clock())
-            self.migrated += 1
-            request.client.migrate(reason)
-
-    def forget(self, request: ActiveRequest) -> Client:
-        """It is over; its client, which it holds no longer."""
-        if self.requests.pop(request.id, None) is not None:
-            self.contracts.release(request.tenant)
-        return request.detach_client()
+    # ---- resources --------------------------------------------------------------------------
 
     def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
-        """What is held; `connections` is the most that may be open or waiting at once."""
-        names, balancer = MAX_KNOWN + MAX_DRAINED, self.balancer
+        """Sizes and bounds of all containers, under their names in `GET /ops/census`.
+
+        `connections` is the most that may be open or waiting at once.
+        """
+        names = max_names()
+        views, balancer = self.endpoint_views, self.balancer
+        max_events = MAX_EVENTS_PER_CONNECTION * connections + names
+        max_classes = connections + 2 * len(self.settings.offered)
         return {
             "broker.invocations": ResourceUsage(len(self.requests), connections),
-            "broker.inbox": ResourceUsage(len(self.inbox), 8 * connections + names),
-            "broker.zones": ResourceUsage(len(self.zones), names),
-            "broker.starts": ResourceUsage(len(self.starts), names),
+            "broker.inbox": ResourceUsage(len(self.inbox.events), max_events),
+            "broker.zones": ResourceUsage(len(views.zones), names),
+            "broker.starts": ResourceUsage(len(views.started_ns), names),
             "module.hosts": ResourceUsage(len(balancer.endpoints), names),
             "module.hung": ResourceUsage(len(balancer.hung), names),
             "module.pending": ResourceUsage(len(balancer.pending), connections),
             "module.held": ResourceUsage(len(balancer.held), connections),
-            "settings.classes": ResourceUsage(
-                len(self.settings.classes), connections + 2 * len(self.settings.offered)
-            ),
+            "settings.classes": ResourceUsage(len(self.settings.classes), max_classes),
             **self.administrative_drains.resource_usage(),
             **self.latency_estimator.resource_usage(names),
             **self.deployment_facts.resource_usage(names),
         }
-
-    # ---- leaving ----------------------------------------------------------------------------
-
-    def established(self) -> list[ActiveRequest]:
-        return [i for i in self.requests.values() if i.attempt is not None and i.attempt.is_established]
-
-    def unanswered(self) -> list[ActiveRequest]:
-        return [i for i in self.requests.values() if not i.is_answered]
-
-
-__all__ = ["ActiveRequest", "Attempt", "Broker", "Client"]
--- /dev/null
+++ b/linnetshift/broker/connection_review.py
@@ -0,0 +1,114 @@
+"""Watches established connections: unresponsive endpoints, slow messages and load reports."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from linnetshift.broker.active_request import Attempt
+from linnetshift.broker.deployment_facts import Fact, MessageTimes
+from linnetshift.broker.endpoint_views import EndpointViews
+from linnetshift.broker.event_inbox import EventInbox
+from linnetshift.broker.latency_estimator import EstablishedConnection
+from linnetshift.broker.ports import UpstreamConnection
+from linnetshift.broker.request_table import RequestTable
+from linnetshift.routing.events import LOAD_NOTE, SLOW_NOTE, ConnectionNote, Outcome
+
+# A connection that brings nothing back must be ended or migrated within 7 s.
+STALLED_NS = 4_000_000_000
+# A healthy endpoint answers a line at once, and so does an overloaded one. One that owes an answer for so
+# long, and from which nothing has come on any connection since, has vanished: all of its clients migrate.
+UNRESPONSIVE_NS = 400_000_000
+UNRESPONSIVE_REASON = "unresponsive"
+
+
+class ConnectionReview:
+    """Reviews established connections, migrates clients and notifies the balancer of slow endpoints.
+
+    Attributes:
+        migrated: how many clients have been asked to migrate since the start.
+    """
+
+    def __init__(
+        self, table: RequestTable, endpoints: EndpointViews, clock: Callable[[], int], inbox: EventInbox
+    ) -> None:
+        """Review the connections of `table`."""
+        self.table = table
+        self.endpoints = endpoints
+        self.clock = clock
+        self.inbox = inbox
+        self.migrated = 0
+
+    def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
+        """Established attempts with their connections, by endpoint."""
+        linked: dict[bytes, list[tuple[Attempt, UpstreamConnection]]] = {}
+        for request in self.table.established():
+            attempt = request.attempt
+            if attempt is not None and attempt.link is not None:
+                linked.setdefault(attempt.endpoint, []).append((attempt, attempt.link))
+        return linked
+
+    def loads(self) -> dict[bytes, list[EstablishedConnection]]:
+        """What established connections ask of each endpoint."""
+        return {
+            endpoint: [
+                EstablishedConnection(attempt.load, attempt.request.group, link.oldest_unanswered_ns())
+                for attempt, link in connections
+            ]
+            for endpoint, connections in self.linked().items()
+        }
+
+    def review_unresponsive_endpoints(self) -> None:
+        """Migrate the clients of endpoints that vanished, and of connections that are stalled.
+
+        Called several times a second: a machine that vanished neither answers nor resets.
+        """
+        for connections in self.linked().values():
+            idle_ns = min(link.idle_ns() for _, link in connections)
+            longest_ns = max(link.oldest_unanswered_ns() for _, link in connections)
+            has_vanished = longest_ns > UNRESPONSIVE_NS and idle_ns >= longest_ns
+            for attempt, link in connections:
+                if attempt.outcome_on_client_end != Outcome.CANCELLED:
+                    continue  # migrated before
+                if has_vanished or link.oldest_unanswered_ns() > STALLED_NS:
+                    attempt.outcome_on_client_end = Outcome.RESET
+                    self.migrate(attempt.request.id, UNRESPONSIVE_REASON)
+
+    def review_latency(self) -> None:
+        """Notify the balancer of endpoints whose messages are slow, each on one connection; once a second."""
+        linked = self.linked()
+        self.endpoints.deployment_facts.review(linked.keys(), self.clock())
+        if not self.table.settings.reports_message_time:
+            return
+        first_attempts = {endpoint: connections[0][0] for endpoint, connections in linked.items()}
+        for endpoint, elapsed_ms in self.endpoints.latency_estimator.review(self.loads(), self.clock()):
+            self._notify(first_attempts[endpoint], SLOW_NOTE, elapsed_ms)
+
+    def record_load_report(self, attempt: Attempt, figure: float) -> None:
+        """Record a load report, which is the connection's load in us/s or the endpoint's message time in ms.
+
+        Both come in a line of the same form; the figure itself shows which one it is.
+        """
+        endpoint = attempt.endpoint
+        if not self.endpoints.administrative_drains.is_known(endpoint):
+            return  # forgotten: nothing is kept under its name any more
+        estimator = self.endpoints.latency_estimator
+        if self.table.settings.reports_message_time and estimator.record_if_message_time(
+            endpoint, figure, self.clock()
+        ):
+            self.endpoints.deployment_facts.observe(Fact.MESSAGE_TIMES, MessageTimes.REPORTED)
+            self._notify(attempt, SLOW_NOTE, figure)
+            return
+        attempt.load = figure
+        self._notify(attempt, LOAD_NOTE, figure)
+
+    def migrate(self, request_id: int, reason: str) -> None:
+        """Ask the client of an established connection to come back elsewhere; `reason` is for the log."""
+        request = self.table.requests.get(request_id)
+        if request is None or request.attempt is None or not request.attempt.is_established:
+            return
+        self.endpoints.latency_estimator.record_client_migrated_out(self.clock())
+        self.migrated += 1
+        request.client.migrate(reason)
+
+    def _notify(self, attempt: Attempt, kind: int, value: float) -> None:
+        self.inbox.post(ConnectionNote(attempt.request.id, attempt.number, attempt.endpoint, kind, value))
--- a/linnetshift/broker/deployment_facts.py
+++ b/linnetshift/broker/deployment_facts.py
@@ -1,59 +1,102 @@
-"""What the program found out of its deployment by itself, which no setting tells.
+"""Facts about the deployment that no setting states, as far as they have been observed.
 
-Facts for staff and their log: decisions rest on the settings and on what single endpoints show.
+They are for operators and their log: decisions rest on the settings and on what single endpoints show.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
+from enum import StrEnum
 
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.events import EndpointEntry, EndpointState
 
-# An endpoint that sends its clients away does so as it begins to drain, seconds before the list tells of it.
-SETTLED_NS = 1_000_000_000
+# An endpoint that migrates its clients does so as it begins to drain, seconds before the list reports it.
+DRAIN_SETTLING_NS = 1_000_000_000
+
+
+class Fact(StrEnum):
+    """What a fact is about; the values appear in the log."""
+
+    DRAIN = "drain"
+    REPORTS = "reports"
+    MESSAGE_TIMES = "message-times"
+
+
+class DrainBehaviour(StrEnum):
+    """What endpoints do with their clients while they drain."""
+
+    MIGRATES_CLIENTS = "sends-away"
+    KEEPS_SERVING = "serves-on"
+
+
+class HealthReports(StrEnum):
+    """Whether answers to health checks carry a load report."""
+
+    FIGURES = "figures"
+    NONE = "none"
+
+
+class MessageTimes(StrEnum):
+    """Whether endpoints report the time that a message takes."""
+
+    REPORTED = "told"
 
 
 class DeploymentFacts:
+    """The facts observed so far, and those not yet logged."""
+
     def __init__(self) -> None:
-        self.known: dict[str, str] = {}
-        self.news: list[tuple[str, str]] = []  # not told yet
-        self.drains: dict[bytes, int] = {}  # when the list first told that an endpoint drains
-
-    def found(self, what: str, value: str) -> None:
-        """A fact about the deployment; told once, and again when it changes."""
-        if self.known.get(what) != value:
-            self.known[what] = value
-            self.news.append((what, value))
-
-    def fresh(self) -> list[tuple[str, str]]:
-        """What was learned since the last call."""
-        news, self.news = self.news, []
-        return news
-
-    def listed(self, entries: Collection[EndpointEntry], whole: bool, now: int) -> None:
-        """A list, or its changes; one that operators took out (it has a time to leave) says nothing."""
-        told = {entry.endpoint for entry in entries}
-        draining = {e.endpoint for e in entries if e.state == EndpointState.DRAINING and not e.leave_ns}
-        self.drains = {
-            endpoint: at
-            for endpoint, at in self.drains.items()
-            if endpoint in draining or (endpoint not in told and not whole)
+        """Start with nothing observed."""
+        self.known: dict[Fact, str] = {}
+        self.unreported: list[tuple[Fact, str]] = []
+        self.draining_since_ns: dict[bytes, int] = {}  # when the list first reported that an endpoint drains
+
+    def observe(self, fact: Fact, value: str) -> None:
+        """Record a fact; it is reported once, and again when it changes."""
+        if self.known.get(fact) != value:
+            self.known[fact] = value
+            self.unreported.append((fact, value))
+
+    def take_unreported(self) -> list[tuple[Fact, str]]:
+        """Facts that were observed or changed since the last call, oldest first."""
+        unreported = self.unreported
+        self.unreported = []
+        return unreported
+
+    def handle_endpoint_list(self, entries: Collection[EndpointEntry], is_whole: bool, now_ns: int) -> None:
+        """Record which endpoints drain by themselves; `is_whole`: those without an entry are not listed.
+
+        An entry with a leave time is an administrative drain, which shows nothing of how endpoints drain.
+        """
+        named = {entry.endpoint for entry in entries}
+        draining = {
+            entry.endpoint
+            for entry in entries
+            if entry.state == EndpointState.DRAINING and not entry.leave_ns
+        }
+        self.draining_since_ns = {
+            endpoint: since_ns
+            for endpoint, since_ns in self.draining_since_ns.items()
+            if endpoint in draining or (endpoint not in named and not is_whole)
         }
-        self.drains.update(dict.fromkeys(draining - self.drains.keys(), now))
+        self.draining_since_ns.update(dict.fromkeys(draining - self.draining_since_ns.keys(), now_ns))
 
-    def review(self, standing: Collection[bytes], now: int) -> None:
-        """`standing`: the endpoints at which clients stand."""
-        if any(now - at > SETTLED_NS and endpoint in standing for endpoint, at in self.drains.items()):
-            self.found("drain", "serves-on")
+    def review(self, connected: Collection[bytes], now_ns: int) -> None:
+        """Judge drains by the endpoints that still have established connections."""
+        for endpoint, since_ns in self.draining_since_ns.items():
+            if now_ns - since_ns > DRAIN_SETTLING_NS and endpoint in connected:
+                self.observe(Fact.DRAIN, DrainBehaviour.KEEPS_SERVING)
+                return
 
-    def sent_away(self) -> None:
-        """An endpoint told a client to go elsewhere."""
-        self.found("drain", "sends-away")
+    def record_migration_request(self) -> None:
+        """An endpoint asked a client to migrate."""
+        self.observe(Fact.DRAIN, DrainBehaviour.MIGRATES_CLIENTS)
 
-    def reported(self, figures: bool) -> None:
-        """A health check that asked for a report was answered."""
-        self.found("reports", "figures" if figures else "none")
+    def record_health_report(self, has_figures: bool) -> None:
+        """A health check that asked for a load report was answered, with figures or without."""
+        self.observe(Fact.REPORTS, HealthReports.FIGURES if has_figures else HealthReports.NONE)
 
-    def resource_usage(self, names: int) -> dict[str, ResourceUsage]:
-        return {"learned.drains": ResourceUsage(len(self.drains), names)}
+    def resource_usage(self, max_names: int) -> dict[str, ResourceUsage]:
+        """Sizes and bounds, under their names in `GET /ops/census`; `max_names`: most endpoints known."""
+        return {"learned.drains": ResourceUsage(len(self.draining_since_ns), max_names)}
--- a/linnetshift/broker/latency_estimator.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -1,8 +1,9 @@
-"""How long messages take at each endpoint: timed where replies tell, reckoned from told loads where not.
+"""Estimates how long messages take at each endpoint: measured by replies, or estimated from reported loads.
 
 A slow endpoint may still return a line at once (seen on this platform: 777 replies, the longest after
-2 ms, while endpoints missed a 50 ms aim), so the replies alone would never name it. What the
-connections ask of it, over its size, does: time grows as 1 / (1 - load) towards the point where it is full.
+2 ms, while endpoints missed a 50 ms objective), so the replies alone would never show it. What the
+connections ask of it, over its size, does: time grows as 1 / (1 - utilization) towards the point where it is
+full.
 """
 
 from __future__ import annotations
@@ -11,199 +12,337 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 from statistics import median
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from linnetshift.observability.resource_usage import ResourceUsage
 
-SECOND = 1_000_000_000
-KEPT_NS = 3 * SECOND // 2
-MOST_SAMPLES = 64
-MOST_ZONES = 256  # far zones whose distance is kept
-# Every endpoint that holds any of a group pays so many mean connection loads for it.
-GROUP_COST = 3.0
-# An endpoint's weight is its size in standard cores, and it has two. A message's work on a standard core is
-# told nowhere: 7 ms where it was measured, and no more than a part of the shortest aim, which is set with a
-# view to it. Both are at the upper end: waiting for certainty costs more than an early step aside.
-CORES = 2
-MESSAGE_NS = 7_000_000
-MESSAGE_PART = 0.14
-FULLEST = 0.995
-# An endpoint that drops standing connections has work piled up, which drains slowly and shows in no reply. So
-# long it counts as slow, though short of late (40 ms, or a part of the aim): most of its peers may be fine.
-SHED_NS = 10 * SECOND
-SHED_AS_NS = 40_000_000
-SHED_PART = 0.8
-# Some endpoints tell their message time too, in a line of the same form as a connection's load: in
-# milliseconds, once a second on one connection of each proxy while it is slow, and once more when it is not
-# any longer. A usual connection asks a hundred times as much as the first figure in microseconds, so what is
-# less is such a time. A larger one up to the second figure is one if it comes a second after a small figure.
-SURELY_TIME = 500.0
-MAYBE_TIME = 10_000.0
-EVERY_NS = SECOND
-GIVE_NS = 30_000_000
-TOLD_NS = 2 * SECOND  # for how long a time that was told holds
-
-
-# Heavy connections are the first to tell their load. Before half have told, their mean says nothing of the
-# rest, which are taken as usual for this kind of endpoint: 11 to 21 fill a core.
-TYPICAL = 70_000.0
-MOSTLY_TOLD = 0.5
-FEW = 4
-# For how long a client that came from another proxy tells of that proxy: about a connection's life.
-GUEST_NS = 30 * SECOND
-
-
-class Standing(NamedTuple):
-    """One connection at an endpoint."""
-
-    load: float | None  # in microseconds of work a second, once told
+NS_PER_S = 1_000_000_000
+NS_PER_MS = 1e6
+US_PER_S = 1e6
+
+# Replies older than this say nothing of the present: a little over the interval between two reviews.
+SAMPLE_LIFETIME_NS = 3 * NS_PER_S // 2
+# Reply times kept for one endpoint, which is enough for a stable median.
+MAX_SAMPLES = 64
+# Remote zones whose round trip is kept; there are far fewer, unless the list is broken.
+MAX_ZONES = 256
+# An endpoint counts as slow above this fraction of the message latency objective.
+SLOW_DIVISOR = 3
+
+# Every endpoint that serves any client of a group pays so many mean connection loads for the group.
+GROUP_OVERHEAD_LOADS = 3.0
+# An endpoint's weight is its size in standard cores, and it has two of them.
+ENDPOINT_CORES = 2
+# A message's work on a standard core is reported nowhere: 7 ms where it was measured, and no more than a
+# share of the shortest objective, which is set with a view to it. Both are at the upper end: waiting for
+# certainty costs more than an early step aside.
+MAX_MESSAGE_WORK_NS = 7_000_000
+MESSAGE_WORK_SHARE = 0.14
+# Keeps the estimate finite at an endpoint that is full.
+MAX_UTILIZATION = 0.995
+
+# An endpoint that resets established connections has work piled up, which drains slowly and shows in no
+# reply. So long it counts as slow.
+RESET_PENALTY_NS = 10 * NS_PER_S
+# It counts as slow but short of late (40 ms, or a share of the objective): most of its peers may be fine.
+MAX_PENALTY_LATENCY_NS = 40_000_000
+PENALTY_LATENCY_SHARE = 0.8
+
+# Some endpoints report their message time too, in a line of the same form as a connection's load: in ms, once
+# a second on one connection of each proxy while it is slow, and once more when it is not any longer. A usual
+# connection asks a hundred times as much as this in us/s, so a lower figure is surely such a time.
+CERTAIN_TIME_BELOW = 500.0
+# A figure up to this one is a time if it comes one interval after another small figure.
+POSSIBLE_TIME_BELOW = 10_000.0
+REPORT_INTERVAL_NS = NS_PER_S
+REPORT_JITTER_NS = 30_000_000
+# How long a reported time holds: two intervals, as one report may be lost.
+REPORTED_TIME_LIFETIME_NS = 2 * NS_PER_S
+
+# Heavy connections are the first to report their load. Before half have reported, their mean says nothing of
+# the rest, which count as usual for this kind of endpoint: 11 to 21 fill a core.
+TYPICAL_LOAD_US_PER_S = 70_000.0
+MIN_REPORTED_SHARE = 0.5
+# Few reported loads are averaged with so many usual ones.
+PRIOR_CONNECTIONS = 4
+# How long a client that came from another proxy tells of that proxy: about a connection's life.
+MIGRATION_MEMORY_NS = 30 * NS_PER_S
+
+# Keys of the state that is handed over to another process.
+_MIGRATIONS_KEY = "guests"
+_RESETS_KEY = "shed"
+
+
+class EstablishedConnection(NamedTuple):
+    """One established connection at an endpoint, as far as it matters for the endpoint's load."""
+
+    load: float | None  # in us of work a second, once reported
     group: int
-    oldest_unanswered_ns: int  # how long its oldest message without a reply has waited
+    oldest_unanswered_ns: int  # how long its oldest message without a reply has waited; 0 when none waits
+
+
+class ReportedTime(NamedTuple):
+    """A message time that an endpoint reported itself."""
+
+    at_ns: int
+    elapsed_ns: float
+
+
+NEVER_REPORTED = ReportedTime(0, 0.0)
 
 
 class LatencyEstimator:
+    """Finds the endpoints whose messages are slow. All times are in ns of the caller's clock.
+
+    Attributes:
+        weights: sizes of the listed endpoints in standard cores.
+        peer_connections: what another process of this proxy holds meanwhile, by endpoint.
+        reset_at_ns: when endpoints last reset an established connection.
+        net_migrated_in: clients that came from other proxies less those that left, fading linearly since
+            `net_migrated_at_ns`.
+    """
+
     def __init__(self) -> None:
-        self.latency_objective_ns, self.slow_ns, self.proxies, self.sized = 0, 0, 1, True
+        """Start with nothing observed; `configure` must be called before the first review."""
+        self.latency_objective_ns = 0
+        self.slow_threshold_ns = 0
+        self.proxies = 1
+        self.weights_are_sizes = True
         self.weights: dict[bytes, float] = {}
-        self.samples: dict[bytes, deque[tuple[int, int]]] = {}
-        self.nearest: dict[int, int] = {}  # the shortest time seen for each far zone: the way there and back
-        self.guests, self.guests_at = 0.0, 0  # clients come from other proxies, less those gone to them
-        self.share = 1.0  # of all connections, the proxies' together, over one's own
-        self.slow: set[bytes] = set()
-        self.elsewhere: dict[bytes, list[Standing]] = {}  # what this proxy's other process holds
-        self.shed_at: dict[bytes, int] = {}
-        self.small_at: dict[bytes, int] = {}  # when a figure that may be a time was last told
-        self.told_times: dict[
-            bytes, tuple[int, float]
-        ] = {}  # when an endpoint told its message time, and that
-
-    def configure(self, shortest_latency_objective_ns: int, proxies: int, sized: bool = True) -> None:
-        """`sized`: the list's weights are sizes in standard cores, by which loads may be reckoned."""
-        self.latency_objective_ns, self.slow_ns, self.proxies, self.sized = (
-            shortest_latency_objective_ns,
-            shortest_latency_objective_ns // 3,
-            proxies,
-            sized,
-        )
-
-    def dropped(self, endpoint: bytes, now: int) -> None:
-        """It reset a connection that stood."""
-        self.shed_at[endpoint] = now
-
-    def tells_time(self, endpoint: bytes, value: float, now: int) -> bool:
-        """Whether a figure that was told is the endpoint's message time and not a connection's load."""
-        if value >= MAYBE_TIME:
+        self.samples: dict[bytes, deque[tuple[int, int]]] = {}  # time and duration of late replies
+        self.zone_round_trip_ns: dict[int, int] = {}  # the shortest reply time seen for each remote zone
+        self.net_migrated_in = 0.0
+        self.net_migrated_at_ns = 0
+        self.slow_endpoints: set[bytes] = set()
+        self.peer_connections: dict[bytes, list[EstablishedConnection]] = {}
+        self.reset_at_ns: dict[bytes, int] = {}
+        self.small_figure_at_ns: dict[bytes, int] = {}  # when a figure that may be a time was last reported
+        self.reported_times: dict[bytes, ReportedTime] = {}
+
+    def configure(self, latency_objective_ns: int, proxies: int, weights_are_sizes: bool = True) -> None:
+        """Apply the settings, also while running.
+
+        `latency_objective_ns` is the shortest message latency objective of the offered classes, `proxies` how
+        many share the endpoints. Loads are estimated only where weights are sizes in standard cores.
+        """
+        self.latency_objective_ns = latency_objective_ns
+        self.slow_threshold_ns = latency_objective_ns // SLOW_DIVISOR
+        self.proxies = proxies
+        self.weights_are_sizes = weights_are_sizes
+
+    # ---- observations -----------------------------------------------------------------------
+
+    def record_response_time(
+        self, endpoint: bytes, remote_zone: int | None, elapsed_ns: int, now_ns: int
+    ) -> None:
+        """A reply came after `elapsed_ns`; of a remote zone's, the round trip there is not counted."""
+        if remote_zone is not None and (
+            remote_zone in self.zone_round_trip_ns or len(self.zone_round_trip_ns) < MAX_ZONES
+        ):
+            round_trip_ns = min(self.zone_round_trip_ns.get(remote_zone, elapsed_ns), elapsed_ns)
+            self.zone_round_trip_ns[remote_zone] = round_trip_ns
+            elapsed_ns -= round_trip_ns
+        samples = self.samples.setdefault(endpoint, deque(maxlen=MAX_SAMPLES))
+        samples.append((now_ns, elapsed_ns))
+
+    def record_if_message_time(self, endpoint: bytes, figure: float, now_ns: int) -> bool:
+        """Record a reported figure if it is a message time in ms; False where it is a connection's load."""
+        if figure >= POSSIBLE_TIME_BELOW:
             return False
-        since, self.small_at[endpoint] = now - self.small_at.get(endpoint, 0), now
-        if value >= SURELY_TIME and abs(since - EVERY_NS) > GIVE_NS:
+        since_last_ns = now_ns - self.small_figure_at_ns.get(endpoint, 0)
+        self.small_figure_at_ns[endpoint] = now_ns
+        if figure >= CERTAIN_TIME_BELOW and abs(since_last_ns - REPORT_INTERVAL_NS) > REPORT_JITTER_NS:
             return False
-        self.told_times[endpoint] = now, value * 1e6
-        if value * 1e6 > self.slow_ns:
-            self.slow.add(endpoint)
+        reported = ReportedTime(now_ns, figure * NS_PER_MS)
+        self.reported_times[endpoint] = reported
+        if reported.elapsed_ns > self.slow_threshold_ns:
+            self.slow_endpoints.add(endpoint)
         return True
 
-    def guest(self, came: bool, now: int) -> None:
-        """A client came back after a break, or was sent away and will come back somewhere.
+    def record_reset(self, endpoint: bytes, now_ns: int) -> None:
+        """The endpoint reset an established connection."""
+        self.reset_at_ns[endpoint] = now_ns
+
+    def record_client_migrated_in(self, now_ns: int) -> None:
+        """A client came back after a break.
 
-        Those that came and were not sent away here were another proxy's, which has so many fewer.
+        Those that came and were not migrated from here were another proxy's, which has so many fewer.
         """
-        past = min(1.0, (now - self.guests_at) / GUEST_NS)
-        self.guests, self.guests_at = self.guests * (1.0 - past) + (1.0 if came else -1.0), now
+        self._add_migration(1.0, now_ns)
+
+    def record_client_migrated_out(self, now_ns: int) -> None:
+        """A client was asked to migrate, or lost its connection, and will come back somewhere."""
+        self._add_migration(-1.0, now_ns)
 
-    def restarted(self, endpoint: bytes) -> None:
-        """What was known of the old process says nothing of the new one."""
-        for known in (self.shed_at, self.samples, self.small_at, self.told_times):
-            known.pop(endpoint, None)
+    def _add_migration(self, change: float, now_ns: int) -> None:
+        faded = min(1.0, (now_ns - self.net_migrated_at_ns) / MIGRATION_MEMORY_NS)
+        self.net_migrated_in = self.net_migrated_in * (1.0 - faded) + change
+        self.net_migrated_at_ns = now_ns
+
+    def handle_restart(self, endpoint: bytes) -> None:
+        """The endpoint restarted: what was observed of the old process says nothing of the new one."""
+        self.reset_at_ns.pop(endpoint, None)
+        self.samples.pop(endpoint, None)
+        self.small_figure_at_ns.pop(endpoint, None)
+        self.reported_times.pop(endpoint, None)
 
     def forget(self, endpoint: bytes) -> None:
-        """Its name is known no longer."""
-        self.restarted(endpoint)
+        """Drop everything kept under the name of an endpoint that is not known any more."""
+        self.handle_restart(endpoint)
         self.weights.pop(endpoint, None)
-        self.slow.discard(endpoint)
-
-    def resource_usage(self, names: int) -> dict[str, ResourceUsage]:
-        """`names` is the most that may be known at once."""
-        return {
-            "gauge.weights": ResourceUsage(len(self.weights), names),
-            "gauge.samples": ResourceUsage(len(self.samples), names),
-            "gauge.shed_at": ResourceUsage(len(self.shed_at), names),
-            "gauge.small_at": ResourceUsage(len(self.small_at), names),
-            "gauge.told_times": ResourceUsage(len(self.told_times), names),
-            "gauge.slow": ResourceUsage(len(self.slow), names),
-            "gauge.nearest": ResourceUsage(len(self.nearest), MOST_ZONES),
-        }
+        self.slow_endpoints.discard(endpoint)
 
-    def answered(self, endpoint: bytes, zone: int | None, elapsed_ns: int, now: int) -> None:
-        """`zone` is given where the way there takes long; a note tells the time at the endpoint alone."""
-        if zone is not None and (zone in self.nearest or len(self.nearest) < MOST_ZONES):
-            least = self.nearest[zone] = min(self.nearest.get(zone, elapsed_ns), elapsed_ns)
-            elapsed_ns -= least
-        kept = self.samples.setdefault(endpoint, deque(maxlen=MOST_SAMPLES))
-        kept.append((now, elapsed_ns))
+    # ---- review -----------------------------------------------------------------------------
 
-    def review(self, standing: Mapping[bytes, list[Standing]], now: int) -> list[tuple[bytes, float]]:
-        """Once a second: the endpoints to note and the milliseconds that a message takes there.
+    def review(
+        self, connections: Mapping[bytes, list[EstablishedConnection]], now_ns: int
+    ) -> list[tuple[bytes, float]]:
+        """The endpoints to notify the balancer of, with the ms that a message takes there; once a second.
 
-        A slow endpoint is noted as long as it is slow, and once more when it no longer is.
+        `connections` are this process's, by endpoint. A slow endpoint is returned for as long as it is slow,
+        and once more when it no longer is.
         """
-        self.shed_at = {endpoint: at for endpoint, at in self.shed_at.items() if now - at < SHED_NS}
-        everyone = (*standing.values(), *self.elsewhere.values())
-        told = [one.load for held in everyone for one in held if one.load is not None]
-        # A few that are told are weighed as if as many usual ones had been told beside.
-        usual = (sum(told) + FEW * TYPICAL) / (len(told) + FEW) if told else 0.0
-        own = sum(map(len, everyone))
-        if len(told) < own * MOSTLY_TOLD:
-            usual = min(usual, TYPICAL)
-        # While another proxy is away its clients are here: taken twice, every endpoint would look full.
-        here = 1.0 - self.guests * max(0.0, 1.0 - (now - self.guests_at) / GUEST_NS) / max(1, own)
-        self.share = min(max(1.0, self.proxies * here), float(self.proxies))
+        self.reset_at_ns = {
+            endpoint: at_ns
+            for endpoint, at_ns in self.reset_at_ns.items()
+            if now_ns - at_ns < RESET_PENALTY_NS
+        }
+        everywhere = (*connections.values(), *self.peer_connections.values())
+        usual_load = self._usual_load(everywhere)
+        fleet_multiple = self._fleet_multiple(sum(map(len, everywhere)), now_ns)
         notes = []
-        for endpoint, held in standing.items():
-            took = max(self.timed(endpoint, held, now), self.reckoned(endpoint, held, usual))
-            told_at, time = self.told_times.get(endpoint, (0, 0.0))
-            if now - told_at < TOLD_NS:
-                took = max(took, time)
-            if endpoint in self.shed_at:
-                took = max(took, min(SHED_AS_NS, SHED_PART * self.latency_objective_ns))
-            if took > self.slow_ns:
-                self.slow.add(endpoint)
-            elif endpoint in self.slow:
-                self.slow.discard(endpoint)
+        for endpoint, held in connections.items():
+            elapsed_ns = max(
+                self._measured_ns(endpoint, held, now_ns),
+                self._estimated_from_load_ns(endpoint, held, usual_load, fleet_multiple),
+                self._reported_ns(endpoint, now_ns),
+                self._penalty_latency_ns() if endpoint in self.reset_at_ns else 0.0,
+            )
+            was_slow = endpoint in self.slow_endpoints
+            if elapsed_ns > self.slow_threshold_ns:
+                self.slow_endpoints.add(endpoint)
+            elif was_slow:
+                self.slow_endpoints.discard(endpoint)
             else:
                 continue
-            notes.append((endpoint, took / 1e6))
-        self.slow &= standing.keys()
-        for known in (self.samples, self.small_at, self.told_times):
-            for endpoint in known.keys() - standing.keys():
-                del known[endpoint]
+            notes.append((endpoint, elapsed_ns / NS_PER_MS))
+        self._forget_all_but(connections)
         return notes
 
-    def timed(self, endpoint: bytes, held: Iterable[Standing], now: int) -> float:
-        """By the replies of late, and by the messages that already wait longer than those took."""
-        times = [elapsed for at, elapsed in self.samples.get(endpoint, ()) if at >= now - KEPT_NS]
-        late = median(times) if times else 0
-        # One that answers nothing is stalled or gone, which says nothing of how full the others are: it is
-        # left like a slow one, but does not count as late before a reply does.
-        most = int(min(SHED_AS_NS, SHED_PART * self.latency_objective_ns))
-        times += [min(one.oldest_unanswered_ns, most) for one in held if one.oldest_unanswered_ns > late]
+    def _forget_all_but(self, connections: Mapping[bytes, list[EstablishedConnection]]) -> None:
+        """Drop what is kept of endpoints without connections, but for their resets."""
+        self.slow_endpoints &= connections.keys()
+        for observed in (self.samples, self.small_figure_at_ns, self.reported_times):
+            for endpoint in observed.keys() - connections.keys():
+                del observed[endpoint]
+
+    def _usual_load(self, everywhere: Iterable[list[EstablishedConnection]]) -> float:
+        """The load in us/s of a connection that has not reported any; 0 while none has."""
+        total = 0
+        reported = []
+        for held in everywhere:
+            total += len(held)
+            reported += [connection.load for connection in held if connection.load is not None]
+        if not reported:
+            return 0.0
+        prior = PRIOR_CONNECTIONS * TYPICAL_LOAD_US_PER_S
+        usual = (sum(reported) + prior) / (len(reported) + PRIOR_CONNECTIONS)
+        if len(reported) < total * MIN_REPORTED_SHARE:
+            return min(usual, TYPICAL_LOAD_US_PER_S)
+        return usual
+
+    def _fleet_multiple(self, own_connections: int, now_ns: int) -> float:
+        """All proxies' connections over this one's.
+
+        While another proxy is away its clients are here: counted twice, every endpoint would look full.
+        """
+        fading = max(0.0, 1.0 - (now_ns - self.net_migrated_at_ns) / MIGRATION_MEMORY_NS)
+        own_share = 1.0 - self.net_migrated_in * fading / max(1, own_connections)
+        return min(max(1.0, self.proxies * own_share), float(self.proxies))
+
+    def _measured_ns(self, endpoint: bytes, held: Iterable[EstablishedConnection], now_ns: int) -> float:
+        """By recent replies, and by the messages that already wait longer than those took."""
+        oldest_ns = now_ns - SAMPLE_LIFETIME_NS
+        times: list[float] = [
+            elapsed_ns for at_ns, elapsed_ns in self.samples.get(endpoint, ()) if at_ns >= oldest_ns
+        ]
+        replies_ns = median(times) if times else 0
+        # An endpoint that answers nothing is stalled or gone, which says nothing of how full the others are:
+        # it is left like a slow one, but does not count as late before a reply does.
+        most_ns = int(self._penalty_latency_ns())
+        for connection in held:
+            if connection.oldest_unanswered_ns > replies_ns:
+                times.append(min(connection.oldest_unanswered_ns, most_ns))
         return median(times) if times else 0.0
 
-    def reckoned(self, endpoint: bytes, held: list[Standing], usual: float) -> float:
-        """By the told loads, the other proxies' connections being taken as many as these.
+    def _estimated_from_load_ns(
+        self, endpoint: bytes, held: list[EstablishedConnection], usual_load: float, fleet_multiple: float
+    ) -> float:
+        """By the reported loads, the other proxies' connections being taken for as many as these.
 
-        A live weight is a tenth of the size where ten connections fill a core: any endpoint would look full.
+        Only over weights that are sizes: a live weight is a tenth of the size where ten connections fill a
+        core, and any endpoint would look full.
         """
-        if not usual or not self.sized:
+        if not usual_load or not self.weights_are_sizes:
             return 0.0
         weight = self.weights.get(endpoint, 1.0)
-        held = held + self.elsewhere.get(endpoint, [])
-        loads = [usual if one.load is None else one.load for one in held]
-        # So many as are here may be here by chance: a fortieth of the fleet has one heavy connection at a
-        # endpoint, and forty of those would fill any. What up to one standard deviation less would be is
-        # believed; where there are two proxies, or this one's share is all there is, what is here is.
-        own, spread = sum(loads), math.sqrt(sum(load * load for load in loads))
-        spread *= max(0.0, 1.0 - 2.0 / self.share)
-        asked = own + max(0.0, own - spread) * (self.share - 1.0)
-        asked += GROUP_COST * usual * len({one.group for one in held})
-        fullness = min(asked / (weight * 1e6), FULLEST)
-        return min(MESSAGE_NS, MESSAGE_PART * self.latency_objective_ns) * CORES / weight / (1.0 - fullness)
+        held = held + self.peer_connections.get(endpoint, [])
+        loads = [usual_load if connection.load is None else connection.load for connection in held]
+        # As many as are here may be here by chance: a fortieth of the fleet has one heavy connection at an
+        # endpoint, and forty of those would fill any. What up to one standard deviation less would be counts;
+        # where there are two proxies, or this one's share is all there is, what is here counts.
+        own = sum(loads)
+        deviation = math.sqrt(sum(load * load for load in loads))
+        deviation *= max(0.0, 1.0 - 2.0 / fleet_multiple)
+        demand = own + max(0.0, own - deviation) * (fleet_multiple - 1.0)
+        groups = {connection.group for connection in held}
+        demand += GROUP_OVERHEAD_LOADS * usual_load * len(groups)
+        utilization = min(demand / (weight * US_PER_S), MAX_UTILIZATION)
+        work_ns = min(MAX_MESSAGE_WORK_NS, MESSAGE_WORK_SHARE * self.latency_objective_ns)
+        return work_ns * ENDPOINT_CORES / weight / (1.0 - utilization)
+
+    def _reported_ns(self, endpoint: bytes, now_ns: int) -> float:
+        """As the endpoint lately reported itself; 0 where it did not."""
+        reported = self.reported_times.get(endpoint, NEVER_REPORTED)
+        return reported.elapsed_ns if now_ns - reported.at_ns < REPORTED_TIME_LIFETIME_NS else 0.0
+
+    def _penalty_latency_ns(self) -> float:
+        """Slow, but short of the latency objective."""
+        return min(MAX_PENALTY_LATENCY_NS, PENALTY_LATENCY_SHARE * self.latency_objective_ns)
+
+    # ---- state and usage --------------------------------------------------------------------
+
+    def export_state(self) -> dict[str, Any]:
+        """What another process needs to go on; `import_migrations` and `import_resets` take it."""
+        return {
+            _MIGRATIONS_KEY: [self.net_migrated_in, self.net_migrated_at_ns],
+            _RESETS_KEY: {endpoint.hex(): at_ns for endpoint, at_ns in self.reset_at_ns.items()},
+        }
+
+    def import_migrations(self, state: Mapping[str, Any]) -> None:
+        """Take over the clients migrated in and out.
+
+        Raises AttributeError, KeyError, TypeError or ValueError where the state makes no sense, and takes
+        nothing then.
+        """
+        net_migrated_in, net_migrated_at_ns = state[_MIGRATIONS_KEY][:2]
+        at_ns = int(net_migrated_at_ns)
+        self.net_migrated_in = float(net_migrated_in)
+        self.net_migrated_at_ns = at_ns
+
+    def import_resets(self, state: Mapping[str, Any]) -> None:
+        """Take over when endpoints last reset a connection; errors as in `import_migrations`."""
+        resets = {bytes.fromhex(name): int(at_ns) for name, at_ns in state[_RESETS_KEY].items()}
+        self.reset_at_ns.update(resets)
+
+    def resource_usage(self, max_names: int) -> dict[str, ResourceUsage]:
+        """Sizes and bounds, under their names in `GET /ops/census`; `max_names`: most endpoints known."""
+        return {
+            "gauge.weights": ResourceUsage(len(self.weights), max_names),
+            "gauge.samples": ResourceUsage(len(self.samples), max_names),
+            "gauge.shed_at": ResourceUsage(len(self.reset_at_ns), max_names),
+            "gauge.small_at": ResourceUsage(len(self.small_figure_at_ns), max_names),
+            "gauge.told_times": ResourceUsage(len(self.reported_times), max_names),
+            "gauge.slow": ResourceUsage(len(self.slow_endpoints), max_names),
+            "gauge.nearest": ResourceUsage(len(self.zone_round_trip_ns), MAX_ZONES),
+        }
--- a/linnetshift/broker/snapshot.py
+++ b/linnetshift/broker/snapshot.py
@@ -1,11 +1,13 @@
-"""What a node has learned of its endpoints, in a form that the process that replaces it can take over.
+"""What a proxy has observed of its endpoints, in a form that the process which replaces it can take over.
 
-Without it the new process would send clients back to the endpoints that the old one had just moved them
-off, and would learn of each jam anew.
+Without it the new process would send clients back to the endpoints that the old one had just moved them off,
+and would find each overload anew.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
+from functools import partial
 from typing import Any
 
 from linnetshift.broker.latency_estimator import LatencyEstimator
@@ -14,18 +16,26 @@
 
 
 def export_state(balancer: Balancer, latency_estimator: LatencyEstimator) -> dict[str, Any]:
-    return {
-        **export_balancer_state(balancer),
-        "guests": [latency_estimator.guests, latency_estimator.guests_at],
-        "shed": {endpoint.hex(): at for endpoint, at in latency_estimator.shed_at.items()},
-    }
-
-
-def import_state(balancer: Balancer, latency_estimator: LatencyEstimator, memory: dict[str, Any]) -> None:
-    """Once the list is known; an endpoint that is not listed any more is left out."""
-    import_balancer_state(balancer, memory)
-    latency_estimator.guests, latency_estimator.guests_at = (
-        float(memory["guests"][0]),
-        int(memory["guests"][1]),
-    )
-    latency_estimator.shed_at.update({bytes.fromhex(name): int(at) for name, at in memory["shed"].items()})
+    """The state under its stored keys, of values that JSON can hold."""
+    return {**export_balancer_state(balancer), **latency_estimator.export_state()}
+
+
+def import_state(balancer: Balancer, latency_estimator: LatencyEstimator, state: Mapping[str, Any]) -> None:
+    """Take over an exported state, once the endpoint list is known.
+
+    Endpoints that are not listed any more and unknown keys are left out, as the other process may be of
+    another version. A part that makes no sense does not keep the others from being taken; the error of the
+    first such part is raised at the end (AttributeError, KeyError, TypeError or ValueError).
+    """
+    first_error: Exception | None = None
+    for import_part in (
+        partial(import_balancer_state, balancer),
+        latency_estimator.import_migrations,
+        latency_estimator.import_resets,
+    ):
+        try:
+            import_part(state)
+        except (AttributeError, KeyError, TypeError, ValueError) as error:
+            first_error = first_error or error
+    if first_error is not None:
+        raise first_error
--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -54,7 +54,7 @@
                     self.broker.review_unresponsive_endpoints()
                     if review % REVIEWS == 0:
                         self.broker.review_latency()
-                        for what, value in self.broker.deployment_facts.fresh():
+                        for what, value in self.broker.deployment_facts.take_unreported():
                             log.note("deployment-fact-observed", what=what, value=value)
                 case Settled(done):
                     self.decide()
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -13,8 +13,9 @@
 from itertools import count
 from typing import NamedTuple
 
-from linnetshift.broker.active_request import ActiveRequest, UpstreamConnection
+from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.broker.broker import Broker
+from linnetshift.broker.ports import UpstreamConnection
 from linnetshift.config.names import UNKNOWN, NameRegistry
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.connection_limits import (
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -24,7 +24,7 @@
 
 from linnetshift.broker.broker import Broker
 from linnetshift.broker.contracts import Contracts
-from linnetshift.broker.latency_estimator import Standing
+from linnetshift.broker.latency_estimator import EstablishedConnection
 from linnetshift.broker.snapshot import import_state
 from linnetshift.config.names import NameRegistry
 from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
@@ -197,7 +197,7 @@
 
     streams: int = 0  # descriptors
     moved: int = 0  # clients told to move, ever
-    loads: Mapping[bytes, list[Standing]] = MappingProxyType({})  # by endpoint
+    loads: Mapping[bytes, list[EstablishedConnection]] = MappingProxyType({})  # by endpoint
 
     @classmethod
     def read(cls, told: dict[str, Any]) -> PeerResources:
@@ -205,7 +205,8 @@
         streams, moved = int(told.get("streams", 0)), int(told.get("moved", 0))
         loads = {
             endpoint.encode(): [
-                Standing(None if load is None else float(load), int(group), 0) for load, group in held
+                EstablishedConnection(None if load is None else float(load), int(group), 0)
+                for load, group in held
             ]
             for endpoint, held in told.get("loads", {}).items()
         }
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -13,7 +13,7 @@
 from test_broker import Around
 
 from linnetshift.admin import server
-from linnetshift.broker import administrative_drains, broker
+from linnetshift.broker import administrative_drains
 from linnetshift.broker.administrative_drains import AdministrativeDrains
 from linnetshift.event_loop import connection_limits
 from linnetshift.event_loop.loop import Loop
@@ -34,8 +34,6 @@
     monkeypatch.setattr(administrative_drains, "MAX_LISTED", 8)
     monkeypatch.setattr(administrative_drains, "MAX_KNOWN", 16)
     monkeypatch.setattr(administrative_drains, "MAX_DRAINED", 4)
-    monkeypatch.setattr(broker, "MAX_KNOWN", 16)
-    monkeypatch.setattr(broker, "MAX_DRAINED", 4)
 
 
 def test_names_that_come_and_go_are_forgotten_everywhere(few: None) -> None:
@@ -43,8 +41,8 @@
     around = Around()
     for number in range(100):
         around.broker.handle_endpoint_list(listed(*names(number), form=ListForm.DELTA))
-        around.broker.latency_estimator.dropped(endpoint(number), around.now)
-        around.broker.latency_estimator.answered(endpoint(number), None, 5, around.now)
+        around.broker.latency_estimator.record_reset(endpoint(number), around.now)
+        around.broker.latency_estimator.record_response_time(endpoint(number), None, 5, around.now)
         around.broker.handle_endpoint_list(
             listed(*names(number, state=EndpointState.REMOVED), form=ListForm.DELTA)
         )
@@ -52,12 +50,12 @@
         assert over(around.broker.resource_usage(16)) == []
     known = around.broker.administrative_drains.listed
     assert list(known)[-1] == endpoint(99) and len(known) == 16
-    assert set(around.broker.zones) <= set(known) and set(around.broker.latency_estimator.shed_at) <= set(
-        known
-    )
-    assert set(around.broker.starts) <= set(known) and set(around.broker.latency_estimator.weights) <= set(
-        known
-    )
+    assert set(around.broker.endpoint_views.zones) <= set(known) and set(
+        around.broker.latency_estimator.reset_at_ns
+    ) <= set(known)
+    assert set(around.broker.endpoint_views.started_ns) <= set(known) and set(
+        around.broker.latency_estimator.weights
+    ) <= set(known)
 
 
 def test_a_list_that_is_too_long_is_cut_and_goes_on(few: None) -> None:
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -7,8 +7,9 @@
 import pytest
 from conftest import MS, S, endpoint, entry, listed, raw_settings
 
-from linnetshift.broker import broker
-from linnetshift.broker.broker import ActiveRequest, Attempt, Broker
+from linnetshift.broker import attempts
+from linnetshift.broker.active_request import ActiveRequest, Attempt
+from linnetshift.broker.broker import Broker
 from linnetshift.broker.contracts import Contract, Contracts
 from linnetshift.routing.actions import Fail, Reject, Send
 from linnetshift.routing.events import RETRY, Outcome
@@ -210,7 +211,7 @@
 def test_nobody_names_an_endpoint_once_the_run_is_on() -> None:
     # Past the module, a stranger could choose an endpoint that drains or is still cold.
     around = Around()
-    around.now += broker.ADOPT_NS + 1
+    around.now += attempts.ADOPTION_PERIOD_NS + 1
     made = ActiveRequest(
         around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopted_endpoint=endpoint(1)
     )
--- a/tests/test_learned.py
+++ b/tests/test_deployment_facts.py
@@ -9,7 +9,7 @@
 from conftest import S, endpoint, entry
 from proxy import proxy
 
-from linnetshift.broker.deployment_facts import DeploymentFacts
+from linnetshift.broker.deployment_facts import DeploymentFacts, DrainBehaviour, Fact
 from linnetshift.routing.events import EndpointState
 
 GOES = entry(1, state=EndpointState.DRAINING)
@@ -28,28 +28,33 @@
     entries: list[Any], whole: bool, standing: list[bytes], after: int, news: list[tuple[str, str]]
 ) -> None:
     deployment_facts = DeploymentFacts()
-    deployment_facts.listed(entries, whole, 5 * S)
-    deployment_facts.listed([entry(3)], False, 5 * S + 1)  # a change that does not name it takes nothing back
+    deployment_facts.handle_endpoint_list(entries, whole, 5 * S)
+    deployment_facts.handle_endpoint_list(
+        [entry(3)], False, 5 * S + 1
+    )  # a change that does not name it takes nothing back
     deployment_facts.review(standing, 5 * S + after)
-    assert deployment_facts.fresh() == news
+    assert deployment_facts.take_unreported() == news
 
 
 @pytest.mark.parametrize("later, whole", [([entry(3)], True), ([entry(1)], False), ([], True)])
 def test_a_drain_that_is_over_is_forgotten(later: list[Any], whole: bool) -> None:
     deployment_facts = DeploymentFacts()
-    deployment_facts.listed([GOES], False, 1 * S)
-    deployment_facts.listed(later, whole, 2 * S)
+    deployment_facts.handle_endpoint_list([GOES], False, 1 * S)
+    deployment_facts.handle_endpoint_list(later, whole, 2 * S)
     deployment_facts.review([endpoint(1)], 9 * S)
-    assert not deployment_facts.fresh() and not deployment_facts.drains
+    assert not deployment_facts.take_unreported() and not deployment_facts.draining_since_ns
 
 
 def test_a_fact_is_told_once_and_again_when_it_changes() -> None:
     deployment_facts = DeploymentFacts()
-    deployment_facts.sent_away()
-    deployment_facts.sent_away()
-    assert deployment_facts.fresh() == [("drain", "sends-away")] and not deployment_facts.fresh()
-    deployment_facts.found("drain", "serves-on")
-    assert deployment_facts.fresh() == [("drain", "serves-on")]
+    deployment_facts.record_migration_request()
+    deployment_facts.record_migration_request()
+    assert (
+        deployment_facts.take_unreported() == [("drain", "sends-away")]
+        and not deployment_facts.take_unreported()
+    )
+    deployment_facts.observe(Fact.DRAIN, DrainBehaviour.KEEPS_SERVING)
+    assert deployment_facts.take_unreported() == [("drain", "serves-on")]
 
 
 def test_the_log_says_what_was_made_of_the_settings_and_what_was_learned(tmp_path: Path) -> None:
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -201,7 +201,7 @@
     assert successor.peer_migrated == 91
     assert broker.migrated == 0
     assert connections_at_peers(broker.balancer) == 3
-    assert broker.latency_estimator.elsewhere == {
+    assert broker.latency_estimator.peer_connections == {
         b"s-ready": [(81000.5, 71, 0), (None, 72, 0)],
         b"s-draining": [(64000.25, 0, 0)],
     }
@@ -235,8 +235,8 @@
 def test_latency_estimator_state_is_read(successor: Proxy) -> None:
     estimator = successor.broker.latency_estimator
 
-    assert (estimator.guests, estimator.guests_at) == (-4.5, 9_000_000_000_001)
-    assert estimator.shed_at == {b"s-ready": 9_000_000_000_002, b"s-draining": 9_000_000_000_003}
+    assert (estimator.net_migrated_in, estimator.net_migrated_at_ns) == (-4.5, 9_000_000_000_001)
+    assert estimator.reset_at_ns == {b"s-ready": 9_000_000_000_002, b"s-draining": 9_000_000_000_003}
 
 
 def test_vrrp_stays_active_and_channels_listen_without_descriptors(successor: Proxy) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 from test_ops import DOWN, UP, lands_on
 from test_platform import ranked
 
-from linnetshift.broker.latency_estimator import LatencyEstimator, Standing
+from linnetshift.broker.latency_estimator import EstablishedConnection, LatencyEstimator
 from linnetshift.broker.snapshot import export_state, import_state
 from linnetshift.routing.actions import Send
 from linnetshift.routing.events import Outcome
@@ -125,14 +125,18 @@
     (sent,) = only(old.step(2 * S, [request(1)]), Send)
     old.step(2 * S, [ended(sent, 0, Outcome.FULL, closed=True)])
     old.shedding.admit = 0.5
-    latency_estimator.shed_at[sent.endpoint] = 2 * S
+    latency_estimator.reset_at_ns[sent.endpoint] = 2 * S
     told = json.loads(json.dumps(export_state(old, latency_estimator)))
     told["hosts"]["00"] = {}
     told["node"]["window"] = "wide"  # of another version
     later = LatencyEstimator()
 
     import_state(new, later, told)
-    assert (new.shedding.admit, new.window.size, later.shed_at) == (0.5, 1e9, latency_estimator.shed_at)
+    assert (new.shedding.admit, new.window.size, later.reset_at_ns) == (
+        0.5,
+        1e9,
+        latency_estimator.reset_at_ns,
+    )
     new.shedding.admit = 1.0
     (again,) = only(new.step(2 * S + 1, [request(1)]), Send)
     assert again.endpoint != sent.endpoint
@@ -143,7 +147,7 @@
     latency_estimator = LatencyEstimator()
     latency_estimator.configure(50 * MS, 1)
     latency_estimator.weights[b"s-1"] = 2.0
-    few = {b"s-1": [Standing(80_000.0, 1, 0)] * 5}
+    few = {b"s-1": [EstablishedConnection(80_000.0, 1, 0)] * 5}
     assert not latency_estimator.review(few, 1 * S)
-    latency_estimator.elsewhere = {b"s-1": [Standing(80_000.0, 2, 0)] * 15}
+    latency_estimator.peer_connections = {b"s-1": [EstablishedConnection(80_000.0, 2, 0)] * 15}
     assert latency_estimator.review(few, 2 * S)
--- a/tests/test_gauge.py
+++ b/tests/test_latency_estimator.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import MS, S, raw_settings
 
-from linnetshift.broker.latency_estimator import LatencyEstimator, Standing
+from linnetshift.broker.latency_estimator import EstablishedConnection, LatencyEstimator
 from linnetshift.routing.settings import Settings
 
 HERE = b"s-1"
@@ -18,8 +18,8 @@
     return made
 
 
-def asking(load: float | None, many: int, waiting: int = 0) -> dict[bytes, list[Standing]]:
-    return {HERE: [Standing(load, 1, waiting) for _ in range(many)]}
+def asking(load: float | None, many: int, waiting: int = 0) -> dict[bytes, list[EstablishedConnection]]:
+    return {HERE: [EstablishedConnection(load, 1, waiting) for _ in range(many)]}
 
 
 @pytest.mark.parametrize(
@@ -29,7 +29,7 @@
 def test_told_loads_name_a_full_endpoint(weight: float, proxies: int, many: int, noted: bool) -> None:
     # Replies came at once from endpoints that missed every aim: with them alone nothing was ever noted.
     made = latency_estimator(weight, proxies)
-    made.answered(HERE, None, MS // 20, 1 * S)
+    made.record_response_time(HERE, None, MS // 20, 1 * S)
     assert bool(made.review(asking(80_000.0, many), 1 * S)) is noted
 
 
@@ -37,7 +37,7 @@
 def test_replies_that_take_long_name_it_too(times: list[int], noted: bool) -> None:
     made = latency_estimator()
     for ms in times:
-        made.answered(HERE, None, ms * MS, 1 * S)
+        made.record_response_time(HERE, None, ms * MS, 1 * S)
     assert bool(made.review(asking(None, 1), 1 * S)) is noted
 
 
@@ -49,7 +49,7 @@
 def test_the_way_to_a_far_zone_is_not_the_endpoints_time() -> None:
     made = latency_estimator()
     for ms in (20, 21, 22):
-        made.answered(HERE, 1, ms * MS, 1 * S)
+        made.record_response_time(HERE, 1, ms * MS, 1 * S)
     assert not made.review(asking(None, 1), 1 * S)
 
 
@@ -64,7 +64,7 @@
 def test_an_endpoint_that_drops_connections_counts_as_slow_for_a_while() -> None:
     # Its piled-up work shows in no reply and in no load; its clients would hash straight back to it.
     made = latency_estimator()
-    made.dropped(HERE, 1 * S)
+    made.record_reset(HERE, 1 * S)
     assert made.review(asking(None, 1), 2 * S) == [(HERE, 40.0)]
     ((_, over),) = made.review(asking(None, 1), 12 * S)
     assert over * 3 < 50
@@ -72,8 +72,8 @@
 
 def test_a_restart_ends_what_was_held_against_an_endpoint() -> None:
     made = latency_estimator()
-    made.dropped(HERE, 1 * S)
-    made.restarted(HERE)
+    made.record_reset(HERE, 1 * S)
+    made.handle_restart(HERE)
     assert not made.review(asking(None, 1), 3 * S)
 
 
@@ -90,15 +90,15 @@
     made = latency_estimator(proxies=2)
     for at, count in ((True, came), (False, went)):
         for _ in range(count):
-            made.guest(at, 1 * S)
+            (made.record_client_migrated_in if at else made.record_client_migrated_out)(1 * S)
     assert bool(made.review(asking(80_000.0, 8), 1 * S)) is noted
 
 
 def test_the_few_that_have_told_their_load_do_not_speak_for_the_rest() -> None:
     # After a restart the first to tell were the heavy ones; every endpoint looked jammed.
     made = latency_estimator(weight=4.0)
-    heavy = [Standing(400_000.0, 1, 0)] * 2
-    assert not made.review({HERE: heavy + [Standing(None, 1, 0)] * 10}, 1 * S)
+    heavy = [EstablishedConnection(400_000.0, 1, 0)] * 2
+    assert not made.review({HERE: heavy + [EstablishedConnection(None, 1, 0)] * 10}, 1 * S)
     assert made.review({HERE: heavy * 6}, 1 * S)
 
 
@@ -125,18 +125,20 @@
     figures: list[tuple[int, float]], times: list[float]
 ) -> None:
     made = latency_estimator()
-    assert [value for at, value in figures if made.tells_time(HERE, value, (9000 + at) * MS)] == times
+    assert [
+        value for at, value in figures if made.record_if_message_time(HERE, value, (9000 + at) * MS)
+    ] == times
 
 
 def test_a_told_message_time_holds_until_the_next() -> None:
     made = latency_estimator()
-    assert made.tells_time(HERE, 89.5, 5 * S)
+    assert made.record_if_message_time(HERE, 89.5, 5 * S)
     assert made.review(asking(None, 1), 5 * S + 900 * MS) == [(HERE, 89.5)]
-    assert made.tells_time(HERE, 4.0, 6 * S)
+    assert made.record_if_message_time(HERE, 4.0, 6 * S)
     made.review(asking(None, 1), 6 * S + 900 * MS)
     assert not made.review(asking(None, 1), 7 * S + 900 * MS)
-    made.restarted(HERE)
-    assert not made.told_times
+    made.handle_restart(HERE)
+    assert not made.reported_times
 
 
 @pytest.mark.parametrize(
@@ -153,7 +155,7 @@
 ) -> None:
     # At 40 proxies 47 of 95 clients were moved in the first 2 s, off endpoints that were sound.
     made = latency_estimator(proxies=proxies)
-    held = {HERE: [Standing(load, 1, 0) for load in loads]}
+    held = {HERE: [EstablishedConnection(load, 1, 0) for load in loads]}
     assert bool(made.review(held, 1 * S)) is noted
 
 
@@ -176,8 +178,8 @@
     made.weights[HERE] = 2.0
     assert not made.review(asking(80_000.0, 4), 1 * S)
     assert made.review(asking(80_000.0, 20), 1 * S)
-    made.restarted(HERE)
+    made.handle_restart(HERE)
     made.review(asking(None, 1), 2 * S)
-    made.dropped(HERE, 3 * S)
+    made.record_reset(HERE, 3 * S)
     ((_, ms),) = made.review(asking(None, 1), 3 * S)
     assert aim_ms / 3 < ms < aim_ms  # slow, and short of late
