--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -139,7 +139,7 @@
         attempt.is_established = True
         request.mark_answered()
         if request.flags & RETURNED:
-            self.endpoints.latency_estimator.record_client_migrated_in(now_ns)
+            self.endpoints.latency_estimator.migrations.record_client_in(now_ns)
         if request.adopted_endpoint:
             self.inbox.post(request.to_adopted_event(attempt.endpoint))
         else:
--- a/linnetshift/broker/endpoint_views.py
+++ b/linnetshift/broker/endpoint_views.py
@@ -104,6 +104,6 @@
         if outcome == Outcome.RESET and self.administrative_drains.is_known(endpoint):
             self.latency_estimator.record_reset(endpoint, self.clock())
         if outcome != Outcome.OK:
-            self.latency_estimator.record_client_migrated_out(self.clock())
+            self.latency_estimator.migrations.record_client_out(self.clock())
         if outcome == Outcome.CANCELLED:
             self.deployment_facts.record_migration_request()
--- a/linnetshift/broker/latency_estimator.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -14,6 +14,7 @@
 from statistics import median
 from typing import Any, NamedTuple
 
+from linnetshift.broker.migration_balance import MigrationBalance
 from linnetshift.observability.resource_usage import ResourceUsage
 
 NS_PER_S = 1_000_000_000
@@ -65,8 +66,6 @@
 MIN_REPORTED_SHARE = 0.5
 # Few reported loads are averaged with so many usual ones.
 PRIOR_CONNECTIONS = 4
-# How long a client that came from another proxy tells of that proxy: about a connection's life.
-MIGRATION_MEMORY_NS = 30 * NS_PER_S
 
 # Keys of the state that is handed over to another process.
 _MIGRATIONS_KEY = "guests"
@@ -98,8 +97,7 @@
         weights: sizes of the listed endpoints in standard cores.
         peer_connections: what another process of this proxy holds meanwhile, by endpoint.
         reset_at_ns: when endpoints last reset an established connection.
-        net_migrated_in: clients that came from other proxies less those that left, fading linearly since
-            `net_migrated_at_ns`.
+        migrations: clients that came from other proxies and went to them.
     """
 
     def __init__(self) -> None:
@@ -111,8 +109,7 @@
         self.weights: dict[bytes, float] = {}
         self.samples: dict[bytes, deque[tuple[int, int]]] = {}  # time and duration of late replies
         self.zone_round_trip_ns: dict[int, int] = {}  # the shortest reply time seen for each remote zone
-        self.net_migrated_in = 0.0
-        self.net_migrated_at_ns = 0
+        self.migrations = MigrationBalance()
         self.slow_endpoints: set[bytes] = set()
         self.peer_connections: dict[bytes, list[EstablishedConnection]] = {}
         self.reset_at_ns: dict[bytes, int] = {}
@@ -163,22 +160,6 @@
         """The endpoint reset an established connection."""
         self.reset_at_ns[endpoint] = now_ns
 
-    def record_client_migrated_in(self, now_ns: int) -> None:
-        """A client came back after a break.
-
-        Those that came and were not migrated from here were another proxy's, which has so many fewer.
-        """
-        self._add_migration(1.0, now_ns)
-
-    def record_client_migrated_out(self, now_ns: int) -> None:
-        """A client was asked to migrate, or lost its connection, and will come back somewhere."""
-        self._add_migration(-1.0, now_ns)
-
-    def _add_migration(self, change: float, now_ns: int) -> None:
-        faded = min(1.0, (now_ns - self.net_migrated_at_ns) / MIGRATION_MEMORY_NS)
-        self.net_migrated_in = self.net_migrated_in * (1.0 - faded) + change
-        self.net_migrated_at_ns = now_ns
-
     def handle_restart(self, endpoint: bytes) -> None:
         """The endpoint restarted: what was observed of the old process says nothing of the new one."""
         self.reset_at_ns.pop(endpoint, None)
@@ -256,8 +237,7 @@
 
         While another proxy is away its clients are here: counted twice, every endpoint would look full.
         """
-        fading = max(0.0, 1.0 - (now_ns - self.net_migrated_at_ns) / MIGRATION_MEMORY_NS)
-        own_share = 1.0 - self.net_migrated_in * fading / max(1, own_connections)
+        own_share = 1.0 - self.migrations.net_in(now_ns) / max(1, own_connections)
         return min(max(1.0, self.proxies * own_share), float(self.proxies))
 
     def _measured_ns(self, endpoint: bytes, held: Iterable[EstablishedConnection], now_ns: int) -> float:
@@ -315,7 +295,7 @@
     def export_state(self) -> dict[str, Any]:
         """What another process needs to go on; `import_migrations` and `import_resets` take it."""
         return {
-            _MIGRATIONS_KEY: [self.net_migrated_in, self.net_migrated_at_ns],
+            _MIGRATIONS_KEY: [self.migrations.net, self.migrations.updated_ns],
             _RESETS_KEY: {endpoint.hex(): at_ns for endpoint, at_ns in self.reset_at_ns.items()},
         }
 
@@ -325,10 +305,8 @@
         Raises AttributeError, KeyError, TypeError or ValueError where the state makes no sense, and takes
         nothing then.
         """
-        net_migrated_in, net_migrated_at_ns = state[_MIGRATIONS_KEY][:2]
-        at_ns = int(net_migrated_at_ns)
-        self.net_migrated_in = float(net_migrated_in)
-        self.net_migrated_at_ns = at_ns
+        net, updated_ns = state[_MIGRATIONS_KEY][:2]
+        self.migrations = MigrationBalance(float(net), int(updated_ns))
 
     def import_resets(self, state: Mapping[str, Any]) -> None:
         """Take over when endpoints last reset a connection; errors as in `import_migrations`."""
--- a/linnetshift/observability/resource_usage.py
+++ b/linnetshift/observability/resource_usage.py
@@ -1,7 +1,7 @@
 """How much of everything the program holds, and how much it may.
 
-Each owner of a container that lives as long as the program tells its size and its bound; `docs/memory.md` has
-the table, and `GET /ops/census` the figures of the moment.
+Each owner of a container that lives as long as the program reports its size and its bound; `docs/memory.md`
+has the table, and `GET /ops/census` the current figures.
 """
 
 from __future__ import annotations
@@ -17,6 +17,6 @@
     bound: int
 
 
-def over(resource_usage: Mapping[str, ResourceUsage]) -> list[str]:
-    """The names of those that hold more than they may."""
-    return [name for name, held in resource_usage.items() if held.size > held.bound]
+def over_bound(resource_usage: Mapping[str, ResourceUsage]) -> list[str]:
+    """The names of the containers that hold more than they may; always empty unless there is a fault."""
+    return [name for name, usage in resource_usage.items() if usage.size > usage.bound]
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -20,7 +20,7 @@
 from linnetshift.frontends.channels import session
 from linnetshift.lifecycle import hot_restart
 from linnetshift.lifecycle.hot_restart import PeerProcess
-from linnetshift.observability.resource_usage import ResourceUsage, over
+from linnetshift.observability.resource_usage import ResourceUsage, over_bound
 from linnetshift.routing.events import EndpointEntry, EndpointState, ListForm
 from linnetshift.routing.settings import Settings
 
@@ -47,7 +47,7 @@
             listed(*names(number, state=EndpointState.REMOVED), form=ListForm.DELTA)
         )
         around.broker.process_events()
-        assert over(around.broker.resource_usage(16)) == []
+        assert over_bound(around.broker.resource_usage(16)) == []
     known = around.broker.administrative_drains.listed
     assert list(known)[-1] == endpoint(99) and len(known) == 16
     assert set(around.broker.endpoint_views.zones) <= set(known) and set(
@@ -86,7 +86,7 @@
         for n in range(4)
     )
     assert around.broker.restore_endpoint(endpoint(0))
-    assert around.broker.administrative_drains.restored and over(around.broker.resource_usage(16)) == []
+    assert around.broker.administrative_drains.restored and over_bound(around.broker.resource_usage(16)) == []
 
 
 def rules(*aims: int) -> Settings:
@@ -116,7 +116,7 @@
         told = {name: ResourceUsage(**figures) for name, figures in running.resource_usage().items()}
     assert (
         standing
-        and over(told) == []
+        and over_bound(told) == []
         and told["platform.consumers"].size == told["broker.invocations"].size == 1
     )
     table = (ROOT / "docs" / "memory.md").read_text()
@@ -134,7 +134,7 @@
                 pass
             assert conn.line()
             kept.append(conn)
-            assert over(running.program.admin_server.resource_usage()) == []
+            assert over_bound(running.program.admin_server.resource_usage()) == []
 
 
 def test_channels_that_wait_are_bounded_over_all_sessions(
--- /dev/null
+++ b/tests/test_broker_parts.py
@@ -0,0 +1,147 @@
+"""The broker's parts one by one: inbox, endpoint views, migrations, contracts and the state handed over."""
+
+from __future__ import annotations
+
+import pytest
+from conftest import S, balancer, endpoint, entry, listed, raw_settings
+from test_broker import Around
+
+from linnetshift.broker.active_request import DETACHED_CLIENT
+from linnetshift.broker.contracts import Contract, Contracts
+from linnetshift.broker.endpoint_views import EndpointViews
+from linnetshift.broker.event_inbox import EventInbox
+from linnetshift.broker.latency_estimator import LatencyEstimator
+from linnetshift.broker.migration_balance import MIGRATION_MEMORY_NS, MigrationBalance
+from linnetshift.broker.request_table import OVERDUE_NS
+from linnetshift.broker.snapshot import export_state, import_state
+from linnetshift.routing.events import (
+    EndpointList,
+    EndpointState,
+    ListForm,
+    Outcome,
+    RequestWithdrawn,
+    TimerFired,
+)
+from linnetshift.routing.settings import Settings
+from linnetshift.util.token_bucket import TokenBucket
+
+
+def inbox_of(around: Around) -> EventInbox:
+    return EventInbox(around)
+
+
+def test_inbox_gives_endpoint_lists_first_and_keeps_the_order_of_the_rest() -> None:
+    inbox = inbox_of(Around())
+    change = listed(entry(1), form=ListForm.DELTA)
+    posted = [TimerFired(1), RequestWithdrawn(2), change, TimerFired(3)]
+    for event in posted:
+        inbox.post(event)
+    assert inbox.take() == [change, TimerFired(1), RequestWithdrawn(2), TimerFired(3)]
+    assert inbox.take() == []
+
+
+def test_inbox_schedules_processing_once_a_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+    around = Around()
+    scheduled: list[None] = []
+    monkeypatch.setattr(around, "schedule_processing", lambda: scheduled.append(None))
+    inbox = inbox_of(around)
+    for _ in range(2):
+        inbox.post(TimerFired(1))
+        inbox.post(TimerFired(2))
+        inbox.take()
+    assert len(scheduled) == 2
+
+
+@pytest.fixture
+def views() -> EndpointViews:
+    made = EndpointViews(Settings.parse(raw_settings()), lambda: 5 * S, inbox_of(Around()))
+    made.handle_endpoint_list(listed(entry(1, started_ns=S), entry(2)))
+    made.inbox.take()
+    return made
+
+
+def test_drained_endpoint_is_shown_as_draining_until_it_is_restored(views: EndpointViews) -> None:
+    assert views.drain_endpoint(endpoint(1))
+    assert views.drain_endpoint(endpoint(1))  # a second call changes nothing
+    assert views.restore_endpoint(endpoint(1))
+    assert not views.drain_endpoint(endpoint(9))
+    events = views.inbox.take()
+    assert [event.entries[0].state for event in events if isinstance(event, EndpointList)] == [
+        EndpointState.DRAINING,
+        EndpointState.READY,
+    ]
+
+
+def test_restarted_endpoint_loses_its_observations(views: EndpointViews) -> None:
+    for number in (1, 2):
+        views.latency_estimator.record_reset(endpoint(number), 5 * S)
+    views.handle_endpoint_list(listed(entry(1, started_ns=4 * S), entry(2), form=ListForm.DELTA))
+    assert views.latency_estimator.reset_at_ns == {endpoint(2): 5 * S}
+    assert views.started_ns[endpoint(1)] == 4 * S
+
+
+def test_whole_list_replaces_zones_and_weights(views: EndpointViews) -> None:
+    views.handle_endpoint_list(listed(entry(2)))
+    assert set(views.zones) == set(views.latency_estimator.weights) == set(views.started_ns) == {endpoint(2)}
+
+
+def test_end_of_an_established_connection_counts_by_its_outcome(views: EndpointViews) -> None:
+    views.record_connection_ended(endpoint(1), Outcome.OK)
+    assert (views.latency_estimator.migrations.net, views.latency_estimator.reset_at_ns) == (0.0, {})
+    views.record_connection_ended(endpoint(1), Outcome.RESET)
+    views.record_connection_ended(endpoint(9), Outcome.RESET)  # forgotten meanwhile
+    assert views.latency_estimator.reset_at_ns == {endpoint(1): 5 * S}
+    assert views.latency_estimator.migrations.net == -2.0
+
+
+def test_migrations_fade_within_the_memory() -> None:
+    migrations = MigrationBalance()
+    for _ in range(4):
+        migrations.record_client_in(1 * S)
+    migrations.record_client_out(1 * S)
+    assert migrations.net_in(1 * S) == 3.0
+    assert migrations.net_in(1 * S + MIGRATION_MEMORY_NS // 2) == 1.5
+    assert migrations.net_in(1 * S + 2 * MIGRATION_MEMORY_NS) == 0.0
+    migrations.record_client_out(1 * S + MIGRATION_MEMORY_NS)
+    assert migrations.net == -1.0
+
+
+def test_reloaded_contracts_go_on_from_what_is_used_up() -> None:
+    former = Contracts({0: Contract(rate=TokenBucket(1.0, 2.0)), 1: Contract()})
+    assert former.admit(0, 0, 0, 1 * S) is None
+    later = Contracts({0: Contract(rate=TokenBucket(1.0, 2.0), concurrency=2), 2: Contract(concurrency=1)})
+    later.replace(former, {0: 1})
+    assert later.admit(0, 0, 0, 1 * S) is None
+    assert later.teams[0].active == 2
+    breach = later.admit(0, 0, 0, 2 * S)
+    assert breach is not None
+    assert breach.limit == "concurrency"
+    assert later.admit(2, 0, 0, 1 * S) is None
+
+
+@pytest.mark.parametrize("answer", ["reject", "fail", "overdue"])
+def test_final_answer_releases_the_request_and_its_client(answer: str) -> None:
+    around = Around()
+    request = around.submit(1 * S)
+    table = around.broker.request_table
+    if answer == "overdue":
+        around.broker.balancer.step = lambda now, events: []  # type: ignore[method-assign]
+        around.pass_time(2 * S + OVERDUE_NS)
+    else:
+        getattr(table, answer)(request.id)
+    table.fail(request.id)  # has its answer
+    assert len(around.asked) == 1
+    assert request.client is DETACHED_CLIENT
+    assert not table.requests
+    assert not table.unanswered()
+
+
+def test_bad_part_of_a_handed_over_state_keeps_no_other_from_being_taken() -> None:
+    estimator = LatencyEstimator()
+    estimator.record_reset(endpoint(1), 3 * S)
+    state = export_state(balancer(), estimator)
+    later = LatencyEstimator()
+    with pytest.raises(ValueError, match="bad figure"):
+        import_state(balancer(), later, {**state, "guests": ["bad figure", 0]})
+    assert later.reset_at_ns == {endpoint(1): 3 * S}
+    assert later.migrations == MigrationBalance()
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -235,7 +235,7 @@
 def test_latency_estimator_state_is_read(successor: Proxy) -> None:
     estimator = successor.broker.latency_estimator
 
-    assert (estimator.net_migrated_in, estimator.net_migrated_at_ns) == (-4.5, 9_000_000_000_001)
+    assert (estimator.migrations.net, estimator.migrations.updated_ns) == (-4.5, 9_000_000_000_001)
     assert estimator.reset_at_ns == {b"s-ready": 9_000_000_000_002, b"s-draining": 9_000_000_000_003}
 
 
