--- a/linnetshift/broker/administrative_drains.py
+++ b/linnetshift/broker/administrative_drains.py
@@ -35,7 +35,7 @@
     restored_at_ns: int
 
 
-def is_whole_list(event: EndpointList) -> bool:
+def is_full_list(event: EndpointList) -> bool:
     """Whether an endpoint that the event does not name is not listed any more."""
     return event.form in (ListForm.FULL, ListForm.CACHED)
 
@@ -85,7 +85,7 @@
         present = {
             endpoint for endpoint, entry in self.listed.items() if entry.state != EndpointState.REMOVED
         }
-        if not is_whole_list(event):
+        if not is_full_list(event):
             return present
         return present & {entry.endpoint for entry in event.entries}
 
@@ -94,10 +94,10 @@
         if event.form == ListForm.FAILED:
             return event
         self.version = event.version
-        if is_whole_list(event):
-            named = {entry.endpoint for entry in event.entries}
+        if is_full_list(event):
+            listed_now = {entry.endpoint for entry in event.entries}
             for endpoint, entry in self.listed.items():
-                if endpoint not in named:
+                if endpoint not in listed_now:
                     self.listed[endpoint] = entry._replace(state=EndpointState.REMOVED)
         for entry in event.entries:
             self.listed.pop(entry.endpoint, None)  # to the end: those reported longest ago come first
--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -60,8 +60,8 @@
         if not request.client.is_present:
             self._report_moot(request_id, request.attempts, endpoint)
             return
-        left_ns = request.deadline - self.clock()
-        allowed_ns = min(timeout_ns, left_ns) if timeout_ns > 0 else left_ns
+        remaining_ns = request.deadline - self.clock()
+        allowed_ns = min(timeout_ns, remaining_ns) if timeout_ns > 0 else remaining_ns
         self._open(request, endpoint, self.clock() + allowed_ns)
 
     def _report_moot(self, request_id: int, number: int, endpoint: bytes) -> None:
@@ -139,7 +139,7 @@
         attempt.is_established = True
         request.mark_answered()
         if request.flags & RETURNED:
-            self.endpoints.latency_estimator.migrations.record_client_in(now_ns)
+            self.endpoints.latency_estimator.migrations.record_migrated_in(now_ns)
         if request.adopted_endpoint:
             self.inbox.post(request.to_adopted_event(attempt.endpoint))
         else:
--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -106,7 +106,7 @@
         request = self.table.requests.get(request_id)
         if request is None or request.attempt is None or not request.attempt.is_established:
             return
-        self.endpoints.latency_estimator.migrations.record_client_out(self.clock())
+        self.endpoints.latency_estimator.migrations.record_migrated_out(self.clock())
         self.migrated += 1
         request.client.migrate(reason)
 
--- a/linnetshift/broker/deployment_facts.py
+++ b/linnetshift/broker/deployment_facts.py
@@ -64,12 +64,14 @@
         self.unreported = []
         return unreported
 
-    def handle_endpoint_list(self, entries: Collection[EndpointEntry], is_whole: bool, now_ns: int) -> None:
-        """Record which endpoints drain by themselves; `is_whole`: those without an entry are not listed.
+    def handle_endpoint_list(
+        self, entries: Collection[EndpointEntry], is_full_list: bool, now_ns: int
+    ) -> None:
+        """Record which endpoints drain by themselves; `is_full_list`: those without an entry are not listed.
 
         An entry with a leave time is an administrative drain, which shows nothing of how endpoints drain.
         """
-        named = {entry.endpoint for entry in entries}
+        listed_now = {entry.endpoint for entry in entries}
         draining = {
             entry.endpoint
             for entry in entries
@@ -78,7 +80,7 @@
         self.draining_since_ns = {
             endpoint: since_ns
             for endpoint, since_ns in self.draining_since_ns.items()
-            if endpoint in draining or (endpoint not in named and not is_whole)
+            if endpoint in draining or (endpoint not in listed_now and not is_full_list)
         }
         self.draining_since_ns.update(dict.fromkeys(draining - self.draining_since_ns.keys(), now_ns))
 
--- a/linnetshift/broker/endpoint_views.py
+++ b/linnetshift/broker/endpoint_views.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from linnetshift.broker.active_request import Attempt
-from linnetshift.broker.administrative_drains import AdministrativeDrains, is_whole_list
+from linnetshift.broker.administrative_drains import AdministrativeDrains, is_full_list
 from linnetshift.broker.deployment_facts import DeploymentFacts
 from linnetshift.broker.event_inbox import EventInbox
 from linnetshift.broker.latency_estimator import LatencyEstimator
@@ -62,13 +62,15 @@
         return drains.is_known(endpoint)
 
     def _apply(self, event: EndpointList) -> None:
-        is_whole = is_whole_list(event)
-        if is_whole:
+        is_full = is_full_list(event)
+        if is_full:
             self.zones = {}
             self.latency_estimator.weights = {}
-            named = {entry.endpoint for entry in event.entries}
+            listed_now = {entry.endpoint for entry in event.entries}
             self.started_ns = {
-                endpoint: started_ns for endpoint, started_ns in self.started_ns.items() if endpoint in named
+                endpoint: started_ns
+                for endpoint, started_ns in self.started_ns.items()
+                if endpoint in listed_now
             }
         for entry in event.entries:
             if self.started_ns.get(entry.endpoint, entry.started_ns) != entry.started_ns:
@@ -77,7 +79,7 @@
             self.zones[entry.endpoint] = entry.zone
             if entry.weight > 0.0:
                 self.latency_estimator.weights[entry.endpoint] = entry.weight
-        self.deployment_facts.handle_endpoint_list(event.entries, is_whole, self.clock())
+        self.deployment_facts.handle_endpoint_list(event.entries, is_full, self.clock())
         self.inbox.post(event)
 
     # ---- observations -----------------------------------------------------------------------
@@ -104,6 +106,6 @@
         if outcome == Outcome.RESET and self.administrative_drains.is_known(endpoint):
             self.latency_estimator.record_reset(endpoint, self.clock())
         if outcome != Outcome.OK:
-            self.latency_estimator.migrations.record_client_out(self.clock())
+            self.latency_estimator.migrations.record_migrated_out(self.clock())
         if outcome == Outcome.CANCELLED:
             self.deployment_facts.record_migration_request()
--- a/linnetshift/broker/latency_estimator.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -192,10 +192,10 @@
         usual_load = self._usual_load(everywhere)
         fleet_multiple = self._fleet_multiple(sum(map(len, everywhere)), now_ns)
         notes = []
-        for endpoint, held in connections.items():
+        for endpoint, established in connections.items():
             elapsed_ns = max(
-                self._measured_ns(endpoint, held, now_ns),
-                self._estimated_from_load_ns(endpoint, held, usual_load, fleet_multiple),
+                self._measured_ns(endpoint, established, now_ns),
+                self._estimated_from_load_ns(endpoint, established, usual_load, fleet_multiple),
                 self._reported_ns(endpoint, now_ns),
                 self._penalty_latency_ns() if endpoint in self.reset_at_ns else 0.0,
             )
@@ -221,9 +221,9 @@
         """The load in us/s of a connection that has not reported any; 0 while none has."""
         total = 0
         reported = []
-        for held in everywhere:
-            total += len(held)
-            reported += [connection.load for connection in held if connection.load is not None]
+        for established in everywhere:
+            total += len(established)
+            reported += [connection.load for connection in established if connection.load is not None]
         if not reported:
             return 0.0
         prior = PRIOR_CONNECTIONS * TYPICAL_LOAD_US_PER_S
@@ -240,7 +240,9 @@
         own_share = 1.0 - self.migrations.net_in(now_ns) / max(1, own_connections)
         return min(max(1.0, self.proxies * own_share), float(self.proxies))
 
-    def _measured_ns(self, endpoint: bytes, held: Iterable[EstablishedConnection], now_ns: int) -> float:
+    def _measured_ns(
+        self, endpoint: bytes, established: Iterable[EstablishedConnection], now_ns: int
+    ) -> float:
         """By recent replies, and by the messages that already wait longer than those took."""
         oldest_ns = now_ns - SAMPLE_LIFETIME_NS
         times: list[float] = [
@@ -250,13 +252,17 @@
         # An endpoint that answers nothing is stalled or gone, which says nothing of how full the others are:
         # it is left like a slow one, but does not count as late before a reply does.
         most_ns = int(self._penalty_latency_ns())
-        for connection in held:
+        for connection in established:
             if connection.oldest_unanswered_ns > replies_ns:
                 times.append(min(connection.oldest_unanswered_ns, most_ns))
         return median(times) if times else 0.0
 
     def _estimated_from_load_ns(
-        self, endpoint: bytes, held: list[EstablishedConnection], usual_load: float, fleet_multiple: float
+        self,
+        endpoint: bytes,
+        established: list[EstablishedConnection],
+        usual_load: float,
+        fleet_multiple: float,
     ) -> float:
         """By the reported loads, the other proxies' connections being taken for as many as these.
 
@@ -266,8 +272,8 @@
         if not usual_load or not self.weights_are_sizes:
             return 0.0
         weight = self.weights.get(endpoint, 1.0)
-        held = held + self.peer_connections.get(endpoint, [])
-        loads = [usual_load if connection.load is None else connection.load for connection in held]
+        established = established + self.peer_connections.get(endpoint, [])
+        loads = [usual_load if connection.load is None else connection.load for connection in established]
         # As many as are here may be here by chance: a fortieth of the fleet has one heavy connection at an
         # endpoint, and forty of those would fill any. What up to one standard deviation less would be counts;
         # where there are two proxies, or this one's share is all there is, what is here counts.
@@ -275,7 +281,7 @@
         deviation = math.sqrt(sum(load * load for load in loads))
         deviation *= max(0.0, 1.0 - 2.0 / fleet_multiple)
         demand = own + max(0.0, own - deviation) * (fleet_multiple - 1.0)
-        groups = {connection.group for connection in held}
+        groups = {connection.group for connection in established}
         demand += GROUP_OVERHEAD_LOADS * usual_load * len(groups)
         utilization = min(demand / (weight * US_PER_S), MAX_UTILIZATION)
         work_ns = min(MAX_MESSAGE_WORK_NS, MESSAGE_WORK_SHARE * self.latency_objective_ns)
--- a/linnetshift/broker/migration_balance.py
+++ b/linnetshift/broker/migration_balance.py
@@ -15,14 +15,14 @@
     net: float = 0.0
     updated_ns: int = 0
 
-    def record_client_in(self, now_ns: int) -> None:
+    def record_migrated_in(self, now_ns: int) -> None:
         """A client came back after a break.
 
         Those that came and were not migrated from here were another proxy's, which has so many fewer.
         """
         self._add(1.0, now_ns)
 
-    def record_client_out(self, now_ns: int) -> None:
+    def record_migrated_out(self, now_ns: int) -> None:
         """A client was asked to migrate, or lost its connection, and will come back somewhere."""
         self._add(-1.0, now_ns)
 
--- a/linnetshift/broker/snapshot.py
+++ b/linnetshift/broker/snapshot.py
@@ -28,13 +28,13 @@
     first such part is raised at the end (AttributeError, KeyError, TypeError or ValueError).
     """
     first_error: Exception | None = None
-    for import_part in (
+    for import_section in (
         partial(import_balancer_state, balancer),
         latency_estimator.import_migrations,
         latency_estimator.import_resets,
     ):
         try:
-            import_part(state)
+            import_section(state)
         except (AttributeError, KeyError, TypeError, ValueError) as error:
             first_error = first_error or error
     if first_error is not None:
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -241,7 +241,7 @@
         self.broker.latency_estimator.peer_connections = dict(peer_resources.loads)
         # It comes back here, and was this proxy's before.
         for _ in range(min(peer_resources.moved - self.peer_migrated, self.connection_limiter.descriptors)):
-            self.broker.latency_estimator.migrations.record_client_out(self.loop.now())
+            self.broker.latency_estimator.migrations.record_migrated_out(self.loop.now())
         self.peer_migrated = peer_resources.moved
         self.broker.balancer.elsewhere = sum(map(len, peer_resources.loads.values()))
 
--- a/tests/test_broker_parts.py
+++ b/tests/test_broker_parts.py
@@ -97,12 +97,12 @@
 def test_migrations_fade_within_the_memory() -> None:
     migrations = MigrationBalance()
     for _ in range(4):
-        migrations.record_client_in(1 * S)
-    migrations.record_client_out(1 * S)
+        migrations.record_migrated_in(1 * S)
+    migrations.record_migrated_out(1 * S)
     assert migrations.net_in(1 * S) == 3.0
     assert migrations.net_in(1 * S + MIGRATION_MEMORY_NS // 2) == 1.5
     assert migrations.net_in(1 * S + 2 * MIGRATION_MEMORY_NS) == 0.0
-    migrations.record_client_out(1 * S + MIGRATION_MEMORY_NS)
+    migrations.record_migrated_out(1 * S + MIGRATION_MEMORY_NS)
     assert migrations.net == -1.0
 
 
--- a/tests/test_latency_estimator.py
+++ b/tests/test_latency_estimator.py
@@ -90,7 +90,7 @@
     made = latency_estimator(proxies=2)
     for at, count in ((True, came), (False, went)):
         for _ in range(count):
-            (made.migrations.record_client_in if at else made.migrations.record_client_out)(1 * S)
+            (made.migrations.record_migrated_in if at else made.migrations.record_migrated_out)(1 * S)
     assert bool(made.review(asking(80_000.0, 8), 1 * S)) is noted
 
 
