--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""What lives as long as the program has a bound, and keeps to it."""
+"""Every container that lives as long as the program has a bound, and keeps to it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 from conftest import MS, endpoint, entry, listed, raw_settings
 from proxy import ROOT, WAIT, Terminal, inside, proxy
-from test_broker import Around
+from test_broker import FakeSurroundings
 
 from linnetshift.admin import server
 from linnetshift.broker import administrative_drains
@@ -30,15 +30,15 @@
 
 
 @pytest.fixture
-def few(monkeypatch: pytest.MonkeyPatch) -> None:
+def small_bounds(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(administrative_drains, "MAX_LISTED", 8)
     monkeypatch.setattr(administrative_drains, "MAX_KNOWN", 16)
     monkeypatch.setattr(administrative_drains, "MAX_DRAINED", 4)
 
 
-def test_names_that_come_and_go_are_forgotten_everywhere(few: None) -> None:
-    # Machines are replaced under new names: each one stayed in four maps, and one more if it was slow.
-    around = Around()
+def test_removed_endpoints_are_forgotten_everywhere(small_bounds: None) -> None:
+    # Machines are replaced under new names: each name stayed in four maps, and in a fifth if it was slow.
+    around = FakeSurroundings()
     for number in range(100):
         around.broker.handle_endpoint_list(listed(*names(number), form=ListForm.DELTA))
         around.broker.latency_estimator.record_reset(endpoint(number), around.now)
@@ -58,22 +58,22 @@
     ) <= set(known)
 
 
-def test_a_list_that_is_too_long_is_cut_and_goes_on(few: None) -> None:
+def test_too_long_list_is_cut_while_known_endpoints_are_still_updated(small_bounds: None) -> None:
     kept = AdministrativeDrains(lambda: 1)
     event = kept.limit_entries(listed(*names(*range(20))))
     assert [each.endpoint for each in event.entries] == [endpoint(n) for n in range(8)]
     kept.overlay(event)
-    # What is known already is heard of all the same; only new names find no room.
+    # Known endpoints are still updated; only new names find no room.
     change = listed(*names(3, 4, state=EndpointState.DRAINING), *names(50), form=ListForm.DELTA)
     assert [each.endpoint for each in kept.limit_entries(change).entries] == [endpoint(3), endpoint(4)]
     kept.overlay(listed(*names(5, state=EndpointState.REMOVED), form=ListForm.DELTA))
     assert len(kept.limit_entries(listed(*names(51, 52), form=ListForm.DELTA)).entries) == 1
-    # A whole list frees the places of those that it does not name.
+    # A full list makes room of the endpoints that it does not name.
     assert len(kept.limit_entries(listed(*names(*range(60, 68)))).entries) == 8
 
 
-def test_a_ban_is_never_forgotten_and_one_too_many_is_refused(few: None) -> None:
-    around = Around()
+def test_drains_outlive_the_list_and_one_too_many_is_refused(small_bounds: None) -> None:
+    around = FakeSurroundings()
     around.broker.handle_endpoint_list(listed(*names(*range(8))))
     for number in range(4):
         assert around.broker.drain_endpoint(endpoint(number))
@@ -99,8 +99,8 @@
     )
 
 
-def test_reloads_with_other_rules_use_the_numbers_of_old_ones_again() -> None:
-    # Each reload left a class behind for good; one that is in use keeps its number and its rules.
+def test_reload_reuses_class_numbers_that_nobody_refers_to() -> None:
+    # Each reload left a class behind forever; one in use must keep its number and its rules.
     settings = rules(1000, 2000)
     held = settings.classes[1]
     for aim in range(3000, 3050):
@@ -110,7 +110,7 @@
     assert len(settings.classes) <= 4
 
 
-def test_the_census_is_told_and_kept(tmp_path: Path) -> None:
+def test_resource_usage_is_reported_and_within_its_bounds(tmp_path: Path) -> None:
     with proxy(tmp_path, admin_server=True) as running:
         standing = running.standing()
         told = {name: ResourceUsage(**figures) for name, figures in running.resource_usage().items()}
@@ -123,8 +123,10 @@
     assert set(re.findall(r"^\| `([a-z._-]+)` \|", table, re.M)) == set(told)
 
 
-def test_callers_who_do_not_leave_give_way(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Answered callers that sent on held a descriptor each for up to 3 s, and their number had no bound.
+def test_admin_connections_that_linger_are_closed_for_new_ones(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Answered callers that kept sending held a descriptor each for up to 3 s, however many they were.
     monkeypatch.setattr(server, "MOST_CALLERS", 3)
     with inside(tmp_path, admin_server=True) as running:
         kept = []
@@ -137,10 +139,10 @@
             assert over_bound(running.program.admin_server.resource_usage()) == []
 
 
-def test_channels_that_wait_are_bounded_over_all_sessions(
+def test_waiting_channels_of_all_sessions_together_are_bounded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A channel costs its opener nothing, and a waiting one no descriptor here: sessions times 256 would fit.
+    # A channel costs its opener nothing, and a waiting one no descriptor: 256 in each session would fit.
     monkeypatch.setattr(session, "MOST_OPEN", 2)
     own = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
     with inside(tmp_path, own=own) as running:
@@ -159,35 +161,36 @@
         second.confirmed(4)
 
 
-def test_a_process_beside_this_one_that_hangs_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    # What it was told twice a second piled up for as long as it hung.
+def test_peer_process_that_hangs_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The messages sent to it twice a second piled up for as long as it hung.
     monkeypatch.setattr(hot_restart, "HEARTBEAT_INTERVAL_NS", MS)
     monkeypatch.setattr(connection_limits, "STALL_NS", 100 * MS)
     beat = 1 << 20
 
-    class Around:
-        """The succession and the program of a process that is beside another."""
+    class FakeHotRestart:
+        """Hot restart and proxy of a process that has a peer."""
 
         loop = Loop()
-        parted_from: PeerProcess | None = None
+        gone_peer: PeerProcess | None = None
 
         def peer_resources(self) -> dict[str, str]:
             return {"loads": "x" * beat}
 
-        def handle_peer_gone(self, beside: PeerProcess) -> None:
-            self.parted_from = beside
+        def handle_peer_gone(self, peer: PeerProcess) -> None:
+            self.gone_peer = peer
 
-    around = Around()
+    around = FakeHotRestart()
     around.program = around  # type: ignore[attr-defined]
     ours, theirs = socket.socketpair()
-    beside = PeerProcess(around, ours)  # type: ignore[arg-type]
-    beside.met = True
-    beside.start(beside.run())
+    peer = PeerProcess(around, ours)  # type: ignore[arg-type]
+    peer.met = True
+    peer.start(peer.run())
     until, most = time.monotonic() + WAIT, 0
-    while around.parted_from is None:
+    while around.gone_peer is None:
         assert time.monotonic() < until
-        around.loop.call_later(MS, lambda: None)  # else the last turn would wait for what never comes
+        # Else the last turn would wait for an event that never comes.
+        around.loop.call_later(MS, lambda: None)
         around.loop.turn()
-        most = max(most, len(beside.stream.out))
-    assert 0 < most < 2 * beat and beside.stream.closed and not beside.timers
+        most = max(most, len(peer.stream.out))
+    assert 0 < most < 2 * beat and peer.stream.closed and not peer.timers
     theirs.close()
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""The broker by itself, with stand-ins for what is around it."""
+"""The broker by itself, with fakes of the parts around it."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from linnetshift.util.token_bucket import TokenBucket
 
 
-class Around:
-    """Timers, discovery, endpoints and a client; it writes down what it is asked for."""
+class FakeSurroundings:
+    """Fake timers, discovery, connector and client, which record what the broker calls them with."""
 
     is_congested = False
     is_present = True
 
     def __init__(self, contracts: Contracts | None = None) -> None:
         self.now = 1 * S
-        self.asked: list[object] = []
+        self.client_calls: list[object] = []
         self.timers: list[tuple[int, Callable[[], None]]] = []
         self.attempts: list[Attempt] = []
         settings = Settings.parse(raw_settings())
@@ -58,23 +58,23 @@
         self.attempts.append(attempt)
 
     def handle_established(self, receipt: memoryview) -> None:
-        self.asked.append("up")
+        self.client_calls.append("up")
 
     def deliver(self, message: memoryview) -> None: ...
 
     def resume(self) -> None: ...
 
     def reject(self, retry_after_ns: int, breach: str) -> None:
-        self.asked.append(("reject", retry_after_ns, breach))
+        self.client_calls.append(("reject", retry_after_ns, breach))
 
     def fail(self) -> None:
-        self.asked.append("fail")
+        self.client_calls.append("fail")
 
     def migrate(self, reason: str) -> None:
-        self.asked.append(("move", reason))
+        self.client_calls.append(("migrate", reason))
 
     def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
-        self.asked.append(("ended", outcome, reset))
+        self.client_calls.append(("ended", outcome, reset))
 
     def pass_time(self, until: int) -> None:
         self.now = until
@@ -85,56 +85,56 @@
         self.broker.process_events()
 
 
-def test_an_answer_comes_even_from_a_module_that_forgets() -> None:
-    around = Around()
+def test_request_that_the_balancer_forgets_fails_after_its_deadline() -> None:
+    around = FakeSurroundings()
     around.broker.balancer.step = lambda now, events: []  # type: ignore[method-assign]
     around.submit(1 * S)
     around.pass_time(2 * S)
-    assert around.asked == []
+    assert around.client_calls == []
     around.pass_time(2 * S + 20 * MS)
-    assert around.asked == ["fail"]
+    assert around.client_calls == ["fail"]
 
 
-def test_one_final_answer_and_no_second_attempt_beside_the_first() -> None:
-    around = Around()
+def test_established_request_gets_no_second_attempt_and_no_second_answer() -> None:
+    around = FakeSurroundings()
     request = around.submit()
     (attempt,) = around.attempts
     around.broker.perform(Send(request.id, endpoint(2), 0))
-    assert around.attempts == [attempt]  # the module's mistake must not break the rule
+    assert around.attempts == [attempt]  # a fault of the balancer must not break the rule
     around.broker.handle_established(attempt, memoryview(b"UP\r\n"))
     around.broker.perform(Fail(request.id))
     around.broker.perform(Reject(request.id, 0))
     around.pass_time(9 * S)
-    assert around.asked == ["up"]
+    assert around.client_calls == ["up"]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR])
-def test_a_failed_attempt_is_followed_by_another(outcome: Outcome) -> None:
-    around = Around()
+def test_failed_attempt_is_followed_by_another(outcome: Outcome) -> None:
+    around = FakeSurroundings()
     around.submit()
     around.broker.handle_attempt_ended(around.attempts[0], outcome)
     around.broker.process_events()
     assert [attempt.number for attempt in around.attempts] == [0, 1]
 
 
-def test_what_was_reported_too_late_changes_nothing() -> None:
-    around = Around()
+def test_attempt_that_ends_after_its_request_changes_nothing() -> None:
+    around = FakeSurroundings()
     request = around.submit()
     around.broker.handle_client_ended(request, False)
     around.broker.handle_attempt_ended(around.attempts[0], Outcome.RESET)
     around.broker.process_events()
-    assert around.asked == [] and len(around.attempts) == 1
+    assert around.client_calls == [] and len(around.attempts) == 1
 
 
-def test_a_contract_is_released_with_its_request() -> None:
-    # A place kept by a request that is over would in time shut its team out.
-    around = Around(Contracts({0: Contract(concurrency=1)}))
+def test_ended_request_releases_its_contract() -> None:
+    # A request that is over but still counts would in time lock its team out.
+    around = FakeSurroundings(Contracts({0: Contract(concurrency=1)}))
     first = around.submit()
     around.submit()
-    assert around.asked == [("reject", 1 * S, "concurrency")]
+    assert around.client_calls == [("reject", 1 * S, "concurrency")]
     around.broker.handle_client_ended(first, False)
     around.submit()
-    assert len(around.asked) == 1
+    assert len(around.client_calls) == 1
 
 
 @pytest.mark.parametrize(
@@ -146,7 +146,9 @@
         (Contract(retries=TokenBucket(4.0, 1.0)), 0, "", 0),
     ],
 )
-def test_breaches_say_when_to_come_again(contract: Contract, flags: int, limit: str, wait: int) -> None:
+def test_breach_tells_its_limit_and_when_a_retry_is_admitted(
+    contract: Contract, flags: int, limit: str, wait: int
+) -> None:
     contracts = Contracts({0: contract})
     if limit != "service":
         assert contracts.admit(0, 0, flags, 1 * S) is None
@@ -157,9 +159,9 @@
         assert limit == "service" or contracts.admit(0, 0, flags, 1 * S + wait) is None
 
 
-def test_an_adopted_connection_asks_its_endpoint_again() -> None:
-    # A proxy that was stalled at its start took connections that had come up for refused ones.
-    around = Around()
+def test_adoption_is_retried_while_its_endpoint_cannot_be_reached() -> None:
+    # A proxy that was stalled at its start mistook connections that had come up for refused ones.
+    around = FakeSurroundings()
     made = ActiveRequest(
         around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopted_endpoint=endpoint(1)
     )
@@ -169,51 +171,52 @@
         around.pass_time(around.now + 200 * MS)
     assert [attempt.endpoint for attempt in around.attempts] == [endpoint(1)] * 4 and not made.is_answered
     around.broker.handle_attempt_ended(around.attempts[-1], Outcome.ERROR)
-    assert around.asked == ["fail"]
+    assert around.client_calls == ["fail"]
 
 
-class Quiet:
-    """A link whose endpoint owes an answer."""
+class UnansweredConnection:
+    """A connection whose endpoint owes an answer."""
 
-    def __init__(self, waiting: int, quiet: int) -> None:
-        self.waiting, self.quiet = waiting, quiet
+    def __init__(self, unanswered_ns: int, idle_ns: int) -> None:
+        self._unanswered_ns = unanswered_ns
+        self._idle_ns = idle_ns
 
     def oldest_unanswered_ns(self) -> int:
-        return self.waiting
+        return self._unanswered_ns
 
     def idle_ns(self) -> int:
-        return self.quiet
+        return self._idle_ns
 
 
 @pytest.mark.parametrize(
-    "links, moved",
+    "links, migrated",
     [
-        ([(1200 * MS, 1300 * MS), (0, 1900 * MS)], 2),  # nothing came since: all of them leave
+        ([(1200 * MS, 1300 * MS), (0, 1900 * MS)], 2),  # nothing came since on any connection: all migrate
         ([(1200 * MS, 1300 * MS), (0, 100 * MS)], 0),  # another connection was answered meanwhile
         ([(300 * MS, 300 * MS)], 0),
-        ([(500 * MS, 500 * MS)], 1),  # each second more is a twentieth of what a lost zone costs
+        ([(500 * MS, 500 * MS)], 1),  # each further second costs a twentieth of what losing a zone does
         ([(5 * S, 5 * S), (0, 100 * MS)], 1),
     ],
 )
-def test_a_vanished_endpoint_is_known_by_all_of_its_connections(
-    links: list[tuple[int, int]], moved: int
+def test_clients_migrate_off_a_vanished_endpoint_and_off_stalled_connections(
+    links: list[tuple[int, int]], migrated: int
 ) -> None:
     # Each connection waited 4 s by itself, while a vanished machine's were all without service.
-    around = Around()
+    around = FakeSurroundings()
     for link in links:
         around.submit()
-        around.attempts[-1].link = Quiet(*link)  # type: ignore[assignment]
+        around.attempts[-1].link = UnansweredConnection(*link)  # type: ignore[assignment]
         around.broker.handle_established(around.attempts[-1], memoryview(b"UP\r\n"))
     around.broker.review_unresponsive_endpoints()
-    assert around.asked.count(("move", "unresponsive")) == moved
+    assert around.client_calls.count(("migrate", "unresponsive")) == migrated
 
 
-def test_nobody_names_an_endpoint_once_the_run_is_on() -> None:
-    # Past the module, a stranger could choose an endpoint that drains or is still cold.
-    around = Around()
+def test_adoption_after_the_adoption_period_fails() -> None:
+    # An adoption bypasses the balancer: any client could choose one that drains or is still warming up.
+    around = FakeSurroundings()
     around.now += attempts.ADOPTION_PERIOD_NS + 1
     made = ActiveRequest(
         around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopted_endpoint=endpoint(1)
     )
     around.broker.submit(made)
-    assert made.is_answered and not around.attempts and around.asked == ["fail"]
+    assert made.is_answered and not around.attempts and around.client_calls == ["fail"]
--- a/tests/test_broker_parts.py
+++ b/tests/test_broker_parts.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import S, balancer, endpoint, entry, listed, raw_settings
-from test_broker import Around
+from test_broker import FakeSurroundings
 
 from linnetshift.broker.active_request import DETACHED_CLIENT
 from linnetshift.broker.contracts import Contract, Contracts
@@ -26,12 +26,12 @@
 from linnetshift.util.token_bucket import TokenBucket
 
 
-def inbox_of(around: Around) -> EventInbox:
+def inbox_of(around: FakeSurroundings) -> EventInbox:
     return EventInbox(around)
 
 
 def test_inbox_gives_endpoint_lists_first_and_keeps_the_order_of_the_rest() -> None:
-    inbox = inbox_of(Around())
+    inbox = inbox_of(FakeSurroundings())
     change = listed(entry(1), form=ListForm.DELTA)
     posted = [TimerFired(1), RequestWithdrawn(2), change, TimerFired(3)]
     for event in posted:
@@ -41,7 +41,7 @@
 
 
 def test_inbox_schedules_processing_once_a_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    around = Around()
+    around = FakeSurroundings()
     scheduled: list[None] = []
     monkeypatch.setattr(around, "schedule_processing", lambda: scheduled.append(None))
     inbox = inbox_of(around)
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 def views() -> EndpointViews:
-    made = EndpointViews(Settings.parse(raw_settings()), lambda: 5 * S, inbox_of(Around()))
+    made = EndpointViews(Settings.parse(raw_settings()), lambda: 5 * S, inbox_of(FakeSurroundings()))
     made.handle_endpoint_list(listed(entry(1, started_ns=S), entry(2)))
     made.inbox.take()
     return made
@@ -121,7 +121,7 @@
 
 @pytest.mark.parametrize("answer", ["reject", "fail", "overdue"])
 def test_final_answer_releases_the_request_and_its_client(answer: str) -> None:
-    around = Around()
+    around = FakeSurroundings()
     request = around.submit(1 * S)
     table = around.broker.request_table
     if answer == "overdue":
@@ -130,7 +130,7 @@
     else:
         getattr(table, answer)(request.id)
     table.fail(request.id)  # has its answer
-    assert len(around.asked) == 1
+    assert len(around.client_calls) == 1
     assert request.client is DETACHED_CLIENT
     assert not table.requests
     assert not table.unanswered()
--- a/tests/test_deployment_facts.py
+++ b/tests/test_deployment_facts.py
@@ -1,4 +1,4 @@
-"""What the program learns of a deployment, and the lines that tell of it."""
+"""Facts that are observed of a deployment, and their log lines."""
 
 from __future__ import annotations
 
@@ -12,40 +12,39 @@
 from linnetshift.broker.deployment_facts import DeploymentFacts, DrainBehaviour, Fact
 from linnetshift.routing.events import EndpointState
 
-GOES = entry(1, state=EndpointState.DRAINING)
+DRAINING = entry(1, state=EndpointState.DRAINING)
 
 
 @pytest.mark.parametrize(
-    "entries, whole, standing, after, news",
+    "entries, is_full_list, connected, after, facts",
     [
-        ([GOES], False, [endpoint(1)], 2 * S, [("drain", "serves-on")]),
-        ([GOES], False, [endpoint(1)], S // 2, []),  # it may be sending them away at this moment
-        ([GOES], False, [endpoint(2)], 2 * S, []),
-        ([GOES._replace(leave_ns=S)], False, [endpoint(1)], 2 * S, []),  # operators took it out
+        ([DRAINING], False, [endpoint(1)], 2 * S, [("drain", "serves-on")]),
+        ([DRAINING], False, [endpoint(1)], S // 2, []),  # it may be migrating them at this moment
+        ([DRAINING], False, [endpoint(2)], 2 * S, []),
+        ([DRAINING._replace(leave_ns=S)], False, [endpoint(1)], 2 * S, []),  # operators drained it
     ],
 )
-def test_a_drain_is_judged_by_what_still_stands(
-    entries: list[Any], whole: bool, standing: list[bytes], after: int, news: list[tuple[str, str]]
+def test_drain_is_judged_by_the_connections_still_established(
+    entries: list[Any], is_full_list: bool, connected: list[bytes], after: int, facts: list[tuple[str, str]]
 ) -> None:
     deployment_facts = DeploymentFacts()
-    deployment_facts.handle_endpoint_list(entries, whole, 5 * S)
-    deployment_facts.handle_endpoint_list(
-        [entry(3)], False, 5 * S + 1
-    )  # a change that does not name it takes nothing back
-    deployment_facts.review(standing, 5 * S + after)
-    assert deployment_facts.take_unreported() == news
+    deployment_facts.handle_endpoint_list(entries, is_full_list, 5 * S)
+    # A delta that does not name it changes nothing.
+    deployment_facts.handle_endpoint_list([entry(3)], False, 5 * S + 1)
+    deployment_facts.review(connected, 5 * S + after)
+    assert deployment_facts.take_unreported() == facts
 
 
-@pytest.mark.parametrize("later, whole", [([entry(3)], True), ([entry(1)], False), ([], True)])
-def test_a_drain_that_is_over_is_forgotten(later: list[Any], whole: bool) -> None:
+@pytest.mark.parametrize("later, is_full_list", [([entry(3)], True), ([entry(1)], False), ([], True)])
+def test_drain_that_is_over_is_forgotten(later: list[Any], is_full_list: bool) -> None:
     deployment_facts = DeploymentFacts()
-    deployment_facts.handle_endpoint_list([GOES], False, 1 * S)
-    deployment_facts.handle_endpoint_list(later, whole, 2 * S)
+    deployment_facts.handle_endpoint_list([DRAINING], False, 1 * S)
+    deployment_facts.handle_endpoint_list(later, is_full_list, 2 * S)
     deployment_facts.review([endpoint(1)], 9 * S)
     assert not deployment_facts.take_unreported() and not deployment_facts.draining_since_ns
 
 
-def test_a_fact_is_told_once_and_again_when_it_changes() -> None:
+def test_fact_is_reported_once_and_again_when_it_changes() -> None:
     deployment_facts = DeploymentFacts()
     deployment_facts.record_migration_request()
     deployment_facts.record_migration_request()
@@ -57,7 +56,7 @@
     assert deployment_facts.take_unreported() == [("drain", "serves-on")]
 
 
-def test_the_log_says_what_was_made_of_the_settings_and_what_was_learned(tmp_path: Path) -> None:
+def test_log_shows_the_applied_settings_and_the_observed_facts(tmp_path: Path) -> None:
     settings = {"allowed": {"probing": True}, "fees": {"crossZone": 0.056}, "weightSource": "live"}
     report = {"columns": ["outstanding", "x0"], "how": "pull"}
     with proxy(tmp_path, 1, discovery="push", report=report, **settings) as running:
