--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -49,13 +49,12 @@
         around.broker.process_events()
         assert over_bound(around.broker.resource_usage(16)) == []
     known = around.broker.administrative_drains.listed
-    assert list(known)[-1] == endpoint(99) and len(known) == 16
-    assert set(around.broker.endpoint_views.zones) <= set(known) and set(
-        around.broker.latency_estimator.reset_at_ns
-    ) <= set(known)
-    assert set(around.broker.endpoint_views.started_ns) <= set(known) and set(
-        around.broker.latency_estimator.weights
-    ) <= set(known)
+    assert list(known)[-1] == endpoint(99)
+    assert len(known) == 16
+    assert set(around.broker.endpoint_views.zones) <= set(known)
+    assert set(around.broker.latency_estimator.reset_at_ns) <= set(known)
+    assert set(around.broker.endpoint_views.started_ns) <= set(known)
+    assert set(around.broker.latency_estimator.weights) <= set(known)
 
 
 def test_too_long_list_is_cut_while_known_endpoints_are_still_updated(small_bounds: None) -> None:
@@ -77,7 +76,8 @@
     around.broker.handle_endpoint_list(listed(*names(*range(8))))
     for number in range(4):
         assert around.broker.drain_endpoint(endpoint(number))
-    assert not around.broker.drain_endpoint(endpoint(4)) and around.broker.drain_endpoint(endpoint(0))
+    assert not around.broker.drain_endpoint(endpoint(4))
+    assert around.broker.drain_endpoint(endpoint(0))
     for number in range(100, 200):
         around.broker.handle_endpoint_list(listed(*names(number)))
     assert all(
@@ -86,7 +86,8 @@
         for n in range(4)
     )
     assert around.broker.restore_endpoint(endpoint(0))
-    assert around.broker.administrative_drains.restored and over_bound(around.broker.resource_usage(16)) == []
+    assert around.broker.administrative_drains.restored
+    assert over_bound(around.broker.resource_usage(16)) == []
 
 
 def rules(*aims: int) -> Settings:
@@ -105,7 +106,8 @@
     held = settings.classes[1]
     for aim in range(3000, 3050):
         settings = rules(1000, aim).following(settings, {1, *settings.numbers})
-        assert settings.offered[1].latency_objective_ns == aim and settings.numbers[0] == 0
+        assert settings.offered[1].latency_objective_ns == aim
+        assert settings.numbers[0] == 0
         assert settings.classes[1] == held
     assert len(settings.classes) <= 4
 
@@ -114,11 +116,9 @@
     with proxy(tmp_path, admin_server=True) as running:
         standing = running.standing()
         told = {name: ResourceUsage(**figures) for name, figures in running.resource_usage().items()}
-    assert (
-        standing
-        and over_bound(told) == []
-        and told["platform.consumers"].size == told["broker.invocations"].size == 1
-    )
+    assert standing
+    assert over_bound(told) == []
+    assert told["platform.consumers"].size == told["broker.invocations"].size == 1
     table = (ROOT / "docs" / "memory.md").read_text()
     assert set(re.findall(r"^\| `([a-z._-]+)` \|", table, re.M)) == set(told)
 
@@ -153,7 +153,8 @@
         second.open(3)
         assert b"come again after 1000 ms" in second.expect(92, 3, 4)
         first.close()
-        assert attempts[0].line() and attempts[1].line()
+        assert attempts[0].line()
+        assert attempts[1].line()
         while running.program.channels.open > 1:
             time.sleep(0.01)
         second.open(4)
@@ -192,5 +193,7 @@
         around.loop.call_later(MS, lambda: None)
         around.loop.turn()
         most = max(most, len(peer.stream.out))
-    assert 0 < most < 2 * beat and peer.stream.closed and not peer.timers
+    assert 0 < most < 2 * beat
+    assert peer.stream.closed
+    assert not peer.timers
     theirs.close()
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -123,7 +123,8 @@
     around.broker.handle_client_ended(request, False)
     around.broker.handle_attempt_ended(around.attempts[0], Outcome.RESET)
     around.broker.process_events()
-    assert around.client_calls == [] and len(around.attempts) == 1
+    assert around.client_calls == []
+    assert len(around.attempts) == 1
 
 
 def test_ended_request_releases_its_contract() -> None:
@@ -138,7 +139,7 @@
 
 
 @pytest.mark.parametrize(
-    "contract, flags, limit, wait",
+    ("contract", "flags", "limit", "wait"),
     [
         (Contract(services=frozenset()), 0, "service", 60 * S),
         (Contract(rate=TokenBucket(2.0, 1.0)), 0, "rate", S // 2),
@@ -169,7 +170,8 @@
     for _ in range(3):
         around.broker.handle_attempt_ended(around.attempts[-1], Outcome.CONNECT_FAILED)
         around.pass_time(around.now + 200 * MS)
-    assert [attempt.endpoint for attempt in around.attempts] == [endpoint(1)] * 4 and not made.is_answered
+    assert [attempt.endpoint for attempt in around.attempts] == [endpoint(1)] * 4
+    assert not made.is_answered
     around.broker.handle_attempt_ended(around.attempts[-1], Outcome.ERROR)
     assert around.client_calls == ["fail"]
 
@@ -189,7 +191,7 @@
 
 
 @pytest.mark.parametrize(
-    "links, migrated",
+    ("links", "migrated"),
     [
         ([(1200 * MS, 1300 * MS), (0, 1900 * MS)], 2),  # nothing came since on any connection: all migrate
         ([(1200 * MS, 1300 * MS), (0, 100 * MS)], 0),  # another connection was answered meanwhile
@@ -219,4 +221,6 @@
         around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopted_endpoint=endpoint(1)
     )
     around.broker.submit(made)
-    assert made.is_answered and not around.attempts and around.client_calls == ["fail"]
+    assert made.is_answered
+    assert not around.attempts
+    assert around.client_calls == ["fail"]
--- a/tests/test_deployment_facts.py
+++ b/tests/test_deployment_facts.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    "entries, is_full_list, connected, after, facts",
+    ("entries", "is_full_list", "connected", "after", "facts"),
     [
         ([DRAINING], False, [endpoint(1)], 2 * S, [("drain", "serves-on")]),
         ([DRAINING], False, [endpoint(1)], S // 2, []),  # it may be migrating them at this moment
@@ -35,23 +35,22 @@
     assert deployment_facts.take_unreported() == facts
 
 
-@pytest.mark.parametrize("later, is_full_list", [([entry(3)], True), ([entry(1)], False), ([], True)])
+@pytest.mark.parametrize(("later", "is_full_list"), [([entry(3)], True), ([entry(1)], False), ([], True)])
 def test_drain_that_is_over_is_forgotten(later: list[Any], is_full_list: bool) -> None:
     deployment_facts = DeploymentFacts()
     deployment_facts.handle_endpoint_list([DRAINING], False, 1 * S)
     deployment_facts.handle_endpoint_list(later, is_full_list, 2 * S)
     deployment_facts.review([endpoint(1)], 9 * S)
-    assert not deployment_facts.take_unreported() and not deployment_facts.draining_since_ns
+    assert not deployment_facts.take_unreported()
+    assert not deployment_facts.draining_since_ns
 
 
 def test_fact_is_reported_once_and_again_when_it_changes() -> None:
     deployment_facts = DeploymentFacts()
     deployment_facts.record_migration_request()
     deployment_facts.record_migration_request()
-    assert (
-        deployment_facts.take_unreported() == [("drain", "sends-away")]
-        and not deployment_facts.take_unreported()
-    )
+    assert deployment_facts.take_unreported() == [("drain", "sends-away")]
+    assert not deployment_facts.take_unreported()
     deployment_facts.observe(Fact.DRAIN, DrainBehaviour.KEEPS_SERVING)
     assert deployment_facts.take_unreported() == [("drain", "serves-on")]
 
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -207,7 +207,7 @@
     }
 
 
-@pytest.mark.parametrize("part, key", BALANCER_VALUES)
+@pytest.mark.parametrize(("part", "key"), BALANCER_VALUES)
 def test_balancer_state_is_read(successor: Proxy, recorded: dict[str, Any], part: str, key: str) -> None:
     assert BALANCER_VALUES[part, key](successor.broker.balancer) == recorded["memory"][part][key]
 
--- a/tests/test_latency_estimator.py
+++ b/tests/test_latency_estimator.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    "weight, proxies, number, noted",
+    ("weight", "proxies", "number", "noted"),
     [(2.0, 1, 5, False), (2.0, 1, 20, True), (2.0, 2, 10, True), (6.0, 2, 10, False)],
 )
 def test_endpoint_is_slow_where_its_reported_loads_fill_it(
@@ -37,7 +37,7 @@
     assert bool(made.review(connections(80_000.0, number), 1 * S)) is noted
 
 
-@pytest.mark.parametrize("times, noted", [([1, 2, 90], False), ([80, 90, 1], True)])
+@pytest.mark.parametrize(("times", "noted"), [([1, 2, 90], False), ([80, 90, 1], True)])
 def test_endpoint_is_slow_where_its_median_reply_is(times: list[int], noted: bool) -> None:
     made = latency_estimator()
     for ms in times:
@@ -61,7 +61,8 @@
     made = latency_estimator()
     assert made.review(connections(80_000.0, 20), 1 * S)
     ((endpoint, ms),) = made.review(connections(80_000.0, 1), 2 * S)
-    assert endpoint == ENDPOINT and ms * 3 < 50
+    assert endpoint == ENDPOINT
+    assert ms * 3 < 50
     assert not made.review(connections(80_000.0, 1), 3 * S)
 
 
@@ -82,7 +83,7 @@
 
 
 @pytest.mark.parametrize(
-    "migrated_in, migrated_out, noted",
+    ("migrated_in", "migrated_out", "noted"),
     [
         (0, 0, True),  # the other proxy holds as number
         (8, 0, False),  # it is away: its clients are the ones that migrated in
@@ -107,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    "figures, times",
+    ("figures", "times"),
     [
         # Seen in a fleet of 40 proxies: the same small figure at each of them at once, a second apart, while
         # no message was answered in time. Taken for loads, they made an overloaded endpoint look idle.
@@ -146,7 +147,7 @@
 
 
 @pytest.mark.parametrize(
-    "proxies, loads, noted",
+    ("proxies", "loads", "noted"),
     [
         (40, [200_000.0], False),  # one heavy connection by chance: forty of them would fill four endpoints
         (40, [70_000.0, 70_000.0], True),  # two are few, but would be eighty
@@ -164,7 +165,7 @@
 
 
 @pytest.mark.parametrize(
-    "source, noted", [("nominal", True), ("rough", True), ("live", False), ("silent", False)]
+    ("source", "noted"), [("nominal", True), ("rough", True), ("live", False), ("silent", False)]
 )
 def test_loads_count_only_where_weights_are_sizes(source: str, noted: bool) -> None:
     # A live weight is the size over the connections there: all endpoints looked full.
