--- /dev/null
+++ b/tests/test_deployment_facts.py
@@ -0,0 +1,75 @@
+"""Facts that are observed of a deployment, and their log lines."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+import pytest
+from conftest import S, endpoint, entry
+from proxy import proxy
+
+from linnetshift.broker.deployment_facts import DeploymentFacts, DrainBehaviour, Fact
+from linnetshift.routing.events import EndpointState
+
+DRAINING = entry(1, state=EndpointState.DRAINING)
+
+
+@pytest.mark.parametrize(
+    ("entries", "is_full_list", "connected", "after", "facts"),
+    [
+        ([DRAINING], False, [endpoint(1)], 2 * S, [("drain", "serves-on")]),
+        ([DRAINING], False, [endpoint(1)], S // 2, []),  # it may be migrating them at this moment
+        ([DRAINING], False, [endpoint(2)], 2 * S, []),
+        ([DRAINING._replace(drain_within_ns=S)], False, [endpoint(1)], 2 * S, []),  # operators drained it
+    ],
+)
+def test_drain_is_judged_by_the_connections_still_established(
+    entries: list[Any], is_full_list: bool, connected: list[bytes], after: int, facts: list[tuple[str, str]]
+) -> None:
+    deployment_facts = DeploymentFacts()
+    deployment_facts.handle_endpoint_list(entries, is_full_list, 5 * S)
+    # A delta that does not name it changes nothing.
+    deployment_facts.handle_endpoint_list([entry(3)], False, 5 * S + 1)
+    deployment_facts.review(connected, 5 * S + after)
+    assert deployment_facts.take_unreported() == facts
+
+
+@pytest.mark.parametrize(("later", "is_full_list"), [([entry(3)], True), ([entry(1)], False), ([], True)])
+def test_drain_that_is_over_is_forgotten(later: list[Any], is_full_list: bool) -> None:
+    deployment_facts = DeploymentFacts()
+    deployment_facts.handle_endpoint_list([DRAINING], False, 1 * S)
+    deployment_facts.handle_endpoint_list(later, is_full_list, 2 * S)
+    deployment_facts.review([endpoint(1)], 9 * S)
+    assert not deployment_facts.take_unreported()
+    assert not deployment_facts.draining_since_ns
+
+
+def test_fact_is_reported_once_and_again_when_it_changes() -> None:
+    deployment_facts = DeploymentFacts()
+    deployment_facts.record_migration_request()
+    deployment_facts.record_migration_request()
+    assert deployment_facts.take_unreported() == [("drain", "sends-away")]
+    assert not deployment_facts.take_unreported()
+    deployment_facts.observe(Fact.DRAIN, DrainBehaviour.KEEPS_SERVING)
+    assert deployment_facts.take_unreported() == [("drain", "serves-on")]
+
+
+def test_log_shows_the_applied_settings_and_the_observed_facts(tmp_path: Path) -> None:
+    settings = {"allowed": {"probing": True}, "fees": {"crossZone": 0.056}, "weightSource": "live"}
+    report = {"columns": ["outstanding", "x0"], "how": "pull"}
+    with proxy(tmp_path, 1, discovery="push", report=report, **settings) as running:
+        running.logged(
+            "event=settings-applied .*cross_zone_weight=0.368 weights=no-sizes lists=pushed "
+            "health_checks=outstanding,x0"
+        )
+        client = running.open()
+        check_health = running.listeners[0].accept()
+        check_health.line()
+        check_health.send(b"PONG\r\n")
+        endpoint = running.listeners[0].serve()
+        assert client.line() == b"UP r1\r\n"
+        running.logged("event=deployment-fact-observed what=reports value=none")
+        endpoint.send(b"MOVE\r\n")
+        endpoint.close()
+        running.logged("event=deployment-fact-observed what=drain value=sends-away")
