--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -105,9 +105,9 @@
     settings = rules(1000, 2000)
     held = settings.classes[1]
     for aim in range(3000, 3050):
-        settings = rules(1000, aim).following(settings, {1, *settings.numbers})
+        settings = rules(1000, aim).numbered_after(settings, {1, *settings.offered_numbers})
         assert settings.offered[1].latency_objective_ns == aim
-        assert settings.numbers[0] == 0
+        assert settings.offered_numbers[0] == 0
         assert settings.classes[1] == held
     assert len(settings.classes) <= 4
 
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -62,7 +62,7 @@
 
 def endpoint_fields(endpoint: Endpoint) -> tuple[int, int, int]:
     """State, start and leave time as the balancer was given them."""
-    return endpoint.state, endpoint.started, endpoint.leave_ns
+    return endpoint.state, endpoint.started, endpoint.drain_within_ns
 
 
 def connections_at_peers(balancer: Balancer) -> int:
