--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -491,9 +491,9 @@
             "broker.zones": ResourceUsage(len(self.zones), names),
             "broker.starts": ResourceUsage(len(self.starts), names),
             "module.hosts": ResourceUsage(len(balancer.endpoints), names),
-            "module.hung": ResourceUsage(len(balancer.hung), names),
-            "module.pending": ResourceUsage(len(balancer.pending), connections),
-            "module.held": ResourceUsage(len(balancer.held), connections),
+            "module.hung": ResourceUsage(len(balancer.migration), names),
+            "module.pending": ResourceUsage(len(balancer.requests), connections),
+            "module.held": ResourceUsage(len(balancer.requests.waiting), connections),
             "settings.classes": ResourceUsage(
                 len(self.settings.classes), connections + 2 * len(self.settings.offered)
             ),
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -242,7 +242,7 @@
         for _ in range(min(peer_resources.moved - self.peer_migrated, self.connection_limiter.descriptors)):
             self.broker.latency_estimator.guest(False, self.loop.now())
         self.peer_migrated = peer_resources.moved
-        self.broker.balancer.elsewhere = sum(map(len, peer_resources.loads.values()))
+        self.broker.balancer.ranking.predecessor_connections = sum(map(len, peer_resources.loads.values()))
 
     # ---- what happens to the program --------------------------------------------------------
 
--- /dev/null
+++ b/linnetshift/routing/context.py
@@ -0,0 +1,43 @@
+"""What all components of one balancer share: settings, time, random draws and the actions of a step."""
+
+from __future__ import annotations
+
+import random
+
+from linnetshift.routing.actions import Action
+from linnetshift.routing.settings import Settings
+
+TICKS_PER_LATENCY_OBJECTIVE = 8  # waiting requests are looked at so often within the shortest objective
+
+
+class RoutingContext:
+    """The settings in force, the time of the current step and the actions that it has led to so far."""
+
+    settings: Settings
+    slow_start_window_ns: int
+    tick_ns: int
+    message_latency_objective_ns: int
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        """`seed` determines every random draw of the balancer."""
+        self.random = random.Random(seed)
+        self.now = 0
+        self.actions: list[Action] = []
+        self.configure(settings)
+
+    def configure(self, settings: Settings) -> None:
+        """Take new settings and derive from them what several components need."""
+        self.settings = settings
+        self.slow_start_window_ns = settings.tip_after_ns or settings.warm_up_ns
+        offered = settings.offered
+        self.tick_ns = min(c.latency_objective_ns for c in offered) // TICKS_PER_LATENCY_OBJECTIVE
+        self.message_latency_objective_ns = min(c.message_latency_objective_ns for c in offered)
+
+    def begin_step(self, now_ns: int) -> None:
+        """Start a step with no actions; a clock that steps back must not revive past deadlines."""
+        self.now = max(self.now, now_ns)
+        self.actions = []
+
+    def emit(self, action: Action) -> None:
+        """Append an action to those of the current step."""
+        self.actions.append(action)
--- /dev/null
+++ b/linnetshift/routing/endpoints.py
@@ -0,0 +1,214 @@
+"""The endpoints that this balancer knows: list updates, draining, restart."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, ValuesView
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from linnetshift.routing.context import RoutingContext
+from linnetshift.routing.events import EndpointEntry, EndpointList, EndpointState, ListForm
+from linnetshift.routing.settings import RequestClass
+from linnetshift.routing.slow_start import warm_up_factor
+
+if TYPE_CHECKING:
+    from linnetshift.routing.pending_requests import PendingRequest
+
+MAX_ERRORS = 2
+"""So many endpoints' errors are a request's own fault, so many requests' errors in a row an endpoint's."""
+
+LATENCY_REPORT_TTL_NS = 2_500_000_000
+"""How long an endpoint counts as slow: reports come once a second then, and two in a row may get lost."""
+
+NO_REQUEST = -1
+"""In `half_open_request`: no attempt tests the endpoint."""
+
+# Balancers that use an endpoint at once when it is back: rule 4 bears two more than its budget.
+RECOVERY_ATTEMPTS_OF_FLEET = 2.0
+MAX_WEIGHT = 1e9  # NaN and absurd weights count as 1
+NEVER_NS = -(1 << 62)
+
+
+@dataclass(slots=True, eq=False)
+class Endpoint:
+    """What this balancer knows of one endpoint; times are nanoseconds of the caller's clock."""
+
+    id: bytes
+    zone: int = 0
+    cell: int = 0
+    kind: int = 0
+    state: int = EndpointState.READY
+    weight: float = 1.0
+    started_at: int = 0  # 0: long ago
+    drain_within_ns: int = 0  # how soon it may stop once it drains, 0 where that is not known
+    draining_since: int = 0  # when this balancer learned that it drains or is gone
+    in_flight: int = 0  # this balancer's attempts and connections there
+    established: dict[int, PendingRequest] = field(default_factory=dict)  # the connections among them, by id
+    established_by_group: dict[int, int] = field(default_factory=dict)  # how many of each group they are
+    over_objective_until: int = 0  # messages there are slow until then
+    message_latency_ns: int = 0  # how long they took, 0 where that is not known
+    majority_late_until: int = 0  # messages there miss the objective of most connections until then
+    ejected_until: int = 0
+    ejection_time_ns: int = 0  # length of the latest ejection, 0 when the endpoint never failed
+    is_overloaded: bool = False  # the ejection is for overload, not for being unreachable
+    ejected_at: int = 0
+    load: float = 0.0  # share of its capacity in use, as last reported
+    load_reported_at: int = NEVER_NS
+    sends_since_report: int = 0  # this balancer's attempts there since the reported load changed
+    sends_before_report: int = 0  # and between the two changes before
+    health_check_sent_at: int = 0  # when the health check in flight was sent, 0 when none is
+    unresponsive_reports: dict[int, int] = field(default_factory=dict)  # balancer that reported, and when
+    last_established_at: int = 0
+    consecutive_errors: int = 0  # errors in a row, each to a request that had met none before
+    half_open_request: int = NO_REQUEST  # the request whose attempt tests it after an ejection
+    is_recovery_due: bool = False  # it is back, and the next connection goes there: else none may for long
+
+    def add_established(self, pending: PendingRequest) -> None:
+        """Count a connection that was established here."""
+        self.established[pending.request.request_id] = pending
+        group = pending.request.group
+        self.established_by_group[group] = self.established_by_group.get(group, 0) + 1
+
+    def remove_established(self, pending: PendingRequest) -> None:
+        """Count a connection out; one that is not established here is left alone."""
+        if self.established.pop(pending.request.request_id, None) is not None:
+            group = pending.request.group
+            self.established_by_group[group] -= 1
+            if not self.established_by_group[group]:
+                del self.established_by_group[group]
+
+    def is_over_objective(self, now: int, request_class: RequestClass) -> bool:
+        """Whether messages here are slow by the objective of that class."""
+        return (
+            now < self.over_objective_until
+            and not 0 < self.message_latency_ns * 3 < request_class.message_latency_objective_ns
+        )
+
+    def returns_errors(self) -> bool:
+        """Whether it answered several requests in a row with an error, and would answer the next so."""
+        return self.consecutive_errors >= MAX_ERRORS
+
+    def reset_health(self) -> None:
+        """A new process runs there: what was held against it ended with the old one."""
+        self.over_objective_until = 0
+        self.majority_late_until = 0
+        self.ejected_until = 0
+        self.ejection_time_ns = 0
+        self.consecutive_errors = 0
+
+
+class EndpointTable:
+    """All endpoints that are listed or still hold connections.
+
+    State: the endpoints by id, in the order in which they were first listed, and the highest weight that any
+    endpoint of a kind ever had.
+    """
+
+    def __init__(self, context: RoutingContext) -> None:
+        """Empty until the first list comes."""
+        self._context = context
+        self._by_id: dict[bytes, Endpoint] = {}
+        self._highest_weight_of_kind: dict[int, float] = {}
+
+    def __len__(self) -> int:
+        """How many endpoints are known, with those that drain."""
+        return len(self._by_id)
+
+    def __iter__(self) -> Iterator[bytes]:
+        """The ids."""
+        return iter(self._by_id)
+
+    def __contains__(self, endpoint_id: bytes) -> bool:
+        """Whether an endpoint of that id is known."""
+        return endpoint_id in self._by_id
+
+    def __getitem__(self, endpoint_id: bytes) -> Endpoint:
+        """The endpoint of that id; raises KeyError where it is not known."""
+        return self._by_id[endpoint_id]
+
+    def get(self, endpoint_id: bytes) -> Endpoint | None:
+        """The endpoint of that id, None where it is not known."""
+        return self._by_id.get(endpoint_id)
+
+    def values(self) -> ValuesView[Endpoint]:
+        """All endpoints, in the order in which they were first listed."""
+        return self._by_id.values()
+
+    def apply(self, update: EndpointList) -> list[Endpoint]:
+        """Take a list or a change to it; returns the endpoints that connections must now leave."""
+        draining: list[Endpoint] = []
+        if update.form in (ListForm.FULL, ListForm.CACHED):
+            listed = {entry.endpoint for entry in update.entries}
+            for endpoint in self._by_id.values():
+                if endpoint.id not in listed and endpoint.state != EndpointState.REMOVED:
+                    self._drain(endpoint, EndpointState.REMOVED, draining)
+        for entry in update.entries:
+            known = self._by_id.get(entry.endpoint)
+            if known is None:
+                self._add(entry)
+            else:
+                self._update(known, entry, draining)
+        self._delete_unused()
+        return draining
+
+    def warm_up_factor(self, endpoint: Endpoint) -> float:
+        """The share of its capacity that an endpoint surely has by now, 1.0 once it is warm."""
+        return warm_up_factor(self._context.settings, endpoint.started_at, self._context.now)
+
+    def is_warming_up(self, endpoint: Endpoint) -> bool:
+        """Whether an endpoint started so recently that it can't bear its full share."""
+        return self.warm_up_factor(endpoint) < 1.0
+
+    def capacity(self, endpoint: Endpoint) -> float:
+        """Its weight; where that falls with load, the highest that an endpoint of its kind ever had."""
+        if self._context.settings.weights_are_sizes:
+            return endpoint.weight
+        return self._highest_weight_of_kind[endpoint.kind]
+
+    def is_fewer_than_balancers(self) -> bool:
+        """Whether each balancer sees little; unlike what it holds, this changes not from moment to moment."""
+        return self._context.settings.balancers > len(self._by_id)
+
+    def _add(self, entry: EndpointEntry) -> None:
+        endpoint = Endpoint(entry.endpoint, draining_since=self._context.now)
+        self._by_id[entry.endpoint] = endpoint
+        self._copy_entry(endpoint, entry)
+
+    def _update(self, endpoint: Endpoint, entry: EndpointEntry, draining: list[Endpoint]) -> None:
+        previous = endpoint.state
+        if entry.state == EndpointState.READY and previous != EndpointState.READY:
+            endpoint.is_recovery_due = endpoint.is_recovery_due or self._draw_recovery_attempt()
+        if entry.started_ns != endpoint.started_at:
+            endpoint.reset_health()
+        self._copy_entry(endpoint, entry)
+        if entry.state != EndpointState.READY:
+            endpoint.state = previous
+            self._drain(endpoint, EndpointState(entry.state), draining)
+
+    def _draw_recovery_attempt(self) -> bool:
+        context = self._context
+        return context.random.random() * context.settings.balancers < RECOVERY_ATTEMPTS_OF_FLEET
+
+    def _copy_entry(self, endpoint: Endpoint, entry: EndpointEntry) -> None:
+        endpoint.zone = entry.zone
+        endpoint.cell = entry.cell
+        endpoint.kind = entry.kind
+        endpoint.state = entry.state
+        endpoint.started_at = entry.started_ns
+        endpoint.drain_within_ns = entry.leave_ns
+        endpoint.weight = entry.weight if 0.0 < entry.weight < MAX_WEIGHT else 1.0
+        highest = self._highest_weight_of_kind.get(endpoint.kind, 0.0)
+        self._highest_weight_of_kind[endpoint.kind] = max(highest, endpoint.weight)
+
+    def _drain(self, endpoint: Endpoint, state: EndpointState, draining: list[Endpoint]) -> None:
+        """The grace counts from the first update that says that an endpoint drains or is gone."""
+        if endpoint.state == EndpointState.READY:
+            endpoint.draining_since = self._context.now
+        endpoint.state = state
+        if state != EndpointState.READY and endpoint.established:
+            draining.append(endpoint)
+
+    def _delete_unused(self) -> None:
+        unused = [e for e in self._by_id.values() if e.state == EndpointState.REMOVED and not e.in_flight]
+        for endpoint in unused:
+            del self._by_id[endpoint.id]
--- a/linnetshift/routing/group_affinity.py
+++ b/linnetshift/routing/group_affinity.py
@@ -1,8 +1,8 @@
-"""How large groups are, as one of many nodes can tell from the clients that come to it.
+"""How large groups are, as one of many balancers can tell from the clients that come to it.
 
-Every endpoint that holds any of a group pays for it. Where crossing zones has a price, a group has a place in
-each zone. With few large groups that spreads what no endpoint could bear alone; with many small ones each
-endpoint holds some of several, and the places weigh more than the connections that stand there.
+Every endpoint that holds any connection of a group pays an overhead for it. Where crossing zones has a
+price, a group is placed in each zone. With few large groups that spreads what no endpoint could bear alone;
+with many small ones each endpoint holds some of several, and the overhead outweighs the connections.
 """
 
 from __future__ import annotations
@@ -10,42 +10,51 @@
 from collections import Counter, deque
 from collections.abc import Collection
 
-MET = 64  # clients by which a node judges
+SAMPLE_SIZE = 64  # latest clients by which a balancer judges
 # Before any came, as if of so many pairs of clients that many had been of one group.
-PRIOR_ALIKE = 1.0
+PRIOR_EQUAL_PAIRS = 1.0
 PRIOR_PAIRS = 30.0
 
 
-class GroupSizes:
+class GroupSizeEstimator:
+    """State: the groups of the latest clients, how often each occurs, and the pairs that are of one group."""
+
     def __init__(self) -> None:
-        self.met: deque[int] = deque()
+        """No client came yet."""
+        self._sample: deque[int] = deque()
         self.counts: Counter[int] = Counter()
-        self.alike = 0  # pairs among them that are of one group
+        self._equal_pairs = 0
 
-    def meet(self, group: int) -> None:
-        """A client of that group came by; 0 is none."""
+    def record_client(self, group: int) -> None:
+        """Count a client of that group; 0 means that it has none."""
         if not group:
             return
-        if len(self.met) == MET:
-            oldest = self.met.popleft()
-            self.counts[oldest] -= 1
-            self.alike -= self.counts[oldest]
-            if not self.counts[oldest]:
-                del self.counts[oldest]
-        self.met.append(group)
-        self.alike += self.counts[group]
+        if len(self._sample) == SAMPLE_SIZE:
+            self._forget_oldest()
+        self._sample.append(group)
+        self._equal_pairs += self.counts[group]
         self.counts[group] += 1
 
-    def likeness(self) -> float:
+    def same_group_probability(self) -> float:
         """The chance that two clients are of one group."""
-        pairs = len(self.met) * (len(self.met) - 1) / 2
-        return (self.alike + PRIOR_ALIKE) / (pairs + PRIOR_PAIRS)
+        sampled = len(self._sample)
+        pairs = sampled * (sampled - 1) / 2
+        return (self._equal_pairs + PRIOR_EQUAL_PAIRS) / (pairs + PRIOR_PAIRS)
 
-    def worth_places(self, zones: Collection[int]) -> float:
-        """From 1, where there are endpoints for a place of each group in each zone, down to 0, where far too
-        few.
+    def zone_spread(self, zones: Collection[int]) -> float:
+        """How far each group may spread over the zones; `zones` has one item an endpoint.
 
-        `zones` are those of the endpoints.
-        So many groups as would be, were all alike: one over the chance that two clients are of one.
+        From 1, where there are endpoints for a place of each group in each zone, down to 0, where there are
+        far too few. The estimated group count is what would be, were all groups of one size: one over the
+        chance that two clients are of one group.
         """
-        return min(1.0, len(zones) * self.likeness() / len(set(zones))) if self.met and zones else 1.0
+        if not self._sample or not zones:
+            return 1.0
+        return min(1.0, len(zones) * self.same_group_probability() / len(set(zones)))
+
+    def _forget_oldest(self) -> None:
+        oldest = self._sample.popleft()
+        self.counts[oldest] -= 1
+        self._equal_pairs -= self.counts[oldest]
+        if not self.counts[oldest]:
+            del self.counts[oldest]
--- /dev/null
+++ b/linnetshift/routing/health_checks.py
@@ -0,0 +1,164 @@
+"""Active health checks and the load reports that answer them."""
+
+from __future__ import annotations
+
+from linnetshift.routing.actions import HealthCheck
+from linnetshift.routing.context import RoutingContext
+from linnetshift.routing.endpoints import LATENCY_REPORT_TTL_NS, Endpoint, EndpointTable
+from linnetshift.routing.events import HealthCheckResult, Outcome
+from linnetshift.routing.outlier_detection import OutlierDetection
+from linnetshift.routing.pending_requests import PendingRequest, PendingRequests
+from linnetshift.util.decaying_counter import DecayingCounter
+
+MAX_LOAD = 0.85  # share of its capacity in use from which an endpoint is avoided
+TARGET_LOAD = 0.75  # to which migration brings it
+MIGRATION_GAIN = 0.3  # share of the excess that moves at each report, which may be seconds old
+CHECKS_PER_REQUEST = 3  # that an arriving request pays for: at its endpoint, and where latency is reported
+MAX_SAVED_CHECKS = CHECKS_PER_REQUEST * 4
+FRESH_LOAD_NS = 500_000_000  # how long a report serves placements
+AVOID_LOADED_NS = 3_000_000_000  # how long it keeps a loaded endpoint avoided
+REPORT_WEIGHT = 0.1  # of the latest report in what is known of one connection's load
+ARRIVAL_WINDOW_NS = 1_000_000_000
+MAX_REPORTED_LOAD = 1e6
+MIN_REPORTED_CONNECTIONS = 8.0  # fewer say little of the load of one
+MAX_REPORTED_CONNECTIONS = 1e6
+LOAD_COLUMN = "x0"
+CONNECTIONS_COLUMN = "outstanding"
+NO_COLUMN = -1
+
+
+class HealthChecks:
+    """Sends health checks within a budget and keeps what the answers say.
+
+    State: the checks that may still be sent, the rate of arrivals, the load of one connection by the reports,
+    and the load fields of the endpoints.
+    """
+
+    _load_column: int
+    _connections_column: int
+
+    def __init__(
+        self,
+        context: RoutingContext,
+        endpoints: EndpointTable,
+        requests: PendingRequests,
+        outlier_detection: OutlierDetection,
+    ) -> None:
+        """No credit and nothing known of any load."""
+        self._context = context
+        self._endpoints = endpoints
+        self._requests = requests
+        self._outlier_detection = outlier_detection
+        self._credit = 0.0
+        self._arrivals = DecayingCounter(ARRIVAL_WINDOW_NS)
+        self.load_per_connection = 0.0
+        self.configure()
+
+    def configure(self) -> None:
+        """Find the columns of the load reports in the settings."""
+        settings = self._context.settings
+        columns = settings.report_columns
+        has_load = settings.may_health_check and LOAD_COLUMN in columns
+        self._load_column = columns.index(LOAD_COLUMN) if has_load else NO_COLUMN
+        has_connections = CONNECTIONS_COLUMN in columns
+        self._connections_column = columns.index(CONNECTIONS_COLUMN) if has_connections else NO_COLUMN
+
+    @property
+    def reports_load(self) -> bool:
+        """Whether health checks are answered with a load."""
+        return self._load_column >= 0
+
+    def may_check_for_migration(self) -> bool:
+        """Whether a check may be sent to learn how many connections to migrate."""
+        return self.reports_load and self._credit >= 1.0
+
+    def earn_credit(self) -> None:
+        """A first request arrived, which pays for some checks."""
+        self._credit = min(self._credit, MAX_SAVED_CHECKS) + CHECKS_PER_REQUEST
+
+    def record_arrival(self) -> None:
+        """Count a request, returning or not."""
+        self._arrivals.add(self._context.now)
+
+    def advises_against(self, endpoint: Endpoint) -> bool:
+        """Whether an endpoint is too loaded by its latest report, or does not answer the check in flight."""
+        now = self._context.now
+        if now - endpoint.load_reported_at < AVOID_LOADED_NS and self._current_load(endpoint) >= MAX_LOAD:
+            return True
+        return 0 < endpoint.health_check_sent_at < now - 2 * self._context.tick_ns
+
+    def is_load_fresh(self, endpoint: Endpoint) -> bool:
+        """Whether the latest report is recent enough to decide by."""
+        return self._context.now - endpoint.load_reported_at <= FRESH_LOAD_NS
+
+    def check_before_placement(self, endpoint: Endpoint, pending: PendingRequest) -> bool:
+        """Check an endpoint before a connection is placed there; returns whether to wait for the answer.
+
+        No check is needed where established connections say enough already. Of many balancers each has fewer
+        connections than there are endpoints: an overload or a loss is new to every one.
+        """
+        if not self._context.settings.may_health_check:
+            return False
+        if not self.reports_load and (endpoint.established or not self._requests.are_few()):
+            return False
+        is_known = self._context.now - endpoint.load_reported_at < FRESH_LOAD_NS
+        if is_known or pending.health_checks_sent >= CHECKS_PER_REQUEST:
+            return False
+        if not endpoint.health_check_sent_at:
+            pending.health_checks_sent += 1
+        self.check(endpoint)
+        return True
+
+    def check(self, endpoint: Endpoint) -> None:
+        """Send a health check unless one is in flight."""
+        if not endpoint.health_check_sent_at:
+            endpoint.health_check_sent_at = self._context.now
+            self._credit -= 1.0
+            self._context.emit(HealthCheck(endpoint.id))
+
+    def handle_result(self, endpoint: Endpoint, event: HealthCheckResult) -> float:
+        """Take the answer to the check in flight, or its absence.
+
+        Returns the share of this balancer's connections there to migrate because of the load, 0.0 for none.
+        """
+        sent_at = endpoint.health_check_sent_at
+        endpoint.health_check_sent_at = 0
+        if event.outcome != Outcome.OK:
+            if event.outcome != Outcome.FULL:  # too many checks at once say nothing of the endpoint
+                is_overload = event.outcome != Outcome.CONNECT_FAILED
+                self._outlier_detection.record_failure(endpoint, is_overload)
+            return 0.0
+        now = self._context.now
+        endpoint.load_reported_at = now  # an answer without a load still says that it answers, and how soon
+        if event.elapsed_ns * 3 >= self._context.message_latency_objective_ns * 2 > 0:
+            endpoint.over_objective_until = now + LATENCY_REPORT_TTL_NS
+            endpoint.message_latency_ns = event.elapsed_ns // 2
+        is_complete = len(event.report) == len(self._context.settings.report_columns)
+        if sent_at < endpoint.started_at or not is_complete:
+            return 0.0
+        return self._take_report(endpoint, event.report)
+
+    def _take_report(self, endpoint: Endpoint, report: tuple[float, ...]) -> float:
+        load = report[self._load_column] if self.reports_load else -1.0
+        if not 0.0 <= load < MAX_REPORTED_LOAD:
+            return 0.0
+        connections = report[self._connections_column] if self._connections_column >= 0 else 0.0
+        if load != endpoint.load:
+            endpoint.load = load
+            endpoint.sends_before_report = endpoint.sends_since_report
+            endpoint.sends_since_report = 0
+        if MIN_REPORTED_CONNECTIONS < connections < MAX_REPORTED_CONNECTIONS:
+            self.load_per_connection += REPORT_WEIGHT * (load / connections - self.load_per_connection)
+        if load <= MAX_LOAD:
+            return 0.0
+        return (load - TARGET_LOAD) / load * MIGRATION_GAIN
+
+    def _current_load(self, endpoint: Endpoint) -> float:
+        """The reported load and what was sent since; in a wave of arrivals the other balancers send as much.
+
+        Reports are up to seconds old: at a balancer's start a hundred connections can arrive behind one
+        figure.
+        """
+        balancers = min(self._context.settings.balancers, max(1.0, self._arrivals.value))
+        sends = endpoint.sends_since_report + endpoint.sends_before_report / 2
+        return endpoint.load + sends * balancers * self.load_per_connection
--- a/linnetshift/routing/load_shedding.py
+++ b/linnetshift/routing/load_shedding.py
@@ -1,6 +1,6 @@
-"""Load shedding: which share of the keys a node admits while most of its endpoints miss their aims.
+"""Load shedding: which share of the keys is admitted while most endpoints miss their latency objectives.
 
-Which keys those are is a matter of the key, so nodes shed the same groups, and a client that returns meets
+Which keys those are is a matter of the key, so balancers shed the same groups, and a client that returns gets
 the same answer wherever it comes.
 """
 
@@ -8,40 +8,78 @@
 
 from dataclasses import dataclass
 
-from linnetshift.routing.ranking import MASK, mix64
+from linnetshift.routing.context import RoutingContext
+from linnetshift.routing.endpoints import EndpointTable
+from linnetshift.routing.events import AdoptedConnection, EndpointState, Request
+from linnetshift.routing.pending_requests import key_hash
+from linnetshift.routing.rendezvous_hashing import MASK, mix64
 
-# Once a second, while messages are late at more than the first share of the endpoints, fewer keys are
-# admitted; under the second share, slowly more.
-SHED_OVER = 0.4
-ADMIT_UNDER = 0.15
+# While more than the first share of the endpoints is late, each review admits fewer keys; under the second
+# share, slowly more.
+SHED_ABOVE_LATE_SHARE = 0.4
+RECOVER_BELOW_LATE_SHARE = 0.15
 SHED_STEP = 0.35
-ADMIT_STEP = 0.05
-ADMIT_LEAST = 0.2
-EVERY_NS = 1_000_000_000
-SALT = 0x9E3779B97F4A7C15  # splitmix64's increment: a draw per key that is independent of its ranking
+RECOVERY_STEP = 0.05
+MIN_ADMITTED_SHARE = 0.2
+REVIEW_INTERVAL_NS = 1_000_000_000
+ADMISSION_SALT = (
+    0x9E3779B97F4A7C15  # splitmix64's increment: a draw by key that is independent of its ranking
+)
 
 
 @dataclass(slots=True)
 class LoadShedding:
-    admit: float = 1.0  # the share of the keys
-    at: int = 0
-    jammed: bool = False  # messages are late at most endpoints: moves would only carry the jam about
+    """State: the share of the keys that is admitted, the time of the latest review, and its finding."""
 
-    def due(self, now: int) -> bool:
-        return now - self.at >= EVERY_NS
+    admitted_share: float = 1.0
+    reviewed_at: int = 0
+    is_congested: bool = False  # most endpoints are late: migration would only carry the load about
+
+    def is_review_due(self, now: int) -> bool:
+        """Whether the latest review is long enough ago."""
+        return now - self.reviewed_at >= REVIEW_INTERVAL_NS
 
     def review(self, now: int, late: int, endpoints: int) -> None:
-        self.at = now
-        self.jammed = late > max(1.0, SHED_OVER * endpoints)  # one alone can be left for the others
-        if self.jammed:
-            self.admit = max(self.admit * (1.0 - SHED_STEP), ADMIT_LEAST)
-        elif late <= ADMIT_UNDER * endpoints:
-            self.admit = min(self.admit + ADMIT_STEP, 1.0)
+        """Adapt the admitted share; `late` of that many `endpoints` miss their objectives."""
+        self.reviewed_at = now
+        # One late endpoint alone can be left for the others.
+        self.is_congested = late > max(1.0, SHED_ABOVE_LATE_SHARE * endpoints)
+        if self.is_congested:
+            self.admitted_share = max(self.admitted_share * (1.0 - SHED_STEP), MIN_ADMITTED_SHARE)
+        elif late <= RECOVER_BELOW_LATE_SHARE * endpoints:
+            self.admitted_share = min(self.admitted_share + RECOVERY_STEP, 1.0)
 
-    def admits(self, key_hash: int) -> bool:
-        return self.admit >= 1.0 or mix64(key_hash ^ SALT) < self.admit * MASK
+    def admits_key(self, key: int) -> bool:
+        """Whether requests of that hashed key are admitted."""
+        return self.admitted_share >= 1.0 or mix64(key ^ ADMISSION_SALT) < self.admitted_share * MASK
 
     @property
-    def at_least(self) -> bool:
+    def is_at_minimum(self) -> bool:
         """Whether no more can be shed."""
-        return self.admit <= ADMIT_LEAST
+        return self.admitted_share <= MIN_ADMITTED_SHARE
+
+
+class AdmissionControl:
+    """Applies load shedding to the endpoints and requests of one balancer. State: its `LoadShedding`."""
+
+    def __init__(self, context: RoutingContext, endpoints: EndpointTable) -> None:
+        """All keys are admitted at first."""
+        self._context = context
+        self._endpoints = endpoints
+        self.load_shedding = LoadShedding()
+
+    def review(self) -> None:
+        """When most endpoints are late, migration only moves the load about: fewer keys must be served."""
+        now = self._context.now
+        if not self.load_shedding.is_review_due(now):
+            return
+        # One of many balancers uses few endpoints: that those are late says nothing of the rest.
+        used = [e for e in self._endpoints.values() if e.established or e.state == EndpointState.READY]
+        # That an endpoint is late while it warms up passes by itself.
+        used = [e for e in used if not self._endpoints.is_warming_up(e)] or used
+        late = sum(now < endpoint.majority_late_until for endpoint in used)
+        self.load_shedding.review(now, late, len(used))
+
+    def admits(self, request: Request | AdoptedConnection) -> bool:
+        """Whether that request, or its connection, is admitted."""
+        return self.load_shedding.admits_key(key_hash(request))
--- /dev/null
+++ b/linnetshift/routing/message_latency.py
@@ -0,0 +1,90 @@
+"""What follows from the time that messages take at an endpoint."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from linnetshift.routing.actions import ALL_PEERS, SendPeerMessage
+from linnetshift.routing.context import RoutingContext
+from linnetshift.routing.endpoints import LATENCY_REPORT_TTL_NS, Endpoint
+from linnetshift.routing.health_checks import HealthChecks
+from linnetshift.routing.load_shedding import AdmissionControl
+from linnetshift.routing.migration import Migration
+
+SLOW_MESSAGE = b"h"
+"""Opens a message to peers: messages are slow at the endpoint whose id follows."""
+
+# Share of this balancer's connections moved off a slow endpoint at each report (one a second): from two
+# thirds of the objective on (under that it is only avoided), and once messages miss it more, the more work is
+# queued.
+NEAR_OBJECTIVE_SHARE = 0.05
+OVER_OBJECTIVE_SHARE = 0.1
+MAX_SHARE = 0.4
+QUEUED_WORK_NS = 200_000_000
+
+
+def share_to_migrate(latency_ns: int, objective_ns: int) -> float:
+    """The share of the connections with that objective to move where messages take `latency_ns`."""
+    if latency_ns >= objective_ns:
+        return min(MAX_SHARE, OVER_OBJECTIVE_SHARE * (1.0 + latency_ns / QUEUED_WORK_NS))
+    return NEAR_OBJECTIVE_SHARE if latency_ns * 3 >= objective_ns * 2 else 0.0
+
+
+class MessageLatency:
+    """Handles latency reports. State: the latency fields of the endpoints."""
+
+    def __init__(
+        self,
+        context: RoutingContext,
+        admission: AdmissionControl,
+        health_checks: HealthChecks,
+        migration: Migration,
+    ) -> None:
+        """What a slow endpoint has an effect on."""
+        self._context = context
+        self._admission = admission
+        self._health_checks = health_checks
+        self._migration = migration
+
+    def handle_report(self, endpoint: Endpoint, latency_ns: int) -> None:
+        """A message to that endpoint took so long."""
+        context = self._context
+        is_slow = latency_ns * 3 >= context.message_latency_objective_ns
+        endpoint.over_objective_until = context.now + LATENCY_REPORT_TTL_NS if is_slow else 0
+        endpoint.message_latency_ns = latency_ns
+        self._notify_peers(endpoint)
+        is_late = self._is_late_for_most(endpoint, latency_ns)
+        endpoint.majority_late_until = context.now + LATENCY_REPORT_TTL_NS if is_late else 0
+        self._admission.review()
+        if not is_slow:
+            return
+        if not self._health_checks.may_check_for_migration():
+            self._migration.migrate_excess(endpoint, is_late, partial(share_to_migrate, latency_ns))
+        elif not self._health_checks.is_load_fresh(endpoint):
+            self._health_checks.check(endpoint)  # its answer tells how much to move
+
+    def handle_peer_report(self, endpoint: Endpoint) -> None:
+        """Another balancer's connections there are slow; how slow it does not say."""
+        until = self._context.now + LATENCY_REPORT_TTL_NS
+        endpoint.over_objective_until = max(endpoint.over_objective_until, until)
+        endpoint.message_latency_ns = 0
+
+    def _notify_peers(self, endpoint: Endpoint) -> None:
+        """Balancers without a connection there learn nothing of it, and would send migrated clients back.
+
+        Each sends with a probability, so that all together send about one message.
+        """
+        context = self._context
+        is_drawn = context.random.random() * context.settings.balancers < 1.0
+        if endpoint.over_objective_until and context.settings.may_message_peers and is_drawn:
+            context.emit(SendPeerMessage(ALL_PEERS, SLOW_MESSAGE + endpoint.id))
+
+    def _is_late_for_most(self, endpoint: Endpoint, latency_ns: int) -> bool:
+        """Whether messages miss the objective of most of this balancer's connections there."""
+        objectives_ns = [
+            pending.request_class.message_latency_objective_ns for pending in endpoint.established.values()
+        ]
+        if not objectives_ns:
+            objectives_ns = [self._context.message_latency_objective_ns]
+        late = sum(latency_ns >= objective_ns for objective_ns in objectives_ns)
+        return 2 * late >= len(objectives_ns)
--- /dev/null
+++ b/linnetshift/routing/migration.py
@@ -0,0 +1,119 @@
+"""Migration: which established connections are asked to move to another endpoint, and how many at once."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from linnetshift.routing.actions import Migrate
+from linnetshift.routing.context import RoutingContext
+from linnetshift.routing.endpoint_selection import EndpointSelection
+from linnetshift.routing.endpoints import Endpoint
+from linnetshift.routing.events import EndpointState
+from linnetshift.routing.load_shedding import SHED_STEP, AdmissionControl
+from linnetshift.routing.pending_requests import PendingRequest
+from linnetshift.routing.tick_timer import TickTimer
+
+UNRESPONSIVE_SHARE = 0.05  # of this balancer's connections at an unresponsive endpoint, moved at each tick
+DRAIN_NS = 5_000_000_000  # to leave an endpoint that drains, where its own time is not known
+LAST_TICKS = 12  # of that time, in which connections go to any other endpoint
+
+ShareToMigrate = Callable[[int], float]
+"""The share of connections to move, by the message latency objective (ns) of their class."""
+
+
+class Migration:
+    """Moves connections off endpoints that are slow, loaded, unresponsive or draining.
+
+    State: the endpoints that connections leave step by step, at each tick.
+    """
+
+    def __init__(
+        self,
+        context: RoutingContext,
+        selection: EndpointSelection,
+        admission: AdmissionControl,
+        tick_timer: TickTimer,
+    ) -> None:
+        """No connection moves."""
+        self._context = context
+        self._selection = selection
+        self._admission = admission
+        self._tick_timer = tick_timer
+        self._leaving: dict[bytes, Endpoint] = {}
+
+    def __len__(self) -> int:
+        """How many endpoints are left step by step."""
+        return len(self._leaving)
+
+    def begin_leaving(self, endpoint: Endpoint) -> None:
+        """Move its connections step by step, if it has any: it drains, is gone or is unresponsive."""
+        if endpoint.established:
+            self._leaving[endpoint.id] = endpoint
+            self._tick_timer.start()
+
+    def handle_established(self, endpoint: Endpoint) -> None:
+        """A connection was established there: it responds, and is left only if it drains or is gone."""
+        self._leaving.pop(endpoint.id, None)
+        if endpoint.state != EndpointState.READY:
+            self.begin_leaving(endpoint)
+
+    def handle_tick(self) -> None:
+        """Move the next connections of the endpoints that are to be left."""
+        for endpoint in list(self._leaving.values()):
+            self._migrate_next(endpoint)
+            is_recovered = (
+                endpoint.state == EndpointState.READY and self._context.now >= endpoint.ejected_until
+            )
+            if not endpoint.established or is_recovered:
+                del self._leaving[endpoint.id]
+        if self._leaving:
+            self._tick_timer.start()
+
+    def migrate_excess(self, endpoint: Endpoint, is_late: bool, share: ShareToMigrate) -> None:
+        """Move a few of this balancer's connections, heaviest first; each balancer does so by itself.
+
+        `share` tells how many by the objective of their class: what is served in time there stays. While the
+        endpoint `is_late` for most, connections that are not admitted go first.
+        """
+        not_admitted: list[PendingRequest] = []
+        if is_late:
+            established = endpoint.established.values()
+            not_admitted = [pending for pending in established if not self._admission.admits(pending.request)]
+        count = int(len(endpoint.established) * SHED_STEP + self._context.random.random())
+        for pending in not_admitted[:count]:
+            self.migrate(pending, endpoint)
+        # While most are late nowhere is better. Afterwards admitted ones must move, or their overload lasts.
+        load_shedding = self._admission.load_shedding
+        if not_admitted or (is_late and load_shedding.is_congested and not load_shedding.is_at_minimum):
+            return
+        self._migrate_heaviest(endpoint, share)
+
+    def migrate(self, pending: PendingRequest, endpoint: Endpoint) -> None:
+        """Ask one connection to move."""
+        endpoint.remove_established(pending)
+        self._context.emit(Migrate(pending.request.request_id))
+
+    def _migrate_heaviest(self, endpoint: Endpoint, share: ShareToMigrate) -> None:
+        shares = {
+            pending: share(pending.request_class.message_latency_objective_ns)
+            for pending in endpoint.established.values()
+        }
+        count = int(sum(shares.values()) + self._context.random.random())
+        movable = [pending for pending in shares if shares[pending]]
+        movable.sort(key=lambda pending: (-shares[pending], -pending.load_ns_per_s))
+        for pending in movable[:count]:
+            if self._selection.find_alternative(pending, endpoint):
+                self.migrate(pending, endpoint)
+
+    def _migrate_next(self, endpoint: Endpoint) -> None:
+        """Move those whose turn it is by the time that is left."""
+        context = self._context
+        is_ready = endpoint.state == EndpointState.READY
+        stops_at = endpoint.draining_since + (endpoint.drain_within_ns or DRAIN_NS)
+        ticks_left = max(1, (stops_at - context.now) // context.tick_ns)
+        share = UNRESPONSIVE_SHARE if is_ready else 1.0 / ticks_left
+        count = int(len(endpoint.established) * share + context.random.random())
+        is_last_chance = not is_ready and ticks_left <= LAST_TICKS
+        for pending in list(endpoint.established.values())[:count]:
+            if self._selection.find_alternative(pending, endpoint, is_last_chance) is not None:
+                self.migrate(pending, endpoint)
--- /dev/null
+++ b/linnetshift/routing/outlier_detection.py
@@ -0,0 +1,99 @@
+"""Outlier detection: endpoints that fail are ejected for a time, where a zone or cell is lost all of it."""
+
+from __future__ import annotations
+
+from linnetshift.routing.context import RoutingContext
+from linnetshift.routing.endpoints import NO_REQUEST, Endpoint, EndpointTable
+from linnetshift.routing.events import Outcome
+
+MIN_ENDPOINTS_DOWN = 3
+"""Endpoints of one zone or cell down at once, more than are seen to work there, mean all of it."""
+
+MIN_EJECTION_CONNECT_TIMEOUTS = 4  # the first ejection, in connect timeouts; the longest is the warm-up time
+# Ejections of balancers differ by chance, so that their half-open attempts do not come at one moment.
+MIN_EJECTION_JITTER = 0.75
+MAX_EJECTION_JITTER = 1.25
+UNREACHABLE_OUTCOMES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT})
+
+
+class OutlierDetection:
+    """Decides how long an endpoint is left out after a failure.
+
+    State: the ejection fields of the endpoints.
+    """
+
+    def __init__(self, context: RoutingContext, endpoints: EndpointTable) -> None:
+        """No endpoint is ejected."""
+        self._context = context
+        self._endpoints = endpoints
+
+    def record_outcome(self, endpoint: Endpoint, outcome: int, was_established: bool) -> None:
+        """An attempt, or a connection that was established, ended there."""
+        if outcome == Outcome.FULL or (outcome == Outcome.RESET and was_established):
+            # Dropped connections would hash back to the overloaded endpoint that dropped them.
+            self.record_failure(endpoint, is_overload=True)
+        elif outcome in UNREACHABLE_OUTCOMES and not was_established:
+            self.record_failure(endpoint, is_overload=False)
+
+    def record_established(self, endpoint: Endpoint, request_id: int) -> None:
+        """A connection was established there: it responds, and a half-open attempt has succeeded."""
+        endpoint.last_established_at = self._context.now
+        endpoint.unresponsive_reports.clear()
+        if endpoint.half_open_request == request_id:
+            endpoint.half_open_request = NO_REQUEST
+        endpoint.consecutive_errors = 0
+
+    def record_error(self, endpoint: Endpoint, is_first_of_request: bool) -> None:
+        """A request was answered with an error, whether or not another endpoint serves it later."""
+        endpoint.consecutive_errors += is_first_of_request
+        if endpoint.returns_errors():
+            self.record_failure(endpoint, is_overload=False)
+
+    def record_failure(self, endpoint: Endpoint, is_overload: bool) -> None:
+        """Eject an endpoint, for twice as long each time while half-open attempts go on failing."""
+        now = self._context.now
+        if now < endpoint.ejected_until:
+            # The same failure, seen by more requests.
+            endpoint.is_overloaded = endpoint.is_overloaded and is_overload
+            return
+        endpoint.is_overloaded = is_overload
+        endpoint.ejected_at = now
+        endpoint.ejection_time_ns = self._next_ejection_time_ns(endpoint)
+        jitter = self._context.random.uniform(MIN_EJECTION_JITTER, MAX_EJECTION_JITTER)
+        endpoint.ejected_until = now + int(endpoint.ejection_time_ns * jitter)
+        others = self._endpoints.values()
+        self._eject_lost_group([other for other in others if other.zone == endpoint.zone], endpoint)
+        self._eject_lost_group([other for other in others if other.cell == endpoint.cell], endpoint)
+
+    def begin_half_open_attempt(self, endpoint: Endpoint, request_id: int) -> None:
+        """An attempt is sent: soon after an ejection it tests the endpoint, and others wait for its end."""
+        if endpoint.ejection_time_ns and self._failed_recently(endpoint):
+            endpoint.half_open_request = request_id
+
+    def _next_ejection_time_ns(self, endpoint: Endpoint) -> int:
+        settings = self._context.settings
+        if endpoint.ejection_time_ns and self._failed_recently(endpoint):
+            return min(endpoint.ejection_time_ns * 2, settings.warm_up_ns)
+        return MIN_EJECTION_CONNECT_TIMEOUTS * settings.connect_timeout_ns
+
+    def _failed_recently(self, endpoint: Endpoint) -> bool:
+        return self._context.now < endpoint.ejected_until + 2 * endpoint.ejection_time_ns
+
+    def _eject_lost_group(self, group: list[Endpoint], endpoint: Endpoint) -> None:
+        """When a zone or cell is lost, don't find it out one by one, nor test all its endpoints at once."""
+        now = self._context.now
+        moment_ns = 2 * self._context.settings.connect_timeout_ns  # what breaks together was not shed
+        ejected = [e for e in group if now < e.ejected_until]
+        down = sum(not e.is_overloaded or now - e.ejected_at < moment_ns for e in ejected)
+        working = [
+            e
+            for e in group
+            if now < e.last_established_at + 2 * endpoint.ejection_time_ns and now >= e.ejected_until
+        ]
+        if down < MIN_ENDPOINTS_DOWN or down <= len(working):
+            return
+        for other in group:
+            if now >= other.ejected_until and other not in working:
+                other.ejected_until = endpoint.ejected_until
+                other.ejection_time_ns = endpoint.ejection_time_ns
+                other.is_overloaded = endpoint.is_overloaded
--- a/linnetshift/routing/ranking.py
+++ b/linnetshift/routing/ranking.py
@@ -1,44 +1,139 @@
-"""Weighted rendezvous hashing: one key's cost at each of many endpoints, the same at every node."""
+"""The ranking of the listed endpoints for a key: weighted rendezvous hashing over a cached candidate list.
+
+A request's key (its group, else its client) is hashed once and mixed with the hash of each listed endpoint;
+the endpoint with the highest -weight / log(h) comes first.
+"""
 
 from __future__ import annotations
 
-from hashlib import blake2b
+from collections.abc import Iterator
+from dataclasses import dataclass
 
 import numpy as np
 import numpy.typing as npt
 
-MASK = (1 << 64) - 1
-# The finalizer of splitmix64: every input bit reaches every output bit, where a bare XOR skews shares.
-MIX_A = 0xBF58476D1CE4E5B9
-MIX_B = 0x94D049BB133111EB
-NP_MIX_A = np.uint64(MIX_A)
-NP_MIX_B = np.uint64(MIX_B)
-S30, S27, S31, S12 = (np.uint64(n) for n in (30, 27, 31, 12))
+from linnetshift.routing.context import RoutingContext
+from linnetshift.routing.endpoints import Endpoint, EndpointTable
+from linnetshift.routing.events import EndpointState
+from linnetshift.routing.group_affinity import GroupSizeEstimator
+from linnetshift.routing.rendezvous_hashing import MASK, endpoint_hash, rank
+from linnetshift.routing.slow_start import SlowStart, token_rate
+
+# Steps in which warm-up acts on weights: balancers a few milliseconds apart hold the same ranking.
+WARM_UP_STEPS = 8
+NEVER_NS = MASK
+
+
+@dataclass(frozen=True, slots=True)
+class Candidates:
+    """The endpoints that a key is ranked over, by id; the arrays go along with the list."""
+
+    endpoints: list[Endpoint]
+    hashes: npt.NDArray[np.uint64]
+    inverse_weights: npt.NDArray[np.float64]
+    total_capacity: float  # in weights, less what is not warm yet
+    valid_until: int
+
+
+class EndpointRanking:
+    """Ranks endpoints by key and keeps slow start in step with them.
+
+    State: the candidates (made anew after a list update and while an endpoint warms up), the connections that
+    the predecessor process still holds, and how many connections fill an endpoint of weight 1.
+    """
+
+    def __init__(
+        self,
+        context: RoutingContext,
+        endpoints: EndpointTable,
+        slow_start: SlowStart,
+        group_sizes: GroupSizeEstimator,
+    ) -> None:
+        """The candidates are made at the first use."""
+        self._context = context
+        self._endpoints = endpoints
+        self._slow_start = slow_start
+        self._group_sizes = group_sizes
+        self._cached: Candidates | None = None
+        self.predecessor_connections = 0
+        self.connections_per_weight = 0.0  # a standard core, by the loads that were reported; 0 where unknown
+
+    def invalidate(self) -> None:
+        """The list or the settings changed."""
+        self._cached = None
 
+    def candidates(self) -> Candidates:
+        """The listed endpoints as they are to be ranked now."""
+        if self._cached is None or self._context.now >= self._cached.valid_until:
+            self._cached = self._make_candidates()
+        return self._cached
 
-def mix64(x: int) -> int:
-    x = ((x ^ (x >> 30)) * MIX_A) & MASK
-    x = ((x ^ (x >> 27)) * MIX_B) & MASK
-    return x ^ (x >> 31)
+    def ranked(self, key: int) -> Iterator[Endpoint]:
+        """Listed endpoints for a hashed key, best first; the sort is stable over ids, which settles ties."""
+        candidates = self.candidates()
+        listed = candidates.endpoints
+        return (listed[i] for i in rank(key, candidates.hashes, candidates.inverse_weights))
 
+    def _make_candidates(self) -> Candidates:
+        context = self._context
+        listed = [e for e in self._endpoints.values() if e.state != EndpointState.REMOVED]
+        listed.sort(key=lambda endpoint: endpoint.id)
+        factors = [self._stepped_warm_up_factor(endpoint) for endpoint in listed]
+        weights = [endpoint.weight * factor for endpoint, factor in zip(listed, factors, strict=True)]
+        capacities = [self._endpoints.capacity(e) * f for e, f in zip(listed, factors, strict=True)]
+        total_capacity = sum(capacities)
+        self._update_slow_start(listed, capacities, total_capacity)
+        is_any_warming_up = min(factors, default=1.0) < 1.0
+        step_ns = context.settings.warm_up_ns // (2 * WARM_UP_STEPS)
+        return Candidates(
+            endpoints=listed,
+            hashes=np.array([endpoint_hash(endpoint.id) for endpoint in listed], dtype=np.uint64),
+            inverse_weights=1.0 / (self._zone_weights(listed) * np.array(weights)),
+            total_capacity=total_capacity,
+            valid_until=context.now + step_ns if is_any_warming_up else NEVER_NS,
+        )
 
-def endpoint_hash(endpoint: bytes) -> int:
-    return int.from_bytes(blake2b(endpoint, digest_size=8).digest(), "big")
+    def _stepped_warm_up_factor(self, endpoint: Endpoint) -> float:
+        factor = self._endpoints.warm_up_factor(endpoint)
+        return int(factor * WARM_UP_STEPS) / WARM_UP_STEPS or 1 / WARM_UP_STEPS
 
+    def _zone_weights(self, listed: list[Endpoint]) -> npt.NDArray[np.float64]:
+        """Factors of the weights by zone.
 
-def costs(key_hash: int, hashes: npt.NDArray[np.uint64]) -> npt.NDArray[np.float64]:
-    """-log(h) for one key at each endpoint, h strictly inside (0, 1): top 52 bits plus a half."""
-    x = hashes ^ np.uint64((key_hash * 3) & MASK)
-    x ^= x >> S30
-    x *= NP_MIX_A
-    x ^= x >> S27
-    x *= NP_MIX_B
-    x ^= x >> S31
-    result: npt.NDArray[np.float64] = -np.log(((x >> S12).astype(np.float64) + 0.5) * 2.0**-52)
-    return result
+        Where crossing has a price a key has an endpoint in each zone, as far as there are endpoints for all
+        groups.
+        """
+        settings = self._context.settings
+        zone_spread = 1.0
+        if self._endpoints.is_fewer_than_balancers():
+            zone_spread = self._group_sizes.zone_spread([endpoint.zone for endpoint in listed])
+        other_zone_weight = settings.cross_zone_weight**zone_spread
+        return np.array([1.0 if e.zone == settings.zone else other_zone_weight for e in listed])
 
+    def _update_slow_start(self, listed: list[Endpoint], capacities: list[float], total: float) -> None:
+        """Shares by capacity, so that all balancers' parts are the fleet's, wherever the endpoints are."""
+        settings = self._context.settings
+        self._slow_start.shares = {
+            endpoint.id: capacity / total
+            for endpoint, capacity in zip(listed, capacities, strict=True)
+            if endpoint.state == EndpointState.READY and self._endpoints.is_warming_up(endpoint)
+        }
+        own = sum(len(endpoint.established) for endpoint in self._endpoints.values())
+        self._update_connections_per_weight()
+        self._slow_start.tokens_per_s = token_rate(
+            settings,
+            first_arrivals_per_s=self._slow_start.first_arrivals_per_s.decayed(self._context.now),
+            established=self.predecessor_connections + own,
+            capacity=self.connections_per_weight * total / settings.balancers,
+            endpoints=len(listed),
+        )
 
-def in_order(key_hash: int, hashes: npt.NDArray[np.uint64], reciprocal: npt.NDArray[np.float64]) -> list[int]:
-    """Endpoints by their scores for a key, best first; a stable sort, so the order given settles ties."""
-    order: list[int] = np.argsort(costs(key_hash, hashes) * reciprocal, kind="stable").tolist()
-    return order
+    def _update_connections_per_weight(self) -> None:
+        loads = [
+            pending.load_ns_per_s
+            for endpoint in self._endpoints.values()
+            for pending in endpoint.established.values()
+            if pending.load_ns_per_s
+        ]
+        if loads:
+            self.connections_per_weight = 1e9 * len(loads) / sum(loads)
--- /dev/null
+++ b/linnetshift/routing/rendezvous_hashing.py
@@ -0,0 +1,53 @@
+"""Weighted rendezvous hashing: the cost of one key at each of many endpoints, the same at every balancer."""
+
+from __future__ import annotations
+
+from hashlib import blake2b
+
+import numpy as np
+import numpy.typing as npt
+
+MASK = (1 << 64) - 1
+"""Bits of a 64-bit hash."""
+
+# The finalizer of splitmix64: every input bit reaches every output bit, where a bare XOR skews shares.
+MIX_A = 0xBF58476D1CE4E5B9
+MIX_B = 0x94D049BB133111EB
+NP_MIX_A = np.uint64(MIX_A)
+NP_MIX_B = np.uint64(MIX_B)
+SHIFT_A = np.uint64(30)
+SHIFT_B = np.uint64(27)
+SHIFT_C = np.uint64(31)
+MANTISSA_SHIFT = np.uint64(12)  # keeps the top 52 bits, which a float holds exactly
+
+
+def mix64(x: int) -> int:
+    """The finalizer of splitmix64 on one 64-bit integer."""
+    x = ((x ^ (x >> 30)) * MIX_A) & MASK
+    x = ((x ^ (x >> 27)) * MIX_B) & MASK
+    return x ^ (x >> 31)
+
+
+def endpoint_hash(endpoint: bytes) -> int:
+    """64 bits of BLAKE2b of an endpoint's id."""
+    return int.from_bytes(blake2b(endpoint, digest_size=8).digest(), "big")
+
+
+def costs(key_hash: int, hashes: npt.NDArray[np.uint64]) -> npt.NDArray[np.float64]:
+    """-log(h) for one key at each endpoint, h strictly inside (0, 1): top 52 bits plus a half."""
+    x = hashes ^ np.uint64((key_hash * 3) & MASK)
+    x ^= x >> SHIFT_A
+    x *= NP_MIX_A
+    x ^= x >> SHIFT_B
+    x *= NP_MIX_B
+    x ^= x >> SHIFT_C
+    result: npt.NDArray[np.float64] = -np.log(((x >> MANTISSA_SHIFT).astype(np.float64) + 0.5) * 2.0**-52)
+    return result
+
+
+def rank(
+    key_hash: int, hashes: npt.NDArray[np.uint64], inverse_weights: npt.NDArray[np.float64]
+) -> list[int]:
+    """Indices of the endpoints for one key, best first; the sort is stable: the given order settles ties."""
+    order: list[int] = np.argsort(costs(key_hash, hashes) * inverse_weights, kind="stable").tolist()
+    return order
--- /dev/null
+++ b/linnetshift/routing/request_lifecycle.py
@@ -0,0 +1,123 @@
+"""A request from its arrival to its final answer: attempts, waiting, retries, rejection."""
+
+from __future__ import annotations
+
+from linnetshift.routing import retry_policy
+from linnetshift.routing.actions import Fail, Reject, Send
+from linnetshift.routing.concurrency_limit import ConcurrencyLimit
+from linnetshift.routing.context import RoutingContext
+from linnetshift.routing.endpoint_selection import EndpointSelection
+from linnetshift.routing.endpoints import Endpoint
+from linnetshift.routing.events import AttemptEnded, Outcome
+from linnetshift.routing.outlier_detection import OutlierDetection
+from linnetshift.routing.pending_requests import PendingRequest, PendingRequests
+from linnetshift.routing.tick_timer import TickTimer
+
+SETUP_FAILURES = frozenset({Outcome.ERROR, Outcome.TIMEOUT, Outcome.FULL, Outcome.RESET})
+EXTRA_SETUPS = 1000  # the concurrency limit may grow to so many more than there are balancers
+MIN_WAIT_TICKS = 2  # with less time left than that a request is rejected at once
+
+
+class RequestLifecycle:
+    """Sends attempts and gives the one final answer. State: the concurrency limit of its set-ups."""
+
+    def __init__(
+        self,
+        context: RoutingContext,
+        requests: PendingRequests,
+        selection: EndpointSelection,
+        outlier_detection: OutlierDetection,
+        tick_timer: TickTimer,
+    ) -> None:
+        """`requests` holds what this component sees through."""
+        self._context = context
+        self._requests = requests
+        self._selection = selection
+        self._outlier_detection = outlier_detection
+        self._tick_timer = tick_timer
+        self.concurrency_limit = ConcurrencyLimit()
+
+    def place(self, pending: PendingRequest) -> None:
+        """Send the next attempt, wait for a chance or give the final answer."""
+        context = self._context
+        if not retry_policy.may_attempt(pending, context.now, context.settings.connect_timeout_ns):
+            self.reject(pending)
+            return
+        is_mid_flow = pending.is_first_mid_flow_attempt
+        endpoint = None
+        if is_mid_flow or self._requests.setups_in_flight < self.concurrency_limit.limit:
+            endpoint = self._selection.choose(pending, is_mid_flow)
+        if endpoint is None:
+            self._wait(pending)
+        else:
+            self._send(pending, endpoint)
+
+    def retry_waiting(self) -> None:
+        """Place the requests that wait, oldest first; those that must wait on keep their order."""
+        for request_id in self._requests.take_waiting():
+            pending = self._requests.get(request_id)
+            if pending is not None and pending.endpoint is None:
+                self.place(pending)
+
+    def reject(self, pending: PendingRequest) -> None:
+        """Answer that it was not served; with a time to retry after, where a retry is harmless."""
+        now = self._context.now
+        retry_after_ns = self._context.settings.max_retry_after_ns
+        is_harmless = retry_policy.client_may_retry(pending, now + retry_after_ns)
+        self._requests.remove(pending)
+        request_id = pending.request.request_id
+        if is_harmless and pending.deadline > now:
+            self._context.emit(Reject(request_id, retry_after_ns))
+        else:
+            self._context.emit(Fail(request_id))
+
+    def record_setup(self, pending: PendingRequest, elapsed_ns: int, has_failed: bool) -> None:
+        """Adapt the concurrency limit to a set-up that ended."""
+        self.concurrency_limit.record_setup(
+            self._context.now,
+            pending.request_class.latency_objective_ns,
+            elapsed_ns,
+            has_failed,
+            max_limit=float(self._context.settings.balancers + EXTRA_SETUPS),
+        )
+
+    def handle_attempt_ended(self, pending: PendingRequest, endpoint: Endpoint, event: AttemptEnded) -> None:
+        """An attempt or a connection on `endpoint` ended: answer or try again, unless the request is over."""
+        if event.outcome in SETUP_FAILURES and not pending.is_established:
+            self.record_setup(pending, event.elapsed_ns, has_failed=True)
+        if event.closed or pending.is_established:
+            self._requests.remove(pending)
+            return
+        if event.outcome == Outcome.ERROR:
+            is_first = not pending.endpoints_that_erred
+            pending.endpoints_that_erred.append(endpoint)
+            self._outlier_detection.record_error(endpoint, is_first)
+        if retry_policy.is_error_of_request(pending):
+            self._requests.remove(pending)
+            self._context.emit(Fail(event.request_id))
+            return
+        sent_at = self._context.now - event.elapsed_ns
+        retry_policy.record_attempt_end(pending, endpoint, event.outcome, sent_at)
+        self.place(pending)
+
+    def _send(self, pending: PendingRequest, endpoint: Endpoint) -> None:
+        context = self._context
+        timeout_ns = retry_policy.attempt_timeout_ns(
+            pending,
+            remaining_ns=pending.deadline - context.now,
+            connect_timeout_ns=context.settings.connect_timeout_ns,
+            is_congested=self.concurrency_limit.is_congested,
+        )
+        request_id = pending.request.request_id
+        self._requests.begin_attempt(pending, endpoint)
+        self._outlier_detection.begin_half_open_attempt(endpoint, request_id)
+        context.emit(Send(request_id, endpoint.id, timeout_ns))
+
+    def _wait(self, pending: PendingRequest) -> None:
+        """Wait for a chance; where no endpoint may have one, or it would come too late, reject at once."""
+        shortest_ns = max(MIN_WAIT_TICKS * self._context.tick_ns, self._selection.wait_ns())
+        if pending.deadline - self._context.now <= shortest_ns:
+            self.reject(pending)
+            return
+        self._requests.waiting.append(pending.request.request_id)
+        self._tick_timer.start()
--- a/linnetshift/routing/slow_start.py
+++ b/linnetshift/routing/slow_start.py
@@ -1,11 +1,11 @@
-"""Slow start of cold endpoints: how many requests all nodes together may place there, shared without a word.
-
-A fleet's budget at a cold endpoint over its number of nodes is far less than one connection in the time that
-the budget is counted over: nodes that each saved up for a whole one had it when no request came, and cold
-endpoints stood idle beside jammed ones. So a node's budget is counted in requests that *may* go to a cold
-endpoint, and which of those does is a draw by the endpoint's share of the whole fleet. That part of the
-traffic which goes to a endpoint is then the same at every node, however uneven their traffic, and the sums
-are bounded by the nodes' sum.
+"""Slow start: how many requests all balancers together may place at endpoints that warm up.
+
+A fleet's budget at a warming endpoint over its number of balancers is far less than one connection in the
+time that the budget is counted over. Balancers that each saved up for a whole one had it when no request
+came, and warming endpoints were idle beside overloaded ones. So a balancer's budget is counted in requests
+that *may* go to a warming endpoint, and which of those does is a draw by the endpoint's share of the whole
+fleet. That part of the traffic which goes to an endpoint is then the same at every balancer, however uneven
+their traffic, and the sums are bounded without any message between them.
 """
 
 from __future__ import annotations
@@ -15,89 +15,103 @@
 from dataclasses import dataclass, field
 
 from linnetshift.routing.settings import Settings
+from linnetshift.util.decaying_counter import DecayingCounter
 
 # Share of rule 4's budget for placements; the rest is for chance and heavy connections.
-SAFETY = 0.5
-# Endpoints stand about so full where no load is told: a fleet nearer its sum would fail at any fault.
-LOADED = 0.7
-# What may be saved up, in the time that rule 4 counts over: a wave may find all nodes with that much at hand.
-SAVED = 1.0
-RATE_NS = 10_000_000_000  # over which a node measures the rate at which connections come to stand
+BUDGET_SHARE = 0.5
+# Endpoints are about so full where no load is known: a fleet nearer its sum would fail at any fault.
+ASSUMED_LOAD = 0.7
+# What may be saved up, in windows of rule 4: a wave may find all balancers with that much at hand.
+BURST_WINDOWS = 1.0
+ARRIVAL_WINDOW_NS = 10_000_000_000  # over which the rate of first arrivals is measured
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Starts empty, so that a process that is killed and restarted gains nothing by it."""
+    """A token bucket that starts empty: a process that is killed and restarted gains nothing by it."""
 
-    level: float = 0.0
-    at: int = 0
+    level: float = 0.0  # tokens
+    refilled_at: int = 0
 
     def refill(self, rate: float, depth: float, now: int) -> None:
-        self.level = min(depth, self.level + rate * (now - self.at) / 1e9)
-        self.at = now
+        """Add `rate` tokens a second since the last refill, up to `depth`."""
+        self.level = min(depth, self.level + rate * (now - self.refilled_at) / 1e9)
+        self.refilled_at = now
 
-    def take(self, chance: float) -> bool:
-        """Take one; where less than one is there, all of it, and have one with that probability."""
+    def take(self, draw: float) -> bool:
+        """Take a token; less than one is taken whole and counts as one with that probability.
+
+        `draw` is a random number from 0 to 1.
+        """
         taken = min(1.0, self.level)
         self.level -= taken
-        return chance < taken
+        return draw < taken
+
+
+def _arrival_counter() -> DecayingCounter:
+    return DecayingCounter(ARRIVAL_WINDOW_NS)
 
 
 @dataclass(slots=True)
 class SlowStart:
-    """A node's part of what cold endpoints bear."""
+    """A balancer's part of what warming endpoints bear.
 
-    bucket: TokenBucket = field(default_factory=TokenBucket)
-    rate: float = 0.0  # requests a second that may be drawn for
-    shares: dict[bytes, float] = field(default_factory=dict)  # of these, by cold endpoint
-    fresh: float = 0.0  # connections a second that came to stand, as first arrivals
-    fresh_at: int = 0
+    State: the tokens, the rate at which they come, the warming endpoints' shares and the rate of first
+    arrivals.
+    """
 
-    def stands(self, now: int) -> None:
-        """Only first arrivals count: a returning wave or a storm of retries says nothing of capacity."""
-        self.fresh, self.fresh_at = self.fresh_rate(now) + 1e9 / RATE_NS, now
+    token_bucket: TokenBucket = field(default_factory=TokenBucket)
+    tokens_per_s: float = 0.0
+    shares: dict[bytes, float] = field(default_factory=dict)  # of the tokens, by warming endpoint
+    first_arrivals_per_s: DecayingCounter = field(default_factory=_arrival_counter)
 
-    def fresh_rate(self, now: int) -> float:
-        return self.fresh * max(0.0, 1.0 - (now - self.fresh_at) / RATE_NS)
+    def record_established(self, now: int) -> None:
+        """Count a first arrival; a returning wave or a storm of retries says nothing of capacity."""
+        self.first_arrivals_per_s.add(now, 1e9 / ARRIVAL_WINDOW_NS)
 
     def draw(self, now: int, window_ns: int, random: Callable[[], float]) -> bytes | None:
-        """The cold endpoint that one more request goes to, if any."""
+        """The warming endpoint that one more request goes to, if any."""
         if not self.shares:
-            self.bucket = TokenBucket(at=now)  # nothing is saved up for when the first one starts
+            self.token_bucket = TokenBucket(refilled_at=now)  # nothing is saved up for when the first starts
             return None
-        self.bucket.refill(self.rate, self.rate * window_ns / 1e9 * SAVED, now)
-        if not self.bucket.take(random()):
+        depth = self.tokens_per_s * window_ns / 1e9 * BURST_WINDOWS
+        self.token_bucket.refill(self.tokens_per_s, depth, now)
+        if not self.token_bucket.take(random()):
             return None
-        at = random()
-        for endpoint, part in self.shares.items():
-            at -= part
-            if at < 0.0:
+        position = random()
+        for endpoint, share in self.shares.items():
+            position -= share
+            if position < 0.0:
                 return endpoint
         return None
 
-    def wait_ns(self, endpoints: Collection[bytes], ahead: int) -> float:
-        """How long until one more than those `ahead` is drawn for one of these."""
-        rate = self.rate * sum(self.shares.get(endpoint, 0.0) for endpoint in endpoints)
-        owed = max(0.0, ahead + 1 - self.bucket.level)
-        return owed / rate * 1e9 if rate > 0.0 else math.inf
+    def wait_ns(self, endpoints: Collection[bytes], requests_ahead: int) -> float:
+        """How long until a request behind so many others gets a token for one of these endpoints."""
+        rate = self.tokens_per_s * sum(self.shares.get(endpoint, 0.0) for endpoint in endpoints)
+        missing = max(0.0, requests_ahead + 1 - self.token_bucket.level)
+        return missing / rate * 1e9 if rate > 0.0 else math.inf
 
 
-def pace(settings: Settings, fresh: float, standing: int, told: float, endpoints: int) -> float:
-    """How many requests a second one node may draw for cold endpoints.
-
-    What fills the fleet, over the warm-up, fills a cold endpoint in that time. A node's part is `told`, by
-    the loads that it was told, else by what stands through it; `fresh`, its first arrivals a second, may be
-    more. Where nothing is known yet, as if all nodes sent each endpoint one in the time that rule 4 counts
-    over.
-    """
-    fill = (max(standing, told) if told else standing / LOADED) * 1e9 / settings.warm_up_ns
-    least = endpoints * 1e9 / (settings.tip_after_ns or settings.warm_up_ns) / settings.balancers
-    return SAFETY * max(max(fresh, fill) * settings.fall_multiple, least)
-
+def token_rate(
+    settings: Settings, first_arrivals_per_s: float, established: int, capacity: float, endpoints: int
+) -> float:
+    """How many requests a second one balancer may draw for warming endpoints.
 
-def warmth(settings: Settings, started: int, now: int) -> float:
-    """The share of its capacity that an endpoint which started then surely has by now; 0: it has long been
-    up.
+    What fills the fleet, over the warm-up, fills a warming endpoint in that time. A balancer's part is
+    `capacity`, connections by the loads that were reported, else what is established through it; its first
+    arrivals may be more. Where nothing is known yet, as if all balancers sent each endpoint one connection in
+    the time that rule 4 counts over.
     """
-    age = (now - started) / settings.warm_up_ns if started else 1.0
-    return 1.0 if age >= 1.0 else settings.cold_from + (1.0 - settings.cold_from) * max(age, 0.0)
+    connections = max(established, capacity) if capacity else established / ASSUMED_LOAD
+    fill_per_s = connections * 1e9 / settings.warm_up_ns
+    window_ns = settings.tip_after_ns or settings.warm_up_ns
+    least = endpoints * 1e9 / window_ns / settings.balancers
+    return BUDGET_SHARE * max(max(first_arrivals_per_s, fill_per_s) * settings.fall_multiple, least)
+
+
+def warm_up_factor(settings: Settings, started_at: int, now: int) -> float:
+    """The share of its capacity that an endpoint surely has; `started_at` 0: it has long been up."""
+    age = (now - started_at) / settings.warm_up_ns if started_at else 1.0
+    if age >= 1.0:
+        return 1.0
+    return settings.cold_from + (1.0 - settings.cold_from) * max(age, 0.0)
--- /dev/null
+++ b/linnetshift/util/__init__.py
@@ -0,0 +1,1 @@
+"""Small state machines that several packages use."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -99,7 +99,7 @@
 def balancer(endpoints: int = 8, seed: int = 1, window: float = 1e9, **changes: Any) -> Balancer:
     """A node that knows `addresses` endpoints; a wide window lets tests place many requests at one moment."""
     made = Balancer(Settings.parse(raw_settings(**changes)), seed)
-    made.window.size = window
+    made.lifecycle.concurrency_limit.limit = window
     made.step(1 * S, [listed(*(entry(n) for n in range(endpoints)))])
     return made
 
--- a/tests/test_aims.py
+++ b/tests/test_aims.py
@@ -51,7 +51,7 @@
         for move in only(node.step((3 + turn) * S, [ConnectionNote(1, 0, home, SLOW_NOTE, 30.0)]), Migrate):
             moved.add(move.request_id)
     assert moved and all(number % 10 == 0 for number in moved)
-    assert node.shedding.admit == 1.0
+    assert node.admission.load_shedding.admitted_share == 1.0
     assert endpoint(0) in node.endpoints
 
 
@@ -66,4 +66,4 @@
         for _ in range(3):
             notes = [ConnectionNote(number, 0, where, SLOW_NOTE, ms) for where, number in numbers.items()]
             node.step(node.now + S, list(notes))
-        assert (node.shedding.admit == 1.0) is admits
+        assert (node.admission.load_shedding.admitted_share == 1.0) is admits
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,6 +15,7 @@
     Outcome,
     TimerFired,
 )
+from linnetshift.routing.pending_requests import key_hash
 from linnetshift.routing.settings import Settings
 
 
@@ -51,9 +52,9 @@
     node.step(2 * S, [listed(entry(1, state=EndpointState.REMOVED), form=ListForm.DELTA)])
     assert endpoint(1) not in ready(node)
     node.step(3 * S, [listed(entry(1, started_ns=3 * S), form=ListForm.DELTA)])
-    assert endpoint(1) in ready(node) and node.warmth(node.endpoints[endpoint(1)]) == 0.25
+    assert endpoint(1) in ready(node) and node.endpoints.warm_up_factor(node.endpoints[endpoint(1)]) == 0.25
     node.step(20 * S, [])
-    assert node.warmth(node.endpoints[endpoint(1)]) == 1.0
+    assert node.endpoints.warm_up_factor(node.endpoints[endpoint(1)]) == 1.0
 
 
 def test_endpoints_that_are_gone_leave_nothing_behind() -> None:
@@ -99,7 +100,7 @@
 def test_mid_flow_packets_seek_a_draining_holder_only_within_the_grace() -> None:
     node = balancer(6)
     packet = request(1, group=5, flags=MID_FLOW)
-    holder = next(node.ranking(node.key_hash(packet)))
+    holder = next(node.ranking.ranked(key_hash(packet)))
     drained = EndpointEntry(holder.id, 0, 0, 0, EndpointState.DRAINING, 1.0, 0)
     node.step(2 * S, [listed(drained, form=ListForm.DELTA)])
     (send,) = only(node.step(2 * S + 100 * MS, [packet]), Send)
@@ -113,7 +114,7 @@
 def test_the_grace_is_not_renewed_by_further_words_of_the_same_drain() -> None:
     node = balancer(6)
     packet = request(1, group=5, flags=MID_FLOW)
-    holder = next(node.ranking(node.key_hash(packet)))
+    holder = next(node.ranking.ranked(key_hash(packet)))
     drained = EndpointEntry(holder.id, 0, 0, 0, EndpointState.DRAINING, 1.0, 0)
     for ms in (0, 200, 400, 600):
         node.step(2 * S + ms * MS, [listed(drained, form=ListForm.DELTA)])
@@ -147,8 +148,8 @@
     node = balancer(3)
     (first,) = only(node.step(2 * S, [request(1, key=5)]), Send)
     node.step(2 * S, [ended(first, 0, Outcome.CONNECT_FAILED)])
-    assert node.passed_over(node.endpoints[first.endpoint], node.rules[0])
+    assert node.selection.is_avoided(node.endpoints[first.endpoint], node.settings.classes[0])
     back = node.endpoints[first.endpoint]
     again = EndpointEntry(back.id, back.zone, 0, back.cell, EndpointState.READY, 1.0, 2 * S)
     node.step(2 * S + MS, [listed(again, form=ListForm.DELTA)])
-    assert not node.passed_over(back, node.rules[0])
+    assert not node.selection.is_avoided(back, node.settings.classes[0])
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -9,9 +9,10 @@
 from linnetshift.broker.administrative_drains import LEAVE_NS
 from linnetshift.lifecycle.graceful_shutdown import kill_after
 from linnetshift.routing.actions import Migrate, Send
-from linnetshift.routing.balancer import TICK_TOKEN, Balancer
+from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import ConnectionEstablished, EndpointState, ListForm, TimerFired
 from linnetshift.routing.settings import Settings
+from linnetshift.routing.tick_timer import TICK_TOKEN
 
 STANDING = 40
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,13 +20,14 @@
     Outcome,
     Request,
 )
+from linnetshift.routing.pending_requests import key_hash
 
 ENDPOINTS = tuple(entry(n) for n in range(8))
 PROBING = {"probing": True}
 
 
 def standing_at(fleet: Fleet, where: bytes) -> int:
-    return sum(len(node.endpoints[where].standing) for node in fleet.nodes)
+    return sum(len(node.endpoints[where].established) for node in fleet.nodes)
 
 
 @pytest.mark.parametrize("nodes", [2, 40])
@@ -65,20 +66,20 @@
     fleet.run(fleet.now + 100 * MS)
     for _ in range(3):
         fleet.run(fleet.now + 1 * S)
-        for where in [h for h in node.endpoints.values() if h.standing]:
-            fleet.tell(0, note(fleet, 0, next(iter(where.standing)), where.id, 90.0))
-    assert (node.shedding.admit == 1.0) is served
+        for where in [h for h in node.endpoints.values() if h.established]:
+            fleet.tell(0, note(fleet, 0, next(iter(where.established)), where.id, 90.0))
+    assert (node.admission.load_shedding.admitted_share == 1.0) is served
 
 
 def placed(fleet: Fleet, key: int, number: int = 0) -> bytes:
     """Where the key's connection goes by that node's ranking alone."""
     node = fleet.nodes[number]
-    return next(iter(node.ranking(node.key_hash(Request(0, 0, 0, key, 0, 0, 0, 0))))).id
+    return next(iter(node.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0))))).id
 
 
 def placed_in_order(fleet: Fleet, key: int) -> list[bytes]:
     node = fleet.nodes[0]
-    return [one.id for one in node.ranking(node.key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))]
+    return [one.id for one in node.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))]
 
 
 @pytest.mark.parametrize("ms, least, most", [(90.0, 8, 15), (1500.0, 29, 35)])
@@ -125,7 +126,7 @@
     for n, node in enumerate(fleet.nodes):
         node.configure(replace(node.settings, zone=n % 3))
         for _ in range(64):  # groups are large here: with small ones the places would cost more than crossing
-            node.groups.meet(1)
+            node.group_sizes.record_client(1)
     for n in range(240):
         fleet.ask(n % nodes, key=n + 1, group=n // 6 + 1)
         fleet.run(fleet.now + 5 * MS)
@@ -156,7 +157,7 @@
     if dropped:
         for node in fleet.nodes:
             for _ in range(8):
-                node.returns.dropped(fleet.now)
+                node.returning_clients.record_drop(fleet.now)
     for n in range(200):
         fleet.ask(n % nodes, key=n + 1, group=key, flags=flags)
         fleet.run(fleet.now + 5 * MS)
@@ -172,9 +173,11 @@
     (send,) = only(node.step(2 * S, [request(1)]), Send)
     node.step(2 * S, [ConnectionEstablished(1, 0, send.endpoint, MS)])
     node.step(2 * S, [ended(send, 0, Outcome.RESET, closed=True)])
-    assert node.returns.came(2 * S) == pytest.approx(0.3)
-    assert node.returns.came(2 * S) == pytest.approx(0.15)  # the other came for another reason
-    assert node.returns.came(30 * S) == 0.0
+    assert node.returning_clients.record_return(2 * S) == pytest.approx(0.3)
+    assert node.returning_clients.record_return(2 * S) == pytest.approx(
+        0.15
+    )  # the other came for another reason
+    assert node.returning_clients.record_return(30 * S) == 0.0
 
 
 COLD = tuple(one._replace(started_ns=900 * MS) for one in ENDPOINTS)
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -10,18 +10,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linnetshift.routing.group_affinity import MET, PRIOR_ALIKE, PRIOR_PAIRS, GroupSizes
+from linnetshift.routing.group_affinity import PRIOR_EQUAL_PAIRS, PRIOR_PAIRS, SAMPLE_SIZE, GroupSizeEstimator
 
 
-@given(st.lists(st.integers(0, 5), max_size=3 * MET))
+@given(st.lists(st.integers(0, 5), max_size=3 * SAMPLE_SIZE))
 def test_the_likeness_is_that_of_the_clients_that_came_last(groups: list[int]) -> None:
-    sizes = GroupSizes()
+    sizes = GroupSizeEstimator()
     for group in groups:
-        sizes.meet(group)
-    last = [group for group in groups if group][-MET:]
+        sizes.record_client(group)
+    last = [group for group in groups if group][-SAMPLE_SIZE:]
     alike = sum(a == b for n, a in enumerate(last) for b in last[:n])
     pairs = len(last) * (len(last) - 1) / 2
-    assert sizes.likeness() == pytest.approx((alike + PRIOR_ALIKE) / (pairs + PRIOR_PAIRS))
+    assert sizes.same_group_probability() == pytest.approx(
+        (alike + PRIOR_EQUAL_PAIRS) / (pairs + PRIOR_PAIRS)
+    )
     assert sum(sizes.counts.values()) == len(last)
 
 
@@ -31,7 +33,7 @@
     fleet, draws = Fleet(nodes, endpoints, fees={"crossZone": 0.1}, perZone=True), random.Random(groups)
     for node in fleet.nodes:  # what it met before
         for _ in range(30):
-            node.groups.meet(draws.randrange(groups) + 1)
+            node.group_sizes.record_client(draws.randrange(groups) + 1)
         node.step(fleet.now, [listed(*endpoints)])
     stands: dict[int, set[bytes]] = {}
     for n in range(600):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -124,7 +124,7 @@
     old, new, latency_estimator = balancer(endpoints=3), balancer(endpoints=3, seed=2), LatencyEstimator()
     (sent,) = only(old.step(2 * S, [request(1)]), Send)
     old.step(2 * S, [ended(sent, 0, Outcome.FULL, closed=True)])
-    old.shedding.admit = 0.5
+    old.admission.load_shedding.admitted_share = 0.5
     latency_estimator.shed_at[sent.endpoint] = 2 * S
     told = json.loads(json.dumps(export_state(old, latency_estimator)))
     told["hosts"]["00"] = {}
@@ -132,8 +132,12 @@
     later = LatencyEstimator()
 
     import_state(new, later, told)
-    assert (new.shedding.admit, new.window.size, later.shed_at) == (0.5, 1e9, latency_estimator.shed_at)
-    new.shedding.admit = 1.0
+    assert (
+        new.admission.load_shedding.admitted_share,
+        new.lifecycle.concurrency_limit.limit,
+        later.shed_at,
+    ) == (0.5, 1e9, latency_estimator.shed_at)
+    new.admission.load_shedding.admitted_share = 1.0
     (again,) = only(new.step(2 * S + 1, [request(1)]), Send)
     assert again.endpoint != sent.endpoint
 
--- a/tests/test_kinds_of_site.py
+++ b/tests/test_kinds_of_site.py
@@ -11,7 +11,7 @@
 from linnetshift.broker.latency_estimator import LatencyEstimator
 from linnetshift.broker.snapshot import export_state, import_state
 from linnetshift.routing.actions import HealthCheck, Migrate, Send
-from linnetshift.routing.balancer import TICK_TOKEN, Balancer
+from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import (
     SLOW_NOTE,
     ConnectionEstablished,
@@ -20,12 +20,14 @@
     Outcome,
     TimerFired,
 )
+from linnetshift.routing.pending_requests import key_hash
 from linnetshift.routing.settings import CROSS_ZONE_COST_SCALE, Settings
+from linnetshift.routing.tick_timer import TICK_TOKEN
 
 
 def homes(node: Balancer) -> float:
     """The share of keys whose first endpoint is in another zone."""
-    firsts = [next(iter(node.ranking(node.key_hash(request(n))))) for n in range(2000)]
+    firsts = [next(iter(node.ranking.ranked(key_hash(request(n))))) for n in range(2000)]
     return sum(h.zone != node.settings.zone for h in firsts) / len(firsts)
 
 
@@ -44,7 +46,10 @@
     for n in range(1, connections + 1):
         for send in only(node.step(2 * S + n * MS, [request(n, group=1 + n % groups)]), Send):
             node.step(2 * S + n * MS, [ConnectionEstablished(n, 0, send.endpoint, MS)])
-    return {g: {h.id for h in node.endpoints.values() if g in h.groups} for g in range(1, groups + 1)}
+    return {
+        g: {h.id for h in node.endpoints.values() if g in h.established_by_group}
+        for g in range(1, groups + 1)
+    }
 
 
 @pytest.mark.parametrize("source", ["nominal", "live"])
@@ -81,26 +86,26 @@
     node = balancer(1)
     crowd(node, 6, 2)
     (held,) = node.endpoints.values()
-    assert held.groups == {1: 3, 2: 3}
+    assert held.established_by_group == {1: 3, 2: 3}
     if end == "ended":
         for n in range(1, 7):
             node.step(4 * S, [ended(Send(n, held.id, 0), 0, Outcome.OK, closed=True)])
     elif end == "moved":
-        for item in list(held.standing.values()):
-            node.move(item, held)
+        for item in list(held.established.values()):
+            node.migration.migrate(item, held)
     else:
         node.step(4 * S, [listed()])
         for n in range(1, 7):
             node.step(5 * S, [ended(Send(n, held.id, 0), 0, Outcome.RESET, closed=True)])
-    assert not held.groups and not held.standing
+    assert not held.established_by_group and not held.established
 
 
 def test_an_endpoint_that_errs_on_all_is_passed_over_though_nobody_else_can_serve_yet() -> None:
     # Errors counted only once another endpoint had served the request: while others were cold it came first.
     node = balancer(2)
-    bad = next(iter(node.ranking(node.key_hash(request(1, key=5))))).id
+    bad = next(iter(node.ranking.ranked(key_hash(request(1, key=5))))).id
     node.step(2 * S, [listed(entry(0, started_ns=2 * S), entry(1, started_ns=2 * S))])
-    node.endpoints[bad].started = 0
+    node.endpoints[bad].started_at = 0
     tried = 0
     for number in range(1, 12):
         actions = node.step(node.now + MS, [request(number, key=5)])
@@ -125,13 +130,13 @@
     for number, then in ((1, "serves"), (2, "restarts")):
         (send,) = only(node.step(node.now + S, [request(number)]), Send)
         node.step(node.now, [ended(send, 0, Outcome.ERROR)])
-        assert node.endpoints[endpoint(0)].faults == 1
+        assert node.endpoints[endpoint(0)].consecutive_errors == 1
         if then == "serves":
             (again,) = only(node.step(node.now + S, [request(9)]), Send)
             node.step(node.now, [ConnectionEstablished(9, 0, again.endpoint, MS)])
         else:
             node.step(node.now, [listed(entry(0, started_ns=node.now))])
-        assert node.endpoints[endpoint(0)].faults == 0
+        assert node.endpoints[endpoint(0)].consecutive_errors == 0
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 5, 40])
@@ -145,7 +150,7 @@
         served += len(only(actions, Send))
         for send in only(actions, Send):
             node.step(node.now, [ended(send, 0, Outcome.FULL, closed=True)])
-            cold.avoid_until = 0
+            cold.ejected_until = 0
     # All nodes together one in the time in which it may fall over, less what is kept back: 40 are meant.
     assert 25 <= served <= 55
 
@@ -155,15 +160,15 @@
     node = balancer(0, weightSource=source)
     node.step(2 * S, [listed(entry(1, weight=4.0), entry(2, weight=4.0))])
     node.step(3 * S, [listed(entry(1, weight=0.3), entry(2, weight=0.3))])
-    assert node.size(node.endpoints[endpoint(1)]) == size
-    assert node.candidates()[3] == 2 * size
+    assert node.endpoints.capacity(node.endpoints[endpoint(1)]) == size
+    assert node.ranking.candidates().total_capacity == 2 * size
 
 
 def test_what_fills_an_endpoint_is_passed_on_to_the_next_process() -> None:
     old, new = balancer(2), balancer(2)
-    old.each_fill = 11.5
+    old.ranking.connections_per_weight = 11.5
     import_state(new, LatencyEstimator(), export_state(old, LatencyEstimator()))
-    assert new.each_fill == 11.5
+    assert new.ranking.connections_per_weight == 11.5
 
 
 def test_cold_endpoints_that_are_late_do_not_shed_what_warm_ones_bear() -> None:
@@ -174,11 +179,11 @@
     late = [ConnectionNote(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5)]
     node.step(5 * S, late)
     node.step(6 * S + MS, late)
-    assert node.shedding.admit == 1.0
+    assert node.admission.load_shedding.admitted_share == 1.0
     warm = [ConnectionNote(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5, 8)]
     node.step(7 * S + 2 * MS, late + warm)
     node.step(8 * S + 3 * MS, late + warm)
-    assert node.shedding.admit < 1.0
+    assert node.admission.load_shedding.admitted_share < 1.0
 
 
 OPTIONAL = (
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -8,12 +8,12 @@
 from linnetshift.routing.actions import Send
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import EndpointState, ListForm
-from linnetshift.routing.ranking import MASK, costs, mix64
+from linnetshift.routing.rendezvous_hashing import MASK, costs, mix64
 from linnetshift.routing.settings import Settings
 
 
 def first_endpoints(node: Balancer, keys: range) -> dict[int, bytes]:
-    return {key: next(node.ranking(mix64(key))).id for key in keys}
+    return {key: next(node.ranking.ranked(mix64(key))).id for key in keys}
 
 
 def test_shares_follow_listed_weights() -> None:
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -15,7 +15,7 @@
     SendPeerMessage,
     SetTimer,
 )
-from linnetshift.routing.balancer import TICK_TOKEN, Balancer
+from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import (
     LOAD_NOTE,
     SLOW_NOTE,
@@ -31,11 +31,13 @@
     RequestWithdrawn,
     TimerFired,
 )
+from linnetshift.routing.pending_requests import key_hash
+from linnetshift.routing.tick_timer import TICK_TOKEN
 
 
 def test_full_and_failed_connects_go_to_the_next_rank() -> None:
     node = balancer(8)
-    ranks = [h.id for h in node.ranking(node.key_hash(request(1)))]
+    ranks = [h.id for h in node.ranking.ranked(key_hash(request(1)))]
     (first,) = node.step(2 * S, [request(1)])
     (second,) = only(node.step(2 * S + MS, [ended(first, 0, Outcome.FULL)]), Send)
     (third,) = only(node.step(2 * S + 2 * MS, [ended(second, 1, Outcome.CONNECT_FAILED)]), Send)
@@ -87,7 +89,7 @@
         sends += 1
         now += MS
         actions = node.step(now, [ended(send, sends - 1, Outcome.CONNECT_FAILED, MS)])
-    assert sends == 4 and len(only(actions, Reject)) == 1 and not node.pending
+    assert sends == 4 and len(only(actions, Reject)) == 1 and not node.requests
 
 
 @pytest.mark.parametrize("endpoints", [0, 1])
@@ -102,7 +104,7 @@
         now += timer.delay_ns
         assert now < 4 * S
         actions = node.step(now, [TimerFired(timer.token)])
-    assert not only(actions, Send) and not node.pending
+    assert not only(actions, Send) and not node.requests
 
 
 def test_when_every_endpoint_is_silent_the_plain_ranking_decides() -> None:
@@ -117,7 +119,7 @@
             if not sends:
                 break
             (send,), attempt = sends, attempt + 1
-    best = next(node.ranking(node.key_hash(request(9)))).id
+    best = next(node.ranking.ranked(key_hash(request(9)))).id
     sends = only(node.step(now + MS, [request(9)]), Send)
     assert [s.endpoint for s in sends] == [best]
 
@@ -155,7 +157,7 @@
     assert node.step(2 * S + 2 * MS, [ended(send, 0, Outcome.RESET), ended(send, 3, Outcome.OK)]) == []
     assert node.step(2 * S + 3 * MS, [ConnectionEstablished(1, 0, send.endpoint, 1), TimerFired(12345)]) == []
     assert node.step(2 * S + 4 * MS, [ConnectionNote(1, 0, endpoint(200), SLOW_NOTE, 1e9)]) == []
-    assert not node.pending and all(not h.open and not h.standing for h in node.endpoints.values())
+    assert not node.requests and all(not h.in_flight and not h.established for h in node.endpoints.values())
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -5.0])
@@ -178,9 +180,9 @@
             AdoptedConnection(8, 0, 1, 2, 0, 0, 0, endpoint(99)),
         ],
     )
-    assert len(node.endpoints[endpoint(1)].standing) == 1 and list(node.pending) == [7]
+    assert len(node.endpoints[endpoint(1)].established) == 1 and list(node.requests) == [7]
     node.step(3 * S, [AttemptEnded(7, 0, endpoint(1), True, S, Outcome.OK, ())])
-    assert not node.pending and not node.endpoints[endpoint(1)].standing
+    assert not node.requests and not node.endpoints[endpoint(1)].established
 
 
 def test_set_ups_out_at_once_stay_within_a_window_that_success_widens() -> None:
@@ -208,7 +210,7 @@
     assert 1 <= len(sends) <= 8
     assert all(send.timeout_ns == 2 * S for send in sends)  # else the store works for nobody
     node.step(now + 2 * S, [ConnectionEstablished(s.request_id, 0, s.endpoint, S) for s in sends])
-    assert node.window.size <= 8 and node.setting_up == 0
+    assert node.lifecycle.concurrency_limit.limit <= 8 and node.requests.setups_in_flight == 0
 
 
 def crowd(node: object, connections: int) -> list[ConnectionEstablished]:
@@ -223,7 +225,7 @@
     node = balancer(4)
     stands = crowd(node, 200)
     hot = stands[0].endpoint
-    own = len(node.endpoints[hot].standing)
+    own = len(node.endpoints[hot].established)
     moves = only(node.step(3 * S, [ConnectionNote(stands[0].request_id, 0, hot, SLOW_NOTE, 45.0)]), Migrate)
     assert 0 < len(moves) <= own * 0.05 + 1
     alone = balancer(1)
@@ -283,7 +285,7 @@
 
 def test_the_key_s_endpoint_is_probed_and_a_loaded_one_passed_over() -> None:
     node = probing()
-    ranks = [h.id for h in node.ranking(node.key_hash(request(1)))]
+    ranks = [h.id for h in node.ranking.ranked(key_hash(request(1)))]
     (check_health,) = only(node.step(2 * S, [request(1)]), HealthCheck)
     assert check_health.endpoint == ranks[0]
     (check_health,) = only(
@@ -333,7 +335,7 @@
     node = peers()
     stands = crowd(node, 200)
     hung = stands[0].endpoint
-    own = len(node.endpoints[hung].standing)
+    own = len(node.endpoints[hung].established)
     assert not only(node.step(3 * S, [PeerMessage(1, b"s" + hung)]), Migrate)
     assert not only(node.step(3 * S + MS, [PeerMessage(1, b"s" + hung)]), Migrate)
     late = request(900, group=stands[0].request_id + 1)
@@ -365,20 +367,20 @@
         (2, b"s" + other[:4]),
     ):
         node.step(2 * S + 2 * MS, [PeerMessage(sender, data)])
-    assert not node.endpoints[other].voices and not node.hung
+    assert not node.endpoints[other].unresponsive_reports and not len(node.migration)
 
 
 def test_admitted_connections_leave_a_late_endpoint_once_others_are_well() -> None:
     node = balancer(10)
     stands = crowd(node, 300)
-    node.shedding.admit = 0.5  # still shedding after a jam
+    node.admission.load_shedding.admitted_share = 0.5  # still shedding after a jam
     hot = stands[0].endpoint
     for _ in range(40):  # first it lets go of what is not admitted, then of the rest
         node.step(node.now + S, [ConnectionNote(stands[0].request_id, 0, hot, SLOW_NOTE, 500.0)])
-        if not node.endpoints[hot].standing:
+        if not node.endpoints[hot].established:
             break
-        if all(node.admitted(item) for item in node.endpoints[hot].standing.values()):
-            before = len(node.endpoints[hot].standing)
+        if all(node.admission.admits(item.request) for item in node.endpoints[hot].established.values()):
+            before = len(node.endpoints[hot].established)
             moves = only(node.step(node.now + S, [ConnectionNote(0, 0, hot, SLOW_NOTE, 60.0)]), Migrate)
             assert moves and len(moves) <= before * 0.15 + 1
             return
@@ -411,8 +413,8 @@
     node = balancer(2)
     (first,) = node.step(2 * S, [request(1)])
     other = next(h for h in node.endpoints.values() if h.id != first.endpoint)
-    other.hot_until = 3 * S
+    other.over_objective_until = 3 * S
     assert not only(node.step(2 * S, [ended(first, 0, Outcome.ERROR)]), Send)
-    other.hot_until = 0
+    other.over_objective_until = 0
     (second,) = only(node.step(2 * S + 50 * MS, [TimerFired(TICK_TOKEN)]), Send)
     assert second.endpoint == other.id
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -240,9 +240,9 @@
                     world.feed([ended])
     world.advance(world.now + 5 * S)
     assert not world.owed
-    assert set(world.node.pending) == set(world.standing)
-    assert sum(h.open for h in world.node.endpoints.values()) == len(world.standing)
-    assert len(world.node.held) == 0
+    assert set(world.node.requests) == set(world.standing)
+    assert sum(h.in_flight for h in world.node.endpoints.values()) == len(world.standing)
+    assert len(world.node.requests.waiting) == 0
 
 
 def check_effect(seed: int, failing: float, steps: list[tuple[Any, ...]], changes: dict[str, Any]) -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from linnetshift.routing.actions import Reject
-from linnetshift.routing.concurrency_limit import LEAST, START, Window
+from linnetshift.routing.concurrency_limit import INITIAL_LIMIT, MIN_LIMIT, ConcurrencyLimit
 from linnetshift.routing.slow_start import SlowStart, TokenBucket
 
 
@@ -63,7 +63,7 @@
 def test_a_draw_falls_on_an_endpoint_by_its_share_or_on_none() -> None:
     made = SlowStart(TokenBucket(9.0, 0), 1.0, {b"a": 0.2, b"b": 0.3})
     draws = [made.draw(0, 9 * S, iter([0.0, at]).__next__) for at in (0.0, 0.19, 0.21, 0.49, 0.51, 0.99)]
-    assert draws == [b"a", b"a", b"b", b"b", None, None] and made.bucket.level == 3.0
+    assert draws == [b"a", b"a", b"b", b"b", None, None] and made.token_bucket.level == 3.0
 
 
 def replaced(nodes: int, uneven: bool, restarts: bool, seed: int) -> tuple[int, float, float]:
@@ -152,9 +152,9 @@
     node = balancer(0, balancers=nodes)
     node.step(100 * S, [listed(entry(1, started_ns=100 * S), entry(2, started_ns=0 if warm else 100 * S))])
     if warm:
-        node.endpoints[endpoint(2)].avoid_until = 150 * S
-        node.endpoints[endpoint(2)].overload = True
-    node.slow_start.bucket.at = 100 * S
+        node.endpoints[endpoint(2)].ejected_until = 150 * S
+        node.endpoints[endpoint(2)].is_overloaded = True
+    node.slow_start.token_bucket.refilled_at = 100 * S
     refusals = only(node.step(100 * S + MS, [request(1, budget_ns=left_ns)]), Reject)
     assert bool(refusals) is not held
     assert all(refusal.retry_after_ns > 0 for refusal in refusals)
@@ -166,13 +166,13 @@
 
 def test_windows_of_nodes_that_share_a_store_come_together() -> None:
     # One starts wide and one narrow; the store bears 20 at once, beyond that all set-ups are slow.
-    windows = [Window(), Window()]
-    windows[0].size = 60.0
+    windows = [ConcurrencyLimit(), ConcurrencyLimit()]
+    windows[0].limit = 60.0
     for turn in range(400):
-        slow = sum(window.size for window in windows) > 20.0
+        slow = sum(window.limit for window in windows) > 20.0
         for window in windows:
             for _ in range(8):
-                window.count(turn * S, S, 2 * S if slow else S // 4, False, 1000.0)
-    assert all(LEAST <= window.size <= 30.0 for window in windows)
-    assert windows[0].size < 2.5 * windows[1].size
-    assert Window().size == START
+                window.record_setup(turn * S, S, 2 * S if slow else S // 4, False, 1000.0)
+    assert all(MIN_LIMIT <= window.limit <= 30.0 for window in windows)
+    assert windows[0].limit < 2.5 * windows[1].limit
+    assert ConcurrencyLimit().limit == INITIAL_LIMIT
