--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -107,12 +107,8 @@
     def _dispatch(self, event: Event) -> None:
         """Hand one event to the method for its type."""
         match event:
-            case EndpointList():
-                self._handle_endpoint_list(event)
             case Request():
                 self._handle_request(event)
-            case AdoptedConnection():
-                self._handle_adopted_connection(event)
             case ConnectionEstablished():
                 self._handle_established(event)
             case ConnectionNote():
@@ -121,12 +117,22 @@
                 self._handle_attempt_ended(event)
             case RequestWithdrawn():
                 self._handle_withdrawn(event)
-            case TimerFired():
-                self._handle_timer_fired(event)
+            case AdoptedConnection():
+                self._handle_adopted_connection(event)
+            case _:
+                self._dispatch_other(event)
+
+    def _dispatch_other(self, event: EndpointList | HealthCheckResult | PeerMessage | TimerFired) -> None:
+        """The same for events that belong to no request."""
+        match event:
+            case EndpointList():
+                self._handle_endpoint_list(event)
             case HealthCheckResult():
                 self._handle_health_check_result(event)
             case PeerMessage():
                 self._handle_peer_message(event)
+            case TimerFired():
+                self._handle_timer_fired(event)
 
     def _handle_endpoint_list(self, event: EndpointList) -> None:
         if event.form == ListForm.FAILED:
@@ -216,8 +222,8 @@
             return
         share = self.health_checks.handle_result(endpoint, event)
         if share:
-            is_late = self.now < endpoint.majority_late_until
-            self.migration.migrate_excess(endpoint, is_late, lambda objective_ns: share)
+            misses_objectives = self.now < endpoint.majority_over_objective_until
+            self.migration.migrate_excess(endpoint, misses_objectives, lambda _: share)
         self.lifecycle.retry_waiting()
 
     def _handle_peer_message(self, event: PeerMessage) -> None:
--- a/linnetshift/routing/discovery_poller.py
+++ b/linnetshift/routing/discovery_poller.py
@@ -6,7 +6,7 @@
 from linnetshift.routing.context import RoutingContext
 
 # The longest back-off: 6 s after discovery can be reached again, its answers count as known.
-MAX_BACK_OFF_NS = 1_000_000_000
+MAX_BACKOFF_NS = 1_000_000_000
 MAX_FAILURES = 5  # doublings of the back-off
 TOKEN_MASK = 0xFFFF
 
@@ -38,10 +38,10 @@
         """Poll again after a back-off, jittered so that balancers that failed together part."""
         context = self._context
         self._failures = min(self._failures + 1, MAX_FAILURES)
-        longest = min(context.settings.must_poll_within_ns // 4, MAX_BACK_OFF_NS)
-        back_off = min(longest // 10 << self._failures, longest) * context.random.uniform(0.5, 1.0)
+        longest = min(context.settings.must_poll_within_ns // 4, MAX_BACKOFF_NS)
+        delay_ns = min(longest // 10 << self._failures, longest) * context.random.uniform(0.5, 1.0)
         self._timer_token = (self._timer_token + 1) & TOKEN_MASK
-        context.emit(SetTimer(int(back_off), self._timer_token))
+        context.emit(SetTimer(int(delay_ns), self._timer_token))
 
     def handle_timer_fired(self, token: int) -> None:
         """Poll if that is the timer of the latest back-off."""
--- a/linnetshift/routing/endpoints.py
+++ b/linnetshift/routing/endpoints.py
@@ -47,7 +47,7 @@
     established_by_group: dict[int, int] = field(default_factory=dict)  # how many of each group they are
     over_objective_until: int = 0  # messages there are slow until then
     message_latency_ns: int = 0  # how long they took, 0 where that is not known
-    majority_late_until: int = 0  # messages there miss the objective of most connections until then
+    majority_over_objective_until: int = 0  # messages there miss the objective of most connections until then
     ejected_until: int = 0
     ejection_time_ns: int = 0  # length of the latest ejection, 0 when the endpoint never failed
     is_overloaded: bool = False  # the ejection is for overload, not for being unreachable
@@ -91,7 +91,7 @@
     def reset_health(self) -> None:
         """A new process runs there: what was held against it ended with the old one."""
         self.over_objective_until = 0
-        self.majority_late_until = 0
+        self.majority_over_objective_until = 0
         self.ejected_until = 0
         self.ejection_time_ns = 0
         self.consecutive_errors = 0
--- a/linnetshift/routing/health_checks.py
+++ b/linnetshift/routing/health_checks.py
@@ -15,7 +15,7 @@
 MIGRATION_GAIN = 0.3  # share of the excess that moves at each report, which may be seconds old
 CHECKS_PER_REQUEST = 3  # that an arriving request pays for: at its endpoint, and where latency is reported
 MAX_SAVED_CHECKS = CHECKS_PER_REQUEST * 4
-FRESH_LOAD_NS = 500_000_000  # how long a report serves placements
+LOAD_REPORT_TTL_NS = 500_000_000  # how long a report serves placements
 AVOID_LOADED_NS = 3_000_000_000  # how long it keeps a loaded endpoint avoided
 REPORT_WEIGHT = 0.1  # of the latest report in what is known of one connection's load
 ARRIVAL_WINDOW_NS = 1_000_000_000
@@ -87,9 +87,9 @@
             return True
         return 0 < endpoint.health_check_sent_at < now - 2 * self._context.tick_ns
 
-    def is_load_fresh(self, endpoint: Endpoint) -> bool:
+    def is_load_report_current(self, endpoint: Endpoint) -> bool:
         """Whether the latest report is recent enough to decide by."""
-        return self._context.now - endpoint.load_reported_at <= FRESH_LOAD_NS
+        return self._context.now - endpoint.load_reported_at <= LOAD_REPORT_TTL_NS
 
     def check_before_placement(self, endpoint: Endpoint, pending: PendingRequest) -> bool:
         """Check an endpoint before a connection is placed there; returns whether to wait for the answer.
@@ -101,7 +101,7 @@
             return False
         if not self.reports_load and (endpoint.established or not self._requests.are_few()):
             return False
-        is_known = self._context.now - endpoint.load_reported_at < FRESH_LOAD_NS
+        is_known = self._context.now - endpoint.load_reported_at < LOAD_REPORT_TTL_NS
         if is_known or pending.health_checks_sent >= CHECKS_PER_REQUEST:
             return False
         if not endpoint.health_check_sent_at:
--- a/linnetshift/routing/load_shedding.py
+++ b/linnetshift/routing/load_shedding.py
@@ -14,10 +14,10 @@
 from linnetshift.routing.pending_requests import key_hash
 from linnetshift.routing.rendezvous_hashing import MASK, mix64
 
-# While more than the first share of the endpoints is late, each review admits fewer keys; under the second
-# share, slowly more.
-SHED_ABOVE_LATE_SHARE = 0.4
-RECOVER_BELOW_LATE_SHARE = 0.15
+# While more than the first share of the endpoints misses its objectives, each review admits fewer keys; under
+# the second share, slowly more.
+SHED_ABOVE_SHARE = 0.4
+RECOVER_BELOW_SHARE = 0.15
 SHED_STEP = 0.35
 RECOVERY_STEP = 0.05
 MIN_ADMITTED_SHARE = 0.2
@@ -33,20 +33,22 @@
 
     admitted_share: float = 1.0
     reviewed_at: int = 0
-    is_congested: bool = False  # most endpoints are late: migration would only carry the load about
+    is_congested: bool = (
+        False  # most endpoints miss their objectives: migration would only move the load about
+    )
 
     def is_review_due(self, now: int) -> bool:
         """Whether the latest review is long enough ago."""
         return now - self.reviewed_at >= REVIEW_INTERVAL_NS
 
-    def review(self, now: int, late: int, endpoints: int) -> None:
-        """Adapt the admitted share; `late` of that many `endpoints` miss their objectives."""
+    def review(self, now: int, over_objective: int, endpoints: int) -> None:
+        """Adapt the admitted share; `over_objective` of that many `endpoints` miss their objectives."""
         self.reviewed_at = now
-        # One late endpoint alone can be left for the others.
-        self.is_congested = late > max(1.0, SHED_ABOVE_LATE_SHARE * endpoints)
+        # One slow endpoint alone can be avoided.
+        self.is_congested = over_objective > max(1.0, SHED_ABOVE_SHARE * endpoints)
         if self.is_congested:
             self.admitted_share = max(self.admitted_share * (1.0 - SHED_STEP), MIN_ADMITTED_SHARE)
-        elif late <= RECOVER_BELOW_LATE_SHARE * endpoints:
+        elif over_objective <= RECOVER_BELOW_SHARE * endpoints:
             self.admitted_share = min(self.admitted_share + RECOVERY_STEP, 1.0)
 
     def admits_key(self, key: int) -> bool:
@@ -69,16 +71,16 @@
         self.load_shedding = LoadShedding()
 
     def review(self) -> None:
-        """When most endpoints are late, migration only moves the load about: fewer keys must be served."""
+        """When most endpoints miss their objectives, migration does not help: fewer keys must be served."""
         now = self._context.now
         if not self.load_shedding.is_review_due(now):
             return
-        # One of many balancers uses few endpoints: that those are late says nothing of the rest.
+        # One of many balancers uses few endpoints: that those are slow says nothing of the rest.
         used = [e for e in self._endpoints.values() if e.established or e.state == EndpointState.READY]
-        # That an endpoint is late while it warms up passes by itself.
+        # That an endpoint is slow while it warms up passes by itself.
         used = [e for e in used if not self._endpoints.is_warming_up(e)] or used
-        late = sum(now < endpoint.majority_late_until for endpoint in used)
-        self.load_shedding.review(now, late, len(used))
+        over_objective = sum(now < endpoint.majority_over_objective_until for endpoint in used)
+        self.load_shedding.review(now, over_objective, len(used))
 
     def admits(self, request: Request | AdoptedConnection) -> bool:
         """Whether that request, or its connection, is admitted."""
--- a/linnetshift/routing/message_latency.py
+++ b/linnetshift/routing/message_latency.py
@@ -53,14 +53,16 @@
         endpoint.over_objective_until = context.now + LATENCY_REPORT_TTL_NS if is_slow else 0
         endpoint.message_latency_ns = latency_ns
         self._notify_peers(endpoint)
-        is_late = self._is_late_for_most(endpoint, latency_ns)
-        endpoint.majority_late_until = context.now + LATENCY_REPORT_TTL_NS if is_late else 0
+        misses_objectives = self._misses_most_objectives(endpoint, latency_ns)
+        endpoint.majority_over_objective_until = (
+            context.now + LATENCY_REPORT_TTL_NS if misses_objectives else 0
+        )
         self._admission.review()
         if not is_slow:
             return
         if not self._health_checks.may_check_for_migration():
-            self._migration.migrate_excess(endpoint, is_late, partial(share_to_migrate, latency_ns))
-        elif not self._health_checks.is_load_fresh(endpoint):
+            self._migration.migrate_excess(endpoint, misses_objectives, partial(share_to_migrate, latency_ns))
+        elif not self._health_checks.is_load_report_current(endpoint):
             self._health_checks.check(endpoint)  # its answer tells how much to move
 
     def handle_peer_report(self, endpoint: Endpoint) -> None:
@@ -79,12 +81,12 @@
         if endpoint.over_objective_until and context.settings.may_message_peers and is_drawn:
             context.emit(SendPeerMessage(ALL_PEERS, SLOW_MESSAGE + endpoint.id))
 
-    def _is_late_for_most(self, endpoint: Endpoint, latency_ns: int) -> bool:
+    def _misses_most_objectives(self, endpoint: Endpoint, latency_ns: int) -> bool:
         """Whether messages miss the objective of most of this balancer's connections there."""
         objectives_ns = [
             pending.request_class.message_latency_objective_ns for pending in endpoint.established.values()
         ]
         if not objectives_ns:
             objectives_ns = [self._context.message_latency_objective_ns]
-        late = sum(latency_ns >= objective_ns for objective_ns in objectives_ns)
-        return 2 * late >= len(objectives_ns)
+        over_objective = sum(latency_ns >= objective_ns for objective_ns in objectives_ns)
+        return 2 * over_objective >= len(objectives_ns)
--- a/linnetshift/routing/migration.py
+++ b/linnetshift/routing/migration.py
@@ -69,22 +69,25 @@
         if self._leaving:
             self._tick_timer.start()
 
-    def migrate_excess(self, endpoint: Endpoint, is_late: bool, share: ShareToMigrate) -> None:
+    def migrate_excess(self, endpoint: Endpoint, misses_objectives: bool, share: ShareToMigrate) -> None:
         """Move a few of this balancer's connections, heaviest first; each balancer does so by itself.
 
         `share` tells how many by the objective of their class: what is served in time there stays. While the
-        endpoint `is_late` for most, connections that are not admitted go first.
+        endpoint `misses_objectives` for most, connections that are not admitted go first.
         """
         not_admitted: list[PendingRequest] = []
-        if is_late:
+        if misses_objectives:
             established = endpoint.established.values()
             not_admitted = [pending for pending in established if not self._admission.admits(pending.request)]
         count = int(len(endpoint.established) * SHED_STEP + self._context.random.random())
         for pending in not_admitted[:count]:
             self.migrate(pending, endpoint)
-        # While most are late nowhere is better. Afterwards admitted ones must move, or their overload lasts.
+        # While most endpoints are slow, nowhere is better. Afterwards admitted ones must move, or the
+        # overload of their endpoint lasts.
         load_shedding = self._admission.load_shedding
-        if not_admitted or (is_late and load_shedding.is_congested and not load_shedding.is_at_minimum):
+        if not_admitted or (
+            misses_objectives and load_shedding.is_congested and not load_shedding.is_at_minimum
+        ):
             return
         self._migrate_heaviest(endpoint, share)
 
@@ -110,10 +113,10 @@
         context = self._context
         is_ready = endpoint.state == EndpointState.READY
         stops_at = endpoint.draining_since + (endpoint.drain_within_ns or DRAIN_NS)
-        ticks_left = max(1, (stops_at - context.now) // context.tick_ns)
-        share = UNRESPONSIVE_SHARE if is_ready else 1.0 / ticks_left
+        remaining_ticks = max(1, (stops_at - context.now) // context.tick_ns)
+        share = UNRESPONSIVE_SHARE if is_ready else 1.0 / remaining_ticks
         count = int(len(endpoint.established) * share + context.random.random())
-        is_last_chance = not is_ready and ticks_left <= LAST_TICKS
+        is_last_chance = not is_ready and remaining_ticks <= LAST_TICKS
         for pending in list(endpoint.established.values())[:count]:
             if self._selection.find_alternative(pending, endpoint, is_last_chance) is not None:
                 self.migrate(pending, endpoint)
--- a/linnetshift/routing/slow_start.py
+++ b/linnetshift/routing/slow_start.py
@@ -16,6 +16,7 @@
 
 from linnetshift.routing.settings import Settings
 from linnetshift.util.decaying_counter import DecayingCounter
+from linnetshift.util.token_bucket import TokenBucket
 
 # Share of rule 4's budget for placements; the rest is for chance and heavy connections.
 BUDGET_SHARE = 0.5
@@ -26,28 +27,6 @@
 ARRIVAL_WINDOW_NS = 10_000_000_000  # over which the rate of first arrivals is measured
 
 
-@dataclass(slots=True)
-class TokenBucket:
-    """A token bucket that starts empty: a process that is killed and restarted gains nothing by it."""
-
-    level: float = 0.0  # tokens
-    refilled_at: int = 0
-
-    def refill(self, rate: float, depth: float, now: int) -> None:
-        """Add `rate` tokens a second since the last refill, up to `depth`."""
-        self.level = min(depth, self.level + rate * (now - self.refilled_at) / 1e9)
-        self.refilled_at = now
-
-    def take(self, draw: float) -> bool:
-        """Take a token; less than one is taken whole and counts as one with that probability.
-
-        `draw` is a random number from 0 to 1.
-        """
-        taken = min(1.0, self.level)
-        self.level -= taken
-        return draw < taken
-
-
 def _arrival_counter() -> DecayingCounter:
     return DecayingCounter(ARRIVAL_WINDOW_NS)
 
--- a/linnetshift/routing/snapshot.py
+++ b/linnetshift/routing/snapshot.py
@@ -16,11 +16,11 @@
 
 
 class StoredValues:
-    """Reads one part of a stored state and notes the keys whose values are of another type."""
+    """Reads one section of a stored state and notes the keys whose values are of another type."""
 
-    def __init__(self, part: str, values: Mapping[str, Any], rejected: list[str]) -> None:
-        """`part` names these `values` in the keys appended to `rejected`, as `part.key`."""
-        self._part = part
+    def __init__(self, section: str, values: Mapping[str, Any], rejected: list[str]) -> None:
+        """`section` names these `values` in the keys appended to `rejected`, as `section.key`."""
+        self._section = section
         self._values = values
         self._rejected = rejected
 
@@ -30,7 +30,7 @@
         if isinstance(value, type(current)):
             return value
         if key in self._values:
-            self._rejected.append(f"{self._part}.{key}")
+            self._rejected.append(f"{self._section}.{key}")
         return current
 
 
@@ -77,7 +77,7 @@
     }
     rejected: list[str] = []
     _import_node(balancer, StoredValues("node", state["node"], rejected))
-    # An earlier version kept the following parts elsewhere.
+    # An earlier version kept the following sections elsewhere.
     _import_concurrency_limit(balancer, StoredValues("window", state.get("window", {}), rejected))
     _import_slow_start(balancer, StoredValues("slow_start", state.get("slow_start", {}), rejected))
     _import_token_bucket(balancer, StoredValues("bucket", state.get("bucket", {}), rejected))
@@ -125,7 +125,7 @@
     return {
         "hot_until": endpoint.over_objective_until,
         "slow_ns": endpoint.message_latency_ns,
-        "late_until": endpoint.majority_late_until,
+        "late_until": endpoint.majority_over_objective_until,
         "avoid_until": endpoint.ejected_until,
         "spell": endpoint.ejection_time_ns,
         "overload": endpoint.is_overloaded,
@@ -138,7 +138,7 @@
 def _import_endpoint(endpoint: Endpoint, stored: StoredValues) -> None:
     endpoint.over_objective_until = stored.read("hot_until", endpoint.over_objective_until)
     endpoint.message_latency_ns = stored.read("slow_ns", endpoint.message_latency_ns)
-    endpoint.majority_late_until = stored.read("late_until", endpoint.majority_late_until)
+    endpoint.majority_over_objective_until = stored.read("late_until", endpoint.majority_over_objective_until)
     endpoint.ejected_until = stored.read("avoid_until", endpoint.ejected_until)
     endpoint.ejection_time_ns = stored.read("spell", endpoint.ejection_time_ns)
     endpoint.is_overloaded = stored.read("overload", endpoint.is_overloaded)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,7 +13,8 @@
 
 from linnetshift.routing.actions import Reject
 from linnetshift.routing.concurrency_limit import INITIAL_LIMIT, MIN_LIMIT, ConcurrencyLimit
-from linnetshift.routing.slow_start import SlowStart, TokenBucket
+from linnetshift.routing.slow_start import SlowStart
+from linnetshift.util.token_bucket import TokenBucket
 
 
 @given(st.lists(st.integers(0, 20 * S), max_size=40), st.floats(0.0, 5.0), st.floats(0.0, 6.0))
