--- /dev/null
+++ b/tests/routing_parts.py
@@ -0,0 +1,71 @@
+"""Parts of a balancer for the unit tests of its components, each without the others."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from conftest import S, endpoint, entry, listed, raw_settings, request
+
+from linnetshift.routing.context import RoutingContext
+from linnetshift.routing.endpoint_selection import EndpointSelection
+from linnetshift.routing.endpoints import Endpoint, EndpointTable
+from linnetshift.routing.group_affinity import GroupSizeEstimator
+from linnetshift.routing.health_checks import HealthChecks
+from linnetshift.routing.load_shedding import AdmissionControl
+from linnetshift.routing.migration import Migration
+from linnetshift.routing.outlier_detection import OutlierDetection
+from linnetshift.routing.pending_requests import PendingRequest, PendingRequests
+from linnetshift.routing.ranking import EndpointRanking
+from linnetshift.routing.request_lifecycle import RequestLifecycle
+from linnetshift.routing.settings import Settings
+from linnetshift.routing.slow_start import SlowStart
+from linnetshift.routing.tick_timer import TickTimer
+
+
+class Parts:
+    """The components that most others need, over `endpoints` listed ones, at second 1."""
+
+    def __init__(self, endpoints: int = 4, **changes: Any) -> None:
+        """`changes` are those of `raw_settings`."""
+        self.context = RoutingContext(Settings.parse(raw_settings(**changes)), 1)
+        self.context.begin_step(1 * S)
+        self.endpoints = EndpointTable(self.context)
+        self.endpoints.apply(listed(*(entry(n) for n in range(endpoints))))
+        self.requests = PendingRequests(self.endpoints)
+        self.slow_start = SlowStart()
+        self.ranking = EndpointRanking(self.context, self.endpoints, self.slow_start, GroupSizeEstimator())
+        self.admission = AdmissionControl(self.context, self.endpoints)
+        self.outliers = OutlierDetection(self.context, self.endpoints)
+        self.health_checks = HealthChecks(self.context, self.endpoints, self.requests, self.outliers)
+        self.selection = EndpointSelection(
+            self.context, self.endpoints, self.requests, self.ranking, self.slow_start, self.health_checks
+        )
+        self.tick_timer = TickTimer(self.context)
+        self.migration = Migration(self.context, self.selection, self.admission, self.tick_timer)
+        self.lifecycle = RequestLifecycle(
+            self.context, self.requests, self.selection, self.outliers, self.tick_timer
+        )
+
+    def at(self, now: int) -> None:
+        """Begin a step at that time."""
+        self.context.begin_step(now)
+
+    def endpoint(self, number: int) -> Endpoint:
+        """The listed endpoint of that number."""
+        return self.endpoints[endpoint(number)]
+
+    def pending(self, number: int, **changes: Any) -> PendingRequest:
+        """A request that has just arrived."""
+        context = self.context
+        made = PendingRequest(
+            request(number, **changes), context.now + 2 * S, 0.0, context.settings.classes[0]
+        )
+        self.requests.add(made)
+        return made
+
+    def connection(self, number: int, where: Endpoint, **changes: Any) -> PendingRequest:
+        """An established connection."""
+        made = self.pending(number, **changes)
+        self.requests.begin_attempt(made, where)
+        self.requests.establish(made, where)
+        return made
--- /dev/null
+++ b/tests/test_endpoint_selection.py
@@ -0,0 +1,121 @@
+"""Which endpoint an attempt goes to when the best by rank is not to have it."""
+
+from __future__ import annotations
+
+from conftest import MS, S, entry, listed
+from routing_parts import Parts
+
+from linnetshift.routing.endpoints import Endpoint
+from linnetshift.routing.events import EndpointState, ListForm
+from linnetshift.routing.pending_requests import PendingRequest, key_hash
+
+
+def ranked(parts: Parts, pending: PendingRequest) -> list[Endpoint]:
+    return list(parts.ranking.ranked(key_hash(pending.request)))
+
+
+def test_avoided_endpoints_are_left_out_and_the_suspect_is_taken_when_all_are() -> None:
+    parts = Parts(endpoints=3)
+    pending = parts.pending(1)
+    first, second, third = ranked(parts, pending)
+    assert parts.selection.choose(pending, False) is first
+    first.over_objective_until = 9 * S
+    assert parts.selection.choose(pending, False) is second
+    second.ejected_until = 9 * S
+    assert parts.selection.choose(pending, False) is third
+    third.ejected_until = 9 * S
+    third.is_overloaded = True
+    assert parts.selection.choose(pending, False) is second
+
+
+def test_tried_endpoint_comes_last_and_one_that_erred_not_at_all() -> None:
+    parts = Parts(endpoints=2)
+    pending = parts.pending(1)
+    first, second = ranked(parts, pending)
+    pending.endpoints_tried = [first]
+    assert parts.selection.choose(pending, False) is second
+    pending.endpoints_tried = [first, second]
+    assert parts.selection.choose(pending, False) is first
+    pending.endpoints_that_erred = [first]
+    assert parts.selection.choose(pending, False) is second
+    pending.endpoints_that_erred = [first, second]
+    assert parts.selection.choose(pending, False) is None
+
+
+def test_endpoint_under_test_is_avoided_until_the_test_ends() -> None:
+    parts = Parts(endpoints=3)
+    pending = parts.pending(1)
+    first, second, _ = ranked(parts, pending)
+    first.half_open_request = 77
+    assert parts.selection.choose(pending, False) is second
+    first.half_open_request = -1
+    assert parts.selection.choose(pending, False) is first
+
+
+def test_recovery_attempt_goes_before_the_ranking() -> None:
+    parts = Parts(endpoints=3)
+    pending = parts.pending(1)
+    last = ranked(parts, pending)[-1]
+    last.is_recovery_due = True
+    assert parts.selection.choose(pending, False) is last
+
+
+def test_packets_of_open_connections_go_to_a_draining_endpoint_within_its_grace() -> None:
+    parts = Parts(endpoints=1)
+    pending = parts.pending(1)
+    parts.endpoints.apply(listed(entry(0, state=EndpointState.DRAINING), form=ListForm.DELTA))
+    where = parts.endpoint(0)
+    assert parts.selection.choose(pending, True) is where
+    assert parts.selection.choose(pending, False) is None
+    parts.at(1 * S + 496 * MS)  # the grace less one step of the clock
+    assert parts.selection.choose(pending, True) is None
+
+
+def test_warming_endpoint_is_chosen_only_with_a_slow_start_token() -> None:
+    parts = Parts(endpoints=0)
+    parts.at(100 * S)
+    parts.endpoints.apply(listed(entry(0, started_ns=100 * S)))
+    pending = parts.pending(1)
+    assert parts.selection.choose(pending, False) is None
+    parts.slow_start.token_bucket.level = 1.0
+    parts.slow_start.tokens_per_s = 9.0
+    parts.slow_start.token_bucket.refilled_at = 100 * S
+    assert parts.selection.choose(pending, False) is parts.endpoint(0)
+
+
+def test_group_stays_where_it_is_established_unless_the_balancer_sees_little() -> None:
+    parts = Parts(endpoints=3)
+    first, second, _ = ranked(parts, parts.pending(1, group=5))
+    parts.connection(2, second, group=5)
+    pending = parts.pending(3, group=5)
+    assert parts.selection.choose(pending, False) is first  # three requests, three endpoints
+    parts.pending(4)
+    assert parts.selection.choose(pending, False) is second
+
+
+def test_returning_client_leaves_out_ranks() -> None:
+    parts = Parts(endpoints=4)
+    pending = parts.pending(1)
+    pending.skipped_ranks = 2
+    assert parts.selection.choose(pending, False) is ranked(parts, pending)[2]
+
+
+def test_alternative_is_never_bad_unless_the_endpoint_is_about_to_stop() -> None:
+    parts = Parts(endpoints=2)
+    pending = parts.pending(1)
+    leaving, other = parts.endpoint(0), parts.endpoint(1)
+    assert parts.selection.find_alternative(pending, leaving) is other
+    other.ejected_until = 9 * S
+    assert parts.selection.find_alternative(pending, leaving) is None
+    assert parts.selection.find_alternative(pending, leaving, is_last_chance=True) is other
+
+
+def test_wait_is_until_an_ejected_endpoint_returns_and_none_where_one_may_serve() -> None:
+    parts = Parts(endpoints=2)
+    assert parts.selection.wait_ns() == 0
+    for number, until in ((0, 5 * S), (1, 4 * S)):
+        parts.endpoint(number).ejected_until = until
+    assert parts.selection.wait_ns() == 0  # unreachable ones may be tried at any time
+    for each in parts.endpoints.values():
+        each.is_overloaded = True
+    assert parts.selection.wait_ns() == 3 * S
--- /dev/null
+++ b/tests/test_endpoints.py
@@ -0,0 +1,77 @@
+"""The endpoint table: list updates, draining, restart."""
+
+from __future__ import annotations
+
+from conftest import S, endpoint, entry, listed
+from routing_parts import Parts
+
+from linnetshift.routing.events import EndpointState, ListForm
+
+
+def test_full_list_removes_who_is_not_named_and_keeps_connections_to_leave() -> None:
+    parts = Parts(endpoints=3)
+    holder = parts.endpoint(1)
+    connection = parts.connection(1, holder)
+    parts.at(5 * S)
+    assert parts.endpoints.apply(listed(entry(0))) == [holder]
+    assert list(parts.endpoints) == [endpoint(0), endpoint(1)]
+    assert (holder.state, holder.draining_since) == (EndpointState.REMOVED, 5 * S)
+    parts.requests.remove(connection)
+    parts.endpoints.apply(listed(form=ListForm.DELTA))
+    assert list(parts.endpoints) == [endpoint(0)]
+
+
+def test_grace_counts_from_the_first_update_that_says_that_it_drains() -> None:
+    parts = Parts(endpoints=2)
+    for second, state in ((3, EndpointState.DRAINING), (4, EndpointState.REMOVED)):
+        parts.at(second * S)
+        parts.connection(second, parts.endpoint(0))
+        update = listed(entry(0, state=state, leave_ns=7), form=ListForm.DELTA)
+        assert parts.endpoints.apply(update) == [parts.endpoint(0)]
+    assert parts.endpoint(0).draining_since == 3 * S
+    assert parts.endpoint(0).drain_within_ns == 7
+
+
+def test_restart_clears_what_was_held_against_the_old_process() -> None:
+    parts = Parts(endpoints=2)
+    for each in parts.endpoints.values():
+        each.ejected_until = each.over_objective_until = 9 * S
+        each.consecutive_errors = 2
+    parts.endpoints.apply(listed(entry(0, started_ns=1 * S), entry(1)))
+    restarted, other = parts.endpoint(0), parts.endpoint(1)
+    assert (restarted.ejected_until, restarted.over_objective_until, restarted.consecutive_errors) == (
+        0,
+        0,
+        0,
+    )
+    assert (other.ejected_until, other.over_objective_until, other.consecutive_errors) == (9 * S, 9 * S, 2)
+    assert parts.endpoints.warm_up_factor(restarted) == 0.25 and parts.endpoints.is_warming_up(restarted)
+    assert not parts.endpoints.is_warming_up(other)
+
+
+def test_recovery_attempt_is_due_when_an_endpoint_is_ready_again() -> None:
+    parts = Parts(endpoints=1, balancers=1)
+    parts.connection(1, parts.endpoint(0))
+    parts.endpoints.apply(listed(entry(0, state=EndpointState.DRAINING)))
+    assert not parts.endpoint(0).is_recovery_due
+    parts.endpoints.apply(listed(entry(0)))
+    assert parts.endpoint(0).is_recovery_due
+
+
+def test_capacity_is_the_highest_weight_of_the_kind_where_weights_fall_with_load() -> None:
+    for source, capacity in (("nominal", 2.0), ("live", 6.0)):
+        parts = Parts(endpoints=0, weightSource=source)
+        parts.endpoints.apply(listed(entry(0, weight=6.0), entry(1, weight=1.0)))
+        parts.endpoints.apply(listed(entry(0, weight=2.0), entry(1, weight=1.0)))
+        assert parts.endpoints.capacity(parts.endpoint(0)) == capacity
+
+
+def test_established_connections_are_counted_by_group_and_counted_out_once() -> None:
+    parts = Parts()
+    where = parts.endpoint(0)
+    first = parts.connection(1, where, group=5)
+    parts.connection(2, where, group=5)
+    assert where.established_by_group == {5: 2}
+    for _ in range(2):
+        where.remove_established(first)
+    assert where.established_by_group == {5: 1} and list(where.established) == [2]
--- /dev/null
+++ b/tests/test_message_latency.py
@@ -0,0 +1,74 @@
+"""What a report of slow messages leads to."""
+
+from __future__ import annotations
+
+import pytest
+from conftest import MS, S
+from routing_parts import Parts
+
+from linnetshift.routing.actions import ALL_PEERS, HealthCheck, Migrate, SendPeerMessage
+from linnetshift.routing.message_latency import MessageLatency, share_to_migrate
+
+OBJECTIVE_NS = 60 * MS  # of raw_settings
+
+
+def reporter(parts: Parts) -> MessageLatency:
+    return MessageLatency(parts.context, parts.admission, parts.health_checks, parts.migration)
+
+
+@pytest.mark.parametrize(
+    "latency_ms, share", [(39, 0.0), (40, 0.05), (59, 0.05), (60, 0.13), (200, 0.2), (5000, 0.4)]
+)
+def test_share_to_migrate_grows_with_the_queued_work(latency_ms: int, share: float) -> None:
+    assert share_to_migrate(latency_ms * MS, OBJECTIVE_NS) == pytest.approx(share)
+
+
+@pytest.mark.parametrize(
+    "latency_ms, is_slow, is_over", [(19, False, False), (20, True, False), (60, True, True)]
+)
+def test_endpoint_is_slow_from_a_third_of_the_objective_and_over_it_at_all_of_it(
+    latency_ms: int, is_slow: bool, is_over: bool
+) -> None:
+    parts = Parts()
+    where = parts.endpoint(0)
+    reporter(parts).handle_report(where, latency_ms * MS)
+    until = parts.context.now + 2500 * MS
+    assert where.over_objective_until == (until if is_slow else 0)
+    assert where.majority_over_objective_until == (until if is_over else 0)
+    assert where.message_latency_ns == latency_ms * MS
+
+
+def test_fast_messages_clear_an_endpoint_and_move_nobody() -> None:
+    parts = Parts()
+    where = parts.endpoint(0)
+    parts.connection(1, where)
+    reporter(parts).handle_report(where, 59 * MS)
+    parts.at(2 * S)
+    reporter(parts).handle_report(where, 1 * MS)
+    assert where.over_objective_until == 0 and parts.context.actions == []
+
+
+def test_load_is_checked_before_migration_where_it_is_reported() -> None:
+    parts = Parts(allowed={"probing": True}, report={"columns": ["outstanding", "x0"], "how": "pull"})
+    where = parts.endpoint(0)
+    for number in range(1, 41):
+        parts.connection(number, where)
+    parts.health_checks.earn_credit()
+    reporter(parts).handle_report(where, 500 * MS)
+    assert parts.context.actions == [HealthCheck(where.id)]
+    without_load = Parts()
+    where = without_load.endpoint(0)
+    for number in range(1, 41):
+        without_load.connection(number, where)
+    reporter(without_load).handle_report(where, 500 * MS)
+    assert {type(action) for action in without_load.context.actions} == {Migrate}
+
+
+def test_peers_are_notified_of_slow_messages_and_take_no_latency_from_it() -> None:
+    parts = Parts(balancers=1, allowed={"peerMessages": True})
+    where = parts.endpoint(0)
+    reporter(parts).handle_report(where, 30 * MS)
+    assert parts.context.actions == [SendPeerMessage(ALL_PEERS, b"h" + where.id)]
+    reporter(parts).handle_peer_report(parts.endpoint(1))
+    assert parts.endpoint(1).over_objective_until == parts.context.now + 2500 * MS
+    assert parts.endpoint(1).message_latency_ns == 0
--- /dev/null
+++ b/tests/test_migration.py
@@ -0,0 +1,94 @@
+"""Which established connections move, and how many at once."""
+
+from __future__ import annotations
+
+from conftest import MS, S, entry, listed
+from routing_parts import Parts
+
+from linnetshift.routing.actions import Migrate, SetTimer
+from linnetshift.routing.events import EndpointState, ListForm
+
+
+def moved(parts: Parts) -> list[int]:
+    return [action.request_id for action in parts.context.actions if isinstance(action, Migrate)]
+
+
+def test_heaviest_connections_move_first_and_as_many_as_the_share_says() -> None:
+    parts = Parts()
+    where = parts.endpoint(0)
+    for number in range(1, 11):
+        parts.connection(number, where).load_ns_per_s = float(number)
+    parts.migration.migrate_excess(where, False, lambda _: 0.2)
+    assert moved(parts) in ([10, 9], [10, 9, 8])
+    assert len(where.established) == 10 - len(moved(parts))
+
+
+def test_nothing_moves_where_no_other_endpoint_is_better() -> None:
+    parts = Parts(endpoints=2)
+    where = parts.endpoint(0)
+    parts.connection(1, where)
+    parts.endpoint(1).ejected_until = 9 * S
+    parts.migration.migrate_excess(where, False, lambda _: 1.0)
+    assert moved(parts) == []
+
+
+def test_connections_that_are_not_admitted_leave_a_slow_endpoint_first() -> None:
+    parts = Parts()
+    where = parts.endpoint(0)
+    parts.admission.load_shedding.admitted_share = 0.5
+    connections = [parts.connection(number, where) for number in range(1, 41)]
+    admitted = {c.request.request_id for c in connections if parts.admission.admits(c.request)}
+    parts.migration.migrate_excess(where, True, lambda _: 1.0)
+    assert 10 <= len(moved(parts)) <= 15 and not admitted & set(moved(parts))
+
+
+def test_admitted_connections_stay_while_most_endpoints_are_slow() -> None:
+    for is_congested, leave in ((True, False), (False, True)):
+        parts = Parts()
+        parts.connection(1, parts.endpoint(0))
+        parts.admission.load_shedding.is_congested = is_congested
+        parts.migration.migrate_excess(parts.endpoint(0), True, lambda _: 1.0)
+        assert bool(moved(parts)) is leave
+
+
+def test_draining_endpoint_is_left_over_its_time_at_ticks() -> None:
+    parts = Parts()
+    where = parts.endpoint(0)
+    for number in range(1, 21):
+        parts.connection(number, where)
+    (draining,) = parts.endpoints.apply(
+        listed(entry(0, state=EndpointState.DRAINING, leave_ns=500 * MS), form=ListForm.DELTA)
+    )
+    parts.migration.begin_leaving(draining)
+    assert parts.context.actions == [SetTimer(50 * MS, 1 << 16)]
+    counts = []
+    for tick in range(1, 11):
+        parts.at(1 * S + tick * 50 * MS)
+        parts.tick_timer.handle_fired()
+        parts.migration.handle_tick()
+        counts.append(len(moved(parts)))
+    assert sum(counts) == 20 and max(counts[:8]) <= 5
+    assert len(parts.migration) == 0 and not where.established
+
+
+def test_unresponsive_endpoint_is_left_until_its_ejection_ends_or_a_connection_is_established() -> None:
+    for how in ("ejection ends", "established"):
+        parts = Parts()
+        where = parts.endpoint(0)
+        where.ejected_until = 2 * S
+        parts.connection(1, where)
+        parts.migration.begin_leaving(where)
+        parts.migration.handle_tick()
+        assert len(parts.migration) == 1
+        if how == "established":
+            parts.migration.handle_established(where)
+        else:
+            parts.at(2 * S)
+            parts.migration.handle_tick()
+        assert len(parts.migration) == 0
+
+
+def test_endpoint_without_connections_needs_no_leaving() -> None:
+    parts = Parts()
+    parts.migration.begin_leaving(parts.endpoint(0))
+    assert len(parts.migration) == 0 and parts.context.actions == []
--- /dev/null
+++ b/tests/test_pending_requests.py
@@ -0,0 +1,75 @@
+"""The table of requests and what it counts of their attempts."""
+
+from __future__ import annotations
+
+from conftest import request
+from routing_parts import Parts
+
+from linnetshift.routing.endpoints import NO_REQUEST
+from linnetshift.routing.events import MID_FLOW
+from linnetshift.routing.pending_requests import key_hash
+
+
+def test_attempt_is_counted_until_it_is_established_and_the_connection_until_its_end() -> None:
+    parts = Parts()
+    where = parts.endpoint(0)
+    where.is_recovery_due = True
+    pending = parts.pending(1)
+    parts.requests.begin_attempt(pending, where)
+    assert (parts.requests.setups_in_flight, where.in_flight, where.sends_since_report) == (1, 1, 1)
+    assert pending.last_attempt == 0 and pending.endpoints_tried == [where] and not where.is_recovery_due
+    parts.requests.establish(pending, where)
+    assert (parts.requests.setups_in_flight, where.in_flight, len(where.established)) == (0, 1, 1)
+    for _ in range(2):
+        parts.requests.end_attempt(pending)
+    assert (parts.requests.setups_in_flight, where.in_flight, len(where.established)) == (0, 0, 0)
+    assert pending.endpoint is None and 1 in parts.requests
+
+
+def test_removed_request_gives_back_its_half_open_attempt_and_only_its_own() -> None:
+    parts = Parts()
+    where = parts.endpoint(0)
+    tester, other = parts.pending(1), parts.pending(2)
+    for pending in (tester, other):
+        parts.requests.begin_attempt(pending, where)
+    where.half_open_request = 1
+    parts.requests.remove(other)
+    assert where.half_open_request == 1
+    parts.requests.remove(tester)
+    assert where.half_open_request == NO_REQUEST
+    assert len(parts.requests) == 0 and parts.requests.setups_in_flight == 0
+
+
+def test_adopted_connection_counts_as_established_without_a_set_up() -> None:
+    parts = Parts()
+    where, pending = parts.endpoint(0), parts.pending(1)
+    parts.requests.adopt(pending, where)
+    assert (parts.requests.setups_in_flight, where.in_flight, list(where.established)) == (0, 1, [1])
+
+
+def test_waiting_queue_is_emptied_in_its_order() -> None:
+    parts = Parts()
+    parts.requests.waiting.extend([3, 1, 2])
+    assert list(parts.requests.take_waiting()) == [3, 1, 2]
+    assert not parts.requests.waiting
+
+
+def test_key_is_the_group_else_the_client_else_the_request() -> None:
+    assert key_hash(request(1, group=9, key=5)) == key_hash(request(2, group=9, key=6))
+    assert key_hash(request(1, key=5)) == key_hash(request(2, key=5)) != key_hash(request(2, key=6))
+    assert key_hash(request(1, key=0)) != key_hash(request(2, key=0))
+
+
+def test_requests_are_few_up_to_one_an_endpoint() -> None:
+    parts = Parts(endpoints=2)
+    for number, are_few in ((1, True), (2, True), (3, False)):
+        parts.pending(number)
+        assert parts.requests.are_few() is are_few
+
+
+def test_only_the_first_attempt_of_an_open_connection_is_mid_flow() -> None:
+    parts = Parts()
+    pending = parts.pending(1, flags=MID_FLOW)
+    assert pending.is_first_mid_flow_attempt and not parts.pending(2).is_first_mid_flow_attempt
+    parts.requests.begin_attempt(pending, parts.endpoint(0))
+    assert not pending.is_first_mid_flow_attempt
