--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -21,7 +21,8 @@
 from linnetshift.config.proxy_file import read_config
 from linnetshift.lifecycle.hot_restart import PredecessorState
 from linnetshift.proxy import Proxy
-from linnetshift.routing.balancer import Balancer, Endpoint
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.endpoints import Endpoint
 from linnetshift.routing.events import EndpointState
 from linnetshift.vrrp.router import State
 
@@ -29,44 +30,44 @@
 
 # Where the balancer keeps each value of the state's "memory", by stored part and key.
 BALANCER_VALUES: dict[tuple[str, str], Callable[[Balancer], object]] = {
-    ("node", "load_each"): lambda balancer: balancer.load_each,
-    ("node", "each_fill"): lambda balancer: balancer.each_fill,
-    ("window", "size"): lambda balancer: balancer.window.size,
-    ("window", "failing"): lambda balancer: balancer.window.failing,
-    ("window", "cut_at"): lambda balancer: balancer.window.cut_at,
-    ("shedding", "admit"): lambda balancer: balancer.shedding.admit,
-    ("shedding", "at"): lambda balancer: balancer.shedding.at,
-    ("shedding", "jammed"): lambda balancer: balancer.shedding.jammed,
-    ("slow_start", "fresh"): lambda balancer: balancer.slow_start.fresh,
-    ("slow_start", "fresh_at"): lambda balancer: balancer.slow_start.fresh_at,
-    ("bucket", "level"): lambda balancer: balancer.slow_start.bucket.level,
-    ("bucket", "at"): lambda balancer: balancer.slow_start.bucket.at,
+    ("node", "load_each"): lambda balancer: balancer.health_checks.load_per_connection,
+    ("node", "each_fill"): lambda balancer: balancer.ranking.connections_per_weight,
+    ("window", "size"): lambda balancer: balancer.lifecycle.concurrency_limit.limit,
+    ("window", "failing"): lambda balancer: balancer.lifecycle.concurrency_limit.failure_share,
+    ("window", "cut_at"): lambda balancer: balancer.lifecycle.concurrency_limit.decreased_at,
+    ("shedding", "admit"): lambda balancer: balancer.admission.load_shedding.admitted_share,
+    ("shedding", "at"): lambda balancer: balancer.admission.load_shedding.reviewed_at,
+    ("shedding", "jammed"): lambda balancer: balancer.admission.load_shedding.is_congested,
+    ("slow_start", "fresh"): lambda balancer: balancer.slow_start.first_arrivals_per_s.value,
+    ("slow_start", "fresh_at"): lambda balancer: balancer.slow_start.first_arrivals_per_s.updated_at,
+    ("bucket", "level"): lambda balancer: balancer.slow_start.token_bucket.level,
+    ("bucket", "at"): lambda balancer: balancer.slow_start.token_bucket.refilled_at_ns,
 }
 # Where an endpoint of the balancer keeps each value of its record under "hosts".
 ENDPOINT_VALUES: dict[str, Callable[[Endpoint], object]] = {
-    "hot_until": lambda endpoint: endpoint.hot_until,
-    "slow_ns": lambda endpoint: endpoint.slow_ns,
-    "late_until": lambda endpoint: endpoint.late_until,
-    "avoid_until": lambda endpoint: endpoint.avoid_until,
-    "spell": lambda endpoint: endpoint.spell,
-    "overload": lambda endpoint: endpoint.overload,
-    "struck_at": lambda endpoint: endpoint.struck_at,
-    "good_at": lambda endpoint: endpoint.good_at,
-    "faults": lambda endpoint: endpoint.faults,
+    "hot_until": lambda endpoint: endpoint.over_objective_until,
+    "slow_ns": lambda endpoint: endpoint.message_latency_ns,
+    "late_until": lambda endpoint: endpoint.majority_over_objective_until,
+    "avoid_until": lambda endpoint: endpoint.ejected_until,
+    "spell": lambda endpoint: endpoint.ejection_time_ns,
+    "overload": lambda endpoint: endpoint.is_overloaded,
+    "struck_at": lambda endpoint: endpoint.ejected_at,
+    "good_at": lambda endpoint: endpoint.last_established_at,
+    "faults": lambda endpoint: endpoint.consecutive_errors,
 }
 
 
 def balancer_endpoints(balancer: Balancer) -> dict[bytes, Endpoint]:
-    return balancer.endpoints
+    return {endpoint.id: endpoint for endpoint in balancer.endpoints.values()}
 
 
 def endpoint_fields(endpoint: Endpoint) -> tuple[int, int, int]:
     """State, start and leave time as the balancer was given them."""
-    return endpoint.state, endpoint.started, endpoint.drain_within_ns
+    return endpoint.state, endpoint.started_at, endpoint.drain_within_ns
 
 
 def connections_at_peers(balancer: Balancer) -> int:
-    return balancer.elsewhere
+    return balancer.ranking.predecessor_connections
 
 
 BROKER_FILE = """
