--- a/linnetshift/routing/concurrency_limit.py
+++ b/linnetshift/routing/concurrency_limit.py
@@ -18,7 +18,7 @@
     """State: the limit, the share of recent set-ups that failed or were slow, and the latest decrease."""
 
     def __init__(self) -> None:
-        """Start low, so that a restarted process does not add to a jam."""
+        """Start low, so that a restarted process does not add to an overload."""
         self.limit = INITIAL_LIMIT
         self.failure_share = 0.0
         self.decreased_at = 0
--- a/linnetshift/routing/pending_requests.py
+++ b/linnetshift/routing/pending_requests.py
@@ -41,7 +41,7 @@
 
     @property
     def is_first_mid_flow_attempt(self) -> bool:
-        """Whether it stands for packets of an open connection, which belong to one endpoint alone."""
+        """Whether it is for packets of an open connection, which belong to one endpoint alone."""
         return bool(self.request.flags & MID_FLOW) and self.last_attempt < 0
 
 
--- a/linnetshift/routing/unresponsive_endpoints.py
+++ b/linnetshift/routing/unresponsive_endpoints.py
@@ -38,7 +38,7 @@
         recent = sum(self._context.now - at < REPORT_TTL_NS for at in reports.values())
         if settings.may_message_peers and recent < MIN_REPORTERS and own not in reports:
             self._context.emit(SendPeerMessage(ALL_PEERS, UNRESPONSIVE_MESSAGE + endpoint.id))
-        # The number of balancers is no balancer's own: it stands for this one's second failure.
+        # No balancer has that number: it is the key of this one's second failure.
         self.handle_report(endpoint, settings.balancers if own in reports else own)
 
     def handle_report(self, endpoint: Endpoint, reporter: int) -> None:
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -34,6 +34,9 @@
 
 def test_limit_grows_slowly_while_set_ups_still_fail() -> None:
     made = ConcurrencyLimit()
+    made.failure_share = 0.3
+    assert made.is_congested
     made.failure_share = 0.2
+    assert not made.is_congested
     made.record_setup(1 * S, 400 * MS, 1, False, 100.0)
     assert made.limit == INITIAL_LIMIT + 1.0 / INITIAL_LIMIT
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -108,6 +108,10 @@
     other.ejected_until = 9 * S
     assert parts.selection.find_alternative(pending, leaving) is None
     assert parts.selection.find_alternative(pending, leaving, is_last_chance=True) is other
+    other.started_at = parts.context.now
+    assert parts.selection.find_alternative(pending, leaving, is_last_chance=True) is other
+    other.state = EndpointState.DRAINING
+    assert parts.selection.find_alternative(pending, leaving, is_last_chance=True) is None
 
 
 def test_wait_is_until_an_ejected_endpoint_returns_and_none_where_one_may_serve() -> None:
@@ -119,3 +123,22 @@
     for each in parts.endpoints.values():
         each.is_overloaded = True
     assert parts.selection.wait_ns() == 3 * S
+
+
+def test_slow_start_shares_are_up_to_date_when_the_first_request_comes() -> None:
+    parts = Parts(endpoints=0)
+    parts.at(100 * S)
+    parts.endpoints.apply(listed(entry(0, started_ns=100 * S)))
+    parts.slow_start.token_bucket.level = 1.0
+    parts.slow_start.token_bucket.refilled_at = 100 * S
+    parts.slow_start.first_arrivals_per_s.add(100 * S, 100.0)
+    assert parts.selection.choose(parts.pending(1), False) is parts.endpoint(0)
+
+
+def test_endpoint_is_no_longer_avoided_when_its_ejection_ends() -> None:
+    parts = Parts()
+    where, request_class = parts.endpoint(0), parts.context.settings.classes[0]
+    where.ejected_until = parts.context.now + 1
+    assert parts.selection.is_avoided(where, request_class)
+    where.ejected_until = parts.context.now
+    assert not parts.selection.is_avoided(where, request_class)
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -12,6 +12,7 @@
     parts = Parts(endpoints=3)
     holder = parts.endpoint(1)
     connection = parts.connection(1, holder)
+    parts.connection(2, parts.endpoint(0))
     parts.at(5 * S)
     assert parts.endpoints.apply(listed(entry(0))) == [holder]
     assert list(parts.endpoints) == [endpoint(0), endpoint(1)]
@@ -19,6 +20,7 @@
     parts.requests.remove(connection)
     parts.endpoints.apply(listed(form=ListForm.DELTA))
     assert list(parts.endpoints) == [endpoint(0)]
+    assert endpoint(0) in parts.endpoints and endpoint(1) not in parts.endpoints
 
 
 def test_grace_counts_from_the_first_update_that_says_that_it_drains() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -174,9 +174,8 @@
     node.step(2 * S, [ConnectionEstablished(1, 0, send.endpoint, MS)])
     node.step(2 * S, [ended(send, 0, Outcome.RESET, closed=True)])
     assert node.returning_clients.record_return(2 * S) == pytest.approx(0.3)
-    assert node.returning_clients.record_return(2 * S) == pytest.approx(
-        0.15
-    )  # the other came for another reason
+    # The other came for another reason.
+    assert node.returning_clients.record_return(2 * S) == pytest.approx(0.15)
     assert node.returning_clients.record_return(30 * S) == 0.0
 
 
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -28,6 +28,13 @@
     assert not made.is_review_due(6 * S - 1) and made.is_review_due(6 * S)
 
 
+def test_share_recovers_up_to_the_second_limit_and_not_over_it() -> None:
+    for over_objective, share in ((3, 0.55), (4, 0.5)):
+        made = LoadShedding(0.5)
+        made.review(9 * S, over_objective, 20)
+        assert made.admitted_share == pytest.approx(share)
+
+
 def test_one_slow_endpoint_alone_sheds_nothing() -> None:
     made = LoadShedding()
     made.review(1 * S, 1, 1)
@@ -60,6 +67,6 @@
     assert parts.admission.load_shedding.is_congested
     parts.at(30 * S)
     for number in range(2):
-        parts.endpoint(number).majority_over_objective_until = 0
+        parts.endpoint(number).majority_over_objective_until = 30 * S
     parts.admission.review()
     assert not parts.admission.load_shedding.is_congested
--- a/tests/test_message_latency.py
+++ b/tests/test_message_latency.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import MS, S
+from conftest import MS, S, raw_settings
 from routing_parts import Parts
 
 from linnetshift.routing.actions import ALL_PEERS, HealthCheck, Migrate, SendPeerMessage
@@ -72,3 +72,27 @@
     reporter(parts).handle_peer_report(parts.endpoint(1))
     assert parts.endpoint(1).over_objective_until == parts.context.now + 2500 * MS
     assert parts.endpoint(1).message_latency_ns == 0
+
+
+def test_slow_messages_at_most_endpoints_shed_load() -> None:
+    parts = Parts()
+    made = reporter(parts)
+    for turn in range(2):
+        parts.at((10 + turn) * S)
+        for where in parts.endpoints.values():
+            made.handle_report(where, 90 * MS)
+    assert parts.admission.load_shedding.admitted_share == 0.65
+
+
+def test_endpoint_is_over_the_objective_of_most_when_half_of_its_connections_miss_theirs() -> None:
+    base = raw_settings()["services"][0]
+    services = [{**base, "name": "strict"}, {**base, "name": "loose"}]
+    parts = Parts(services=services, familyInfo={"messageAimNs": [20 * MS, 400 * MS]})
+    where = parts.endpoint(0)
+    for number in (1, 2):
+        parts.connection(number, where).request_class = parts.context.settings.classes[number - 1]
+    reporter(parts).handle_report(where, 30 * MS)
+    assert where.majority_over_objective_until
+    parts.connection(3, where).request_class = parts.context.settings.classes[1]
+    reporter(parts).handle_report(where, 30 * MS)
+    assert not where.majority_over_objective_until
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -83,10 +83,10 @@
 
 
 def test_zone_is_not_ejected_while_as_many_of_it_work() -> None:
-    parts = Parts(endpoints=18)
+    parts = Parts(endpoints=21)
     parts.at(100 * S)
     zone = [e for e in parts.endpoints.values() if e.zone == 0]
-    for working in zone[3:]:
+    for working in zone[3:6]:
         working.last_established_at = parts.context.now
     for failing in zone[:3]:
         parts.outliers.record_failure(failing, is_overload=False)
--- a/tests/test_returning_clients.py
+++ b/tests/test_returning_clients.py
@@ -23,4 +23,6 @@
     made.record_drop(1 * S)
     made.record_return(6 * S)
     assert (made.drops.value, made.returns.value) == (0.5, 1.0)
-    assert made.record_return(16 * S) == 0.0
+    made.record_drop(11 * S)
+    assert (made.drops.value, made.returns.value) == (1.25, 0.5)
+    assert made.record_return(21 * S) == 0.0
