--- a/linnetshift/__main__.py
+++ b/linnetshift/__main__.py
@@ -10,7 +10,7 @@
 from linnetshift.config.errors import ConfigError
 from linnetshift.config.loader import read_files
 from linnetshift.config.proxy_file import platform_listener
-from linnetshift.lifecycle.hot_restart import TakeoverSocketPath, request_takeover
+from linnetshift.lifecycle.takeover_socket import TakeoverSocketPath, request_takeover
 from linnetshift.observability import log
 from linnetshift.proxy import Proxy
 
--- /dev/null
+++ b/linnetshift/lifecycle/imported_state.py
@@ -0,0 +1,100 @@
+"""The state that a predecessor handed over, read leniently: it may be of another version.
+
+A part that makes no sense is logged and left out; the rest is used.
+"""
+
+from __future__ import annotations
+
+import socket
+
+from linnetshift.broker.broker import Broker
+from linnetshift.broker.snapshot import import_state
+from linnetshift.config.names import NameRegistry
+from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
+from linnetshift.lifecycle.takeover_messages import (
+    ADMINISTRATIVE_DRAINS_KEY,
+    DESCRIPTOR_NAMES_KEY,
+    ENDPOINT_LIST_KEY,
+    IS_VRRP_ACTIVE_KEY,
+    PEER_RESOURCES_KEY,
+    SNAPSHOT_KEY,
+    TOKEN_BUCKETS_KEY,
+    MessageError,
+    PeerResources,
+)
+from linnetshift.lifecycle.takeover_socket import PredecessorState
+from linnetshift.lifecycle.token_bucket_state import restore_token_bucket
+from linnetshift.observability import log
+
+# What the parts' own `restore` functions raise for a state of another shape.
+_WRONG_SHAPE_ERRORS = (AttributeError, KeyError, TypeError, ValueError)
+
+
+class ImportedState:
+    """The predecessor's state; empty where there is no predecessor."""
+
+    def __init__(self, predecessor: PredecessorState | None, names: NameRegistry) -> None:
+        """Read what is needed before the parts exist; `names` has this process's teams and classes."""
+        self.names = names
+        self.state = predecessor.state if predecessor is not None else {}
+        self.active = self.state.get(IS_VRRP_ACTIVE_KEY) is True  # VRRP state of the predecessor
+        self.list_update: EndpointListUpdate | None = None
+        self.peer_resources = PeerResources()
+        # Listening sockets by name; whoever takes one out owns it.
+        self.sockets = self._adopt_sockets(predecessor.descriptors if predecessor is not None else [])
+        if self.state:
+            self.list_update = self._read_list()
+            self.peer_resources = self._read_peer_resources()
+
+    def _adopt_sockets(self, descriptors: list[int]) -> dict[str, socket.socket]:
+        """Pair the descriptors with their names; they come in the same order."""
+        names = self.state.get(DESCRIPTOR_NAMES_KEY) or []
+        return {
+            str(name): socket.socket(fileno=descriptor)
+            for name, descriptor in zip(names, descriptors, strict=False)
+        }
+
+    def _read_list(self) -> EndpointListUpdate | None:
+        """Return the endpoint list; None where it is empty or unreadable."""
+        try:
+            list_update = read_list(self.state.get(ENDPOINT_LIST_KEY), self.names)
+        except ValueError as error:
+            log.note("imported-list-rejected", error=str(error))
+            return None
+        return list_update if list_update.event.entries else None
+
+    def _read_peer_resources(self) -> PeerResources:
+        """Return what the predecessor held when it sent its state; nothing where that is unreadable."""
+        try:
+            return PeerResources.from_json(self.state.get(PEER_RESOURCES_KEY, {}))
+        except MessageError as error:
+            log.note("imported-state-rejected", error=str(error))
+            return PeerResources()
+
+    def restore(self, broker: Broker) -> None:
+        """Restore administrative drains and token buckets; call this before the endpoint list is applied."""
+        if not self.state:
+            return
+        try:
+            broker.administrative_drains.restore(self.state[ADMINISTRATIVE_DRAINS_KEY])
+            self._restore_token_buckets(broker)
+        except _WRONG_SHAPE_ERRORS as error:
+            log.note("imported-state-rejected", error=f"{type(error).__name__}: {error}")
+
+    def _restore_token_buckets(self, broker: Broker) -> None:
+        """Restore the buckets of teams with a contract here too; raises one of _WRONG_SHAPE_ERRORS."""
+        for team, buckets in self.state[TOKEN_BUCKETS_KEY].items():
+            contract = broker.contracts.teams.get(self.names.tenants[team])
+            if contract is not None:
+                restore_token_bucket(contract.rate, buckets[0])
+                restore_token_bucket(contract.retries, buckets[1])
+
+    def import_state(self, broker: Broker) -> None:
+        """Import what the balancer had observed; call this once the endpoint list is applied."""
+        broker.process_events()
+        if not self.state:
+            return
+        try:
+            import_state(broker.balancer, broker.latency_estimator, self.state[SNAPSHOT_KEY])
+        except _WRONG_SHAPE_ERRORS as error:
+            log.note("snapshot-rejected", error=f"{type(error).__name__}: {error}")
--- /dev/null
+++ b/linnetshift/lifecycle/peer_process.py
@@ -0,0 +1,196 @@
+"""The connection to another process of this proxy: the one that it replaces, or the one that replaces it."""
+
+from __future__ import annotations
+
+import select
+import socket
+from collections.abc import Callable
+from enum import Enum
+from functools import partial
+from itertools import count
+from typing import Any, Protocol
+
+from linnetshift.event_loop.connection_limits import Reading
+from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, S, Timeout
+from linnetshift.event_loop.stream import Stream
+from linnetshift.lifecycle.restart_operations import RestartOperations
+from linnetshift.lifecycle.takeover_messages import (
+    AdministrativeDrain,
+    AdministrativeDrainConfirmed,
+    Heartbeat,
+    Hello,
+    MessageError,
+    ReceivedMessage,
+    SentMessage,
+    Serving,
+    Stopped,
+    decode_message,
+    encode_message,
+)
+from linnetshift.lifecycle.takeover_socket import PredecessorState
+from linnetshift.observability import log
+
+# A process that connects sends its hello at once; one that does not would keep the real successor out.
+HELLO_TIMEOUT_NS = 1 * S
+# How often each process reports what it holds: the other one's limits lag behind by at most this.
+HEARTBEAT_INTERVAL_NS = 500 * MS
+# Received bytes without the end of a line: a heartbeat lists every endpoint and stays below this.
+MAX_MESSAGE_BYTES = 1 << 20
+# Drains that the other process has not confirmed; one that hangs is given up soon, see `Reading`.
+MAX_UNCONFIRMED_DRAINS = 256
+
+
+class PeerTimer(Enum):
+    """The timers of a peer process beside the one for a stalled stream."""
+
+    HELLO = "hello"
+    HEARTBEAT = "heartbeat"
+
+
+class RestartCoordinator(Protocol):
+    """Decides what the messages of a peer process mean for the other processes."""
+
+    def handle_successor_serving(self, peer_process: PeerProcess, /) -> None:
+        """Let the successor accept in this process's place."""
+
+    def handle_predecessor_stopped(self) -> None:
+        """Note that the predecessor no longer accepts."""
+
+    def handle_peer_gone(self, peer_process: PeerProcess, /) -> None:
+        """Go on without the process."""
+
+    def apply_administrative_drain(
+        self, endpoint: bytes, out: bool, done: Callable[[], None], source: PeerProcess | None = None
+    ) -> None:
+        """Apply the drain everywhere but at its source; `done` is called once all have it."""
+
+
+class PeerProcess(Reading):
+    """Actor that exchanges messages with one other process of this proxy until either is gone."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        operations: RestartOperations,
+        coordinator: RestartCoordinator,
+        sock: socket.socket,
+        predecessor: PredecessorState | None = None,
+    ) -> None:
+        """`predecessor` is given where the socket leads to the process that handed over its state."""
+        super().__init__(loop)
+        self.operations = operations
+        self.coordinator = coordinator
+        self.is_predecessor = predecessor is not None
+        self.stream = Stream(loop, sock, self._handle_ready)
+        self.received = bytearray(predecessor.rest if predecessor is not None else b"")
+        self.has_exchanged_state = self.is_predecessor
+        self.has_ended = False  # the peer closed, broke the rules or hangs
+        self.drain_numbers = count()
+        self.unconfirmed_drains: dict[int, Callable[[], None]] = {}
+
+    def run(self) -> ActorCoroutine:
+        """Process events until the connection ends."""
+        self.stream.arm()
+        self.set_timer(HELLO_TIMEOUT_NS, PeerTimer.HELLO)
+        self.set_timer(HEARTBEAT_INTERVAL_NS, PeerTimer.HEARTBEAT)
+        while not self.has_ended and not self.stream.broken and self._process_lines():
+            self._process_event((yield))
+        self._disconnect()
+
+    def faulted(self, error: Exception) -> None:
+        """Contain the fault: no message of a peer may end this process."""
+        log.fault(error)
+        self._disconnect()
+
+    def send(self, message: SentMessage) -> None:
+        """Send one message; a peer that leaves everything unread is given up after a while."""
+        self.stream.send(encode_message(message))
+        self.look_for_stall()
+
+    def send_heartbeat(self) -> None:
+        """Report what this process holds."""
+        self.send(Heartbeat(self.operations.peer_resources()))
+
+    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+        """Have the other process apply the drain; `done` is called once it has, or is gone."""
+        is_connected = self.coroutine is not None and self.has_exchanged_state
+        if not is_connected or len(self.unconfirmed_drains) >= MAX_UNCONFIRMED_DRAINS:
+            done()  # the drain will be in the state that it, or the successor of one that hangs, asks for
+            return
+        number = next(self.drain_numbers)
+        self.unconfirmed_drains[number] = done
+        self.send(AdministrativeDrain(endpoint, out, number))
+
+    def _handle_ready(self, mask: int) -> None:
+        self.post(Io(mask))
+
+    def _process_event(self, event: Any) -> None:
+        match event:
+            case Io(mask):
+                self._transfer(mask)
+            case Timeout(tag=PeerTimer.HEARTBEAT):
+                # A congested peer may hang: heartbeats would fill the buffer.
+                if self.has_exchanged_state and not self.stream.is_congested:
+                    self.send_heartbeat()
+                self.set_timer(HEARTBEAT_INTERVAL_NS, PeerTimer.HEARTBEAT)
+            case Timeout(tag=PeerTimer.HELLO):
+                self.has_ended = not self.has_exchanged_state
+            case Timeout(tag="stalled"):
+                self.has_ended = self.stalled()
+
+    def _transfer(self, mask: int) -> None:
+        """Write what is buffered and read once."""
+        if mask & select.EPOLLOUT:
+            self.stream.flush()
+            self.look_for_stall()
+        end = self.stream.fill()
+        self.received += self.stream.rest()
+        self.has_ended = end is not None or len(self.received) > MAX_MESSAGE_BYTES
+
+    def _process_lines(self) -> bool:
+        """Process each whole line; False where one is unreadable, as the peer may be of another version."""
+        while (size := self.received.find(b"\n") + 1) > 0:
+            try:
+                message = decode_message(self.received[:size])
+            except MessageError as error:
+                log.note("peer-message-unreadable", error=str(error))
+                return False
+            del self.received[:size]
+            self._process_message(message)
+        return True
+
+    def _process_message(self, message: ReceivedMessage) -> None:
+        match message:
+            case Hello() if not self.has_exchanged_state:
+                self._send_state()
+            case Serving() if self.has_exchanged_state:
+                self.coordinator.handle_successor_serving(self)
+                self.send(Stopped())
+            case Stopped() if self.is_predecessor:
+                self.coordinator.handle_predecessor_stopped()
+            case AdministrativeDrain(endpoint, is_out, number):
+                confirm = partial(self.send, AdministrativeDrainConfirmed(number))
+                self.coordinator.apply_administrative_drain(endpoint, is_out, confirm, self)
+            case AdministrativeDrainConfirmed(number):
+                done = self.unconfirmed_drains.pop(number, None)
+                if done is not None:
+                    done()
+            case Heartbeat(peer_resources):
+                self.operations.update_peer_resources(peer_resources)
+
+    def _send_state(self) -> None:
+        state = self.operations.state()
+        line = encode_message(state)
+        descriptors = list(state.descriptors.values())
+        if descriptors:  # they travel with at least one byte; a blank before the state is skipped
+            socket.send_fds(self.stream.sock, [b" "], descriptors)
+        self.stream.send(line)
+        self.has_exchanged_state = True
+
+    def _disconnect(self) -> None:
+        self.stream.close()
+        unconfirmed = list(self.unconfirmed_drains.values())
+        self.unconfirmed_drains = {}
+        for done in unconfirmed:  # a process that is gone sends no request to any endpoint
+            done()
+        self.coordinator.handle_peer_gone(self)
--- /dev/null
+++ b/linnetshift/lifecycle/restart_operations.py
@@ -0,0 +1,27 @@
+"""What a hot restart needs of the proxy that runs in this process."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from linnetshift.lifecycle.takeover_messages import ExportedState, PeerResources
+
+
+class RestartOperations(Protocol):
+    """The proxy's side of a hot restart; the composition root implements it."""
+
+    def state(self) -> ExportedState:
+        """Return everything that a successor needs to take over."""
+
+    def yield_to_successor(self, yielding: bool, /) -> None:
+        """Stop accepting and migrate clients away, or accept again where the successor is gone."""
+
+    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+        """Take the endpoint out or restore it in this process alone; `done` is called once that is done."""
+
+    def peer_resources(self) -> PeerResources:
+        """Return what this process holds, to be counted by the other one."""
+
+    def update_peer_resources(self, peer_resources: PeerResources, /) -> None:
+        """Count what the other process holds towards this one's limits; empty once it is gone."""
--- /dev/null
+++ b/linnetshift/lifecycle/takeover_messages.py
@@ -0,0 +1,262 @@
+"""Messages between two processes of one proxy during a hot restart.
+
+Each message is one line of JSON: an object whose `say` names its kind. The two processes may be of different
+versions, so the keys and their order are fixed, an unknown kind is ignored and unknown keys are skipped.
+"""
+
+from __future__ import annotations
+
+import json
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass
+from types import MappingProxyType
+from typing import Any, NamedTuple
+
+from linnetshift.broker.latency_estimator import Standing
+from linnetshift.observability import log
+
+KIND_KEY = "say"
+HELLO_KIND = "hello"
+STATE_KIND = "state"
+SERVING_KIND = "serving"
+STOPPED_KIND = "stopped"
+DRAIN_KIND = "ban"
+DRAIN_CONFIRMED_KIND = "held"
+HEARTBEAT_KIND = "beat"
+
+ENDPOINT_KEY = "provider"
+IS_OUT_KEY = "out"
+NUMBER_KEY = "number"
+
+STREAMS_KEY = "streams"
+MIGRATED_KEY = "moved"
+LOADS_KEY = "loads"
+
+ENDPOINT_LIST_KEY = "list"
+ADMINISTRATIVE_DRAINS_KEY = "bans"
+TOKEN_BUCKETS_KEY = "budgets"
+PEER_RESOURCES_KEY = "holdings"
+SNAPSHOT_KEY = "memory"
+IS_VRRP_ACTIVE_KEY = "active"
+DESCRIPTOR_NAMES_KEY = "passed"
+
+# Bounds of what a peer may report: no process holds more descriptors than the kernel's usual hard limit, and
+# a counter that only ever grows by one stays far below 63 bits.
+MAX_PEER_DESCRIPTORS = 1 << 20
+MAX_MIGRATED = 1 << 62
+
+# What reading a JSON document of the wrong shape raises: absent keys, other types, numbers out of range,
+# bytes that are no text (UnicodeDecodeError is a ValueError) and nesting too deep for the parser.
+_WRONG_SHAPE_ERRORS = (AttributeError, KeyError, OverflowError, RecursionError, TypeError, ValueError)
+
+
+class MessageError(Exception):
+    """A peer's message or a part of its state cannot be read; the text names the cause, of bounded length."""
+
+    def __init__(self, cause: Exception) -> None:
+        """`cause` loses its traceback, see `log.words`."""
+        super().__init__(f"{type(cause).__name__}: {log.words(cause)}")
+
+
+class PeerResources(NamedTuple):
+    """What a process holds while two of them live; the limits of the proxy apply to both together."""
+
+    streams: int = 0  # open descriptors
+    moved: int = 0  # clients migrated since the process started
+    loads: Mapping[bytes, list[Standing]] = MappingProxyType({})  # established connections by endpoint
+
+    def to_json(self) -> dict[str, object]:
+        """Return the keys shared by the heartbeat and the exported state.
+
+        Raises UnicodeDecodeError where an endpoint's name is not UTF-8.
+        """
+        loads = {
+            endpoint.decode(): [(connection.load, connection.group) for connection in connections]
+            for endpoint, connections in self.loads.items()
+        }
+        return {STREAMS_KEY: self.streams, LOADS_KEY: loads, MIGRATED_KEY: self.moved}
+
+    @classmethod
+    def from_json(cls, document: Any) -> PeerResources:
+        """Raise MessageError where a value has a wrong type or range; absent keys count as empty."""
+        try:
+            return cls._parse(document)
+        except _WRONG_SHAPE_ERRORS as error:
+            raise MessageError(error) from error
+
+    @classmethod
+    def _parse(cls, document: Any) -> PeerResources:
+        """Raise one of _WRONG_SHAPE_ERRORS where the document makes no sense."""
+        streams = int(document.get(STREAMS_KEY, 0))
+        moved = int(document.get(MIGRATED_KEY, 0))
+        loads = {
+            endpoint.encode(): [
+                Standing(None if load is None else float(load), int(group), 0) for load, group in connections
+            ]
+            for endpoint, connections in document.get(LOADS_KEY, {}).items()
+        }
+        if not 0 <= streams <= MAX_PEER_DESCRIPTORS or not 0 <= moved < MAX_MIGRATED:
+            raise ValueError("impossible holdings")
+        if not all(map(_is_possible, loads.values())):
+            raise ValueError("impossible load")
+        return cls(streams, moved, loads)
+
+
+def _is_possible(connections: list[Standing]) -> bool:
+    """Whether all reported loads are finite and not negative."""
+    loads = [connection.load for connection in connections if connection.load is not None]
+    return all(math.isfinite(load) and load >= 0.0 for load in loads)
+
+
+@dataclass(frozen=True, slots=True)
+class Hello:
+    """The new process asks for the state of the one that it replaces."""
+
+    def to_json(self) -> dict[str, object]:
+        """Return the object to send."""
+        return {KIND_KEY: HELLO_KIND}
+
+
+@dataclass(frozen=True, slots=True)
+class ExportedState:
+    """The answer to `Hello`: everything that the new process needs to take over."""
+
+    endpoint_list: dict[str, Any]  # in discovery's form
+    administrative_drains: dict[str, Any]
+    token_buckets: dict[str, list[list[float] | None]]  # by team
+    peer_resources: PeerResources
+    snapshot: dict[str, Any]  # of the balancer and the latency estimator
+    is_vrrp_active: bool
+    descriptors: dict[str, int]  # listening sockets by name, passed beside the message in this order
+
+    def to_json(self) -> dict[str, object]:
+        """Return the object to send."""
+        return {
+            KIND_KEY: STATE_KIND,
+            ENDPOINT_LIST_KEY: self.endpoint_list,
+            ADMINISTRATIVE_DRAINS_KEY: self.administrative_drains,
+            TOKEN_BUCKETS_KEY: self.token_buckets,
+            PEER_RESOURCES_KEY: self.peer_resources.to_json(),
+            SNAPSHOT_KEY: self.snapshot,
+            IS_VRRP_ACTIVE_KEY: self.is_vrrp_active,
+            DESCRIPTOR_NAMES_KEY: list(self.descriptors),
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class Serving:
+    """The new process accepts connections; the old one is to stop."""
+
+    def to_json(self) -> dict[str, object]:
+        """Return the object to send."""
+        return {KIND_KEY: SERVING_KIND}
+
+
+@dataclass(frozen=True, slots=True)
+class Stopped:
+    """The old process no longer accepts connections."""
+
+    def to_json(self) -> dict[str, object]:
+        """Return the object to send."""
+        return {KIND_KEY: STOPPED_KIND}
+
+
+@dataclass(frozen=True, slots=True)
+class AdministrativeDrain:
+    """An operator took an endpoint out or restored it at the sender; the receiver is to do the same."""
+
+    endpoint: bytes
+    is_out: bool
+    number: int  # the confirmation repeats it
+
+    def to_json(self) -> dict[str, object]:
+        """Return the object to send; raises UnicodeDecodeError where the endpoint's name is not UTF-8."""
+        return {
+            KIND_KEY: DRAIN_KIND,
+            ENDPOINT_KEY: self.endpoint.decode(),
+            IS_OUT_KEY: self.is_out,
+            NUMBER_KEY: self.number,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class AdministrativeDrainConfirmed:
+    """The sender applied the drain of this number, and so did every other process that it knows."""
+
+    number: int
+
+    def to_json(self) -> dict[str, object]:
+        """Return the object to send."""
+        return {KIND_KEY: DRAIN_CONFIRMED_KIND, NUMBER_KEY: self.number}
+
+
+@dataclass(frozen=True, slots=True)
+class Heartbeat:
+    """What the sender holds at the moment, sent regularly."""
+
+    peer_resources: PeerResources
+
+    def to_json(self) -> dict[str, object]:
+        """Return the object to send."""
+        return {KIND_KEY: HEARTBEAT_KIND, **self.peer_resources.to_json()}
+
+
+@dataclass(frozen=True, slots=True)
+class UnknownMessage:
+    """A message of a kind that has no meaning at this point or in this version; it is ignored."""
+
+    kind: str
+
+
+SentMessage = (
+    Hello | ExportedState | Serving | Stopped | AdministrativeDrain | AdministrativeDrainConfirmed | Heartbeat
+)
+ReceivedMessage = (
+    Hello
+    | Serving
+    | Stopped
+    | AdministrativeDrain
+    | AdministrativeDrainConfirmed
+    | Heartbeat
+    | UnknownMessage
+)
+
+
+def encode_message(message: SentMessage) -> bytes:
+    """Return the message as a line of JSON with its line end."""
+    return json.dumps(message.to_json()).encode() + b"\n"
+
+
+def decode_message(line: bytes | bytearray) -> ReceivedMessage:
+    """Read one whole line of a peer; raises MessageError where it makes no sense."""
+    try:
+        return _parse_message(line)
+    except _WRONG_SHAPE_ERRORS as error:
+        raise MessageError(error) from error
+
+
+def _parse_message(line: bytes | bytearray) -> ReceivedMessage:
+    """Raise MessageError or one of _WRONG_SHAPE_ERRORS where the line makes no sense."""
+    document = json.loads(line)
+    kind = document[KIND_KEY]
+    if not isinstance(kind, str):
+        raise ValueError("says nothing")
+    if kind == DRAIN_KIND:
+        return AdministrativeDrain(
+            str(document[ENDPOINT_KEY]).encode(), bool(document[IS_OUT_KEY]), int(document[NUMBER_KEY])
+        )
+    if kind == DRAIN_CONFIRMED_KIND:
+        return AdministrativeDrainConfirmed(int(document[NUMBER_KEY]))
+    if kind == HEARTBEAT_KIND:
+        return Heartbeat(PeerResources.from_json(document))
+    if kind in _PLAIN_MESSAGES:
+        return _PLAIN_MESSAGES[kind]
+    return UnknownMessage(kind)
+
+
+_PLAIN_MESSAGES: dict[str, Hello | Serving | Stopped] = {
+    HELLO_KIND: Hello(),
+    SERVING_KIND: Serving(),
+    STOPPED_KIND: Stopped(),
+}
--- /dev/null
+++ b/linnetshift/lifecycle/token_bucket_state.py
@@ -0,0 +1,37 @@
+"""The fill levels of the contracts' token buckets in the state that a successor takes over."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from linnetshift.broker.contracts import Budget, Contracts
+
+TokenBucketState = list[float]  # level in tokens, and the time in ns for which it was computed
+
+
+def export_token_buckets(
+    contracts: Contracts, tenants: Mapping[str, int]
+) -> dict[str, list[TokenBucketState | None]]:
+    """Return the buckets for requests and for retries by team name; None where the contract sets no limit.
+
+    `tenants` has the teams' numbers by name; a number means nothing to another process.
+    """
+    teams = {number: name for name, number in tenants.items()}
+    return {
+        teams[team]: [
+            None if bucket is None else [bucket.level, bucket.at]
+            for bucket in (contract.rate, contract.retries)
+        ]
+        for team, contract in contracts.teams.items()
+        if team in teams
+    }
+
+
+def restore_token_bucket(bucket: Budget | None, state: TokenBucketState | None) -> None:
+    """Continue with the predecessor's level, where both versions of the contract set a limit.
+
+    Raises IndexError, OverflowError, TypeError or ValueError where the state has another shape.
+    """
+    if bucket is not None and state is not None:
+        bucket.level = float(state[0])
+        bucket.at = int(state[1])
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -7,7 +7,6 @@
 import signal
 import socket
 from collections.abc import Callable
-from typing import Any
 
 from linnetshift.admin.server import AdminServer
 from linnetshift.broker.administrative_drains import MOST_LISTED
@@ -26,14 +25,11 @@
 from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
 from linnetshift.frontends.listener import Acceptor, Frontend
 from linnetshift.lifecycle.graceful_shutdown import ChannelMigrator, GracefulShutdown
-from linnetshift.lifecycle.hot_restart import (
-    HotRestart,
-    ImportedState,
-    PeerResources,
-    PredecessorState,
-    TakeoverSocketPath,
-    spent,
-)
+from linnetshift.lifecycle.hot_restart import HotRestart
+from linnetshift.lifecycle.imported_state import ImportedState
+from linnetshift.lifecycle.takeover_messages import ExportedState, PeerResources
+from linnetshift.lifecycle.takeover_socket import PredecessorState, TakeoverSocketPath
+from linnetshift.lifecycle.token_bucket_state import export_token_buckets
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.events import EndpointList, EndpointState, ListForm
@@ -190,7 +186,7 @@
         )
         self.decision_loop.when_processed(done)
 
-    def state(self) -> tuple[dict[str, Any], list[int]]:
+    def state(self) -> ExportedState:
         administrative_drains, connector = self.broker.administrative_drains, self.connector
         targets = [
             describe(entry, connector.addresses[endpoint], self.names)
@@ -201,17 +197,15 @@
             "channels": self.channels.acceptor.listener.fileno() if self.channels.acceptor else -1,
             "vrrp": self.vrrp.sock.fileno() if self.vrrp else -1,
         }
-        passing = {what: fd for what, fd in passing.items() if fd >= 0}
-        state = {
-            "list": {"rev": self.discovery.version, "all": True, "targets": targets},
-            "bans": administrative_drains.state(),
-            "budgets": spent(self.own.contracts, self.names),
-            "holdings": self.peer_resources(),
-            "memory": export_state(self.broker.balancer, self.broker.latency_estimator),
-            "active": self.vrrp is not None and self.vrrp.router.state is State.ACTIVE,
-            "passed": list(passing),
-        }
-        return state, list(passing.values())
+        return ExportedState(
+            endpoint_list={"rev": self.discovery.version, "all": True, "targets": targets},
+            administrative_drains=administrative_drains.state(),
+            token_buckets=export_token_buckets(self.own.contracts, self.names.tenants),
+            peer_resources=self.peer_resources(),
+            snapshot=export_state(self.broker.balancer, self.broker.latency_estimator),
+            is_vrrp_active=self.vrrp is not None and self.vrrp.router.state is State.ACTIVE,
+            descriptors={what: fd for what, fd in passing.items() if fd >= 0},
+        )
 
     def yield_to_successor(self, back: bool) -> None:
         """Leave all that arrives to the new process and move what is here to it; or take it on again."""
@@ -228,12 +222,8 @@
         elif self.shutdown is not None:
             self.shutdown.end()
 
-    def peer_resources(self) -> dict[str, Any]:
-        loads = {
-            endpoint.decode(): [(one.load, one.group) for one in held]
-            for endpoint, held in self.broker.loads().items()
-        }
-        return {"streams": self.loop.streams, "loads": loads, "moved": self.broker.migrated}
+    def peer_resources(self) -> PeerResources:
+        return PeerResources(self.loop.streams, self.broker.migrated, self.broker.loads())
 
     def update_peer_resources(self, peer_resources: PeerResources) -> None:
         self.connection_limiter.peer_descriptors = peer_resources.streams
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -18,8 +18,9 @@
 from linnetshift.event_loop import connection_limits
 from linnetshift.event_loop.loop import Loop
 from linnetshift.frontends.channels import session
-from linnetshift.lifecycle import hot_restart
-from linnetshift.lifecycle.hot_restart import PeerProcess
+from linnetshift.lifecycle import peer_process
+from linnetshift.lifecycle.peer_process import PeerProcess
+from linnetshift.lifecycle.takeover_messages import PeerResources
 from linnetshift.observability.resource_usage import ResourceUsage, over
 from linnetshift.routing.events import EndpointEntry, EndpointState, ListForm
 from linnetshift.routing.settings import Settings
@@ -163,7 +164,7 @@
 
 def test_a_process_beside_this_one_that_hangs_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     # What it was told twice a second piled up for as long as it hung.
-    monkeypatch.setattr(hot_restart, "HEARTBEAT_INTERVAL_NS", MS)
+    monkeypatch.setattr(peer_process, "HEARTBEAT_INTERVAL_NS", MS)
     monkeypatch.setattr(connection_limits, "STALL_NS", 100 * MS)
     beat = 1 << 20
 
@@ -173,17 +174,16 @@
         loop = Loop()
         parted_from: PeerProcess | None = None
 
-        def peer_resources(self) -> dict[str, str]:
-            return {"loads": "x" * beat}
+        def peer_resources(self) -> PeerResources:
+            return PeerResources(loads={b"x" * beat: []})
 
         def handle_peer_gone(self, beside: PeerProcess) -> None:
             self.parted_from = beside
 
     around = Around()
-    around.program = around  # type: ignore[attr-defined]
     ours, theirs = socket.socketpair()
-    beside = PeerProcess(around, ours)  # type: ignore[arg-type]
-    beside.met = True
+    beside = PeerProcess(around.loop, around, around, ours)  # type: ignore[arg-type]
+    beside.has_exchanged_state = True
     beside.start(beside.run())
     until, most = time.monotonic() + WAIT, 0
     while around.parted_from is None:
