--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -1,8 +1,13 @@
-"""The decision module's actor, and the one that empties this proxy before a planned stop."""
+"""Graceful shutdown: migrate every client to another proxy before the platform kills this process.
+
+Times are nanoseconds of the loop's clock. The platform's signal is followed by a kill; between the two the
+process accepts for a short while, migrates its clients at an even pace, answers what is left and lingers
+until its last bytes are read.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import Protocol
 
 from linnetshift.broker.broker import Broker
 from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Loop, S
@@ -11,108 +16,162 @@
 from linnetshift.observability import log
 from linnetshift.routing.settings import Settings
 
-# On a planned stop new connections keep arriving for up to 0.4 s; the kill comes no earlier than the
-# longest deadline (3 s where it is longer) and 0.7 s after the signal.
+# New connections keep arriving for up to 0.4 s after the signal of a planned stop.
 ACCEPT_NS = 600 * MS
-MOST_DEADLINE_NS = 3 * S
-KILL_NS = 700 * MS
-SPARE_NS = 350 * MS  # kept free before the kill, for the last answers and moves to be written and read
-LAST_NS = 100 * MS  # of that, for the exit itself
-# Proxies are restarted one after the other: the one before may not be back yet, and clients moved at
-# once would find nobody. They are moved between these parts of the time, in hundredths.
-MOVE_FROM = 40
-MOVE_UNTIL = 92
+# The kill comes no earlier than the longest deadline after the signal, or this where that is longer, ...
+MAX_DEADLINE_NS = 3 * S
+# ... and this much more.
+KILL_GRACE_NS = 700 * MS
+# Kept free before the kill, for the last answers and migrations to be written and read.
+LINGER_NS = 350 * MS
+# Of that, kept for the exit itself.
+EXIT_NS = 100 * MS
+# Proxies are restarted one after the other: the previous one may not be back yet, and clients migrated at
+# once would find no proxy. They are migrated between these parts of the time, in percent.
+MIGRATION_START_PERCENT = 40
+MIGRATION_END_PERCENT = 92
+# Clients migrate in steps of this length: short against the time there is, long against a turn of the loop.
 STEP_NS = 50 * MS
-SIGNAL_NS = 6 * S  # within this of the new process's yes, the signal comes to the one it replaces
-LOST_PART_NS = 2 * S  # over how long channels move once another proxy is the active one
+# The platform signals a process within this after its successor reported that it serves.
+SIGNAL_AFTER_REPLACEMENT_NS = 6 * S
+# Over how long channels migrate once another proxy is the active VRRP router.
+CHANNEL_MIGRATION_NS = 2 * S
+# The reason that clients and the log are given.
+MIGRATION_REASON = "migrated"
+
+
+class ShutdownClients(Protocol):
+    """The client connections of all frontends."""
+
+    def stop_listening(self) -> None:
+        """Close the listening sockets."""
+
+    def connections_in_use(self) -> int:
+        """Return how many connections await something; a silent one must not delay the shutdown."""
+
+    def open_streams(self) -> list[Stream]:
+        """Return the streams of all connections, the silent ones too."""
+
+    def notify_idle_clients(self) -> None:
+        """Have the connections without a request migrate as well."""
 
 
 class ChannelMigrator(Actor):
-    """Moves a frontend's channels at an even pace once it no longer listens."""
+    """Migrates a frontend's channels at an even pace once it no longer listens."""
 
     def __init__(self, loop: Loop, broker: Broker, frontend: ChannelsFrontend) -> None:
+        """Nothing migrates before `run` is started."""
         super().__init__(loop)
-        self.broker, self.frontend = broker, frontend
+        self.broker = broker
+        self.frontend = frontend
 
     def run(self) -> ActorCoroutine:
-        steps = LOST_PART_NS // STEP_NS
+        """Migrate until no channel is left, or the frontend listens again."""
+        steps = CHANNEL_MIGRATION_NS // STEP_NS
         while self.frontend.is_draining and (channels := self.frontend.channels()):
-            for channel in channels[: -(-len(channels) // max(1, steps))]:
-                self.broker.migrate(channel.request.id, "migrated")
+            due = -(-len(channels) // max(1, steps))  # rounded up: the last step must leave none
+            for channel in channels[:due]:
+                self.broker.migrate(channel.request.id, MIGRATION_REASON)
             steps -= 1
             self.set_timer(STEP_NS, "step")
             yield
 
 
 def kill_after(settings: Settings) -> int:
-    return min(MOST_DEADLINE_NS, max(c.deadline_ns for c in settings.offered)) + KILL_NS
+    """Return how long after its signal the platform kills a process at the earliest, in ns."""
+    return min(MAX_DEADLINE_NS, max(offered.deadline_ns for offered in settings.offered)) + KILL_GRACE_NS
 
 
 class GracefulShutdown(Actor):
-    """Answers everything, moves every client away at an even pace, and stops the loop.
+    """Answers every request, migrates every client at an even pace and stops the loop.
 
-    One that is replaced has stopped accepting, and has until the signal comes and then as long as any.
+    A process that is replaced by a successor has stopped accepting already. It has until its signal comes,
+    and from then on as long as any other.
     """
 
-    def __init__(
-        self,
-        loop: Loop,
-        broker: Broker,
-        close: Callable[[], None],
-        held: Callable[[], int],
-        open_streams: Callable[[], list[Stream]],
-        notify_idle_clients: Callable[[], None],
-        replaced: bool,
-    ) -> None:
+    def __init__(self, loop: Loop, broker: Broker, clients: ShutdownClients, replaced: bool) -> None:
+        """Set the deadlines as of now; `replaced` tells that a successor accepts in this one's place."""
         super().__init__(loop)
-        self.broker, self.close, self.held, self.replaced = broker, close, held, replaced
-        self.open_streams, self.notify_idle_clients = open_streams, notify_idle_clients
-        now, time = loop.now(), kill_after(broker.settings) - SPARE_NS
-        self.until = now + time + (SIGNAL_NS if replaced else 0)
-        self.paced_from = now if replaced else now + time * MOVE_FROM // 100
-        self.paced_until = self.until - time * (100 - MOVE_UNTIL) // 100
+        self.broker = broker
+        self.clients = clients
+        self.replaced = replaced
+        now = loop.now()
+        available = self._available_ns()
+        self.until = now + available + (SIGNAL_AFTER_REPLACEMENT_NS if replaced else 0)
         self.accept_until = now + (0 if replaced else ACCEPT_NS)
+        self.migrate_from = now if replaced else now + available * MIGRATION_START_PERCENT // 100
+        self.migrate_until = self.until - available * (100 - MIGRATION_END_PERCENT) // 100
+        self.migrations_due = 0.0  # a fraction is carried over to the next step
 
     def shorten(self) -> None:
-        """The signal has come to one that is replaced: from now on the time is known."""
-        now, time = self.loop.now(), kill_after(self.broker.settings) - SPARE_NS
-        self.until = min(self.until, now + time)
-        self.paced_until = min(self.paced_until, now + time * MOVE_UNTIL // 100)
+        """Set the deadlines of a replaced process anew: its signal has come, so the kill's time is known."""
+        now = self.loop.now()
+        available = self._available_ns()
+        self.until = min(self.until, now + available)
+        self.migrate_until = min(self.migrate_until, now + available * MIGRATION_END_PERCENT // 100)
 
     def run(self) -> ActorCoroutine:
+        """Shut down step by step, and stop the loop at the end."""
         log.note("shutdown-started", standing=len(self.broker.established()), replaced=self.replaced)
-        accepting, due = not self.replaced, 0.0
+        yield from self._accept_and_migrate()
+        self._answer_remaining()
+        yield from self._linger()
+        self._close_streams()
+        self.loop.stopped = True
+
+    def _available_ns(self) -> int:
+        """Return the time from a signal until the lingering begins."""
+        return kill_after(self.broker.settings) - LINGER_NS
+
+    def _accept_and_migrate(self) -> ActorCoroutine:
+        """Accept for a while, then migrate until the time is over or no connection awaits anything."""
+        is_accepting = not self.replaced
         while self.loop.now() < self.until:
             self.set_timer(STEP_NS, "step")
             yield
             now = self.loop.now()
             if now < self.accept_until:
                 continue
-            if accepting:
-                accepting = False
-                self.close()
-            standing = self.broker.established() if now >= self.paced_from else []
-            due += len(standing) / max(1, (self.paced_until - now) // STEP_NS)
-            for request in standing[: int(due)]:
-                self.broker.migrate(request.id, "migrated")
-            due -= int(due)
-            if not self.held():
+            if is_accepting:
+                is_accepting = False
+                self.clients.stop_listening()
+            self._migrate_due(now)
+            if not self.clients.connections_in_use():
                 break
+
+    def _migrate_due(self, now: int) -> None:
+        """Migrate as many of the established connections as spreads them evenly over the steps left."""
+        established = self.broker.established() if now >= self.migrate_from else []
+        steps_left = max(1, (self.migrate_until - now) // STEP_NS)
+        self.migrations_due += len(established) / steps_left
+        due = int(self.migrations_due)
+        for request in established[:due]:
+            self.broker.migrate(request.id, MIGRATION_REASON)
+        self.migrations_due -= due
+
+    def _answer_remaining(self) -> None:
+        """Give every client its last message."""
         for request in self.broker.unanswered():
             self.broker.answer_unserved(request)
         for request in self.broker.established():
-            self.broker.migrate(request.id, "migrated")
-        self.notify_idle_clients()
-        # Whoever has its last word is read from until it has ended too: a close over bytes unread, the exit's
-        # as well, would reset that word away.
-        until = max(self.until, self.loop.now()) + SPARE_NS - LAST_NS
+            self.broker.migrate(request.id, MIGRATION_REASON)
+        self.clients.notify_idle_clients()
+
+    def _linger(self) -> ActorCoroutine:
+        """Read until each client has ended its side, or the time is over.
+
+        A close with bytes unread, by the exit too, would reset the connection and discard the last message.
+        """
+        until = max(self.until, self.loop.now()) + LINGER_NS - EXIT_NS
         while True:
             self.set_timer(STEP_NS, "step")
             yield
-            if not self.open_streams() or self.loop.now() >= until:
-                break
-        log.note("shutdown-finished", held=self.held())
-        for stream in self.open_streams():
+            if not self.clients.open_streams() or self.loop.now() >= until:
+                return
+
+    def _close_streams(self) -> None:
+        """Discard what is unread and close what is still open."""
+        log.note("shutdown-finished", held=self.clients.connections_in_use())
+        for stream in self.clients.open_streams():
             stream.drain()
             stream.close()
-        self.loop.stopped = True
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -21,6 +21,7 @@
 from linnetshift.discovery.watch import Discovery, WatchTimeouts
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import MS, Loop, S
+from linnetshift.event_loop.stream import Stream
 from linnetshift.frontends.channels.session import MOST_OPEN, ChannelsFrontend
 from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
 from linnetshift.frontends.listener import Acceptor, Frontend
@@ -248,7 +249,7 @@
         migrator = ChannelMigrator(self.loop, self.broker, self.channels)
         migrator.start(migrator.run())
 
-    def held(self) -> int:
+    def connections_in_use(self) -> int:
         """Connections that are owed something: who says nothing must not keep a proxy that leaves."""
         return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle()
 
@@ -341,17 +342,15 @@
         self.frontend.is_draining = True
         if self.vrrp is not None and not replaced:
             self.vrrp.stop()
-        self.shutdown = GracefulShutdown(
-            self.loop,
-            self.broker,
-            self.stop_listening,
-            self.held,
-            lambda: [each.stream for each in (*self.frontend.clients, *self.channels.sessions)],
-            self.frontend.notify_idle_clients,
-            replaced,
-        )
+        self.shutdown = GracefulShutdown(self.loop, self.broker, self, replaced)
         self.shutdown.start(self.shutdown.run())
 
     def stop_listening(self) -> None:
         self.frontend.close()
         self.channels.leave()
+
+    def open_streams(self) -> list[Stream]:
+        return [each.stream for each in (*self.frontend.clients, *self.channels.sessions)]
+
+    def notify_idle_clients(self) -> None:
+        self.frontend.notify_idle_clients()
--- /dev/null
+++ b/tests/test_graceful_shutdown.py
@@ -0,0 +1,183 @@
+"""When a graceful shutdown stops accepting, migrates, answers and ends; on a simulated clock."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+from conftest import MS, S, effect, raw_settings
+
+from linnetshift.event_loop.loop import Loop
+from linnetshift.lifecycle.graceful_shutdown import ChannelMigrator, GracefulShutdown
+from linnetshift.routing.settings import Settings
+
+SETTINGS = Settings.parse(raw_settings(**effect("repeatable", hardLimitNs=2 * S)))  # killed after 2.7 s
+
+
+class SimulatedLoop(Loop):
+    """A loop whose clock jumps from timer to timer."""
+
+    time = 0
+
+    def now(self) -> int:
+        return self.time
+
+    def turn(self) -> None:
+        if self.timers:
+            self.time = max(self.time, self.timers[0][0])
+        self._fire_due()
+        while self.ready:
+            self.ready.popleft().process_mailbox()
+
+
+@dataclass
+class Recorder:
+    """The broker and the clients of a shutdown; notes what is done to them and when."""
+
+    loop: SimulatedLoop
+    requests: list[Any]
+    waiting: list[Any] = field(default_factory=list)
+    settings: Settings = SETTINGS
+    silent: int = 0  # connections that stay although they are told to migrate
+    streams: int = 0
+    is_draining: bool = True
+    actions: list[tuple[int, str]] = field(default_factory=list)
+
+    def note(self, action: str) -> None:
+        self.actions.append((self.loop.now() // MS, action))
+
+    def times(self, action: str) -> list[int]:
+        return [time for time, noted in self.actions if noted == action]
+
+    def established(self) -> list[Any]:
+        return list(self.requests)
+
+    def unanswered(self) -> list[Any]:
+        return list(self.waiting)
+
+    def channels(self) -> list[Any]:
+        return [SimpleNamespace(request=request) for request in self.requests]
+
+    def migrate(self, number: int, reason: str) -> None:
+        assert reason == "migrated"
+        self.note("migrate")
+        self.requests = [request for request in self.requests if request.id != number]
+
+    def answer_unserved(self, request: Any) -> None:
+        self.note("answer")
+        self.waiting.remove(request)
+
+    def stop_listening(self) -> None:
+        self.note("stop")
+
+    def connections_in_use(self) -> int:
+        return len(self.requests) + len(self.waiting) + self.silent
+
+    def open_streams(self) -> list[Any]:
+        return [
+            SimpleNamespace(drain=lambda: self.note("drain"), close=lambda: self.note("close"))
+            for _ in range(self.streams)
+        ]
+
+    def notify_idle_clients(self) -> None:
+        self.note("notify")
+
+
+def established(count: int) -> list[Any]:
+    return [SimpleNamespace(id=number) for number in range(count)]
+
+
+def shut_down(count: int, replaced: bool = False, **others: Any) -> Recorder:
+    """A shutdown that has begun at time 0."""
+    loop = SimulatedLoop()
+    recorder = Recorder(loop, established(count), **others)
+    shutdown = GracefulShutdown(loop, recorder, recorder, replaced)  # type: ignore[arg-type]
+    shutdown.start(shutdown.run())
+    recorder.shutdown = shutdown  # type: ignore[attr-defined]
+    return recorder
+
+
+def test_clients_migrate_evenly_between_two_parts_of_the_time() -> None:
+    recorder = shut_down(100)
+    recorder.loop.run()
+    migrated = recorder.times("migrate")
+    assert recorder.times("stop") == [600]
+    assert len(migrated) == 100
+    assert (min(migrated), max(migrated)) == (950, 2100)  # of the 2350 ms before the lingering
+    assert max(migrated.count(time) for time in set(migrated)) <= 5
+    assert recorder.times("notify") == [2100]
+
+
+def test_shutdown_of_an_idle_proxy_ends_once_it_stopped_listening() -> None:
+    recorder = shut_down(0)
+    recorder.loop.run()
+    assert recorder.actions == [(600, "stop"), (600, "notify")]
+    assert recorder.loop.now() == 650 * MS
+
+
+def test_requests_without_an_answer_are_answered_when_the_time_is_over() -> None:
+    recorder = shut_down(0, waiting=established(2))
+    recorder.loop.run()
+    assert recorder.times("answer") == [2350, 2350]
+
+
+def test_streams_that_clients_leave_open_are_closed_before_the_kill() -> None:
+    recorder = shut_down(0, silent=1, streams=2)
+    recorder.loop.run()
+    assert recorder.times("notify") == [2350]
+    assert recorder.times("drain") == recorder.times("close") == [2600, 2600]
+
+
+def test_replaced_process_migrates_at_once_and_waits_for_its_signal() -> None:
+    recorder = shut_down(100, replaced=True, silent=1)
+    recorder.loop.run()
+    migrated = recorder.times("migrate")
+    assert not recorder.times("stop")  # its listener is the successor's
+    assert min(migrated) == 100 and max(migrated) == 8100
+    assert recorder.times("notify") == [8350]
+
+
+@pytest.mark.parametrize("signal_ms, last_ms, notified_ms", [(1000, 3100, 3350), (7000, 8100, 8350)])
+def test_signal_shortens_the_shutdown_of_a_replaced_process(
+    signal_ms: int, last_ms: int, notified_ms: int
+) -> None:
+    recorder = shut_down(100, replaced=True, silent=1)
+    recorder.loop.call_later(signal_ms * MS, recorder.shutdown.shorten)  # type: ignore[attr-defined]
+    recorder.loop.run()
+    assert len(recorder.times("migrate")) == 100
+    assert max(recorder.times("migrate")) == last_ms
+    assert recorder.times("notify") == [notified_ms]
+
+
+def test_cancelled_shutdown_migrates_nobody_else() -> None:
+    recorder = shut_down(100, replaced=True)
+    recorder.loop.call_later(500 * MS, recorder.shutdown.end)  # type: ignore[attr-defined]
+    recorder.loop.call_later(20 * S, lambda: setattr(recorder.loop, "stopped", True))
+    recorder.loop.run()
+    assert recorder.requests and max(recorder.times("migrate")) < 500
+    assert not recorder.times("notify")
+
+
+def test_channels_migrate_within_two_seconds_at_an_even_pace() -> None:
+    loop = SimulatedLoop()
+    recorder = Recorder(loop, established(100))
+    migrator = ChannelMigrator(loop, recorder, recorder)  # type: ignore[arg-type]
+    migrator.start(migrator.run())
+    while loop.timers:
+        loop.turn()
+    migrated = recorder.times("migrate")
+    assert len(migrated) == 100 and max(migrated) < 2000
+    assert max(migrated.count(time) for time in set(migrated)) == 3
+
+
+def test_channels_stay_once_their_frontend_listens_again() -> None:
+    loop = SimulatedLoop()
+    recorder = Recorder(loop, established(100))
+    migrator = ChannelMigrator(loop, recorder, recorder)  # type: ignore[arg-type]
+    migrator.start(migrator.run())
+    recorder.is_draining = False
+    while loop.timers:
+        loop.turn()
+    assert len(recorder.requests) == 97
