--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -142,8 +142,8 @@
     def _migrate_due(self, now: int) -> None:
         """Migrate as many of the established connections as spreads them evenly over the steps left."""
         established = self.broker.established() if now >= self.migrate_from else []
-        steps_left = max(1, (self.migrate_until - now) // STEP_NS)
-        self.migrations_due += len(established) / steps_left
+        remaining_steps = max(1, (self.migrate_until - now) // STEP_NS)
+        self.migrations_due += len(established) / remaining_steps
         due = int(self.migrations_due)
         for request in established[:due]:
             self.broker.migrate(request.id, MIGRATION_REASON)
--- /dev/null
+++ b/tests/test_peer_process.py
@@ -0,0 +1,147 @@
+"""Two processes of one proxy on one loop: who accepts, and what each learns from the other."""
+
+from __future__ import annotations
+
+import socket
+import threading
+import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+
+import pytest
+from proxy import WAIT
+
+from linnetshift.event_loop.loop import MS, Loop
+from linnetshift.lifecycle import peer_process
+from linnetshift.lifecycle.hot_restart import HotRestart
+from linnetshift.lifecycle.takeover_messages import ExportedState, PeerResources
+from linnetshift.lifecycle.takeover_socket import PredecessorState, TakeoverSocketPath, request_takeover
+
+
+class Operations:
+    """A proxy that notes what its hot restart asks of it."""
+
+    def __init__(self, streams: int) -> None:
+        self.streams = streams
+        self.yields: list[bool] = []
+        self.drains: list[tuple[bytes, bool]] = []
+        self.reported: list[int] = []
+
+    def state(self) -> ExportedState:
+        return ExportedState({"rev": 7}, {}, {}, self.peer_resources(), {}, False, {})
+
+    def yield_to_successor(self, yielding: bool) -> None:
+        self.yields.append(yielding)
+
+    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+        self.drains.append((endpoint, out))
+        done()
+
+    def peer_resources(self) -> PeerResources:
+        return PeerResources(streams=self.streams)
+
+    def update_peer_resources(self, peer_resources: PeerResources) -> None:
+        self.reported.append(peer_resources.streams)
+
+
+class Pair:
+    """A process and the successor that took over from it."""
+
+    def __init__(self, socket_path: TakeoverSocketPath) -> None:
+        self.loop = Loop()
+        self.socket_path = socket_path
+        self.old_operations = Operations(streams=3)
+        self.new_operations = Operations(streams=5)
+        self.old = HotRestart(self.loop, self.old_operations, socket_path, None)
+        predecessor = self.request()
+        assert predecessor is not None and predecessor.state["list"] == {"rev": 7}
+        self.new = HotRestart(self.loop, self.new_operations, socket_path, predecessor)
+
+    def turn_until(self, condition: Callable[[], object]) -> None:
+        until = time.monotonic() + WAIT
+        while not condition():
+            assert time.monotonic() < until
+            self.loop.call_later(MS, lambda: None)
+            self.loop.turn()
+
+    def request(self) -> PredecessorState | None:
+        received: list[PredecessorState | None] = []
+        thread = threading.Thread(target=lambda: received.append(request_takeover(self.socket_path)))
+        thread.start()
+        self.turn_until(lambda: received)
+        thread.join()
+        return received[0]
+
+
+@pytest.fixture
+def pair(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Pair]:
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    monkeypatch.setattr(peer_process, "HEARTBEAT_INTERVAL_NS", 5 * MS)
+    pair = Pair(TakeoverSocketPath("test"))
+    yield pair
+    for hot_restart in (pair.new, pair.old):
+        for peer in [*hot_restart.peer_processes]:
+            peer.end()
+        hot_restart.end()
+    pair.loop.epoll.close()
+
+
+def test_old_process_yields_and_the_new_one_learns_of_it(pair: Pair) -> None:
+    assert pair.new.is_joining
+    pair.turn_until(lambda: not pair.new.is_joining)
+    assert pair.old.successor is not None and pair.old_operations.yields == [True]
+    assert not pair.new_operations.yields
+
+
+def test_each_reports_what_it_holds(pair: Pair) -> None:
+    pair.turn_until(lambda: pair.old_operations.reported and pair.new_operations.reported)
+    assert pair.old_operations.reported[0] == 5
+    assert pair.new_operations.reported[0] == 3
+
+
+@pytest.mark.parametrize("from_new", [True, False])
+def test_drain_is_done_once_both_have_applied_it(pair: Pair, from_new: bool) -> None:
+    done: list[bool] = []
+    source = pair.new if from_new else pair.old
+    pair.turn_until(lambda: pair.old.successor is not None)
+    source.apply_administrative_drain(b"s-0", True, lambda: done.append(True))
+    assert not done
+    pair.turn_until(lambda: done)
+    assert pair.old_operations.drains == pair.new_operations.drains == [(b"s-0", True)]
+    assert not any(usage.size for name, usage in source.resource_usage().items() if "unanswered" in name)
+
+
+def test_drain_is_done_where_the_other_process_goes_without_a_confirmation(pair: Pair) -> None:
+    done: list[bool] = []
+    pair.turn_until(lambda: pair.old.successor is not None)
+    pair.old.apply_administrative_drain(b"s-0", True, lambda: done.append(True))
+    pair.new.peer_processes[0].end()
+    pair.turn_until(lambda: done)
+    assert not pair.new_operations.drains
+
+
+def test_old_process_accepts_again_once_its_successor_is_gone(pair: Pair) -> None:
+    pair.turn_until(lambda: pair.old.successor is not None)
+    pair.new.peer_processes[0].end()
+    pair.turn_until(lambda: pair.old.successor is None)
+    assert pair.old_operations.yields == [True, False]
+    assert pair.old_operations.reported[-1] == 0 and not pair.old.peer_processes
+
+
+def test_second_successor_finds_the_first_one(pair: Pair) -> None:
+    pair.turn_until(lambda: pair.old.successor is not None)
+    ours, theirs = socket.socketpair()
+    pair.old.accept_successor(theirs)
+    assert ours.recv(1) == b"" and len(pair.old.peer_processes) == 1
+    ours.close()
+    third = pair.request()
+    assert third is not None and third.state["holdings"]["streams"] == 5
+    third.sock.close()
+
+
+def test_unreadable_line_ends_the_connection_alone(pair: Pair) -> None:
+    pair.turn_until(lambda: pair.old.successor is not None)
+    peer = pair.new.peer_processes[0]
+    peer.stream.send(b'{"say": "held"}\n')
+    pair.turn_until(lambda: not pair.old.peer_processes and not pair.new.peer_processes)
+    assert not pair.new.is_joining and peer.stream.closed
--- /dev/null
+++ b/tests/test_takeover_socket.py
@@ -0,0 +1,184 @@
+"""How a new process asks for the running one's state, and what it makes of the answer."""
+
+from __future__ import annotations
+
+import logging
+import os
+import socket
+import threading
+import time
+from collections.abc import Callable
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+
+from linnetshift.broker.contracts import Contract
+from linnetshift.event_loop.loop import Loop
+from linnetshift.lifecycle import takeover_socket
+from linnetshift.lifecycle.imported_state import ImportedState
+from linnetshift.lifecycle.takeover_messages import PeerResources
+from linnetshift.lifecycle.takeover_socket import (
+    PredecessorState,
+    TakeoverListener,
+    TakeoverSocketPath,
+    request_takeover,
+)
+
+NAMES: Any = SimpleNamespace(tenants={"acme": 1})
+
+
+@pytest.fixture
+def socket_path(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> TakeoverSocketPath:
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    return TakeoverSocketPath("proxy one/with \N{SNOWMAN} and a name that is longer than any socket may be")
+
+
+def answer(socket_path: TakeoverSocketPath, *answers: Callable[[socket.socket], None]) -> threading.Thread:
+    """A process that answers one connection after the other."""
+    listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    listener.bind(socket_path.path())
+    listener.listen(4)
+
+    def serve() -> None:
+        with listener:
+            for send in answers:
+                connection, _ = listener.accept()
+                with connection:
+                    assert connection.recv(100) == b'{"say": "hello"}\n'
+                    send(connection)
+
+    thread = threading.Thread(target=serve, daemon=True)
+    thread.start()
+    return thread
+
+
+def test_socket_name_has_plain_characters_only(socket_path: TakeoverSocketPath) -> None:
+    assert socket_path.file == "linnetshift-proxy_one_with___and_a_name_that_is_long.sock"
+
+
+def test_without_a_process_there_is_no_state(socket_path: TakeoverSocketPath) -> None:
+    assert request_takeover(socket_path) is None
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as stale:
+        stale.bind(socket_path.path())
+    assert request_takeover(socket_path) is None
+
+
+def test_state_comes_with_descriptors_and_what_follows(socket_path: TakeoverSocketPath) -> None:
+    reader, writer = os.pipe()
+
+    def send(connection: socket.socket) -> None:
+        socket.send_fds(connection, [b" "], [writer])
+        connection.sendall(b'{"say": "state", ')
+        time.sleep(0.02)
+        connection.sendall(b'"active": true}\n{"say": "beat"}\n')
+
+    thread = answer(socket_path, send)
+    predecessor = request_takeover(socket_path)
+    thread.join(5)
+    assert predecessor is not None
+    assert predecessor.state == {"say": "state", "active": True}
+    assert predecessor.rest == b'{"say": "beat"}\n'
+    os.write(predecessor.descriptors[0], b"x")
+    assert os.read(reader, 1) == b"x"
+    predecessor.sock.close()
+    for descriptor in (reader, writer, *predecessor.descriptors):
+        os.close(descriptor)
+
+
+@pytest.mark.parametrize("first", [b"", b'{"say": ', b"[]\n", b"no json\n"])
+def test_process_that_closes_or_makes_no_sense_is_asked_again(
+    socket_path: TakeoverSocketPath, first: bytes
+) -> None:
+    thread = answer(socket_path, lambda sock: sock.sendall(first), lambda sock: sock.sendall(b'{"a": 1}\n'))
+    predecessor = request_takeover(socket_path)
+    thread.join(5)
+    assert predecessor is not None and predecessor.state == {"a": 1}
+    predecessor.sock.close()
+
+
+def test_process_that_hangs_is_given_up(
+    socket_path: TakeoverSocketPath, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(takeover_socket, "TAKEOVER_TIMEOUT_S", 0.1)
+    done = threading.Event()
+    thread = answer(socket_path, lambda _sock: done.wait(5) and None)
+    assert request_takeover(socket_path) is None
+    done.set()
+    thread.join(5)
+
+
+def test_listener_replaces_a_stale_socket_and_leaves_that_of_another_process(
+    socket_path: TakeoverSocketPath,
+) -> None:
+    loop = Loop()
+    accepted: list[socket.socket] = []
+    first = TakeoverListener(loop, socket_path, accepted.append)
+    assert os.stat(socket_path.path()).st_mode & 0o777 == 0o600
+    second = TakeoverListener(loop, socket_path, accepted.append)
+    first.close()
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as client:
+        client.connect(socket_path.path())
+        loop.turn()
+    assert len(accepted) == 1
+    accepted[0].close()
+    second.close()
+    second.close()
+    assert socket_path.inode() == 0
+
+
+def imported(state: dict[str, Any], descriptors: list[int] | None = None) -> ImportedState:
+    ours, theirs = socket.socketpair()
+    ours.close()
+    theirs.close()
+    return ImportedState(PredecessorState(ours, state, b"", descriptors or []), NAMES)
+
+
+def test_without_a_predecessor_the_state_is_empty() -> None:
+    empty = ImportedState(None, NAMES)
+    assert (empty.list_update, empty.active, empty.sockets) == (None, False, {})
+    assert empty.peer_resources == PeerResources()
+
+
+@pytest.mark.parametrize(
+    "state, event",
+    [
+        ({"list": 5}, "imported-list-rejected"),
+        ({"list": {"rev": 1, "targets": []}, "holdings": {"streams": -1}}, "imported-state-rejected"),
+        ({"list": {"rev": 1, "targets": []}, "holdings": 5}, "imported-state-rejected"),
+    ],
+)
+def test_part_that_makes_no_sense_is_left_out_and_logged(
+    state: dict[str, Any], event: str, caplog: pytest.LogCaptureFixture
+) -> None:
+    with caplog.at_level(logging.INFO, "linnetshift"):
+        read = imported({"active": True, **state})
+    assert read.active and read.list_update is None and read.peer_resources == PeerResources()
+    assert [record.getMessage() for record in caplog.records] == [event]
+
+
+def test_sockets_have_the_names_of_the_state() -> None:
+    one, two = socket.socketpair()
+    read = imported({"passed": ["channels", "vrrp"]}, [one.detach()])
+    assert [*read.sockets] == ["channels"]
+    read.sockets["channels"].send(b"x")
+    assert two.recv(1) == b"x"
+    read.sockets["channels"].close()
+    two.close()
+
+
+@pytest.mark.parametrize(
+    "state", [{"bans": {}}, {"bans": {}, "budgets": 5}, {"bans": {}, "budgets": {"acme": [["x", 1], None]}}]
+)
+def test_restore_of_another_versions_state_is_logged_and_no_error(
+    state: dict[str, Any], caplog: pytest.LogCaptureFixture
+) -> None:
+    drains = SimpleNamespace(restore=lambda _state: None, import_state=lambda _state: None)
+    contracts = SimpleNamespace(teams={1: Contract(rate=SimpleNamespace())})  # type: ignore[arg-type]
+    broker: Any = SimpleNamespace(administrative_drains=drains, contracts=contracts)
+    read = imported(state)
+    caplog.clear()
+    with caplog.at_level(logging.INFO, "linnetshift"):
+        read.restore(broker)
+    assert [record.getMessage() for record in caplog.records] == ["imported-state-rejected"]
