--- a/tests/test_handover.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""One process takes the place of another while clients stand and arrive."""
+"""Hot restart with real processes: clients are connected and arrive while one replaces another."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from linnetshift.routing.events import Outcome
 
 
-def test_the_new_process_takes_over_and_the_old_one_leaves(tmp_path: Path) -> None:
+def test_new_process_takes_over_and_the_old_one_migrates_its_clients(tmp_path: Path) -> None:
     with proxy(tmp_path, admin_server=True, held=True) as old:
-        standing, endpoint = old.standing()
-        unheard = old.client()  # accepted by the old one, and silent so far
+        established, endpoint = old.standing()
+        silent = old.client()  # accepted by the old one, and no request so far
         assert old.alive()
         with successor_of(old) as new:
             new.becomes_ready()
             assert old.call("GET /ops/readiness") == 503
-            unheard.send(b"OPEN 5 6 c=feed,t=acme,d=2000\r\n")
+            silent.send(b"OPEN 5 6 c=feed,t=acme,d=2000\r\n")
             answered = old.listeners[0].serve()
-            assert unheard.line() == b"UP r1\r\n"
+            assert silent.line() == b"UP r1\r\n"
             later, its_endpoint = new.standing()
             old.leave()
-            assert {standing.line(), unheard.line()} == {b"MOVE\r\n"}
-            for conn in (standing, unheard, endpoint, answered):
+            assert {established.line(), silent.line()} == {b"MOVE\r\n"}
+            for conn in (established, silent, endpoint, answered):
                 conn.close()
             assert old.process.wait(WAIT) == 0
             its_endpoint.send(b"on\r\n")
@@ -40,7 +40,7 @@
             assert new.alive()
 
 
-def test_bans_pass_over_and_hold_in_both(tmp_path: Path) -> None:
+def test_administrative_drains_apply_in_both_processes(tmp_path: Path) -> None:
     with proxy(tmp_path, endpoints=2, admin_server=True, held=True, rules={"warmUpNs": 1}) as old:
         first, second = ranked(old)
         assert old.call(DOWN % first.uid) == 200
@@ -50,13 +50,13 @@
             assert new.call(UP % first.uid) == 200
             old.logged(f"administrative-drain-changed endpoint={first.uid} out=False")
             kept.append(lands_on(new, first.uid))
-            assert old.call(DOWN % first.uid) == 200  # whichever of them is asked
+            assert old.call(DOWN % first.uid) == 200  # by way of either process
             kept.append(lands_on(new, second.uid))
             assert new.call(DOWN % "s-unknown") == 404
 
 
 @pytest.mark.parametrize("how", ["new-dies", "old-dies", "stale-socket", "third"])
-def test_a_process_that_goes_does_no_harm(tmp_path: Path, how: str) -> None:
+def test_process_that_goes_is_replaced_without_harm(tmp_path: Path, how: str) -> None:
     with proxy(tmp_path, admin_server=True, held=True) as old:
         if how == "stale-socket":
             old.process.kill()
@@ -84,7 +84,7 @@
                 new.standing()
 
 
-def test_channels_and_vrrp_pass_over(tmp_path: Path) -> None:
+def test_channels_listener_and_vrrp_socket_are_handed_over(tmp_path: Path) -> None:
     own = (
         '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
         '[vrrp]\nenabled = true\nvrid = 1\npriority = 255\nlisten = "127.0.0.1:PORT"\npeers = []\n'
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("named", ["2", "99", "three"])
-def test_a_descriptor_that_does_not_listen_is_refused(tmp_path: Path, named: str) -> None:
+def test_descriptor_that_does_not_listen_is_rejected_at_start(tmp_path: Path, named: str) -> None:
     with proxy(tmp_path) as running:
         process = launch(str(running.config), GW_LISTEN_FD=named)
         assert process.stderr is not None
@@ -107,19 +107,19 @@
         assert process.wait(WAIT) == 2
 
 
-def test_it_never_binds_what_the_platform_holds(tmp_path: Path) -> None:
+def test_listener_of_the_platform_is_never_bound_or_closed(tmp_path: Path) -> None:
     with proxy(tmp_path, admin_server=True, held=True) as running:
         running.reload("event=configuration-reloaded", listen="127.0.0.1:1")
         assert running.alive()
         running.leave()
         assert running.process.wait(WAIT) == 0
-        waiting = running.client(b"PING\r\n")  # held for the next process, not refused
+        waiting = running.client(b"PING\r\n")  # queued for the next process, not refused
         with successor_of(running) as after:
             assert waiting.line() == b"PONG\r\n"
             after.becomes_ready()
 
 
-def test_what_was_learned_of_endpoints_passes_over() -> None:
+def test_snapshot_keeps_what_was_observed_of_endpoints() -> None:
     # The new process sent clients back to what the old one had just moved them off.
     old, new, latency_estimator = balancer(endpoints=3), balancer(endpoints=3, seed=2), LatencyEstimator()
     (sent,) = only(old.step(2 * S, [request(1)]), Send)
@@ -138,7 +138,7 @@
     assert again.endpoint != sent.endpoint
 
 
-def test_what_the_other_process_holds_counts_as_load() -> None:
+def test_connections_of_the_peer_process_count_as_load() -> None:
     # Half of the connections were still in the old process: endpoints filled up unnoticed.
     latency_estimator = LatencyEstimator()
     latency_estimator.configure(50 * MS, 1)
