--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -89,17 +89,17 @@
     and from then on as long as any other.
     """
 
-    def __init__(self, loop: Loop, broker: Broker, clients: ShutdownClients, replaced: bool) -> None:
-        """Set the deadlines as of now; `replaced` tells that a successor accepts in this one's place."""
+    def __init__(self, loop: Loop, broker: Broker, clients: ShutdownClients, is_replaced: bool) -> None:
+        """Set the deadlines as of now; `is_replaced` tells that a successor accepts in this one's place."""
         super().__init__(loop)
         self.broker = broker
         self.clients = clients
-        self.replaced = replaced
+        self.is_replaced = is_replaced
         now = loop.now()
         available = self._available_ns()
-        self.until = now + available + (SIGNAL_AFTER_REPLACEMENT_NS if replaced else 0)
-        self.accept_until = now + (0 if replaced else ACCEPT_NS)
-        self.migrate_from = now if replaced else now + available * MIGRATION_START_PERCENT // 100
+        self.until = now + available + (SIGNAL_AFTER_REPLACEMENT_NS if is_replaced else 0)
+        self.accept_until = now + (0 if is_replaced else ACCEPT_NS)
+        self.migrate_from = now if is_replaced else now + available * MIGRATION_START_PERCENT // 100
         self.migrate_until = self.until - available * (100 - MIGRATION_END_PERCENT) // 100
         self.migrations_due = 0.0  # a fraction is carried over to the next step
 
@@ -112,7 +112,7 @@
 
     def run(self) -> ActorCoroutine:
         """Shut down step by step, and stop the loop at the end."""
-        log.note("shutdown-started", standing=len(self.broker.established()), replaced=self.replaced)
+        log.note("shutdown-started", standing=len(self.broker.established()), replaced=self.is_replaced)
         yield from self._accept_and_migrate()
         self._answer_remaining()
         yield from self._linger()
@@ -125,7 +125,7 @@
 
     def _accept_and_migrate(self) -> ActorCoroutine:
         """Accept for a while, then migrate until the time is over or no connection awaits anything."""
-        is_accepting = not self.replaced
+        is_accepting = not self.is_replaced
         while self.loop.now() < self.until:
             self.set_timer(STEP_NS, "step")
             yield
