--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -17,19 +17,25 @@
 
 
 class SimulatedLoop(Loop):
-    """A loop whose clock jumps from timer to timer."""
+    """A loop whose clock stands still but for the waits for the next timer."""
 
     time = 0
 
+    def __init__(self) -> None:
+        super().__init__()
+        self.epoll.close()
+        self.epoll = SimpleNamespace(poll=self.wait)  # type: ignore[assignment]
+
     def now(self) -> int:
         return self.time
 
-    def turn(self) -> None:
-        if self.timers:
-            self.time = max(self.time, self.timers[0][0])
-        self._fire_due()
-        while self.ready:
-            self.ready.popleft().process_mailbox()
+    def wait(self, seconds: float) -> list[tuple[int, int]]:
+        assert seconds >= 0.0, "nothing is left to wait for"
+        self.time += round(seconds * S)
+        return []
+
+    def stop(self) -> None:
+        self.stopped = True
 
 
 @dataclass
@@ -154,7 +160,7 @@
 def test_cancelled_shutdown_migrates_nobody_else() -> None:
     recorder = shut_down(100, replaced=True)
     recorder.loop.call_later(500 * MS, recorder.shutdown.end)  # type: ignore[attr-defined]
-    recorder.loop.call_later(20 * S, lambda: setattr(recorder.loop, "stopped", True))
+    recorder.loop.call_later(20 * S, recorder.loop.stop)
     recorder.loop.run()
     assert recorder.requests and max(recorder.times("migrate")) < 500
     assert not recorder.times("notify")
@@ -165,8 +171,8 @@
     recorder = Recorder(loop, established(100))
     migrator = ChannelMigrator(loop, recorder, recorder)  # type: ignore[arg-type]
     migrator.start(migrator.run())
-    while loop.timers:
-        loop.turn()
+    loop.call_later(20 * S, loop.stop)
+    loop.run()
     migrated = recorder.times("migrate")
     assert len(migrated) == 100 and max(migrated) < 2000
     assert max(migrated.count(time) for time in set(migrated)) == 3
@@ -178,6 +184,6 @@
     migrator = ChannelMigrator(loop, recorder, recorder)  # type: ignore[arg-type]
     migrator.start(migrator.run())
     recorder.is_draining = False
-    while loop.timers:
-        loop.turn()
+    loop.call_later(20 * S, loop.stop)
+    loop.run()
     assert len(recorder.requests) == 97
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -61,8 +61,12 @@
         until = time.monotonic() + WAIT
         while not condition():
             assert time.monotonic() < until
-            self.loop.call_later(MS, lambda: None)
-            self.loop.turn()
+            self.loop.stopped = False
+            self.loop.call_later(MS, self.stop)
+            self.loop.run()
+
+    def stop(self) -> None:
+        self.loop.stopped = True
 
     def request(self) -> PredecessorState | None:
         received: list[PredecessorState | None] = []
--- a/tests/test_takeover_socket.py
+++ b/tests/test_takeover_socket.py
@@ -114,13 +114,18 @@
 ) -> None:
     loop = Loop()
     accepted: list[socket.socket] = []
-    first = TakeoverListener(loop, socket_path, accepted.append)
+
+    def accept(connection: socket.socket) -> None:
+        accepted.append(connection)
+        loop.stopped = True
+
+    first = TakeoverListener(loop, socket_path, accept)
     assert os.stat(socket_path.path()).st_mode & 0o777 == 0o600
-    second = TakeoverListener(loop, socket_path, accepted.append)
+    second = TakeoverListener(loop, socket_path, accept)
     first.close()
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as client:
         client.connect(socket_path.path())
-        loop.turn()
+        loop.run()
     assert len(accepted) == 1
     accepted[0].close()
     second.close()
