--- a/tests/test_takeover_messages.py
+++ b/tests/test_takeover_messages.py
@@ -5,7 +5,7 @@
 import pytest
 
 from linnetshift.broker.contracts import Budget, Contract, Contracts
-from linnetshift.broker.latency_estimator import Standing
+from linnetshift.broker.latency_estimator import EstablishedConnection
 from linnetshift.lifecycle.hot_restart import CompletionCounter
 from linnetshift.lifecycle.takeover_messages import (
     AdministrativeDrain,
@@ -25,7 +25,9 @@
 )
 from linnetshift.lifecycle.token_bucket_state import export_token_buckets, restore_token_bucket
 
-RESOURCES = PeerResources(3, 2, {b"s-0": [Standing(5.0, 1, 0), Standing(None, 2, 0)]})
+RESOURCES = PeerResources(
+    3, 2, {b"s-0": [EstablishedConnection(5.0, 1, 0), EstablishedConnection(None, 2, 0)]}
+)
 RESOURCES_JSON = '"streams": 3, "loads": {"s-0": [[5.0, 1], [null, 2]]}, "moved": 2'
 EXCHANGED: list[tuple[SentMessage, str]] = [
     (Hello(), '{"say": "hello"}'),
