--- a/linnetshift/routing/ranking.py
+++ b/linnetshift/routing/ranking.py
@@ -71,8 +71,8 @@
     def ranked(self, key: int) -> Iterator[Endpoint]:
         """Listed endpoints for a hashed key, best first; the sort is stable over ids, which settles ties."""
         candidates = self.candidates()
-        listed = candidates.endpoints
-        return (listed[i] for i in rank(key, candidates.hashes, candidates.inverse_weights))
+        order = rank(key, candidates.hashes, candidates.inverse_weights)
+        return map(candidates.endpoints.__getitem__, order)
 
     def _make_candidates(self) -> Candidates:
         context = self._context
