--- a/tests/test_takeover_messages.py
+++ b/tests/test_takeover_messages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from linnetshift.broker.contracts import Budget, Contract, Contracts
+from linnetshift.broker.contracts import Contract, Contracts
 from linnetshift.broker.latency_estimator import EstablishedConnection
 from linnetshift.lifecycle.hot_restart import CompletionCounter
 from linnetshift.lifecycle.takeover_messages import (
@@ -24,6 +24,7 @@
     encode_message,
 )
 from linnetshift.lifecycle.token_bucket_state import export_token_buckets, restore_token_bucket
+from linnetshift.util.token_bucket import TokenBucket
 
 RESOURCES = PeerResources(
     3, 2, {b"s-0": [EstablishedConnection(5.0, 1, 0), EstablishedConnection(None, 2, 0)]}
@@ -117,16 +118,16 @@
 
 
 def test_token_buckets_of_named_teams_are_exported_and_restored() -> None:
-    limited = Contract(rate=Budget(10.0, 5.0, 2.5, 7), retries=None)
+    limited = Contract(rate=TokenBucket(10.0, 5.0, 2.5, 7), retries=None)
     exported = export_token_buckets(Contracts({1: limited, 2: Contract()}), {"acme": 1, "globex": 3})
     assert exported == {"acme": [[2.5, 7], None]}
-    later = Budget(20.0, 5.0)
+    later = TokenBucket(20.0, 5.0)
     restore_token_bucket(later, exported["acme"][0])
-    assert (later.rate, later.level, later.at) == (20.0, 2.5, 7)
+    assert (later.rate_per_s, later.level, later.refilled_at_ns) == (20.0, 2.5, 7)
 
 
 def test_token_bucket_without_a_former_limit_stays_full() -> None:
-    bucket = Budget(20.0, 5.0)
+    bucket = TokenBucket(20.0, 5.0)
     restore_token_bucket(bucket, None)
     restore_token_bucket(None, [1.0, 2])
-    assert bucket == Budget(20.0, 5.0)
+    assert bucket == TokenBucket(20.0, 5.0)
