--- a/linnetshift/__main__.py
+++ b/linnetshift/__main__.py
@@ -29,7 +29,7 @@
 
 
 def main() -> int:
-    log.set_up()
+    log.configure()
     signals = catch_signals()
     try:
         config, own = read_files()
@@ -43,7 +43,7 @@
         print(f"linnetshift: cannot listen: {error.strerror}", file=sys.stderr)
         return 2
     program.watch_signals(signals)
-    log.note(
+    log.info(
         "process-started",
         name=config.name,
         listen=f"{config.listen[0]}:{config.listen[1]}",
--- a/linnetshift/admin/server.py
+++ b/linnetshift/admin/server.py
@@ -23,7 +23,7 @@
 from linnetshift.event_loop.stream import End, Stream
 from linnetshift.frontends.listener import Acceptor
 from linnetshift.observability import log
-from linnetshift.observability.log import MOST_TOLD, Reason
+from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
 from linnetshift.observability.resource_usage import ResourceUsage
 
 # Some callers connect and finish no call for 4 s: they get their no, and never cost anyone else theirs.
@@ -98,7 +98,7 @@
 
     def faulted(self, error: Exception) -> None:
         """A fault met on one call must not end the program."""
-        log.fault(error)
+        log.exception(error)
         self.admin_server.connections.pop(self, None)
         self.stream.close(End.RESET)
         self.report(Reason.FAULT, 500)
@@ -110,7 +110,7 @@
             "admin",
             reason,
             peer=f"{self.peer[0]}:{self.peer[1]}",
-            call=self.asked[:MOST_TOLD],
+            call=self.asked[:MAX_LOGGED_CHARS],
             status=status,
             ms=(self.loop.now() - self.began) // MS,
         )
@@ -132,7 +132,7 @@
             try:
                 event = self.http.next_event()
             except h11.RemoteProtocolError as error:
-                return Answer(error.error_status_hint, log.words(error))
+                return Answer(error.error_status_hint, log.error_text(error))
             match event:
                 case h11.Request():
                     method, target = event.method.decode("ascii"), event.target.decode("ascii", "replace")
--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -55,7 +55,7 @@
                     if review % REVIEWS == 0:
                         self.broker.review_latency()
                         for what, value in self.broker.deployment_facts.fresh():
-                            log.note("deployment-fact-observed", what=what, value=value)
+                            log.info("deployment-fact-observed", what=what, value=value)
                 case Settled(done):
                     self.decide()
                     done()
@@ -69,4 +69,4 @@
             self.broker.process_events()
         except Exception as error:
             # What stands goes on, and the broker answers what the module no longer does.
-            log.fault(error)
+            log.exception(error)
--- a/linnetshift/discovery/endpoint_list.py
+++ b/linnetshift/discovery/endpoint_list.py
@@ -9,7 +9,7 @@
 from linnetshift.event_loop.address import Address, parse_address
 from linnetshift.event_loop.loop import MS
 from linnetshift.observability import log
-from linnetshift.observability.log import MOST_TOLD
+from linnetshift.observability.log import MAX_LOGGED_CHARS
 from linnetshift.routing.events import EndpointEntry, EndpointList, EndpointState, ListForm
 
 STATES = {
@@ -48,7 +48,7 @@
         entries.append(entry)
         addresses[entry.endpoint] = address
     if errors:
-        log.note("endpoint-entries-invalid", count=len(errors), first=errors[0][:MOST_TOLD])
+        log.info("endpoint-entries-invalid", count=len(errors), first=errors[0][:MAX_LOGGED_CHARS])
     whole = document.get("all") and not errors
     form = ListForm.CACHED if cached else ListForm.FULL if whole else ListForm.DELTA
     return EndpointListUpdate(EndpointList(form, version, tuple(entries)), addresses, len(errors))
--- a/linnetshift/discovery/http_call.py
+++ b/linnetshift/discovery/http_call.py
@@ -13,7 +13,7 @@
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Steps
 from linnetshift.event_loop.stream import End
 from linnetshift.observability import log
-from linnetshift.observability.log import MOST_TOLD
+from linnetshift.observability.log import MAX_LOGGED_CHARS
 
 # What discovery has counts as told 6 s after it could be reached, whatever a failed or silent call may wait
 # for: connection, news and answer of the next call stay well under it together, and so does each back-off.
@@ -42,12 +42,12 @@
             try:
                 document, error = (yield from self.exchange()), ""
             except (h11.RemoteProtocolError, ValueError, ConnectionError, TimeoutError) as failure:
-                error = f"{type(failure).__name__}: {log.words(failure)}"
+                error = f"{type(failure).__name__}: {log.error_text(failure)}"
             timer.cancel()
         if self.stream is not None:
             self.stream.close()
         if document is None:
-            log.note("discovery-call-failed", path=self.path, error=error[:MOST_TOLD])
+            log.info("discovery-call-failed", path=self.path, error=error[:MAX_LOGGED_CHARS])
         self.discovery.post(Answer(self, document, document is None and self.loop.now() >= until))
 
     def gave_up(self) -> None:
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -12,7 +12,7 @@
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Loop, S, Timeout
 from linnetshift.observability import log
-from linnetshift.observability.log import MOST_TOLD
+from linnetshift.observability.log import MAX_LOGGED_CHARS
 from linnetshift.routing.events import EndpointList, ListForm
 from linnetshift.routing.settings import Settings
 
@@ -159,7 +159,7 @@
             self.doubt(list_update.event, kept)
         except ValueError as error:
             if document is not None:
-                log.note("discovery-response-ignored", error=str(error)[:MOST_TOLD])
+                log.info("discovery-response-ignored", error=str(error)[:MAX_LOGGED_CHARS])
             if kept:
                 self.shaken = True
                 self.watch_lost(silent)
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -35,7 +35,7 @@
         self.post(Io(mask))
 
     def faulted(self, error: Exception) -> None:
-        log.fault(error)
+        log.exception(error)
         if self.stream is not None:
             self.stream.close(End.RESET)
         self.gave_up()
@@ -51,7 +51,7 @@
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             except OSError as error:  # out of descriptors: the attempt never reached anyone
                 if not self.loop.make_room():
-                    log.note("socket-unavailable", endpoint=address, error=error.strerror)
+                    log.info("socket-unavailable", endpoint=address, error=error.strerror)
                     return False
         self.stream = stream = Stream(self.loop, sock, self.ready)
         try:
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -40,7 +40,7 @@
 from linnetshift.frontends.line_protocol.client_connection import ANSWER_NS
 from linnetshift.frontends.listener import Frontend
 from linnetshift.observability import log
-from linnetshift.observability.log import MOST_TOLD, Reason
+from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.events import RETRY, RETURNED, Outcome
 
@@ -244,7 +244,7 @@
             yield from self.serve()
         except Malformed as error:
             self.reason = Reason.PROTOCOL_ERROR
-            log.note("packet-malformed", peer=self.peer[0], error=log.words(error))
+            log.info("packet-malformed", peer=self.peer[0], error=log.error_text(error))
             self.disconnect(error.code, str(error))
         self.end_channels(self.reason is Reason.CLIENT_RESET)
         if not self.stream.broken and not self.stream.closed and self.reason is not Reason.STALLED:
@@ -256,7 +256,7 @@
 
     def faulted(self, error: Exception) -> None:
         """Other sessions must not pay for a fault met in this one."""
-        log.fault(error)
+        log.exception(error)
         self.reason = Reason.FAULT
         self.end_channels(True)
         self.stream.close(End.RESET)
@@ -481,7 +481,7 @@
         key, group, wait_ms = fields.uint64(), fields.uint64(), fields.uint32()
         flags = fields.uint32() if fields.rest else 0
         place = self.frontend.names.classes.get(klass)
-        odd = len(tenant) > MOST_TOLD or any(c <= " " or c in ",=\x7f" for c in tenant)
+        odd = len(tenant) > MAX_LOGGED_CHARS or any(c <= " " or c in ",=\x7f" for c in tenant)
         if place is None or odd or wait_ms > MOST_WAIT_MS:
             self.refuse(remote, OpenFailure.CONNECT_FAILED, "unknown class, impossible tenant or deadline")
             return
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -22,7 +22,7 @@
 from linnetshift.frontends.line_protocol.request_line import BadLine, RequestLine, parse_request_line
 from linnetshift.frontends.listener import Frontend
 from linnetshift.observability import log
-from linnetshift.observability.log import MOST_TOLD, Reason
+from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.events import Outcome
 
@@ -133,7 +133,7 @@
 
     def faulted(self, error: Exception) -> None:
         """Other clients must not pay for a fault met on this one."""
-        log.fault(error)
+        log.exception(error)
         if self.request is not None:
             self.broker.handle_client_ended(self.request, True)
         self.stream.close(End.RESET)
@@ -147,7 +147,7 @@
         log.connection_ended(
             "client",
             reason,
-            **({"error": self.error[:MOST_TOLD]} if self.error else {}),
+            **({"error": self.error[:MAX_LOGGED_CHARS]} if self.error else {}),
             id=self.request.id if self.request is not None else 0,
             **({"open": f"{self.id:x}"} if self.id is not None else {}),
             **(self.asked() if self.request is not None else {}),
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -75,7 +75,7 @@
                     # The backlog stays readable: without a pause this would spin until some end.
                     self.loop.unwatch(self.listener.fileno())
                     self.loop.call_later(PAUSE_NS, self.accept_again)
-                    log.note("accept-paused", error=error.strerror)
+                    log.info("accept-paused", error=error.strerror)
                     return
                 continue  # the peer was gone before it was accepted
             self.take(sock, peer)
--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -80,7 +80,7 @@
         self.paced_until = min(self.paced_until, now + time * MOVE_UNTIL // 100)
 
     def run(self) -> ActorCoroutine:
-        log.note("shutdown-started", standing=len(self.broker.established()), replaced=self.replaced)
+        log.info("shutdown-started", standing=len(self.broker.established()), replaced=self.replaced)
         accepting, due = not self.replaced, 0.0
         while self.loop.now() < self.until:
             self.set_timer(STEP_NS, "step")
@@ -111,7 +111,7 @@
             yield
             if not self.open_streams() or self.loop.now() >= until:
                 break
-        log.note("shutdown-finished", held=self.held())
+        log.info("shutdown-finished", held=self.held())
         for stream in self.open_streams():
             stream.drain()
             stream.close()
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -97,7 +97,7 @@
             break
         except (OSError, ValueError) as error:
             sock.close()
-            log.note("takeover-state-unreadable", error=str(error))
+            log.info("takeover-state-unreadable", error=str(error))
             time.sleep(TAKEOVER_RETRY_S)
     return None
 
@@ -157,11 +157,11 @@
                 list_update = read_list(self.state.get("list"), names)
                 self.list_update = list_update if list_update.event.entries else None
             except ValueError as error:
-                log.note("imported-list-rejected", error=str(error))
+                log.info("imported-list-rejected", error=str(error))
             try:
                 self.peer_resources = PeerResources.read(self.state.get("holdings", {}))
             except MEANINGLESS as error:
-                log.note("imported-state-rejected", error=f"{type(error).__name__}: {log.words(error)}")
+                log.info("imported-state-rejected", error=f"{type(error).__name__}: {log.error_text(error)}")
 
     def restore(self, broker: Broker) -> None:
         """Before the list is told."""
@@ -174,7 +174,7 @@
                         take_over(contract.rate, left[0])
                         take_over(contract.retries, left[1])
         except (AttributeError, KeyError, TypeError, ValueError) as error:
-            log.note("imported-state-rejected", error=f"{type(error).__name__}: {error}")
+            log.info("imported-state-rejected", error=f"{type(error).__name__}: {error}")
 
     def import_state(self, broker: Broker) -> None:
         """After the list is told."""
@@ -183,7 +183,7 @@
             if self.state:
                 import_state(broker.balancer, broker.latency_estimator, self.state["memory"])
         except (AttributeError, KeyError, TypeError, ValueError) as error:
-            log.note("snapshot-rejected", error=f"{type(error).__name__}: {error}")
+            log.info("snapshot-rejected", error=f"{type(error).__name__}: {error}")
 
 
 MEANINGLESS = (AttributeError, KeyError, OverflowError, RecursionError, TypeError, ValueError)
@@ -301,7 +301,7 @@
 
     def faulted(self, error: Exception) -> None:
         """Whatever the other process says must not end this one."""
-        log.fault(error)
+        log.exception(error)
         self.part()
 
     def part(self) -> None:
@@ -330,7 +330,7 @@
             try:
                 said = Said.read(self.read[:size])
             except MEANINGLESS as error:
-                log.note("peer-message-unreadable", error=f"{type(error).__name__}: {log.words(error)}")
+                log.info("peer-message-unreadable", error=f"{type(error).__name__}: {log.error_text(error)}")
                 return False
             del self.read[:size]
             self.handle_message(said)
@@ -426,7 +426,7 @@
         try:
             self.takeover_listener = TakeoverListener(self.loop, self.socket_path, self.take)
         except OSError as error:
-            log.note("takeover-socket-unavailable", error=error.strerror)
+            log.info("takeover-socket-unavailable", error=error.strerror)
 
     def take(self, sock: socket.socket) -> None:
         if self.successor is not None or any(not peer_process.older for peer_process in self.peer_processes):
@@ -449,7 +449,7 @@
     def handle_successor_serving(self, peer_process: PeerProcess) -> None:
         if self.successor is None:
             self.successor = peer_process
-            log.note("process-replaced")
+            log.info("process-replaced")
             self.program.yield_to_successor(True)
 
     def handle_peer_gone(self, peer_process: PeerProcess) -> None:
@@ -457,11 +457,11 @@
             self.peer_processes.remove(peer_process)
         self.program.update_peer_resources(PeerResources())
         if peer_process.older:
-            log.note("predecessor-gone")
+            log.info("predecessor-gone")
             self.handle_predecessor_stopped()
         if peer_process is self.successor:
             self.successor = None
-            log.note("successor-gone")
+            log.info("successor-gone")
             self.listen_for_successor()
             self.program.yield_to_successor(False)
 
--- a/linnetshift/observability/log.py
+++ b/linnetshift/observability/log.py
@@ -1,4 +1,8 @@
-"""Log lines of key=value pairs, and the codes for why a connection ended."""
+"""Structured log lines of key=value pairs, and the reason codes for why a connection ended.
+
+Lines go to standard error. Event names, field names and reason codes are an interface: on-call staff and
+`bench/fleet_log.py` search for them.
+"""
 
 from __future__ import annotations
 
@@ -9,38 +13,39 @@
 from enum import Enum
 from typing import Any, TextIO
 
-MOST_TOLD = 200  # characters of somebody else's text in a log line
+# Text that a peer or a library wrote is cut to this many characters, so that no peer can flood the log.
+MAX_LOGGED_CHARS = 200
 
 
 class Reason(Enum):
     """Why a connection ended; every ended connection leaves one line with one of these."""
 
-    SERVED = "served"  # its endpoint said BYE
-    CLIENT_LEFT = "client-left"
-    CLIENT_RESET = "client-reset"
-    ENDPOINT_LEFT = "endpoint-left"
-    ENDPOINT_RESET = "endpoint-reset"
-    ENDPOINT_MIGRATED = "endpoint-migrated"  # a draining endpoint said MOVE
-    MIGRATED = "migrated"  # this proxy said MOVE
-    UNRESPONSIVE = "unresponsive"  # moved, since its endpoint brought nothing back
+    SERVED = "served"  # its endpoint ended it with BYE
+    CLIENT_LEFT = "client-left"  # its client ended its side
+    CLIENT_RESET = "client-reset"  # its client reset it
+    ENDPOINT_LEFT = "endpoint-left"  # its endpoint ended its side without BYE
+    ENDPOINT_RESET = "endpoint-reset"  # its endpoint reset it
+    ENDPOINT_MIGRATED = "endpoint-migrated"  # a draining endpoint sent MOVE
+    MIGRATED = "migrated"  # this proxy sent MOVE
+    UNRESPONSIVE = "unresponsive"  # migrated, since its endpoint no longer answered
     STALLED = "stalled"  # its client stopped reading
-    REJECTED = "rejected"
-    FAILED = "failed"
+    REJECTED = "rejected"  # the request was rejected at once: a limit, or load shedding
+    FAILED = "failed"  # the request failed after its attempts
     WITHDRAWN = "withdrawn"  # the client left before the answer
-    BAD_LINE = "bad-line"
-    REQUEST_TIMEOUT = "request-timeout"
-    EVICTED = "evicted"  # a stranger, for want of descriptors
-    PROBED = "probed"  # a frontend asked whether this proxy is ready
-    ANSWERED = "answered"  # an operator's call
-    EMPTY = "empty"  # ended without a line
-    UNREACHABLE = "unreachable"
-    ENDPOINT_FULL = "endpoint-full"
-    ERROR = "error"
-    TIMED_OUT = "timed-out"
-    ABANDONED = "abandoned"
-    SHUT_DOWN = "shut-down"
-    CHANNEL_CLOSED = "channel-closed"
-    PROTOCOL_ERROR = "protocol-error"
+    BAD_LINE = "bad-line"  # the peer sent a line outside the protocol
+    REQUEST_TIMEOUT = "request-timeout"  # no whole request came in time
+    EVICTED = "evicted"  # it had no request under way, and descriptors ran short
+    PROBED = "probed"  # a frontend checked whether this proxy is ready
+    ANSWERED = "answered"  # an administrative call or a health check got its answer
+    EMPTY = "empty"  # ended without a request
+    UNREACHABLE = "unreachable"  # the connection to the endpoint did not come up
+    ENDPOINT_FULL = "endpoint-full"  # the endpoint answered BUSY
+    ERROR = "error"  # the endpoint answered with an error
+    TIMED_OUT = "timed-out"  # the endpoint did not answer in time
+    ABANDONED = "abandoned"  # the proxy no longer needed the attempt
+    SHUT_DOWN = "shut-down"  # this proxy is shutting down
+    CHANNEL_CLOSED = "channel-closed"  # an SSH channel was closed by its client
+    PROTOCOL_ERROR = "protocol-error"  # the peer broke the SSH protocol
     FAULT = "fault"  # an error of this program's; its trace is logged beside
 
 
@@ -48,12 +53,14 @@
     """`ts=... level=... event=... key=value ...`; values with blanks or quotes are quoted."""
 
     def format(self, record: logging.LogRecord) -> str:
-        stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
+        """One line for the record; times are UTC with milliseconds."""
+        timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs: dict[str, Any] = {
-            "ts": f"{stamp}.{int(record.msecs):03d}Z",
+            "ts": f"{timestamp}.{int(record.msecs):03d}Z",
             "level": record.levelname.lower(),
             "event": record.getMessage(),
         }
+        # A pair may have any name, as a load report's column has, but never replaces the event.
         pairs.update(getattr(record, "pairs", {}) | {"event": record.getMessage()})
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
@@ -61,8 +68,9 @@
 
     @staticmethod
     def quote(value: object) -> str:
+        """The value as text, in quotes with escapes where it would not read back as one word."""
         text = str(value.value if isinstance(value, Enum) else value)
-        if text and not any(c <= " " or c in '"=\\' for c in text):
+        if text and not any(char <= " " or char in '"=\\' for char in text):
             return text
         escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n").replace("\r", "\\r")
         return f'"{escaped}"'
@@ -71,51 +79,62 @@
 logger = logging.getLogger("linnetshift")
 
 
-def note(event: str, /, **pairs: object) -> None:
+def info(event: str, /, **pairs: object) -> None:
+    """Log one event with its fields, in the order given."""
     logger.info(event, extra={"pairs": pairs})
 
 
+def exception(error: Exception) -> None:
+    """Log a fault of this program's own, with its traceback."""
+    logger.error("fault", exc_info=error)
+
+
 def connection_ended(side: str, reason: Reason, /, **pairs: object) -> None:
-    """The one line that an ended connection leaves."""
+    """Log the one line that an ended connection leaves.
+
+    `side` is the part that owned it: client, endpoint, admin, health-check and such.
+    """
     own = {"side": side, "reason": reason}
-    note("connection-ended", **(own | pairs | own))  # a report's column may have any name
+    info("connection-ended", **(own | pairs | own))  # a load report's column may have any name
 
 
-def words(error: Exception) -> str:
-    """What an error that was caught says, cut to what a line may hold.
+def error_text(error: Exception) -> str:
+    """The message of a caught error, cut to MAX_LOGGED_CHARS; its traceback is dropped.
 
-    Its traceback is cut off: a library's frame in there may hold the error itself (h11's does), and that
-    cycle would keep the frames of ours, and with them the connection, until a collector comes.
+    A library's frame in the traceback may refer to the error itself (h11's does). That cycle would keep our
+    own frames alive, and with them the connection, until the garbage collector runs.
     """
     error.__traceback__ = None
-    return str(error)[:MOST_TOLD]
-
+    return str(error)[:MAX_LOGGED_CHARS]
 
-def fault(error: Exception) -> None:
-    logger.error("fault", exc_info=error)
 
+class NonBlockingStreamHandler(logging.StreamHandler[TextIO]):
+    """Drops lines while the reader of the stream does not keep up, and later logs how many.
 
-class Patient(logging.StreamHandler[TextIO]):
-    """Leaves lines out while whoever reads them does not, and says later how many: writing would block."""
+    Writing to a full pipe would block the one thread that serves all connections.
+    """
 
-    left_out = 0
+    dropped_lines = 0
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Write the record if the stream takes it now."""
         try:
             writable = select.select([], [self.stream], [], 0)[1]
         except (OSError, ValueError):  # standard error is closed
             return
         if not writable:
-            self.left_out += 1
+            self.dropped_lines += 1
             return
-        if self.left_out:
-            left_out, self.left_out = self.left_out, 0
-            note("log-lines-dropped", count=left_out)
+        if self.dropped_lines:
+            dropped_lines = self.dropped_lines
+            self.dropped_lines = 0  # first: the line below comes through here too
+            info("log-lines-dropped", count=dropped_lines)
         super().emit(record)
 
 
-def set_up() -> None:
-    handler = Patient(sys.stderr)
+def configure() -> None:
+    """Log to standard error from now on; called once, at the start of the process."""
+    handler = NonBlockingStreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logger.addHandler(handler)
     logger.setLevel(logging.INFO)
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -119,9 +119,9 @@
     def listed(self, list_update: EndpointListUpdate) -> None:
         event = self.broker.administrative_drains.bounded(list_update.event)
         if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
-            log.note("endpoint-list-received", **self.describe_list(event))
+            log.info("endpoint-list-received", **self.describe_list(event))
         if left_out := len(list_update.event.entries) - len(event.entries):
-            log.note("endpoint-limit-exceeded", left_out=left_out)
+            log.info("endpoint-limit-exceeded", left_out=left_out)
         self.connector.listed(
             event, {entry.endpoint: list_update.addresses[entry.endpoint] for entry in event.entries}
         )
@@ -185,7 +185,7 @@
 
     def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
         known = self.broker.drain_endpoint(endpoint) if out else self.broker.restore_endpoint(endpoint)
-        log.note(
+        log.info(
             "administrative-drain-changed", endpoint=endpoint.decode(errors="replace"), out=out, known=known
         )
         self.decision_loop.when_processed(done)
@@ -302,7 +302,7 @@
                 [admin_server] if admin_server is not None else []
             ):
                 acceptor.close()
-            log.note("configuration-rejected", error=str(error))
+            log.info("configuration-rejected", error=str(error))
             return
         for frontend, acceptor in bound:
             frontend.follow(acceptor)
@@ -317,7 +317,7 @@
         if config.known.event.version > self.discovery.version:
             self.listed(config.known)
         self.discovery.relocate(config.discovery, WatchTimeouts.of(config.settings))
-        log.note(
+        log.info(
             "configuration-reloaded",
             discovery=f"{config.discovery[0]}:{config.discovery[1]}",
             classes=",".join(klass.name for klass in config.settings.offered),
@@ -328,7 +328,7 @@
     def log_settings(self) -> None:
         """What was made of the settings, for staff to compare with what they meant."""
         settings = self.config.settings
-        log.note(
+        log.info(
             "settings-applied",
             proxies=settings.balancers,
             cross_zone_weight=f"{settings.cross_zone_weight:.3f}",
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -40,7 +40,7 @@
             self.broker.handle_attempt_ended(attempt, Outcome.CONNECT_FAILED)
             return
         asked = attempt.request
-        log.note(
+        log.info(
             "attempt-started",
             id=asked.id,
             attempt=attempt.number,
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -223,7 +223,7 @@
             try:
                 self.broker.record_load_report(self.attempt, float(text[5:]))
             except ValueError:
-                log.note("load-report-invalid", endpoint=self.attempt.endpoint.decode("utf-8", "replace"))
+                log.info("load-report-invalid", endpoint=self.attempt.endpoint.decode("utf-8", "replace"))
             return
         self.last = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}.get(text, Outcome.RESET)
         if self.asked_at:
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -65,7 +65,7 @@
         """Say that the state is another, and do so before the peers hear of it."""
         before, self.before = self.before, self.router.state
         if self.before is not before:
-            log.note("vrrp-state-changed", state=self.before, vrid=self.config.vrid)
+            log.info("vrrp-state-changed", state=self.before, vrid=self.config.vrid)
             if State.ACTIVE in (before, self.before):
                 self.changed(self.before is State.ACTIVE)
 
@@ -100,7 +100,7 @@
             try:
                 self.sock.sendto(datagram, peer)
             except OSError as error:  # a peer that is down must not stop the others' word
-                log.note("vrrp-send-failed", peer=f"{peer[0]}:{peer[1]}", error=error.strerror)
+                log.info("vrrp-send-failed", peer=f"{peer[0]}:{peer[1]}", error=error.strerror)
 
     def arm(self, centiseconds: float) -> None:
         if self.timer is not None:
@@ -119,7 +119,7 @@
             try:
                 advertisement = decode(data)
             except BadAdvertisement as error:
-                log.note("vrrp-advertisement-dropped", peer=sender[0], error=str(error))
+                log.info("vrrp-advertisement-dropped", peer=sender[0], error=str(error))
                 continue
             if advertisement.vrid == self.config.vrid and sender in self.config.peers:
                 self.router.heard(advertisement, sender[0])
