--- a/linnetshift/admin/__init__.py
+++ b/linnetshift/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The administrative interface, /ops."""
+"""The administrative HTTP interface under /ops: readiness, resource usage, administrative drains."""
--- /dev/null
+++ b/linnetshift/admin/connection.py
@@ -0,0 +1,227 @@
+"""One administrative connection: one HTTP/1.1 call, its response, and an orderly end."""
+
+from __future__ import annotations
+
+import select
+import socket
+from email.utils import formatdate
+from http import HTTPStatus
+from typing import NamedTuple, Protocol
+
+import h11
+
+from linnetshift.admin.operations import Operations
+from linnetshift.admin.routes import AdminRequest, DrainChange, Response, dispatch
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Io, Loop, S, Timeout
+from linnetshift.event_loop.outbound_connection import Steps, Stop, linger
+from linnetshift.event_loop.stream import End, Stream
+from linnetshift.observability import log
+from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
+
+# Some peers connect and finish no call for 4 s: each is answered before that, and delays no other.
+CALL_TIMEOUT_NS = 3 * S
+# A script waits 1 s for the response to a drain.
+DRAIN_TIMEOUT_NS = 800 * MS
+# Calls have a short request line, few headers and no body.
+MAX_HEAD_BYTES = 4096
+MAX_BODY_BYTES = 4096
+
+CALL_TIMER = "call"
+DRAIN_TIMER = "drain"
+
+
+class DrainApplied(NamedTuple):
+    """The change that the call asked for is in effect."""
+
+    is_known: bool
+
+
+class ConnectionOwner(Protocol):
+    """What keeps track of the administrative connections, and bounds their number."""
+
+    def handle_opened(self, connection: AdminConnection) -> None:
+        """Its call is awaited."""
+
+    def handle_call_ended(self, connection: AdminConnection) -> None:
+        """Its call is complete, or will not be."""
+
+    def handle_answered(self, connection: AdminConnection) -> None:
+        """Its response is sent; only the peer's end is awaited."""
+
+    def handle_closed(self, connection: AdminConnection) -> None:
+        """Its descriptor is free again."""
+
+
+class AdminConnection(Actor):
+    """One connection: one call, its response, and the end."""
+
+    stream: Stream
+
+    def __init__(
+        self, loop: Loop, operations: Operations, owner: ConnectionOwner, sock: socket.socket, peer: Address
+    ) -> None:
+        """Take over an accepted socket; `start` with `run()` begins to serve it."""
+        super().__init__(loop)
+        self.operations = operations
+        self.owner = owner
+        self.peer = peer
+        self.stream = Stream(self.loop, sock, lambda mask: self.post(Io(mask)), size=MAX_HEAD_BYTES)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.request: AdminRequest | None = None
+        self.body_bytes = 0
+        self.is_reset = False
+        self.opened_at = self.loop.now()
+
+    def run(self) -> ActorCoroutine:
+        """Receive the call, answer it, and wait for the peer's end."""
+        self.owner.handle_opened(self)
+        self.stream.arm()
+        timer = self.set_timer(CALL_TIMEOUT_NS, CALL_TIMER)
+        response = yield from self.serve_call()
+        timer.cancel()
+        self.owner.handle_call_ended(self)
+        if response is None:
+            self.stream.close()
+            self.report(Reason.EMPTY, 0)
+            return
+        timed_out = response.status == HTTPStatus.REQUEST_TIMEOUT
+        self.send_response(response)
+        self.stream.finish()
+        self.owner.handle_answered(self)
+        yield from linger(self, self.stream, self.opened_at + CALL_TIMEOUT_NS)
+        self.stream.close()
+        self.report(Reason.REQUEST_TIMEOUT if timed_out else Reason.ANSWERED, response.status)
+
+    def faulted(self, error: Exception) -> None:
+        """Contain a fault met on one call: it must not end the process."""
+        log.exception(error)
+        self.owner.handle_call_ended(self)
+        self.stream.close(End.RESET)
+        self.report(Reason.FAULT, HTTPStatus.INTERNAL_SERVER_ERROR)
+
+    def report(self, reason: Reason, status: int) -> None:
+        """Tell the owner that this connection is closed, and log why."""
+        self.owner.handle_closed(self)
+        log.connection_ended(
+            "admin",
+            reason,
+            peer=f"{self.peer[0]}:{self.peer[1]}",
+            call=str(self.request or "")[:MAX_LOGGED_CHARS],
+            status=int(status),
+            ms=(self.loop.now() - self.opened_at) // MS,
+        )
+
+    def evict(self) -> None:
+        """One connection too many, and this call has been unfinished longest: answer 503."""
+        self.owner.handle_call_ended(self)
+        self.post(Stop())
+
+    def close_lingering(self) -> None:
+        """Close an answered connection whose peer keeps its side open, to make room for another."""
+        self.stream.close()
+        self.post(Stop())
+
+    # ---- receiving the call -----------------------------------------------------------------
+
+    def serve_call(self) -> Steps:
+        """The response to the one call; None where the peer ended without one."""
+        self.is_reset = self.read()
+        while True:
+            try:
+                event = self.http.next_event()
+            except h11.RemoteProtocolError as error:
+                return Response(error.error_status_hint, log.error_text(error))
+            match event:
+                case h11.Request():
+                    self.receive_head(event)
+                case h11.Data():
+                    self.body_bytes += len(event.data)
+                    if self.body_bytes > MAX_BODY_BYTES:
+                        return Response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "these calls need no body")
+                case h11.EndOfMessage() if self.request is not None:
+                    return (yield from self.respond(self.request))
+                case h11.NEED_DATA if not self.is_reset:
+                    failure = yield from self.wait_for_data()
+                    if failure is not None:
+                        return failure
+                case _:
+                    return None  # ended, or reset
+
+    def receive_head(self, event: h11.Request) -> None:
+        """Keep the request line; let a client that waits for it send its body."""
+        self.request = AdminRequest(event.method.decode("ascii"), event.target.decode("ascii", "replace"))
+        if self.http.they_are_waiting_for_100_continue:
+            interim = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[])
+            self.stream.send(self.http.send(interim))
+
+    def wait_for_data(self) -> Steps:
+        """Wait for one message of the loop; the response where the call is given up."""
+        match (yield):
+            case Io(mask):
+                if mask & select.EPOLLOUT:
+                    self.stream.flush()
+                self.is_reset = self.read()
+            case Timeout(tag="call"):
+                return Response(HTTPStatus.REQUEST_TIMEOUT, "no whole call came in time")
+            case Stop():
+                retry_after = (("Retry-After", "1"),)
+                return Response(HTTPStatus.SERVICE_UNAVAILABLE, "too many callers at once", retry_after)
+        return None
+
+    def read(self) -> bool:
+        """Pass on what was received; whether the peer reset the connection."""
+        end = self.stream.fill()
+        if data := self.stream.rest():
+            self.http.receive_data(bytes(data))
+        if end is End.FIN:
+            self.http.receive_data(b"")
+        return end is End.RESET
+
+    # ---- answering it -----------------------------------------------------------------------
+
+    def respond(self, request: AdminRequest) -> Steps:
+        """The response to a whole call."""
+        result = dispatch(self.operations, request)
+        if isinstance(result, DrainChange):
+            return (yield from self.apply_drain(result))
+        return result
+
+    def apply_drain(self, change: DrainChange) -> Steps:
+        """Carry the change out; the response once it is in effect, or 504."""
+        self.set_timer(DRAIN_TIMEOUT_NS, DRAIN_TIMER)
+        self.operations.set_administrative_drain(
+            change.endpoint_id.encode(),
+            change.is_drained,
+            lambda is_known: self.post(DrainApplied(is_known)),
+        )
+        while True:
+            match (yield):
+                case DrainApplied(is_known):
+                    return change.response(is_known)
+                case Io():
+                    self.stream.want(False)  # whatever else the peer sends belongs to no call
+                case Timeout(tag="drain"):
+                    text = "acted on here, but no word from the process beside this one"
+                    return Response(HTTPStatus.GATEWAY_TIMEOUT, text)
+                case Stop():
+                    pass  # evicted, but its response is on the way
+
+    def send_response(self, response: Response) -> None:
+        """Send it; nothing where the call is so broken that HTTP allows no response."""
+        body = response.text.encode("utf-8", "replace") + b"\n"
+        headers = [
+            ("Date", formatdate(usegmt=True)),
+            ("Content-Type", "text/plain; charset=utf-8"),
+            ("Content-Length", str(len(body))),
+            ("Cache-Control", "no-store"),
+            ("Connection", "close"),
+            *response.headers,
+        ]
+        try:
+            data = self.http.send(h11.Response(status_code=int(response.status), headers=headers)) or b""
+            if self.request is None or self.request.method != "HEAD":
+                data += self.http.send(h11.Data(data=body)) or b""
+        except h11.LocalProtocolError:
+            return
+        self.stream.send(data)
--- /dev/null
+++ b/linnetshift/admin/routes.py
@@ -0,0 +1,115 @@
+"""Which administrative calls there are, and what each answers.
+
+Paths, methods, status codes and texts are the interface of the platform's staff and its scripts.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import NamedTuple
+from urllib.parse import parse_qs, urlsplit
+
+from linnetshift.admin.operations import Operations
+
+READINESS_PATH = "/ops/readiness"
+RESOURCE_USAGE_PATH = "/ops/census"
+DRAIN_PATH = "/ops/servers/down"
+RESTORE_PATH = "/ops/servers/up"
+ENDPOINT_PARAMETER = "id"
+
+
+class AdminRequest(NamedTuple):
+    """The request line of one call."""
+
+    method: str
+    target: str
+
+    def __str__(self) -> str:
+        """The method and target, as a log line has them."""
+        return f"{self.method} {self.target}"
+
+
+class Response(NamedTuple):
+    """What is sent back: a status code, one line of text, and headers beside the usual ones."""
+
+    status: int
+    text: str
+    headers: tuple[tuple[str, str], ...] = ()
+
+
+class DrainChange(NamedTuple):
+    """An endpoint to drain or to restore; its response follows once the change is in effect."""
+
+    endpoint_id: str
+    is_drained: bool
+
+    def response(self, is_known: bool) -> Response:
+        """The answer after the change; `is_known` is whether discovery ever listed the endpoint."""
+        if not is_known:
+            return Response(HTTPStatus.NOT_FOUND, f"{self.endpoint_id} was never listed")
+        state = "taken out" if self.is_drained else "in use"
+        return Response(HTTPStatus.OK, f"{self.endpoint_id} is {state}")
+
+
+class Route(NamedTuple):
+    """One path: the methods that it takes, and what handles its query string."""
+
+    methods: tuple[str, ...]
+    handle: Callable[[Operations, str], Response | DrainChange]
+
+
+def dispatch(operations: Operations, request: AdminRequest) -> Response | DrainChange:
+    """The response to a call, or the change that has to take effect before there is one."""
+    url = urlsplit(request.target)
+    route = ROUTES.get(url.path)
+    if route is None:
+        return Response(HTTPStatus.NOT_FOUND, "no such call")
+    if request.method not in route.methods:
+        allowed = ", ".join(route.methods)
+        return Response(HTTPStatus.METHOD_NOT_ALLOWED, f"use {route.methods[0]}", (("Allow", allowed),))
+    return route.handle(operations, url.query)
+
+
+def check_readiness(operations: Operations, _query: str) -> Response:
+    """200 while clients are accepted; else 503 and why they are not."""
+    obstacle = operations.readiness()
+    if obstacle:
+        return Response(HTTPStatus.SERVICE_UNAVAILABLE, obstacle)
+    return Response(HTTPStatus.OK, "taking consumers")
+
+
+def show_resource_usage(operations: Operations, _query: str) -> Response:
+    """Size and bound of every container, as JSON."""
+    usage_by_name = {name: usage._asdict() for name, usage in operations.resource_usage().items()}
+    return Response(HTTPStatus.OK, json.dumps(usage_by_name, indent=1))
+
+
+def drain_endpoint(operations: Operations, query: str) -> Response | DrainChange:
+    """Take the endpoint in the query out of use, unless too many are drained already."""
+    change = parse_change(query, is_drained=True)
+    if isinstance(change, DrainChange) and operations.is_drain_limit_reached(change.endpoint_id.encode()):
+        return Response(HTTPStatus.INSUFFICIENT_STORAGE, "too many are out already; call some back first")
+    return change
+
+
+def restore_endpoint(_operations: Operations, query: str) -> Response | DrainChange:
+    """Take the endpoint in the query into use again."""
+    return parse_change(query, is_drained=False)
+
+
+def parse_change(query: str, is_drained: bool) -> Response | DrainChange:
+    """The change of the one endpoint that the query names; 400 where it names none or several."""
+    endpoint_ids = parse_qs(query).get(ENDPOINT_PARAMETER, [])
+    if len(endpoint_ids) != 1:
+        return Response(HTTPStatus.BAD_REQUEST, "give one id, as in ?id=ID")
+    return DrainChange(endpoint_ids[0], is_drained)
+
+
+ROUTES = {
+    READINESS_PATH: Route(("GET", "HEAD"), check_readiness),
+    RESOURCE_USAGE_PATH: Route(("GET", "HEAD"), show_resource_usage),
+    DRAIN_PATH: Route(("PUT",), drain_endpoint),
+    RESTORE_PATH: Route(("PUT",), restore_endpoint),
+}
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -127,7 +127,7 @@
 
 def test_callers_who_do_not_leave_give_way(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Answered callers that sent on held a descriptor each for up to 3 s, and their number had no bound.
-    monkeypatch.setattr(server, "MOST_CALLERS", 3)
+    monkeypatch.setattr(server, "MAX_CONNECTIONS", 3)
     with inside(tmp_path, admin_server=True) as running:
         kept = []
         for _ in range(9):
--- a/tests/test_ended.py
+++ b/tests/test_ended.py
@@ -16,7 +16,7 @@
 import pytest
 from proxy import WAIT, Inside, Terminal, inside, proxy, uncollected
 
-from linnetshift.admin.server import AdminConnection
+from linnetshift.admin.connection import AdminConnection
 from linnetshift.broker.active_request import ActiveRequest, Attempt
 from linnetshift.discovery.http_call import Call
 from linnetshift.event_loop.loop import FEW, MS, Actor, ActorCoroutine, ActorTimer, Loop, S
