--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -11,7 +11,7 @@
 
 from linnetshift.config.errors import ConfigError
 from linnetshift.config.names import NameRegistry
-from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
+from linnetshift.discovery.endpoint_list import EndpointListUpdate, parse_endpoint_list
 from linnetshift.event_loop.address import Address, parse_address
 from linnetshift.routing.settings import Settings
 
@@ -77,7 +77,7 @@
             listen=listen,
             discovery=discovery,
             seed=int(str(raw.get("seed", "0")), 16),
-            known=read_list(raw.get("known", {"targets": []}), names, cached=True),
+            known=parse_endpoint_list(raw.get("known", {"targets": []}), names, is_cached=True),
             settings=settings,
             names=names,
             sockets=int((raw.get("limits") or {}).get("sockets") or 0),
--- a/linnetshift/discovery/__init__.py
+++ b/linnetshift/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The list of endpoints, fetched and watched over HTTP."""
+"""Discovery: the list of endpoints, fetched and watched over HTTP."""
--- a/linnetshift/discovery/endpoint_list.py
+++ b/linnetshift/discovery/endpoint_list.py
@@ -1,4 +1,7 @@
-"""The endpoint list as discovery sends it: parsing and writing."""
+"""The endpoint list in the form in which discovery sends it: parsing and writing.
+
+The same form is used in the proxy file (`known`) and between two processes in a hot restart.
+"""
 
 from __future__ import annotations
 
@@ -12,75 +15,113 @@
 from linnetshift.observability.log import MAX_LOGGED_CHARS
 from linnetshift.routing.events import EndpointEntry, EndpointList, EndpointState, ListForm
 
-STATES = {
+# Keys of the list, as on the wire.
+TARGETS_KEY = "targets"
+VERSION_KEY = "rev"
+IS_FULL_KEY = "all"
+
+# Keys of one entry, as on the wire.
+ENDPOINT_ID_KEY = "uid"
+ADDRESS_KEY = "endpoint"
+ZONE_KEY = "az"
+KIND_KEY = "model"
+CELL_KEY = "pod_group"
+STATE_KEY = "state"
+WEIGHT_KEY = "capacity_hint"
+STARTED_MS_KEY = "boot_ms"
+
+STATES_BY_WIRE_NAME = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
+DEFAULT_WEIGHT = 1.0  # of an entry that gives none, or no finite one
+
+# What parsing an entry of the wrong shape raises; such an entry is left out of the list.
+ENTRY_ERRORS = (AttributeError, KeyError, TypeError, ValueError, OverflowError)
+
+
+class EndpointListError(ValueError):
+    """A document that is no endpoint list, or one that must not be used as it stands."""
 
 
 class EndpointListUpdate(NamedTuple):
-    """A list or its changes, as the module wants it, and where the endpoints listen."""
+    """A full list or its changes for the decisions, and the addresses of its endpoints."""
 
     event: EndpointList
     addresses: dict[bytes, Address]
-    unread: int  # entries that made no sense
+    invalid_entries: int  # how many were left out
 
 
-def read_list(document: Any, names: NameRegistry, cached: bool = False) -> EndpointListUpdate:
-    """Raises ValueError where the document is no list; an entry that makes no sense is left out.
+def parse_endpoint_list(document: Any, names: NameRegistry, is_cached: bool = False) -> EndpointListUpdate:
+    """Parse a list as decoded from JSON; `is_cached` is one that was kept in a file, perhaps long ago.
 
-    What a whole list with such an entry does not name may be what could not be read, so it counts as
-    changes only.
+    Raises EndpointListError where the document is no list. An invalid entry is left out and logged. An
+    endpoint that a full list with such an entry does not name may be the one that could not be parsed, so the
+    list then counts as changes only.
     """
-    if not isinstance(document, dict) or not isinstance(document.get("targets"), list):
-        raise ValueError("no list of targets")
-    version = document.get("rev", 0 if cached else None)
+    if not isinstance(document, dict) or not isinstance(document.get(TARGETS_KEY), list):
+        raise EndpointListError("no list of targets")
+    version = document.get(VERSION_KEY, 0 if is_cached else None)
     if not isinstance(version, int) or version < 0:
-        raise ValueError("no version")
-    entries, addresses, errors = [], {}, []
-    for target in document["targets"]:
+        raise EndpointListError("no version")
+    entries = []
+    addresses = {}
+    errors = []
+    for target in document[TARGETS_KEY]:
         try:
-            entry, address = read_entry(target, names)
-        except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
+            entry, address = parse_entry(target, names)
+        except ENTRY_ERRORS as error:
             errors.append(f"{type(error).__name__}: {error}")
             continue
         entries.append(entry)
         addresses[entry.endpoint] = address
     if errors:
         log.info("endpoint-entries-invalid", count=len(errors), first=errors[0][:MAX_LOGGED_CHARS])
-    whole = document.get("all") and not errors
-    form = ListForm.CACHED if cached else ListForm.FULL if whole else ListForm.DELTA
+    is_full = bool(document.get(IS_FULL_KEY)) and not errors
+    form = list_form(is_cached, is_full)
     return EndpointListUpdate(EndpointList(form, version, tuple(entries)), addresses, len(errors))
 
 
-def read_entry(target: dict[str, Any], names: NameRegistry) -> tuple[EndpointEntry, Address]:
-    weight = float(target.get("capacity_hint", 1.0))
-    entry = EndpointEntry(
-        endpoint=str(target["uid"]).encode(),
-        zone=names.zones.get(str(target.get("az")), UNKNOWN),
-        kind=names.kinds.get(str(target.get("model")), UNKNOWN),
-        cell=int(target.get("pod_group") or 0),
-        state=STATES[target["state"]],
-        weight=weight if math.isfinite(weight) else 1.0,
-        started_ns=int(target.get("boot_ms") or 0) * MS,
-    )
-    return entry, parse_address(target["endpoint"])
+def list_form(is_cached: bool, is_full: bool) -> ListForm:
+    """Which endpoints the decisions may take as gone: only a full list from discovery says so."""
+    if is_cached:
+        return ListForm.CACHED
+    return ListForm.FULL if is_full else ListForm.DELTA
 
 
-def describe(entry: EndpointEntry, address: Address, names: NameRegistry) -> dict[str, Any]:
-    """The entry as discovery would list it: what `read_entry` reads."""
+def parse_entry(target: dict[str, Any], names: NameRegistry) -> tuple[EndpointEntry, Address]:
+    """One entry and its address; raises one of ENTRY_ERRORS where it is invalid.
 
-    def named(places: dict[str, int], place: int) -> str:
-        return next((name for name, at in places.items() if at == place), "")
+    Zones and kinds that the configuration does not name become UNKNOWN.
+    """
+    weight = float(target.get(WEIGHT_KEY, DEFAULT_WEIGHT))
+    entry = EndpointEntry(
+        endpoint=str(target[ENDPOINT_ID_KEY]).encode(),
+        zone=names.zones.get(str(target.get(ZONE_KEY)), UNKNOWN),
+        kind=names.kinds.get(str(target.get(KIND_KEY)), UNKNOWN),
+        cell=int(target.get(CELL_KEY) or 0),
+        state=STATES_BY_WIRE_NAME[target[STATE_KEY]],
+        weight=weight if math.isfinite(weight) else DEFAULT_WEIGHT,
+        started_ns=int(target.get(STARTED_MS_KEY) or 0) * MS,
+    )
+    return entry, parse_address(target[ADDRESS_KEY])
 
+
+def serialize_entry(entry: EndpointEntry, address: Address, names: NameRegistry) -> dict[str, Any]:
+    """The entry as discovery would list it: what `parse_entry` reads."""
     return {
-        "uid": entry.endpoint.decode(),
-        "endpoint": f"{address[0]}:{address[1]}",
-        "az": named(names.zones, entry.zone),
-        "model": named(names.kinds, entry.kind),
-        "pod_group": entry.cell,
-        "state": next(word for word, state in STATES.items() if state == entry.state),
-        "capacity_hint": entry.weight,
-        "boot_ms": entry.started_ns // MS,
+        ENDPOINT_ID_KEY: entry.endpoint.decode(),
+        ADDRESS_KEY: f"{address[0]}:{address[1]}",
+        ZONE_KEY: name_of(names.zones, entry.zone),
+        KIND_KEY: name_of(names.kinds, entry.kind),
+        CELL_KEY: entry.cell,
+        STATE_KEY: next(name for name, state in STATES_BY_WIRE_NAME.items() if state == entry.state),
+        WEIGHT_KEY: entry.weight,
+        STARTED_MS_KEY: entry.started_ns // MS,
     }
+
+
+def name_of(numbers_by_name: dict[str, int], number: int) -> str:
+    """The name that has the number; empty for UNKNOWN."""
+    return next((name for name, known in numbers_by_name.items() if known == number), "")
--- a/linnetshift/discovery/http_call.py
+++ b/linnetshift/discovery/http_call.py
@@ -1,9 +1,10 @@
-"""One HTTP call to discovery."""
+"""One HTTP call to discovery, on a connection of its own."""
 
 from __future__ import annotations
 
 import json
 import select
+from http import HTTPStatus
 from typing import Any, NamedTuple
 
 import h11
@@ -11,74 +12,96 @@
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.loop import Actor, ActorCoroutine, Io, Loop, S, Timeout
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Steps
-from linnetshift.event_loop.stream import End
+from linnetshift.event_loop.stream import End, Stream
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS
 
-# What discovery has counts as told 6 s after it could be reached, whatever a failed or silent call may wait
-# for: connection, news and answer of the next call stay well under it together, and so does each back-off.
-CONNECT_NS = 1 * S
-MOST_BODY = 1 << 20  # thousands of endpoints; read, it takes some ten times as much memory
+# A change counts as known here 6 s after discovery had it and could be reached, whatever a failed or silent
+# call may still be waiting for. Connecting, waiting for news and the answer of the next call stay well under
+# that together, and so does each back-off.
+CONNECT_TIMEOUT_NS = 1 * S
+# Room for thousands of endpoints; once parsed, a list takes some ten times as much memory.
+MAX_BODY_BYTES = 1 << 20
 
+CALL_TIMER = "call"
+UNREACHABLE = "unreachable"  # the logged error of a call whose connection did not come up
 
-class Answer(NamedTuple):
-    call: Call
-    document: Any  # None where the call failed
-    silent: bool = False  # for want of an answer
+# What ends a call without an answer. The log shows the names of these types.
+CALL_ERRORS = (h11.RemoteProtocolError, ValueError, ConnectionError, TimeoutError)
 
 
-class Call(OutboundConnection):
-    """One GET. It fails on any status but 200, on a reset, and on silence past its wait."""
+class CallEnded(NamedTuple):
+    """A call is over; posted to the actor that started it."""
+
+    call: DiscoveryCall
+    document: Any  # as decoded from JSON; None where the call failed
+    timed_out: bool = False  # it failed for want of an answer
+
+
+class DiscoveryCall(OutboundConnection):
+    """One GET. It fails on any status but 200, on a reset, and on silence past its time limit."""
 
     def __init__(self, loop: Loop, address: Address, path: str, limit_ns: int, discovery: Actor) -> None:
+        """`limit_ns` is for the whole call; `discovery` gets the `CallEnded`."""
         super().__init__(loop)
-        self.address, self.path, self.limit_ns, self.discovery = address, path, limit_ns, discovery
+        self.address = address
+        self.path = path
+        self.limit_ns = limit_ns
+        self.discovery = discovery
 
     def run(self) -> ActorCoroutine:
-        until = self.loop.now() + self.limit_ns
-        document, error = None, "unreachable"
-        if (yield from self.connect(self.address, min(CONNECT_NS, self.limit_ns))):
-            timer = self.set_timer(until - self.loop.now(), "call")
+        """Connect, exchange request and response, and report the end."""
+        deadline = self.loop.now() + self.limit_ns
+        document = None
+        error = UNREACHABLE
+        if (yield from self.connect(self.address, min(CONNECT_TIMEOUT_NS, self.limit_ns))):
+            timer = self.set_timer(deadline - self.loop.now(), CALL_TIMER)
             try:
-                document, error = (yield from self.exchange()), ""
-            except (h11.RemoteProtocolError, ValueError, ConnectionError, TimeoutError) as failure:
+                document = yield from self.exchange()
+                error = ""
+            except CALL_ERRORS as failure:
                 error = f"{type(failure).__name__}: {log.error_text(failure)}"
             timer.cancel()
         if self.stream is not None:
             self.stream.close()
         if document is None:
             log.info("discovery-call-failed", path=self.path, error=error[:MAX_LOGGED_CHARS])
-        self.discovery.post(Answer(self, document, document is None and self.loop.now() >= until))
+        timed_out = document is None and self.loop.now() >= deadline
+        self.discovery.post(CallEnded(self, document, timed_out))
 
-    def gave_up(self) -> None:
-        self.discovery.post(Answer(self, None))
+    def report_failure(self) -> None:
+        """Report a failed call after a fault in this one."""
+        self.discovery.post(CallEnded(self, None))
 
     def exchange(self) -> Steps:
+        """The document that the response holds; raises one of CALL_ERRORS."""
         stream = self.stream
         assert stream is not None
         http = h11.Connection(h11.CLIENT)
-        endpoint = f"{self.address[0]}:{self.address[1]}"
-        request = h11.Request(
-            method="GET", target=self.path, headers=[("Host", endpoint), ("Connection", "close")]
-        )
-        stream.send(http.send(request) + (http.send(h11.EndOfMessage()) or b""))
+        stream.send(self.encode_request(http))
         body = bytearray()
         while True:
             event = http.next_event()
-            if isinstance(event, h11.Response) and event.status_code != 200:
-                raise ConnectionError(f"status {event.status_code}")
-            if isinstance(event, h11.Data):
-                body += event.data
-                if len(body) > MOST_BODY:
-                    raise ValueError("the answer is too long")
-            elif isinstance(event, h11.EndOfMessage):
-                return json.loads(body)
-            elif event is h11.NEED_DATA:
-                yield from self.feed(http)
-
-    def feed(self, http: h11.Connection) -> Steps:
-        stream = self.stream
-        assert stream is not None
+            match event:
+                case h11.Response() if event.status_code != HTTPStatus.OK:
+                    raise ConnectionError(f"status {event.status_code}")
+                case h11.Data():
+                    body += event.data
+                    if len(body) > MAX_BODY_BYTES:
+                        raise ValueError("the answer is too long")
+                case h11.EndOfMessage():
+                    return json.loads(body)
+                case h11.NEED_DATA:
+                    yield from self.receive(http, stream)
+
+    def encode_request(self, http: h11.Connection) -> bytes:
+        """The whole request as sent; the connection ends with the response."""
+        headers = [("Host", f"{self.address[0]}:{self.address[1]}"), ("Connection", "close")]
+        request = h11.Request(method="GET", target=self.path, headers=headers)
+        return http.send(request) + (http.send(h11.EndOfMessage()) or b"")
+
+    def receive(self, http: h11.Connection, stream: Stream) -> Steps:
+        """Wait for one message of the loop and pass on what was received."""
         match (yield):
             case Io(mask):
                 if mask & select.EPOLLOUT:
--- /dev/null
+++ b/linnetshift/discovery/stale_list.py
@@ -0,0 +1,50 @@
+"""Which lists contradict what is known, and for how long they are held back."""
+
+from __future__ import annotations
+
+from linnetshift.discovery.endpoint_list import EndpointListError
+from linnetshift.event_loop.loop import S
+from linnetshift.routing.events import EndpointList, ListForm
+
+# How long answers have to contradict what is known before they are believed.
+CONFIRMATION_NS = 30 * S
+
+
+class StaleListFilter:
+    """Holds back a list that is older than the one in use, and a full list that is suddenly empty.
+
+    Either may be a slip of discovery's: an empty list would end every connection at once, an old one would
+    send new connections to endpoints that are known to drain. It is used only if it stays so for
+    CONFIRMATION_NS. Lives as long as the watch; `accept` moves it on.
+    """
+
+    def __init__(self, known: EndpointList) -> None:
+        """`known` is the list in use at the start."""
+        self.version = known.version
+        self.has_endpoints = bool(known.entries)
+        self.contradicted_since_ns = 0  # 0: not contradicted
+
+    def check(self, event: EndpointList, is_from_watch: bool, now_ns: int) -> None:
+        """Raise EndpointListError where the list must not be used now.
+
+        Only the watch's answers count towards the confirmation: from any other call, an older list is merely
+        late.
+        """
+        is_older = event.version < self.version
+        is_emptied = self.has_endpoints and event.form == ListForm.FULL and not event.entries
+        if not is_older and not is_emptied:
+            self.contradicted_since_ns = 0
+            return
+        if is_from_watch:
+            self.contradicted_since_ns = self.contradicted_since_ns or now_ns
+        if not is_from_watch or now_ns - self.contradicted_since_ns < CONFIRMATION_NS:
+            raise EndpointListError(
+                f"version {event.version} after {self.version}" if is_older else "an empty list"
+            )
+        self.contradicted_since_ns = 0
+
+    def accept(self, event: EndpointList) -> None:
+        """The list is in use from now on."""
+        self.version = event.version
+        if event.form == ListForm.FULL:
+            self.has_endpoints = bool(event.entries)
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -1,4 +1,4 @@
-"""Discovery: its list of endpoints, asked for over HTTP and watched for changes."""
+"""The watch of discovery's list of endpoints: fetched whole, then polled for changes over HTTP."""
 
 from __future__ import annotations
 
@@ -7,8 +7,13 @@
 from typing import Any, NamedTuple
 
 from linnetshift.config.names import NameRegistry
-from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
-from linnetshift.discovery.http_call import Answer, Call
+from linnetshift.discovery.endpoint_list import (
+    EndpointListError,
+    EndpointListUpdate,
+    parse_endpoint_list,
+)
+from linnetshift.discovery.http_call import CallEnded, DiscoveryCall
+from linnetshift.discovery.stale_list import StaleListFilter
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Loop, S, Timeout
 from linnetshift.observability import log
@@ -16,55 +21,71 @@
 from linnetshift.routing.events import EndpointList, ListForm
 from linnetshift.routing.settings import Settings
 
-SOON_NS = 50 * MS  # before an agent on this machine is asked again that refused or failed a call
-SOON_WAIT_MS = 1000
-MOST_CALL_NS = 4 * S
-MOST_PATIENCE = 2  # how often the patience with a silent discovery is doubled
-SPREAD = 0.75  # waits are drawn from this share up: proxies whose watches ended together call one by one
-DOUBT_NS = 30 * S  # how long an answer that contradicts what is known must hold to be believed
-AGAIN_NS = 2 * S  # after an answer with unreadable entries
-PATH = "/catalog/members"
+LIST_PATH = "/catalog/members"
+
+# Before an agent on this machine is called again after it refused or failed a call.
+REOPEN_DELAY_NS = 50 * MS
+# How long the watch after a failed or silent one waits for news: its answer shows soon that all is well.
+WAIT_AFTER_FAILURE_MS = 1000
+# The most that a call for the full list may take, however often the limit was doubled.
+MAX_FULL_LIST_CALL_NS = 4 * S
+# How often the time limits for a silent discovery are doubled.
+MAX_TIMEOUT_DOUBLINGS = 2
+# Waits are drawn from this share up: proxies whose watches ended together call one by one.
+MIN_WAIT_SHARE = 0.75
+# When the list is fetched anew after an answer with invalid entries.
+REFETCH_DELAY_NS = 2 * S
+
+REFETCH_TIMER = "refetch"
+REOPEN_TIMER = "reopen"
 
 
 class WatchTimeouts(NamedTuple):
-    """How long discovery is waited for: some time after it falls silent, its news counts as told."""
+    """How long discovery is waited for: some time after it falls silent, its news counts as known here."""
 
-    pushed: bool  # the lists come to an agent on this machine, which answers at once and at no cost
-    wait_ms: int  # how long a watch may stay without news
-    patience_ns: int  # and how much longer its answer may take
-    call_ns: int  # for the whole list
+    is_pushed: bool  # the lists come to an agent on this machine, which answers at once and at no cost
+    wait_ms: int  # how long a watch may stay without news; discovery answers by then
+    margin_ns: int  # and how much longer its answer may take
+    full_list_ns: int  # for a call for the full list
 
     @classmethod
     def of(cls, settings: Settings) -> WatchTimeouts:
-        """A silent discovery's news counts as told 2 s past the wait, at the soonest after 6 s of silence.
+        """The timeouts for how these settings have the lists delivered.
 
-        An agent's counts from the moment it has them, watch or no watch, so a silent one is asked again while
-        the grace still lasts. One call at a shared discovery costs as much as tens of lines.
+        Polled from a shared discovery, its news counts as known 2 s past the wait, at the soonest after 6 s
+        of silence. One call there costs as much as tens of request lines, so watches are long. An agent's
+        news counts from the moment it has it, watch or no watch, so a silent agent is called again while the
+        drain grace period still lasts.
         """
         if settings.must_poll:
             return cls(False, 10_000, 750 * MS, 2200 * MS)
-        grace = max(100 * MS, min(settings.drain_grace_ns, 4 * S))
-        return cls(True, grace // 2 // MS, grace // 4, grace // 2)
+        grace_ns = max(100 * MS, min(settings.drain_grace_ns, 4 * S))
+        return cls(True, grace_ns // 2 // MS, grace_ns // 4, grace_ns // 2)
+
 
+class SetWatch(NamedTuple):
+    """Open the watch unless it is open, or let it end unheeded."""
 
-class Watch(NamedTuple):
-    on: bool
+    is_on: bool
 
 
-class Fetch(NamedTuple):
-    pass
+class FetchList(NamedTuple):
+    """Fetch the full list once, beside the watch."""
 
 
 class Relocate(NamedTuple):
+    """The configuration was reloaded: discovery's address and timeouts from now on."""
+
     address: Address
-    pace: WatchTimeouts
+    timeouts: WatchTimeouts
 
 
 class Discovery(Actor):
-    """Keeps the watch that the module asked for and reports lists, changes and failures.
+    """Keeps the watch that the decisions asked for and reports lists, changes and failures.
 
-    It alone knows how old the list is: a watch that fell silent is opened anew at once, and one that failed
-    too where the lists are pushed. Elsewhere the module is told of failures, and says when to ask again.
+    It alone knows how old the list is: a watch that fell silent is opened anew at once, and so is one that
+    failed where the lists are pushed. Where they are polled, the decisions are notified of failures and say
+    when to call again.
     """
 
     def __init__(
@@ -73,133 +94,168 @@
         address: Address,
         names: NameRegistry,
         known: EndpointListUpdate,
-        told: Callable[[EndpointListUpdate], None],
-        pace: WatchTimeouts,
+        notify_update: Callable[[EndpointListUpdate], None],
+        timeouts: WatchTimeouts,
         seed: int = 0,
-        heard: Callable[[], None] = lambda: None,
+        notify_call_ended: Callable[[], None] = lambda: None,
     ) -> None:
-        """`heard` is called once the first call has ended, with an answer or without."""
+        """`known` is the list in use at the start; `notify_call_ended` is called whatever a call brought."""
         super().__init__(loop)
-        self.address, self.names, self.told, self.pace, self.heard = address, names, told, pace, heard
+        self.address = address
+        self.names = names
+        self.notify_update = notify_update
+        self.timeouts = timeouts
+        self.notify_call_ended = notify_call_ended
         self.random = random.Random(seed)
-        self.version, self.some = known.event.version, bool(known.event.entries)
-        self.whole = False  # owed from an address that has not answered yet
-        self.silences = 0  # calls in a row that brought nothing in time
-        self.shaken = False  # the last watch failed or fell silent
-        self.doubted_at = 0
-        self.asking_again = False
-        self.watching: Call | None = None
-        self.former: Call | None = None  # the watch at an address that was left
-
-    def relocate(self, address: Address, pace: WatchTimeouts) -> None:
-        """What it has counts as told soon after, so it is asked at once, whether or not it moved."""
-        self.post(Relocate(address, pace))
+        self.stale_lists = StaleListFilter(known.event)
+        self.needs_full_list = False  # the address is new and has not answered yet
+        self.consecutive_timeouts = 0  # of the watch
+        self.last_watch_failed = False  # or brought nothing in time, or a list that was not used
+        self.is_refetch_scheduled = False
+        self.watch_call: DiscoveryCall | None = None
+        self.previous_watch_call: DiscoveryCall | None = None  # at an address that was left
+
+    @property
+    def version(self) -> int:
+        """Of the list in use."""
+        return self.stale_lists.version
+
+    # ---- called by other parts --------------------------------------------------------------
+
+    def relocate(self, address: Address, timeouts: WatchTimeouts) -> None:
+        """Watch there from now on. It is called at once, whether or not the address is another.
+
+        What it has counts as known soon after a reload.
+        """
+        self.post(Relocate(address, timeouts))
 
     def watch(self, on: bool) -> None:
-        self.post(Watch(on))
+        """Open the watch, or end it."""
+        self.post(SetWatch(on))
 
     def fetch(self) -> None:
-        self.post(Fetch())
+        """Fetch the full list once."""
+        self.post(FetchList())
+
+    # ---- the actor --------------------------------------------------------------------------
 
     def run(self) -> ActorCoroutine:
+        """Handle messages for as long as the process runs."""
         while True:
-            match (yield):
-                case Watch(on=True) if self.watching is None:
-                    self.watch_on()
-                case Watch(on=False):
-                    self.watching = None  # its answer is ignored
-                case Fetch():
-                    self.call(PATH, self.pace.call_ns)
-                case Relocate(address, pace):
-                    self.pace = pace
-                    if address == self.address and self.watching is not None:
-                        self.watching.end()  # it may have fallen silent
-                    elif address != self.address:
-                        # The old address falls silent: nothing may wait for the watch there to end. Its last
-                        # answer still counts, if it brings one before the new address does.
-                        self.former = self.watching or self.former
-                        self.address, self.whole = address, True
-                    self.watch_on()
-                case Timeout(tag="again"):
-                    self.asking_again = False
-                    self.call(PATH, self.pace.call_ns)
-                case Timeout(tag="open") if self.watching is None:
-                    self.watch_on()
-                case Answer(call, document, silent):
-                    self.answered(call, document, silent)
-                    self.heard()
-
-    def call(self, path: str, limit_ns: int) -> Call:
-        call = Call(self.loop, self.address, path, limit_ns, self)
+            self.handle((yield))
+
+    def handle(self, message: object) -> None:
+        """Handle one message; a timer may ring after its purpose is gone."""
+        match message:
+            case SetWatch(is_on=True) if self.watch_call is None:
+                self.open_watch()
+            case SetWatch(is_on=False):
+                self.watch_call = None  # its answer is ignored
+            case FetchList():
+                self.call(LIST_PATH, self.timeouts.full_list_ns)
+            case Relocate(address, timeouts):
+                self.handle_relocation(address, timeouts)
+            case Timeout(tag="refetch"):
+                self.is_refetch_scheduled = False
+                self.call(LIST_PATH, self.timeouts.full_list_ns)
+            case Timeout(tag="reopen") if self.watch_call is None:
+                self.open_watch()
+            case CallEnded(call, document, timed_out):
+                self.handle_call_ended(call, document, timed_out)
+                self.notify_call_ended()
+
+    def handle_relocation(self, address: Address, timeouts: WatchTimeouts) -> None:
+        """Open the watch at the address at once."""
+        self.timeouts = timeouts
+        if address != self.address:
+            # The old address may be silent: nothing may wait for the watch there to end. Its last answer
+            # still counts, if it comes before one of the new address.
+            self.previous_watch_call = self.watch_call or self.previous_watch_call
+            self.address = address
+            self.needs_full_list = True
+        elif self.watch_call is not None:
+            self.watch_call.end()  # it may have fallen silent
+        self.open_watch()
+
+    def call(self, path: str, limit_ns: int) -> DiscoveryCall:
+        """Start a call; its end arrives as `CallEnded`."""
+        call = DiscoveryCall(self.loop, self.address, path, limit_ns, self)
         call.start(call.run())
         return call
 
-    def watch_on(self) -> None:
-        """The next call follows the last answer at once: after 200 ms it would be a new watch."""
+    def open_watch(self) -> None:
+        """Call for the next change, or for the full list where the address is new.
+
+        The call follows the last answer at once: 200 ms later, discovery would take it as a new watch.
+        """
         # A shared discovery that is slow under too many callers is not cured by calls that are cut short.
-        patience = 0 if self.pace.pushed else min(self.silences, MOST_PATIENCE)
-        if self.whole:
-            self.watching = self.call(PATH, min(self.pace.call_ns << patience, MOST_CALL_NS))
-            return
-        spread = 1.0 if self.pace.pushed else self.random.uniform(SPREAD, 1.0)  # an agent is ours alone
-        wait_ms = int(min(self.pace.wait_ms, SOON_WAIT_MS if self.shaken else self.pace.wait_ms) * spread)
-        path = f"{PATH}?since={self.version}&timeout_ms={wait_ms}"
-        self.watching = self.call(path, wait_ms * MS + (self.pace.patience_ns << patience))
-
-    def answered(self, call: Call, document: Any, silent: bool) -> None:
-        kept, former = call is self.watching, call is self.former
-        if kept:
-            self.watching, self.silences = None, self.silences + 1 if silent else 0
-        elif former:
-            self.former = None
-        elif call.path != PATH or call.address != self.address:
+        doublings = 0 if self.timeouts.is_pushed else min(self.consecutive_timeouts, MAX_TIMEOUT_DOUBLINGS)
+        if self.needs_full_list:
+            limit_ns = min(self.timeouts.full_list_ns << doublings, MAX_FULL_LIST_CALL_NS)
+            self.watch_call = self.call(LIST_PATH, limit_ns)
             return
+        wait_ms = self.draw_wait_ms()
+        path = f"{LIST_PATH}?since={self.version}&timeout_ms={wait_ms}"
+        self.watch_call = self.call(path, wait_ms * MS + (self.timeouts.margin_ns << doublings))
+
+    def draw_wait_ms(self) -> int:
+        """How long discovery is to hold the next watch open without news."""
+        # An agent serves this proxy alone.
+        share = 1.0 if self.timeouts.is_pushed else self.random.uniform(MIN_WAIT_SHARE, 1.0)
+        wait_ms = self.timeouts.wait_ms
+        if self.last_watch_failed:
+            wait_ms = min(wait_ms, WAIT_AFTER_FAILURE_MS)
+        return int(wait_ms * share)
+
+    # ---- answers ----------------------------------------------------------------------------
+
+    def handle_call_ended(self, call: DiscoveryCall, document: Any, timed_out: bool) -> None:
+        """Use the list that a call brought, or act on its failure."""
+        is_watch = call is self.watch_call
+        if is_watch:
+            self.watch_call = None
+            self.consecutive_timeouts = self.consecutive_timeouts + 1 if timed_out else 0
+        elif call is self.previous_watch_call:
+            self.previous_watch_call = None
+        elif call.path != LIST_PATH or call.address != self.address:
+            return  # a watch that was ended, or an address that was left
         try:
-            list_update = read_list(document, self.names)
-            self.doubt(list_update.event, kept)
-        except ValueError as error:
+            list_update = parse_endpoint_list(document, self.names)
+            self.stale_lists.check(list_update.event, is_watch, self.loop.now())
+        except EndpointListError as error:
             if document is not None:
                 log.info("discovery-response-ignored", error=str(error)[:MAX_LOGGED_CHARS])
-            if kept:
-                self.shaken = True
-                self.watch_lost(silent)
+            if is_watch:
+                self.handle_watch_failed(timed_out)
             return
-        self.version = list_update.event.version
-        if list_update.event.form == ListForm.FULL:
-            self.some = bool(list_update.event.entries)
-        if list_update.event.entries or list_update.event.form == ListForm.FULL or not self.pace.pushed:
-            self.told(list_update)  # an agent is asked some times a second, and mostly has no news
-        if list_update.unread and not self.asking_again:
-            self.asking_again = True
-            self.set_timer(AGAIN_NS, "again")
-        if kept:
-            self.whole, self.former, self.shaken = (
-                False,
-                None,
-                False,
-            )  # what the address left behind says is older
-            self.watch_on()
-
-    def watch_lost(self, silent: bool) -> None:
-        if silent:
-            self.watch_on()  # that was wait enough
-        elif self.pace.pushed:
-            self.set_timer(SOON_NS, "open")
-        else:
-            self.told(EndpointListUpdate(EndpointList(ListForm.FAILED, 0, ()), {}, 0))
+        self.use(list_update)
+        if is_watch:
+            self.handle_watch_answered()
 
-    def doubt(self, event: EndpointList, kept: bool) -> None:
-        """An older list, or one that is suddenly empty, may be a slip: it is used only if it stays so.
+    def use(self, list_update: EndpointListUpdate) -> None:
+        """Pass the list on, and fetch it again later where some of it was invalid."""
+        event = list_update.event
+        self.stale_lists.accept(event)
+        # An agent is called some times a second, and mostly has no news.
+        if event.entries or event.form == ListForm.FULL or not self.timeouts.is_pushed:
+            self.notify_update(list_update)
+        if list_update.invalid_entries and not self.is_refetch_scheduled:
+            self.is_refetch_scheduled = True
+            self.set_timer(REFETCH_DELAY_NS, REFETCH_TIMER)
 
-        At once it would end every connection, or send new ones to endpoints that are known to leave. From
-        any call but the watch it is only late.
-        """
-        older = event.version < self.version
-        if not older and (event.entries or event.form != ListForm.FULL or not self.some):
-            self.doubted_at = 0
-            return
-        if kept:
-            self.doubted_at = self.doubted_at or self.loop.now()
-        if not kept or self.loop.now() - self.doubted_at < DOUBT_NS:
-            raise ValueError(f"version {event.version} after {self.version}" if older else "an empty list")
-        self.doubted_at = 0
+    def handle_watch_answered(self) -> None:
+        """Open the next watch."""
+        self.needs_full_list = False
+        self.previous_watch_call = None  # what the address left behind says is older
+        self.last_watch_failed = False
+        self.open_watch()
+
+    def handle_watch_failed(self, timed_out: bool) -> None:
+        """Open the watch anew, or leave it to the decisions when."""
+        self.last_watch_failed = True
+        if timed_out:
+            self.open_watch()  # that was wait enough
+        elif self.timeouts.is_pushed:
+            self.set_timer(REOPEN_DELAY_NS, REOPEN_TIMER)
+        else:
+            self.notify_update(EndpointListUpdate(EndpointList(ListForm.FAILED, 0, ()), {}, 0))
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -38,9 +38,9 @@
         log.exception(error)
         if self.stream is not None:
             self.stream.close(End.RESET)
-        self.gave_up()
+        self.report_failure()
 
-    def gave_up(self) -> None:
+    def report_failure(self) -> None:
         """Report the failure to whoever waits for this peer."""
 
     def connect(self, address: Address, limit_ns: int) -> Steps:
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -27,7 +27,7 @@
 from linnetshift.broker.latency_estimator import Standing
 from linnetshift.broker.snapshot import import_state
 from linnetshift.config.names import NameRegistry
-from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
+from linnetshift.discovery.endpoint_list import EndpointListUpdate, parse_endpoint_list
 from linnetshift.event_loop.connection_limits import Reading
 from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, S, Timeout
 from linnetshift.event_loop.stream import End, Stream
@@ -154,7 +154,7 @@
         }
         if self.state:
             try:
-                list_update = read_list(self.state.get("list"), names)
+                list_update = parse_endpoint_list(self.state.get("list"), names)
                 self.list_update = list_update if list_update.event.entries else None
             except ValueError as error:
                 log.info("imported-list-rejected", error=str(error))
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -18,7 +18,7 @@
 from linnetshift.config.loader import read_files
 from linnetshift.config.proxy_file import Config
 from linnetshift.decision_loop import DecisionLoop
-from linnetshift.discovery.endpoint_list import EndpointListUpdate, describe
+from linnetshift.discovery.endpoint_list import EndpointListUpdate, serialize_entry
 from linnetshift.discovery.watch import Discovery, WatchTimeouts
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import MS, Loop, S
@@ -193,7 +193,7 @@
     def state(self) -> tuple[dict[str, Any], list[int]]:
         administrative_drains, connector = self.broker.administrative_drains, self.connector
         targets = [
-            describe(entry, connector.addresses[endpoint], self.names)
+            serialize_entry(entry, connector.addresses[endpoint], self.names)
             for endpoint, entry in administrative_drains.listed.items()
             if endpoint in connector.addresses
         ]
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -83,7 +83,7 @@
             self.stream.close(End.RESET if reset and self.hung_up else End.FIN)
         self.report(outcome, reset)
 
-    def gave_up(self) -> None:
+    def report_failure(self) -> None:
         self.reason = Reason.FAULT
         self.report(Outcome.RESET, True)
 
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -50,7 +50,7 @@
             stream.close()
         self.report(outcome)
 
-    def gave_up(self) -> None:
+    def report_failure(self) -> None:
         self.report(Outcome.ERROR)
 
     def report(self, outcome: Outcome) -> None:
--- a/tests/test_ended.py
+++ b/tests/test_ended.py
@@ -18,7 +18,7 @@
 
 from linnetshift.admin.connection import AdminConnection
 from linnetshift.broker.active_request import ActiveRequest, Attempt
-from linnetshift.discovery.http_call import Call
+from linnetshift.discovery.http_call import DiscoveryCall
 from linnetshift.event_loop.loop import FEW, MS, Actor, ActorCoroutine, ActorTimer, Loop, S
 from linnetshift.event_loop.stream import MAX_LINE, SMALL, End, Stream
 from linnetshift.frontends.channels.session import Channel, Session
@@ -38,7 +38,7 @@
     ActiveRequest,
     Attempt,
 )
-SHARED = (Stream, ActorTimer, Call)  # of which those that run on keep some
+SHARED = (Stream, ActorTimer, DiscoveryCall)  # of which those that run on keep some
 
 
 @pytest.fixture
@@ -253,7 +253,7 @@
     while living()["PlatformConsumer"]:
         assert time.monotonic() < until
     before = living()
-    before["Call"] += 1  # a watch that ends is followed by the next at once
+    before["DiscoveryCall"] += 1  # a watch that ends is followed by the next at once
     before["Stream"] += 1
     before["Alarm"] += 2
     story(one)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -11,8 +11,13 @@
 from proxy import WAIT, DiscoveryServer, Kept, Listener, RunningProxy, inside, launch, proxy, world
 from test_platform import ranked
 
-from linnetshift.discovery.http_call import CONNECT_NS, Answer
-from linnetshift.discovery.watch import MOST_CALL_NS, MOST_PATIENCE, SOON_WAIT_MS, WatchTimeouts
+from linnetshift.discovery.http_call import CONNECT_TIMEOUT_NS, CallEnded
+from linnetshift.discovery.watch import (
+    MAX_FULL_LIST_CALL_NS,
+    MAX_TIMEOUT_DOUBLINGS,
+    WAIT_AFTER_FAILURE_MS,
+    WatchTimeouts,
+)
 from linnetshift.routing.actions import SetTimer
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import EndpointList, ListForm
@@ -30,14 +35,14 @@
     # It was waited for until that very moment, and the next call backed off and queued after it.
     asked = pace(discovery="ask")
     counts = max(6 * S, asked.wait_ms * MS + 2 * S)
-    assert asked.wait_ms * MS + asked.patience_ns + S <= counts
+    assert asked.wait_ms * MS + asked.margin_ns + S <= counts
 
 
 @pytest.mark.parametrize("grace_ms", [250, 1000, 2500, 60_000])
 def test_the_agent_is_asked_again_while_the_grace_lasts(grace_ms: int) -> None:
     told = pace(discovery="push", rules={"drainGraceNs": grace_ms * MS})
-    assert told.wait_ms * MS + told.patience_ns <= grace_ms * MS * 3 // 4
-    assert told.call_ns <= grace_ms * MS and told.wait_ms > 0 and told.patience_ns >= 25 * MS
+    assert told.wait_ms * MS + told.margin_ns <= grace_ms * MS * 3 // 4
+    assert told.full_list_ns <= grace_ms * MS and told.wait_ms > 0 and told.margin_ns >= 25 * MS
 
 
 def drained(running: RunningProxy, first: Listener, second: Listener) -> None:
@@ -60,11 +65,11 @@
         for action in node.step((n + 1) * S, [EndpointList(ListForm.FAILED, 0, ())]):
             longest = max(longest, action.delay_ns if isinstance(action, SetTimer) else 0)
     asked = pace(discovery="ask", rules={"mustAskInNs": 3600 * S})
-    call = max(SOON_WAIT_MS * MS + (asked.patience_ns << MOST_PATIENCE), MOST_CALL_NS)
+    call = max(WAIT_AFTER_FAILURE_MS * MS + (asked.margin_ns << MAX_TIMEOUT_DOUBLINGS), MAX_FULL_LIST_CALL_NS)
     # One call that failed to come up just before, the back-off, and one that has to be answered.
-    assert longest > 0 and CONNECT_NS + longest + call <= 6 * S
+    assert longest > 0 and CONNECT_TIMEOUT_NS + longest + call <= 6 * S
     # And one that fell silent just before discovery could be reached, with the next, answered at once.
-    assert call + CONNECT_NS <= 6 * S
+    assert call + CONNECT_TIMEOUT_NS <= 6 * S
 
 
 @pytest.mark.parametrize("how", ["failed", "reset", "silent"])
@@ -77,15 +82,15 @@
         assert int(path.rpartition("=")[2]) >= 7000
         if how == "failed":
             discovery.fail(True)
-            while not running.program.discovery.shaken:
+            while not running.program.discovery.last_watch_failed:
                 time.sleep(0.002)
             discovery.fail(False)
         elif how == "reset":
             discovery.reset_watches()
         else:
-            call = running.program.discovery.watching
+            call = running.program.discovery.watch_call
             assert call is not None
-            running.program.discovery.post(Answer(call, None, silent=True))
+            running.program.discovery.post(CallEnded(call, None, timed_out=True))
         while not (path := discovery.calls.get(timeout=WAIT)).startswith("/catalog/members?since="):
             pass
         assert int(path.rpartition("=")[2]) <= 1000
@@ -95,8 +100,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A connection that does not come up had as long as a watch, a minute here.
-    monkeypatch.setattr("linnetshift.discovery.http_call.CONNECT_NS", 50 * MS)
-    monkeypatch.setattr("linnetshift.discovery.watch.MOST_CALL_NS", 60 * S)
+    monkeypatch.setattr("linnetshift.discovery.http_call.CONNECT_TIMEOUT_NS", 50 * MS)
+    monkeypatch.setattr("linnetshift.discovery.watch.MAX_FULL_LIST_CALL_NS", 60 * S)
     monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(False, 60_000, S, 60 * S)))
     with inside(tmp_path, rules={"mustAskInNs": S // 2}) as running:
         gone = Listener("discovery")
@@ -106,7 +111,7 @@
         )
         calls: list[object] = []  # kept, so that no other has the same place
         while len(calls) < 4:  # each new one means that the one before was given up
-            call = running.program.discovery.watching
+            call = running.program.discovery.watch_call
             if call is not None and call.address[1] == gone.port and call not in calls:
                 calls.append(call)
             time.sleep(0.002)
@@ -140,7 +145,7 @@
         running.discovery.change()
         for _ in range(6):
             last = silent_call(running)
-        while (call := running.program.discovery.watching) is None:
+        while (call := running.program.discovery.watch_call) is None:
             pass  # between one and the next
         assert "since=" in last.path
         assert call.limit_ns - int(call.path.rpartition("=")[2]) * MS == 10 * MS << doubled
