--- a/linnetshift/upstream/__init__.py
+++ b/linnetshift/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to endpoints: attempts and health checks."""
+"""Connections to endpoints: one for each attempt, and one for each health check."""
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -14,15 +14,20 @@
 
 
 class EndpointConnector:
-    """Opens attempts at the endpoints that discovery last gave."""
+    """Opens attempts and health checks; implements the broker's `Connector`.
+
+    Owns the addresses of the endpoints in the list that is in use. Who creates it sets `broker` before the
+    first list or attempt, as each refers to the other.
+    """
 
     def __init__(self, loop: Loop) -> None:
+        """Knows no addresses before the first list."""
         self.loop = loop
         self.addresses: dict[bytes, Address] = {}
         self.broker: Broker | None = None
 
     def listed(self, event: EndpointList, addresses: dict[bytes, Address]) -> None:
-        """Keep the endpoints of what is listed and no others, or the map would grow for ever."""
+        """Keep the addresses of the listed endpoints and no others, or the map would grow for ever."""
         if event.form in (ListForm.FULL, ListForm.CACHED):
             self.addresses = {}
         self.addresses.update(addresses)
@@ -30,43 +35,49 @@
             if entry.state == EndpointState.REMOVED:
                 self.addresses.pop(entry.endpoint, None)
 
-    def resource_usage(self, names: int) -> dict[str, ResourceUsage]:
-        return {"gate.endpoints": ResourceUsage(len(self.addresses), names)}
+    def resource_usage(self, max_endpoints: int) -> dict[str, ResourceUsage]:
+        """Its container, under its name in `/ops/census`."""
+        return {"gate.endpoints": ResourceUsage(len(self.addresses), max_endpoints)}
 
     def open(self, attempt: Attempt) -> None:
+        """Start the attempt; the broker is notified of what becomes of it."""
         assert self.broker is not None
         address = self.addresses.get(attempt.endpoint)
         if address is None:
             self.broker.handle_attempt_ended(attempt, Outcome.CONNECT_FAILED)
             return
-        asked = attempt.request
+        request = attempt.request
         log.info(
             "attempt-started",
-            id=asked.id,
+            id=request.id,
             attempt=attempt.number,
             endpoint=attempt.endpoint.decode("utf-8", "replace"),
-            key=f"{asked.key:x}",
-            group=f"{asked.group:x}",
-            **{"class": self.broker.settings.classes[asked.klass].name},
-            flags=asked.flags,
+            key=f"{request.key:x}",
+            group=f"{request.group:x}",
+            **{"class": self.broker.settings.classes[request.klass].name},
+            flags=request.flags,
         )
-        link = EndpointConnection(self.loop, self.broker, attempt, address)
-        link.start(link.run())
+        connection = EndpointConnection(self.loop, self.broker, attempt, address)
+        connection.start(connection.run())
 
     def check_health(self, endpoint: bytes) -> None:
+        """Start a health check; the broker is notified of its result."""
         broker = self.broker
         assert broker is not None
         address = self.addresses.get(endpoint)
-        if address is None or broker.administrative_drains.holds(endpoint):
-            # One that was taken out is asked nothing; FULL is what says nothing of an endpoint.
-            broker.handle_health_check_result(
-                endpoint, Outcome.CONNECT_FAILED if address is None else Outcome.FULL, 0, ()
-            )
+        if address is None:
+            broker.handle_health_check_result(endpoint, Outcome.CONNECT_FAILED, 0, ())
+            return
+        if broker.administrative_drains.holds(endpoint):
+            # A drained endpoint is not called; FULL is the outcome that says nothing of its health.
+            broker.handle_health_check_result(endpoint, Outcome.FULL, 0, ())
             return
-        prober = HealthChecker(
+        checker = HealthChecker(
             self.loop,
             endpoint,
             broker.settings.report_columns,
-            lambda outcome, ns, figures: broker.handle_health_check_result(endpoint, outcome, ns, figures),
+            lambda outcome, elapsed_ns, figures: broker.handle_health_check_result(
+                endpoint, outcome, elapsed_ns, figures
+            ),
         )
-        prober.start(prober.run(address))
+        checker.start(checker.run(address))
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -14,8 +14,15 @@
 from linnetshift.observability.log import Reason
 from linnetshift.routing.events import Outcome
 
-HEALTH_CHECK_NS = 200 * MS
-PROBED = {
+# For the connection, and again for the answer.
+HEALTH_CHECK_TIMEOUT_NS = 200 * MS
+ANSWER_TIMER = "answer"
+
+PING = b"PING\r\n"
+LOAD_REPORT_REQUEST = b"STATS\r\n"
+HEALTHY = b"PONG"  # the first word of a healthy endpoint's answer to either; a load report may follow
+
+REASONS = {
     Outcome.OK: Reason.ANSWERED,
     Outcome.ERROR: Reason.ERROR,
     Outcome.RESET: Reason.ENDPOINT_RESET,
@@ -25,75 +32,91 @@
 
 
 class HealthChecker(OutboundConnection):
-    """One health check of an endpoint; where `columns` are named, it asks for the report of them too."""
+    """One health check of an endpoint; where `columns` are named, it requests the report of them too."""
 
     def __init__(
         self,
         loop: Loop,
         endpoint: bytes,
         columns: tuple[str, ...],
-        told: Callable[[Outcome, int, tuple[float, ...]], None],
+        notify_result: Callable[[Outcome, int, tuple[float, ...]], None],
     ) -> None:
+        """`notify_result` gets the outcome, the response time in ns, and the figures of the load report."""
         super().__init__(loop)
-        self.endpoint, self.columns, self.told, self.began = endpoint, columns, told, loop.now()
+        self.endpoint = endpoint
+        self.columns = columns
+        self.notify_result = notify_result
+        self.started_at_ns = loop.now()
         self.figures: tuple[float, ...] = ()
 
     def run(self, address: Address) -> ActorCoroutine:
+        """Check the endpoint at the address, and report."""
         outcome = Outcome.CONNECT_FAILED
-        up = yield from self.connect(address, HEALTH_CHECK_NS)
+        is_connected = yield from self.connect(address, HEALTH_CHECK_TIMEOUT_NS)
         stream = self.stream
-        if up and stream is not None:
-            self.began = self.loop.now()  # the time to connect, twice the way there and back, is the way's
-            stream.send(b"STATS\r\n" if self.columns else b"PING\r\n")
-            outcome = yield from self.answer(stream)
+        if is_connected and stream is not None:
+            # Connecting takes two ways through the network, which say nothing of the endpoint's speed.
+            self.started_at_ns = self.loop.now()
+            stream.send(LOAD_REPORT_REQUEST if self.columns else PING)
+            outcome = yield from self.await_answer(stream)
         if stream is not None:
             stream.close()
         self.report(outcome)
 
     def report_failure(self) -> None:
+        """Report an error after a fault in the check itself."""
         self.report(Outcome.ERROR)
 
     def report(self, outcome: Outcome) -> None:
-        took = self.loop.now() - self.began
-        told: dict[str, object] = {"provider": self.endpoint.decode("utf-8", "replace"), "ms": took // MS}
+        """Log the end and notify who ordered the check."""
+        elapsed_ns = self.loop.now() - self.started_at_ns
+        own: dict[str, object] = {
+            "provider": self.endpoint.decode("utf-8", "replace"),
+            "ms": elapsed_ns // MS,
+        }
         figures = dict(zip(self.columns, self.figures, strict=False))
-        log.connection_ended("health-check", PROBED[outcome], **(told | figures | told))
-        self.told(outcome, took, self.figures)
+        # A column may have any name, but replaces no field of the check's own.
+        log.connection_ended("health-check", REASONS[outcome], **(own | figures | own))
+        self.notify_result(outcome, elapsed_ns, self.figures)
 
-    def answer(self, stream: Stream) -> Steps:
-        timer = self.set_timer(HEALTH_CHECK_NS, "probe")
+    def await_answer(self, stream: Stream) -> Steps:
+        """The outcome, once the answer is there or its time is up."""
+        timer = self.set_timer(HEALTH_CHECK_TIMEOUT_NS, ANSWER_TIMER)
         outcome: Outcome | None = None
         while outcome is None:
             match (yield):
                 case Io(mask):
-                    if mask & select.EPOLLOUT:
-                        stream.flush()
-                    end = stream.fill()
-                    try:
-                        line = stream.line()
-                    except LineTooLong:
-                        outcome = Outcome.ERROR
-                        break
-                    if line is not None:
-                        word, _, rest = bytes(line).strip().partition(b" ")
-                        outcome = Outcome.OK if word == b"PONG" else Outcome.ERROR
-                        self.figures = parse_report(rest, self.columns)
-                    elif end is not None:
-                        outcome = Outcome.RESET
-                case Timeout(tag="probe"):
+                    outcome = self.handle_io(stream, mask)
+                case Timeout(tag="answer"):
                     outcome = Outcome.TIMEOUT
         timer.cancel()
         return outcome
 
+    def handle_io(self, stream: Stream, mask: int) -> Outcome | None:
+        """Write and read what can be; the outcome once it is known."""
+        if mask & select.EPOLLOUT:
+            stream.flush()
+        end = stream.fill()
+        try:
+            line = stream.line()
+        except LineTooLong:
+            return Outcome.ERROR
+        if line is not None:
+            keyword, _, report = bytes(line).strip().partition(b" ")
+            self.figures = parse_load_report(report, self.columns)
+            return Outcome.OK if keyword == HEALTHY else Outcome.ERROR
+        return Outcome.RESET if end is not None else None
+
 
-def parse_report(text: bytes, columns: tuple[str, ...]) -> tuple[float, ...]:
+def parse_load_report(text: bytes, columns: tuple[str, ...]) -> tuple[float, ...]:
     """A load report, `NAME=FIGURE,NAME=FIGURE...`, as figures in the order of `columns`.
 
-    Nothing at all where a column is missing or no finite number: half a report would be read as a whole one.
+    Empty where a column is missing or no finite number: half a report would be read as a whole one.
     """
-    told = dict(pair.partition("=")[::2] for pair in text.decode("ascii", "replace").split(","))
+    pairs = (pair.partition("=") for pair in text.decode("ascii", "replace").split(","))
+    text_by_column = {name: figure for name, _, figure in pairs}
     try:
-        figures = tuple(float(told[column]) for column in columns)
+        figures = tuple(float(text_by_column[column]) for column in columns)
     except (KeyError, ValueError):
         return ()
     return figures if all(map(math.isfinite, figures)) else ()
