--- a/linnetshift/event_loop/address.py
+++ b/linnetshift/event_loop/address.py
@@ -5,9 +5,11 @@
 import os
 
 Address = tuple[str, int]
+"""An IPv4 address or a host name, and a port, as the socket module takes them."""
 
 
 def parse_address(text: str) -> Address:
+    """The address that `ADDRESS:PORT` names; raises ValueError for any other text or port."""
     address, _, port = text.rpartition(":")
     if not address or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{os.fsdecode(text)!r} is not ADDRESS:PORT")
--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -1,7 +1,7 @@
-"""What strangers may cost: those who have asked for nothing yet, and those who stay after their answer.
+"""Bounds on what connections without a request cost, and on peers that do not read.
 
-Both frontends keep to it, so that no number of silent, endless or hasty connections takes what usual clients
-and their endpoints need.
+Such connections have not sent a request yet, or stay after their answer. Both frontends keep to these bounds,
+so that no number of silent, endless or hasty connections takes what usual clients and their endpoints need.
 """
 
 from __future__ import annotations
@@ -13,103 +13,133 @@
 from linnetshift.event_loop.stream import Stream
 from linnetshift.observability.resource_usage import ResourceUsage
 
-# A first line comes with its connection; who owes it for longer is answered and closed, within 3 s in all.
+# A request line comes with its connection; one that takes longer is answered and closed, within 3 s in all.
 REQUEST_LINE_TIMEOUT_NS = 2800 * MS
-# What is still sent after an answer is read and let go, since a close with bytes unread resets the answer
-# away; 60 MB may be on their way, and the close is promised within 6 s.
+# What is still received after an answer is read and dropped, since a close with bytes unread would reset the
+# answer away; 60 MB may be on their way, and the close is promised within 6 s.
 DRAIN_NS = 5500 * MS
-STALL_NS = 7 * S  # how long a client may leave everything unread
-MOST_WAIT_MS = 600_000  # no client waits so long for its answer
-# Descriptors that no stranger gets: for endpoints, discovery, listeners and the log.
-LEAST_SPARE = 24
-SPARE_PART = 6
+# How long a client may leave everything unread.
+STALL_NS = 7 * S
+# No client waits so long for its answer.
+MOST_WAIT_MS = 600_000
+
+# Descriptors that no connection without a request gets: they are for endpoints, discovery, listeners and the
+# log. The larger of a number and a share of all.
+MIN_SPARE_DESCRIPTORS = 24
+SPARE_DESCRIPTORS_DIVISOR = 6
+NO_LIMIT = 1 << 30  # stands for the number of descriptors where neither settings nor system limit it
 
 
 class Reading(Actor):
-    """An actor whose peer is to read what it is sent, and is given up when it has not for STALL_NS.
+    """An actor whose peer is to read what it is sent: detects that it has not for STALL_NS.
 
-    One alarm at most is armed for that, however often the peer stops and goes on.
+    Contract: subclasses call `look_for_stall` after each write and flush of `stream`, and end the connection
+    on `Timeout(tag="stalled")` if `stalled()` holds then. At most one timer is armed for that, however often
+    the peer stops and goes on.
     """
 
     stream: Stream
-    congested_at = 0
-    stall: Timer | None = None
+    congested_at = 0  # since when bytes have waited for the peer, in ns of the loop's clock; 0: none wait
+    stall_timer: Timer | None = None
 
     def look_for_stall(self) -> None:
-        """After each write and flush."""
+        """Arm the timer when bytes begin to wait, cancel it once none do."""
         if self.stream.is_congested and not self.congested_at:
             self.congested_at = self.loop.now()
-            self.stall = self.set_timer(STALL_NS, "stalled")
+            self.stall_timer = self.set_timer(STALL_NS, "stalled")
         elif self.congested_at and not self.stream.is_congested:
             self.congested_at = 0
-            if self.stall is not None:
-                self.stall.cancel()
+            if self.stall_timer is not None:
+                self.stall_timer.cancel()
 
     def stalled(self) -> bool:
-        """Whether it has left everything unread for that long; an alarm may be from before it went on."""
+        """Whether the peer has read too little for STALL_NS; a timer may ring from before it went on."""
         return bool(self.congested_at) and self.loop.now() - self.congested_at >= STALL_NS
 
 
 class EvictableConnection(Protocol):
+    """A connection without a request that may be closed when descriptors run short."""
+
     def evict(self) -> None:
         """Close its socket now."""
 
 
 class ConnectionLimiter:
-    """Those of both frontends, in the order in which they go when descriptors run short.
+    """The connections without a request of both frontends, in the order in which they are evicted.
 
-    Clients on slow lines may take over 2 s for their first line. In a flood they are the oldest of all, but
-    unlike the rest they go on talking.
+    First those that were answered and stay, then silent ones, then those whose request line comes in pieces;
+    of each the oldest first. Clients on slow lines may take over 2 s for their request line. In a flood they
+    are the oldest of all, but unlike the rest they keep sending.
     """
 
     def __init__(self, loop: Loop, sockets: int) -> None:
+        """`sockets` is the configured limit of descriptors; 0 leaves it to the system's."""
         self.loop = loop
-        soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        known = [limit for limit in (sockets, soft) if limit > 0]  # no limit is told as 0 or -1
-        self.most = min(known) - max(LEAST_SPARE, min(known) // SPARE_PART) if known else 1 << 30
-        self.descriptors = min(known) if known else 1 << 30
-        self.told: dict[EvictableConnection, None] = {}  # they asked, were answered, and stay
-        self.quiet: dict[EvictableConnection, None] = {}  # the longest quiet first
-        self.talking: dict[EvictableConnection, None] = {}  # their line comes in pieces
-        self.peer_descriptors = 0  # descriptors that another process of this proxy holds meanwhile
+        soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+        limits = [limit for limit in (sockets, soft_limit) if limit > 0]  # without a limit they are 0 or -1
+        self.descriptors = min(limits) if limits else NO_LIMIT
+        # How many connections of all kinds may be open before one without a request is evicted.
+        self.max_streams = NO_LIMIT
+        if limits:
+            spare = max(MIN_SPARE_DESCRIPTORS, self.descriptors // SPARE_DESCRIPTORS_DIVISOR)
+            self.max_streams = self.descriptors - spare
+        # Dictionaries for their order, the oldest first.
+        self.answered_connections: dict[EvictableConnection, None] = {}
+        self.silent_connections: dict[EvictableConnection, None] = {}
+        self.sending_connections: dict[EvictableConnection, None] = {}
+        self.peer_descriptors = 0  # that the other process of a hot restart holds meanwhile
         loop.make_room = self.make_room
 
     def add(self, connection: EvictableConnection) -> None:
-        """A usual client's line is there at once, so that under pressure it is never the one to go."""
-        self.quiet[connection] = None
-        while self.loop.streams + self.peer_descriptors > self.most and self.count() > 1 and self.make_room():
+        """Count a connection without a request, and evict others while too many are open.
+
+        A usual client's request line is there at once, so that under pressure it is never the one to go.
+        """
+        self.silent_connections[connection] = None
+        while self.is_over_limit() and self.count() > 1 and self.make_room():
             pass
 
+    def is_over_limit(self) -> bool:
+        """Whether more connections of all kinds are open than the descriptors are meant for."""
+        return self.loop.streams + self.peer_descriptors > self.max_streams
+
     def count(self) -> int:
-        return self.idle() + len(self.talking)
+        """How many connections have no request."""
+        return self.idle() + len(self.sending_connections)
 
     def idle(self) -> int:
-        """How many of them want nothing, as far as can be seen."""
-        return len(self.told) + len(self.quiet)
+        """How many of them are not sending one either, as far as can be seen."""
+        return len(self.answered_connections) + len(self.silent_connections)
 
     def answered(self, connection: EvictableConnection) -> None:
-        """What it asked it has been told; it may go at any time."""
+        """Its readiness check is answered; it may be evicted at any time."""
         self.remove(connection)
-        self.told[connection] = None
+        self.answered_connections[connection] = None
 
     def talks(self, connection: EvictableConnection) -> None:
-        """More of its line came after a pause."""
-        if connection in self.quiet or connection in self.talking:
+        """More of its request line came after a pause."""
+        if connection in self.silent_connections or connection in self.sending_connections:
             self.remove(connection)
-            self.talking[connection] = None
+            self.sending_connections[connection] = None
 
     def remove(self, connection: EvictableConnection) -> None:
-        for group in (self.told, self.quiet, self.talking):
+        """Count it no longer: it has a request, or is closed."""
+        for group in self.eviction_order():
             group.pop(connection, None)
 
-    def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
-        return {"strangers": ResourceUsage(self.count(), connections)}
+    def resource_usage(self, max_connections: int) -> dict[str, ResourceUsage]:
+        """Its containers together, under their name in `/ops/census`."""
+        return {"strangers": ResourceUsage(self.count(), max_connections)}
 
     def make_room(self) -> bool:
-        """End the one that can best be missed; whether there was one."""
-        connection = next((one for group in (self.told, self.quiet, self.talking) for one in group), None)
+        """Evict the connection that matters least; whether there was one."""
+        connection = next((one for group in self.eviction_order() for one in group), None)
         if connection is None:
             return False
         self.remove(connection)
         connection.evict()
         return True
+
+    def eviction_order(self) -> tuple[dict[EvictableConnection, None], ...]:
+        """The groups of connections, the first to be evicted first."""
+        return self.answered_connections, self.silent_connections, self.sending_connections
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -15,58 +15,56 @@
 from linnetshift.observability import log
 
 LINGER_NS = S // 2  # how long an ended connection waits for the peer's own end
+CONNECT_TIMER = "connect"
+LINGER_TIMER = "linger"
+
 Steps = Generator[None, Any, Any]
+"""A part of an actor's coroutine: receives the actor's messages, and returns a result."""
 
 
 class Resume:
-    """The other side takes messages again."""
+    """Message: the other side of a relay takes lines again."""
 
 
 class Stop:
-    """The stream is closed already; only the script is still to end."""
+    """Message: the stream is closed already, or of no more use; the actor's coroutine is to end."""
 
 
 class OutboundConnection(Actor):
-    """What connections to endpoints share: coming up within a limit, writing, and the first line."""
+    """A connection that this process opens: to an endpoint, or to discovery.
+
+    Subclasses run `connect` first, and report a fault of their own to whoever waits for them.
+    """
 
     stream: Stream | None = None
 
     def ready(self, mask: int) -> None:
+        """Epoll's callback: the socket is ready."""
         self.post(Io(mask))
 
     def faulted(self, error: Exception) -> None:
+        """Contain a fault on one connection: it must not end the process."""
         log.exception(error)
         if self.stream is not None:
             self.stream.close(End.RESET)
         self.report_failure()
 
     def report_failure(self) -> None:
-        """Report the failure to whoever waits for this peer."""
+        """Report, after a fault here, that nothing comes of this connection."""
 
     def connect(self, address: Address, limit_ns: int) -> Steps:
-        """Whether the connection came up in time."""
-        sock = None
-        while sock is None:
-            try:
-                sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            except OSError as error:  # out of descriptors: the attempt never reached anyone
-                if not self.loop.make_room():
-                    log.info("socket-unavailable", endpoint=address, error=error.strerror)
-                    return False
+        """Whether the connection came up in time; `stream` is then open."""
+        sock = self.create_socket(address)
+        if sock is None:
+            return False
         self.stream = stream = Stream(self.loop, sock, self.ready)
-        try:
-            code = sock.connect_ex(address)
-        except OSError as error:
-            code = error.errno or errno.EINVAL
-        if code not in (0, errno.EINPROGRESS):
+        if not start_connecting(stream, sock, address):
             return False
-        stream.connecting = code != 0
-        stream.arm()
-        timer = self.set_timer(limit_ns, "connect")
+        timer = self.set_timer(limit_ns, CONNECT_TIMER)
         while stream.connecting:
             match (yield):
                 case Io():
-                    # Given up in the very turn in which it came up, it is closed before this is read.
+                    # Abandoned in the very turn in which it came up, it is closed before this is handled.
                     if stream.closed or sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                         return False
                     stream.connecting = False
@@ -76,14 +74,38 @@
         timer.cancel()
         return True
 
+    def create_socket(self, address: Address) -> socket.socket | None:
+        """A TCP socket; None while descriptors run short and no connection can be evicted for one."""
+        while True:
+            try:
+                return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            except OSError as error:
+                if not self.loop.make_room():
+                    log.info("socket-unavailable", endpoint=address, error=error.strerror)
+                    return None
+
+
+def start_connecting(stream: Stream, sock: socket.socket, address: Address) -> bool:
+    """Begin to connect without blocking; False where that failed at once."""
+    try:
+        code = sock.connect_ex(address)
+    except OSError as error:
+        code = error.errno or errno.EINVAL
+    if code not in (0, errno.EINPROGRESS):
+        return False
+    stream.connecting = code != 0
+    stream.arm()
+    return True
+
 
 def linger(actor: Actor, stream: Stream, until: int = 0) -> Steps:
     """Read on until the peer ends too: closing with bytes unread would reset what is still on its way.
 
-    A peer that is quiet is waited for LINGER_NS, from when it has taken all that was sent; one that sends on,
-    until the time given; one that takes nothing, as long as any that has stopped reading.
+    A peer that is silent is waited for LINGER_NS, from when it has taken all that was sent; one that keeps
+    sending, until the time given (ns of the loop's clock); one that takes nothing, for STALL_NS.
     """
-    timer, heard = actor.set_timer(LINGER_NS, "linger"), False
+    timer = actor.set_timer(LINGER_NS, LINGER_TIMER)
+    has_received = False
     taken_by = actor.loop.now() + STALL_NS
     stream.want(True)
     while not stream.broken:
@@ -92,16 +114,17 @@
                 if mask & select.EPOLLOUT:
                     stream.flush()
                 if mask & ~select.EPOLLOUT:
-                    got = stream.drain()
-                    heard = heard or got > 0
-                    if got < 0:
+                    received_bytes = stream.drain()
+                    has_received = has_received or received_bytes > 0
+                    if received_bytes < 0:
                         break
             case Timeout(tag="linger") if stream.is_congested and actor.loop.now() < taken_by:
-                timer = actor.set_timer(LINGER_NS, "linger")  # a close now would drop it
+                timer = actor.set_timer(LINGER_NS, LINGER_TIMER)  # a close now would drop what is unsent
             case Timeout(tag="linger"):
-                if not heard or actor.loop.now() >= until:
+                if not has_received or actor.loop.now() >= until:
                     break
-                timer, heard = actor.set_timer(min(LINGER_NS, until - actor.loop.now()), "linger"), False
+                timer = actor.set_timer(min(LINGER_NS, until - actor.loop.now()), LINGER_TIMER)
+                has_received = False
             case Stop():
                 break
     timer.cancel()
