--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -13,8 +13,9 @@
 from itertools import count
 from typing import NamedTuple
 
-from linnetshift.broker.active_request import ActiveRequest, UpstreamConnection
+from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.broker.broker import Broker
+from linnetshift.broker.ports import UpstreamConnection
 from linnetshift.config.names import UNKNOWN, NameRegistry
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.connection_limits import (
@@ -556,7 +557,7 @@
         self.sessions: set[Session] = set()
         self.open = 0  # channels of all sessions
 
-    def take(self, sock: socket.socket, peer: Address) -> None:
+    def handle_connection(self, sock: socket.socket, peer: Address) -> None:
         session = Session(self, sock, peer)
         session.start(session.run())
 
@@ -566,8 +567,8 @@
         self.close()
         self.wind_up()
 
-    def pause(self, paused: bool) -> None:
-        super().pause(paused)
+    def set_paused(self, paused: bool) -> None:
+        super().set_paused(paused)
         if paused:
             self.wind_up()
 
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from linnetshift.admin.server import AdminServer
-from linnetshift.broker.administrative_drains import MOST_LISTED
+from linnetshift.broker.administrative_drains import MAX_LISTED
 from linnetshift.broker.broker import Broker
 from linnetshift.broker.snapshot import export_state
 from linnetshift.config.broker_file import BrokerFile
@@ -23,7 +23,7 @@
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import MS, Loop, S
 from linnetshift.frontends.channels.session import MOST_OPEN, ChannelsFrontend
-from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
+from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
 from linnetshift.frontends.listener import Acceptor, Frontend
 from linnetshift.lifecycle.graceful_shutdown import ChannelMigrator, GracefulShutdown
 from linnetshift.lifecycle.hot_restart import (
@@ -117,7 +117,7 @@
         self.hot_restart = HotRestart(loop, self, socket_path, predecessor)
 
     def listed(self, list_update: EndpointListUpdate) -> None:
-        event = self.broker.administrative_drains.bounded(list_update.event)
+        event = self.broker.administrative_drains.limit_entries(list_update.event)
         if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
             log.info("endpoint-list-received", **self.describe_list(event))
         if left_out := len(list_update.event.entries) - len(event.entries):
@@ -148,7 +148,7 @@
         return {
             **self.loop.resource_usage(connections),
             **self.broker.resource_usage(connections),
-            **self.connector.resource_usage(MOST_LISTED),
+            **self.connector.resource_usage(MAX_LISTED),
             **self.connection_limiter.resource_usage(connections),
             **self.frontend.resource_usage(connections),
             **self.channels.resource_usage(connections),
@@ -157,8 +157,9 @@
         }
 
     def is_drain_limit_reached(self, endpoint: bytes) -> bool:
-        return self.broker.administrative_drains.full() and not self.broker.administrative_drains.holds(
-            endpoint
+        return (
+            self.broker.administrative_drains.is_full()
+            and not self.broker.administrative_drains.is_drained(endpoint)
         )
 
     # ---- what operators ask -----------------------------------------------------------------
@@ -175,7 +176,7 @@
         return "" if self.frontend.address is not None else "not listening"
 
     def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
-        known = self.broker.administrative_drains.knows(endpoint)
+        known = self.broker.administrative_drains.is_known(endpoint)
         if known:
             self.hot_restart.apply_administrative_drain(endpoint, out, lambda: done(True))
         else:
@@ -204,7 +205,7 @@
         passing = {what: fd for what, fd in passing.items() if fd >= 0}
         state = {
             "list": {"rev": self.discovery.version, "all": True, "targets": targets},
-            "bans": administrative_drains.state(),
+            "bans": administrative_drains.export_state(),
             "budgets": spent(self.own.contracts, self.names),
             "holdings": self.peer_resources(),
             "memory": export_state(self.broker.balancer, self.broker.latency_estimator),
@@ -217,8 +218,8 @@
         """Leave all that arrives to the new process and move what is here to it; or take it on again."""
         if self.is_shutting_down and not back:
             return  # nobody will be here in a moment
-        self.frontend.pause(back)
-        self.channels.pause(back)
+        self.frontend.set_paused(back)
+        self.channels.set_paused(back)
         if self.is_shutting_down:
             return  # and on its way as it is
         if self.vrrp is not None:
@@ -237,10 +238,10 @@
 
     def update_peer_resources(self, peer_resources: PeerResources) -> None:
         self.connection_limiter.peer_descriptors = peer_resources.streams
-        self.broker.latency_estimator.elsewhere = dict(peer_resources.loads)
+        self.broker.latency_estimator.peer_connections = dict(peer_resources.loads)
         # It comes back here, and was this proxy's before.
         for _ in range(min(peer_resources.moved - self.peer_migrated, self.connection_limiter.descriptors)):
-            self.broker.latency_estimator.guest(False, self.loop.now())
+            self.broker.latency_estimator.migrations.record_migrated_out(self.loop.now())
         self.peer_migrated = peer_resources.moved
         self.broker.balancer.elsewhere = sum(map(len, peer_resources.loads.values()))
 
@@ -296,7 +297,7 @@
                     continue  # the platform's own: it is where it is
                 idle = frontend is self.channels and own.vrrp is not None and frontend.address is None
                 if address is not None and address != frontend.address and not idle:
-                    bound.append((frontend, Acceptor(self.loop, address, frontend.take)))
+                    bound.append((frontend, Acceptor(self.loop, address, frontend.handle_connection)))
         except (ConfigError, OSError) as error:
             for acceptor in [acceptor for _, acceptor in bound] + (
                 [admin_server] if admin_server is not None else []
@@ -305,7 +306,7 @@
             log.info("configuration-rejected", error=str(error))
             return
         for frontend, acceptor in bound:
-            frontend.follow(acceptor)
+            frontend.use_acceptor(acceptor)
         if admin_server is not None or config.admin is None:
             self.admin_server.follow(admin_server)
         if own.channels is None and self.channels.address is not None:
@@ -313,7 +314,9 @@
         self.config, self.own = config, own
         dropped = self.names.follow(config.names)
         self.broker.configure(config.settings, own.contracts)
-        self.loop.call_later(DROPPED_NS, lambda: self.names.forget(dropped, self.config.settings.numbers))
+        self.loop.call_later(
+            DROPPED_NS, lambda: self.names.forget(dropped, self.config.settings.offered_numbers)
+        )
         if config.known.event.version > self.discovery.version:
             self.listed(config.known)
         self.discovery.relocate(config.discovery, WatchTimeouts.of(config.settings))
@@ -339,7 +342,7 @@
             else "none",
             attempts=min(c.max_attempts for c in settings.offered),
             aim_ms=min(c.latency_objective_ns for c in settings.offered) // MS,
-            cold_from=settings.cold_from,
+            cold_from=settings.initial_capacity_share,
             warm_ms=settings.warm_up_ns // MS,
         )
 
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -68,7 +68,7 @@
         if address is None:
             broker.handle_health_check_result(endpoint, Outcome.CONNECT_FAILED, 0, ())
             return
-        if broker.administrative_drains.holds(endpoint):
+        if broker.administrative_drains.is_drained(endpoint):
             # A drained endpoint is not called; FULL is the outcome that says nothing of its health.
             broker.handle_health_check_result(endpoint, Outcome.FULL, 0, ())
             return
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -5,8 +5,9 @@
 import select
 from typing import NamedTuple
 
-from linnetshift.broker.active_request import Attempt, Client
+from linnetshift.broker.active_request import Attempt
 from linnetshift.broker.broker import Broker
+from linnetshift.broker.ports import Client
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, Timeout
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Resume, Steps, Stop, linger
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -7,8 +7,8 @@
 import pytest
 from conftest import S, endpoint, entry, listed
 from proxy import Conn, RunningProxy, proxy, settings
-from test_platform import ranked
-from test_strangers import few
+from test_connections_without_a_request import few
+from test_line_protocol import ranked
 
 from linnetshift.broker.administrative_drains import AdministrativeDrains
 from linnetshift.routing.events import EndpointState, ListForm
@@ -135,4 +135,4 @@
     for started in starts:
         shown = administrative_drains.overlay(listed(entry(1, started_ns=started))).entries
     assert shown == (entry(1, started_ns=seen),)
-    assert administrative_drains.knows(endpoint(2))  # gone from the list by now
+    assert administrative_drains.is_known(endpoint(2))  # gone from the list by now
