--- /dev/null
+++ b/tests/test_admin_routes.py
@@ -0,0 +1,64 @@
+"""What each administrative call answers, without a connection."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import pytest
+
+from linnetshift.admin.routes import AdminRequest, DrainChange, Response, dispatch
+from linnetshift.observability.resource_usage import ResourceUsage
+
+
+class FakeOperations:
+    """Ready until told otherwise; the endpoint `full` would exceed the drain limit."""
+
+    obstacle = ""
+
+    def readiness(self) -> str:
+        return self.obstacle
+
+    def resource_usage(self) -> dict[str, ResourceUsage]:
+        return {"loop.ready": ResourceUsage(1, 2)}
+
+    def is_drain_limit_reached(self, endpoint: bytes) -> bool:
+        return endpoint == b"full"
+
+    def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
+        raise AssertionError("only the connection carries a change out")
+
+
+@pytest.mark.parametrize(
+    ("method", "target", "answer"),
+    [
+        ("GET", "/ops/readiness", Response(200, "taking consumers")),
+        ("GET", "/ops/census", Response(200, '{\n "loop.ready": {\n  "size": 1,\n  "bound": 2\n }\n}')),
+        ("GET", "/ops/other", Response(404, "no such call")),
+        ("PUT", "/ops/readiness", Response(405, "use GET", (("Allow", "GET, HEAD"),))),
+        ("PUT", "/ops/servers/down", Response(400, "give one id, as in ?id=ID")),
+        ("PUT", "/ops/servers/up?id=a&id=b", Response(400, "give one id, as in ?id=ID")),
+        ("PUT", "/ops/servers/down?id=full", Response(507, "too many are out already; call some back first")),
+        ("PUT", "/ops/servers/up?id=full", DrainChange("full", is_drained=False)),
+        ("PUT", "/ops/servers/down?id=s-0", DrainChange("s-0", is_drained=True)),
+    ],
+)
+def test_call_is_answered_by_its_route(method: str, target: str, answer: Response | DrainChange) -> None:
+    assert dispatch(FakeOperations(), AdminRequest(method, target)) == answer
+
+
+def test_readiness_gives_the_obstacle() -> None:
+    operations = FakeOperations()
+    operations.obstacle = "leaving"
+    assert dispatch(operations, AdminRequest("GET", "/ops/readiness")) == Response(503, "leaving")
+
+
+@pytest.mark.parametrize(
+    ("is_drained", "is_known", "answer"),
+    [
+        (True, True, Response(200, "s-0 is taken out")),
+        (False, True, Response(200, "s-0 is in use")),
+        (True, False, Response(404, "s-0 was never listed")),
+    ],
+)
+def test_change_in_effect_is_confirmed(is_drained: bool, is_known: bool, answer: Response) -> None:
+    assert DrainChange("s-0", is_drained).response(is_known) == answer
