--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -112,7 +112,7 @@
 
     def run(self) -> ActorCoroutine:
         """Shut down step by step, and stop the loop at the end."""
-        log.note("shutdown-started", standing=len(self.broker.established()), replaced=self.is_replaced)
+        log.info("shutdown-started", standing=len(self.broker.established()), replaced=self.is_replaced)
         yield from self._accept_and_migrate()
         self._answer_remaining()
         yield from self._linger()
@@ -171,7 +171,7 @@
 
     def _close_streams(self) -> None:
         """Discard what is unread and close what is still open."""
-        log.note("shutdown-finished", held=self.clients.connections_in_use())
+        log.info("shutdown-finished", held=self.clients.connections_in_use())
         for stream in self.clients.open_streams():
             stream.drain()
             stream.close()
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -82,7 +82,7 @@
         try:
             self.takeover_listener = TakeoverListener(self.loop, self.socket_path, self.accept_successor)
         except OSError as error:
-            log.note("takeover-socket-unavailable", error=error.strerror)
+            log.info("takeover-socket-unavailable", error=error.strerror)
 
     def accept_successor(self, sock: socket.socket) -> None:
         """Serve one successor at a time: a second one asks again, and finds the first one at the socket."""
@@ -110,7 +110,7 @@
         """Leave new connections to the successor."""
         if self.successor is None:
             self.successor = peer_process
-            log.note("process-replaced")
+            log.info("process-replaced")
             self.operations.yield_to_successor(True)
 
     def handle_peer_gone(self, peer_process: PeerProcess) -> None:
@@ -119,11 +119,11 @@
             self.peer_processes.remove(peer_process)
         self.operations.update_peer_resources(PeerResources())
         if peer_process.is_predecessor:
-            log.note("predecessor-gone")
+            log.info("predecessor-gone")
             self.handle_predecessor_stopped()
         if peer_process is self.successor:
             self.successor = None
-            log.note("successor-gone")
+            log.info("successor-gone")
             self.listen_for_successor()
             self.operations.yield_to_successor(False)
 
--- a/linnetshift/lifecycle/imported_state.py
+++ b/linnetshift/lifecycle/imported_state.py
@@ -10,7 +10,7 @@
 from linnetshift.broker.broker import Broker
 from linnetshift.broker.snapshot import import_state
 from linnetshift.config.names import NameRegistry
-from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
+from linnetshift.discovery.endpoint_list import EndpointListUpdate, parse_endpoint_list
 from linnetshift.lifecycle.takeover_messages import (
     ADMINISTRATIVE_DRAINS_KEY,
     DESCRIPTOR_NAMES_KEY,
@@ -57,9 +57,9 @@
     def _read_list(self) -> EndpointListUpdate | None:
         """Return the endpoint list; None where it is empty or unreadable."""
         try:
-            list_update = read_list(self.state.get(ENDPOINT_LIST_KEY), self.names)
+            list_update = parse_endpoint_list(self.state.get(ENDPOINT_LIST_KEY), self.names)
         except ValueError as error:
-            log.note("imported-list-rejected", error=str(error))
+            log.info("imported-list-rejected", error=str(error))
             return None
         return list_update if list_update.event.entries else None
 
@@ -68,7 +68,7 @@
         try:
             return PeerResources.from_json(self.state.get(PEER_RESOURCES_KEY, {}))
         except MessageError as error:
-            log.note("imported-state-rejected", error=str(error))
+            log.info("imported-state-rejected", error=str(error))
             return PeerResources()
 
     def restore(self, broker: Broker) -> None:
@@ -79,7 +79,7 @@
             broker.administrative_drains.import_state(self.state[ADMINISTRATIVE_DRAINS_KEY])
             self._restore_token_buckets(broker)
         except _WRONG_SHAPE_ERRORS as error:
-            log.note("imported-state-rejected", error=f"{type(error).__name__}: {error}")
+            log.info("imported-state-rejected", error=f"{type(error).__name__}: {error}")
 
     def _restore_token_buckets(self, broker: Broker) -> None:
         """Restore the buckets of teams with a contract here too; raises one of _WRONG_SHAPE_ERRORS."""
@@ -97,4 +97,4 @@
         try:
             import_state(broker.balancer, broker.latency_estimator, self.state[SNAPSHOT_KEY])
         except _WRONG_SHAPE_ERRORS as error:
-            log.note("snapshot-rejected", error=f"{type(error).__name__}: {error}")
+            log.info("snapshot-rejected", error=f"{type(error).__name__}: {error}")
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -99,7 +99,7 @@
 
     def faulted(self, error: Exception) -> None:
         """Contain the fault: no message of a peer may end this process."""
-        log.fault(error)
+        log.exception(error)
         self._disconnect()
 
     def send(self, message: SentMessage) -> None:
@@ -153,7 +153,7 @@
             try:
                 message = decode_message(self.received[:size])
             except MessageError as error:
-                log.note("peer-message-unreadable", error=str(error))
+                log.info("peer-message-unreadable", error=str(error))
                 return False
             del self.received[:size]
             self._process_message(message)
--- a/linnetshift/lifecycle/takeover_socket.py
+++ b/linnetshift/lifecycle/takeover_socket.py
@@ -92,7 +92,7 @@
             break
         except (OSError, ValueError) as error:
             sock.close()
-            log.note("takeover-state-unreadable", error=str(error))
+            log.info("takeover-state-unreadable", error=str(error))
             time.sleep(TAKEOVER_RETRY_S)
     return None
 
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -17,7 +17,7 @@
 from linnetshift.config.loader import read_files
 from linnetshift.config.proxy_file import Config
 from linnetshift.decision_loop import DecisionLoop
-from linnetshift.discovery.endpoint_list import EndpointListUpdate, describe
+from linnetshift.discovery.endpoint_list import EndpointListUpdate, serialize_entry
 from linnetshift.discovery.watch import Discovery, WatchTimeouts
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import MS, Loop, S
@@ -116,9 +116,9 @@
     def listed(self, list_update: EndpointListUpdate) -> None:
         event = self.broker.administrative_drains.limit_entries(list_update.event)
         if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
-            log.note("endpoint-list-received", **self.describe_list(event))
+            log.info("endpoint-list-received", **self.describe_list(event))
         if left_out := len(list_update.event.entries) - len(event.entries):
-            log.note("endpoint-limit-exceeded", left_out=left_out)
+            log.info("endpoint-limit-exceeded", left_out=left_out)
         self.connector.listed(
             event, {entry.endpoint: list_update.addresses[entry.endpoint] for entry in event.entries}
         )
@@ -183,7 +183,7 @@
 
     def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
         known = self.broker.drain_endpoint(endpoint) if out else self.broker.restore_endpoint(endpoint)
-        log.note(
+        log.info(
             "administrative-drain-changed", endpoint=endpoint.decode(errors="replace"), out=out, known=known
         )
         self.decision_loop.when_processed(done)
@@ -191,7 +191,7 @@
     def state(self) -> ExportedState:
         administrative_drains, connector = self.broker.administrative_drains, self.connector
         targets = [
-            describe(entry, connector.addresses[endpoint], self.names)
+            serialize_entry(entry, connector.addresses[endpoint], self.names)
             for endpoint, entry in administrative_drains.listed.items()
             if endpoint in connector.addresses
         ]
@@ -294,7 +294,7 @@
                 [admin_server] if admin_server is not None else []
             ):
                 acceptor.close()
-            log.note("configuration-rejected", error=str(error))
+            log.info("configuration-rejected", error=str(error))
             return
         for frontend, acceptor in bound:
             frontend.use_acceptor(acceptor)
@@ -311,7 +311,7 @@
         if config.known.event.version > self.discovery.version:
             self.listed(config.known)
         self.discovery.relocate(config.discovery, WatchTimeouts.of(config.settings))
-        log.note(
+        log.info(
             "configuration-reloaded",
             discovery=f"{config.discovery[0]}:{config.discovery[1]}",
             classes=",".join(klass.name for klass in config.settings.offered),
@@ -322,7 +322,7 @@
     def log_settings(self) -> None:
         """What was made of the settings, for staff to compare with what they meant."""
         settings = self.config.settings
-        log.note(
+        log.info(
             "settings-applied",
             proxies=settings.balancers,
             cross_zone_weight=f"{settings.cross_zone_weight:.3f}",
