--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -7,7 +7,7 @@
 from linnetshift.broker.broker import Broker
 from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Loop, S
 from linnetshift.event_loop.stream import Stream
-from linnetshift.frontends.channels.session import ChannelsFrontend
+from linnetshift.frontends.channels.frontend import ChannelsFrontend
 from linnetshift.observability import log
 from linnetshift.routing.settings import Settings
 
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -22,7 +22,7 @@
 from linnetshift.discovery.watch import Discovery, WatchTimeouts
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import MS, Loop, S
-from linnetshift.frontends.channels.session import MOST_OPEN, ChannelsFrontend
+from linnetshift.frontends.channels.frontend import MAX_OPEN_CHANNELS, ChannelsFrontend
 from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
 from linnetshift.frontends.listener import Acceptor, Frontend
 from linnetshift.lifecycle.graceful_shutdown import ChannelMigrator, GracefulShutdown
@@ -144,7 +144,7 @@
 
     def resource_usage(self) -> dict[str, ResourceUsage]:
         """Every container that lives as long as the program; docs/memory.md says the same bounds."""
-        connections = self.connection_limiter.descriptors + MOST_OPEN
+        connections = self.connection_limiter.descriptors + MAX_OPEN_CHANNELS
         return {
             **self.loop.resource_usage(connections),
             **self.broker.resource_usage(connections),
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -17,7 +17,7 @@
 from linnetshift.broker.administrative_drains import AdministrativeDrains
 from linnetshift.event_loop import connection_limits
 from linnetshift.event_loop.loop import Loop
-from linnetshift.frontends.channels import session
+from linnetshift.frontends.channels import frontend
 from linnetshift.lifecycle import hot_restart
 from linnetshift.lifecycle.hot_restart import PeerProcess
 from linnetshift.observability.resource_usage import ResourceUsage, over
@@ -143,7 +143,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A channel costs its opener nothing, and a waiting one no descriptor here: sessions times 256 would fit.
-    monkeypatch.setattr(session, "MOST_OPEN", 2)
+    monkeypatch.setattr(frontend, "MAX_OPEN_CHANNELS", 2)
     own = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
     with inside(tmp_path, own=own) as running:
         first, second = Terminal(running.extra_port), Terminal(running.extra_port)
@@ -154,7 +154,7 @@
         assert b"come again after 1000 ms" in second.expect(92, 3, 4)
         first.close()
         assert attempts[0].line() and attempts[1].line()
-        while running.program.channels.open > 1:
+        while running.program.channels.open_channels > 1:
             time.sleep(0.01)
         second.open(4)
         running.listeners[0].serve()
--- a/tests/test_ended.py
+++ b/tests/test_ended.py
@@ -21,7 +21,8 @@
 from linnetshift.discovery.http_call import Call
 from linnetshift.event_loop.loop import FEW, MS, Actor, ActorCoroutine, ActorTimer, Loop, S
 from linnetshift.event_loop.stream import MAX_LINE, SMALL, End, Stream
-from linnetshift.frontends.channels.session import Channel, Session
+from linnetshift.frontends.channels.channel import Channel
+from linnetshift.frontends.channels.session import Session
 from linnetshift.frontends.line_protocol.client_connection import ClientConnection
 from linnetshift.upstream.endpoint_connection import EndpointConnection
 from linnetshift.upstream.health_checker import HealthChecker
