--- a/linnetshift/vrrp/__init__.py
+++ b/linnetshift/vrrp/__init__.py
@@ -1,1 +1,1 @@
-"""VRRP (RFC 9568) over UDP."""
+"""VRRP version 3 (RFC 9568) over UDP: which of several proxies serves the channels frontend."""
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -1,7 +1,7 @@
-"""VRRP version 3 (RFC 9568): its state machine and advertisements, carried over UDP.
+"""A VRRP router on its UDP socket: decides which of several proxies listens for channels.
 
-Which of several proxies listens for channels is settled here. There is no virtual MAC to answer for and
-no TTL to check: the datagrams go to named peers only, and what comes from anyone else is dropped.
+Unlike in RFC 9568 there is no virtual MAC address to answer for and no TTL to check: advertisements go to
+named peers only, and those of anyone else are dropped.
 """
 
 from __future__ import annotations
@@ -12,68 +12,68 @@
 
 from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Io, Loop, Timeout, Timer
 from linnetshift.observability import log
-from linnetshift.vrrp.protocol import RELEASED, Advertisement, BadAdvertisement, decode
+from linnetshift.vrrp.protocol import PRIORITY_RELEASED, Advertisement, AdvertisementError
 from linnetshift.vrrp.router import Router, State, VrrpConfig
 
-CENTISECOND = 10 * MS
-MOST_DATAGRAM = 2048
-DATAGRAMS = 32  # at one turn of the loop
+CENTISECOND_NS = 10 * MS
+# More than the longest advertisement, 8 bytes and 4 for each of 255 addresses.
+MAX_DATAGRAM_BYTES = 2048
+# Read at one turn of the loop: a flood must not keep it from everything else.
+MAX_DATAGRAMS_PER_TURN = 32
 
 
 class Vrrp(Actor):
-    """The router on its socket; `changed` hears whether this proxy is the active one."""
+    """The router with socket and timer; `active_changed` is called with whether this proxy is active now."""
 
     def __init__(
         self,
         loop: Loop,
         config: VrrpConfig,
-        changed: Callable[[bool], None],
-        given: socket.socket | None = None,
-        active: bool = False,
+        active_changed: Callable[[bool], None],
+        inherited_socket: socket.socket | None = None,
+        starts_active: bool = False,
     ) -> None:
-        """With the socket of the process before, and as the active one if that was."""
+        """After a hot restart: with the predecessor's socket, and active at once if that was."""
         super().__init__(loop)
-        self.began_active, self.paused = active, False
-        self.config, self.changed = config, changed
-        self.router = Router(config, self.send, self.arm)
-        self.before = self.router.state
+        self.config = config
+        self.active_changed = active_changed
+        self.starts_active = starts_active
+        self.is_paused = False
+        self.router = Router(config, self._send, self._set_router_timer)
+        self.reported_state = self.router.state
         self.timer: Timer | None = None
-        self.due: object = None  # the tag of the one that is armed
-        self.sock = given or socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.timer_tag: object = None  # of `timer`; timeouts with another tag are of one that was replaced
+        self.sock = inherited_socket or socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
-        if given is None:
+        if inherited_socket is None:
             self.sock.bind(config.listen)
-        loop.watch(self.sock.fileno(), select.EPOLLIN, self.ready)
+        self._watch_socket()
 
-    def ready(self, mask: int) -> None:
+    def _watch_socket(self) -> None:
+        self.loop.watch(self.sock.fileno(), select.EPOLLIN, self._post_io)
+
+    def _post_io(self, mask: int) -> None:
         self.post(Io(mask))
 
     def run(self) -> ActorCoroutine:
-        if self.began_active:
+        """Pass timers and advertisements to the router until the actor is ended."""
+        if self.starts_active:
             self.router.become_active()
         else:
             self.router.start()
         while True:
-            self.settle()
+            self._report_state()
             match (yield):
                 case Io():
-                    self.receive()
-                case Timeout(tag=tag) if tag is self.due:
-                    self.router.timer_fired()
-
-    def settle(self) -> None:
-        """Say that the state is another, and do so before the peers hear of it."""
-        before, self.before = self.before, self.router.state
-        if self.before is not before:
-            log.note("vrrp-state-changed", state=self.before, vrid=self.config.vrid)
-            if State.ACTIVE in (before, self.before):
-                self.changed(self.before is State.ACTIVE)
-
-    def pause(self, paused: bool) -> None:
-        """Leave its part to the process that has taken it over, or take it up again; no peer hears of it."""
-        self.paused = paused
-        if not paused:
-            self.loop.watch(self.sock.fileno(), select.EPOLLIN, self.ready)
+                    self._receive()
+                case Timeout(tag=tag) if tag is self.timer_tag:
+                    self.router.handle_timer()
+
+    def pause(self, is_paused: bool) -> None:
+        """Leave the part to the process that takes over, or resume it; the peers notice neither."""
+        self.is_paused = is_paused
+        if not is_paused:
+            self._watch_socket()
             if self.router.state is State.ACTIVE:
                 self.router.advertise()
             else:
@@ -84,42 +84,57 @@
             self.timer.cancel()
 
     def stop(self) -> None:
-        """Shut down: an active router releases its part before it goes."""
-        if not self.paused:
+        """Shut down; an active router releases its part first."""
+        if not self.is_paused:
             self.router.stop()
             self.loop.unwatch(self.sock.fileno())
         self.sock.close()
         self.end()
 
-    def send(self, priority: int) -> None:
-        if priority != RELEASED:
-            self.settle()  # whoever hears that this one is active may connect at once
+    def _report_state(self) -> None:
+        """Log a change of state, and report one to or from active."""
+        previous = self.reported_state
+        state = self.router.state
+        if state is previous:
+            return
+        self.reported_state = state
+        log.note("vrrp-state-changed", state=state, vrid=self.config.vrid)
+        if State.ACTIVE in (previous, state):
+            self.active_changed(state is State.ACTIVE)
+
+    def _send(self, priority: int) -> None:
+        if priority != PRIORITY_RELEASED:
+            # Before the peers learn of it: whoever is sent to the active proxy may connect at once.
+            self._report_state()
         config = self.config
         datagram = Advertisement(config.vrid, priority, config.interval, config.addresses).encode()
         for peer in config.peers:
             try:
                 self.sock.sendto(datagram, peer)
-            except OSError as error:  # a peer that is down must not stop the others' word
+            except OSError as error:  # a peer that is down must not keep the others from theirs
                 log.note("vrrp-send-failed", peer=f"{peer[0]}:{peer[1]}", error=error.strerror)
 
-    def arm(self, centiseconds: float) -> None:
+    def _set_router_timer(self, centiseconds: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.due = object()
-        self.timer = self.set_timer(int(centiseconds * CENTISECOND), self.due)
+        self.timer_tag = object()
+        self.timer = self.set_timer(int(centiseconds * CENTISECOND_NS), self.timer_tag)
 
-    def receive(self) -> None:
-        for _ in range(DATAGRAMS):  # a flood must not keep the loop from everyone else
+    def _receive(self) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                data, sender = self.sock.recvfrom(MOST_DATAGRAM)
+                data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # an earlier datagram's peer was not there
-                continue
-            try:
-                advertisement = decode(data)
-            except BadAdvertisement as error:
-                log.note("vrrp-advertisement-dropped", peer=sender[0], error=str(error))
+            except OSError:  # ICMP: a peer did not take an earlier datagram
                 continue
-            if advertisement.vrid == self.config.vrid and sender in self.config.peers:
-                self.router.heard(advertisement, sender[0])
+            self._handle_datagram(data, sender)
+
+    def _handle_datagram(self, data: bytes, sender: tuple[str, int]) -> None:
+        try:
+            advertisement = Advertisement.decode(data)
+        except AdvertisementError as error:
+            log.note("vrrp-advertisement-dropped", peer=sender[0], error=str(error))
+            return
+        if advertisement.vrid == self.config.vrid and sender in self.config.peers:
+            self.router.handle_advertisement(advertisement, sender[0])
--- a/linnetshift/vrrp/router.py
+++ b/linnetshift/vrrp/router.py
@@ -8,84 +8,114 @@
 from typing import NamedTuple
 
 from linnetshift.event_loop.address import Address
-from linnetshift.vrrp.protocol import OWNER, RELEASED, Advertisement
+from linnetshift.vrrp.protocol import PRIORITY_OWNER, PRIORITY_RELEASED, Advertisement
 
 
 class State(Enum):
+    """The states of section 6.4; the values appear in the log."""
+
     INITIALIZE = "initialize"
     BACKUP = "backup"
     ACTIVE = "active"
 
 
 class VrrpConfig(NamedTuple):
-    vrid: int
-    priority: int
-    interval: int  # centiseconds
-    preempt: bool
-    listen: Address
-    peers: tuple[Address, ...]
-    addresses: tuple[str, ...]
+    """The parameters of one virtual router (section 6.1), from the broker's own file."""
+
+    vrid: int  # virtual router ID, 1 to 255
+    priority: int  # 1 to 255; 255 is the address owner's
+    interval: int  # advertisement interval, 1 to 4095 centiseconds
+    preempt: bool  # whether a higher priority takes over from an active router of a lower one
+    listen: Address  # where advertisements arrive; the host decides between equal priorities
+    peers: tuple[Address, ...]  # the other routers: only their advertisements count
+    addresses: tuple[str, ...]  # the virtual router's IPv4 addresses, for information
 
 
 class Router:
-    """Section 6.4, without sockets: told of timers and advertisements, it says what to do through two calls.
+    """One virtual router, told of timers and advertisements; it acts through two callbacks.
 
-    `send` takes the priority to advertise; `arm` the centiseconds until `timer_fired`, for the one timer
-    that each state has.
+    `send` takes the priority to advertise. `set_timer` takes the centiseconds until `handle_timer` and
+    replaces the timer that was set before: each state has one, the Adver_Timer or the Active_Down_Timer.
     """
 
-    def __init__(self, config: VrrpConfig, send: Callable[[int], None], arm: Callable[[float], None]) -> None:
-        self.config, self.send, self.arm = config, send, arm
+    def __init__(
+        self, config: VrrpConfig, send: Callable[[int], None], set_timer: Callable[[float], None]
+    ) -> None:
+        """A router in the initialize state."""
+        self.config = config
+        self.send = send
+        self.set_timer = set_timer
         self.state = State.INITIALIZE
+        # The active router's interval in centiseconds, as it was last advertised (Active_Adver_Interval).
         self.active_interval = config.interval
 
     @property
-    def skew(self) -> float:
+    def skew_time(self) -> float:
+        """Skew_Time in centiseconds: the lower the priority, the later a backup takes over."""
         return (256 - self.config.priority) * self.active_interval / 256
 
     @property
-    def down_interval(self) -> float:
-        return 3 * self.active_interval + self.skew
+    def active_down_interval(self) -> float:
+        """Active_Down_Interval: centiseconds without an advertisement after which a backup takes over."""
+        return 3 * self.active_interval + self.skew_time
 
     def start(self) -> None:
-        if self.config.priority == OWNER:
+        """Startup (section 6.4.1): the owner is active at once."""
+        if self.config.priority == PRIORITY_OWNER:
             self.become_active()
         else:
             self.become_backup(self.config.interval)
 
     def stop(self) -> None:
+        """Shutdown: an active router releases its part, so that a backup takes over after its skew time."""
         if self.state is State.ACTIVE:
-            self.send(RELEASED)
+            self.send(PRIORITY_RELEASED)
         self.state = State.INITIALIZE
 
-    def timer_fired(self) -> None:
+    def handle_timer(self) -> None:
+        """The state's timer has fired: take over as a backup, advertise as the active router."""
         if self.state is State.BACKUP:
             self.become_active()
         elif self.state is State.ACTIVE:
             self.advertise()
 
-    def heard(self, advertisement: Advertisement, sender: str) -> None:
-        mine, theirs = self.config.priority, advertisement.priority
+    def handle_advertisement(self, advertisement: Advertisement, sender: str) -> None:
+        """An advertisement of another router with the IPv4 address `sender`."""
         if self.state is State.BACKUP:
-            if theirs == RELEASED:
-                self.arm(self.skew)
-            elif not self.config.preempt or theirs >= mine:
-                self.become_backup(advertisement.interval)
+            self._handle_as_backup(advertisement)
         elif self.state is State.ACTIVE:
-            higher = socket.inet_aton(sender) > socket.inet_aton(self.config.listen[0])
-            if theirs != RELEASED and (theirs > mine or (theirs == mine and higher)):
-                self.become_backup(advertisement.interval)
-            else:
-                self.advertise()  # asserts that this one is active
+            self._handle_as_active(advertisement, sender)
+
+    def _handle_as_backup(self, advertisement: Advertisement) -> None:
+        """Section 6.4.2."""
+        if advertisement.priority == PRIORITY_RELEASED:
+            self.set_timer(self.skew_time)
+        elif not self.config.preempt or advertisement.priority >= self.config.priority:
+            self.become_backup(advertisement.interval)
+
+    def _handle_as_active(self, advertisement: Advertisement, sender: str) -> None:
+        """Section 6.4.3: yield to a higher priority, or to the higher address of equal ones."""
+        own_priority = self.config.priority
+        priority = advertisement.priority
+        has_higher_address = socket.inet_aton(sender) > socket.inet_aton(self.config.listen[0])
+        has_precedence = priority > own_priority or (priority == own_priority and has_higher_address)
+        if priority != PRIORITY_RELEASED and has_precedence:
+            self.become_backup(advertisement.interval)
+        else:
+            self.advertise()  # at once, so that the other one yields
 
-    def become_backup(self, interval: int) -> None:
-        self.state, self.active_interval = State.BACKUP, interval
-        self.arm(self.down_interval)
+    def become_backup(self, active_interval: int) -> None:
+        """Wait for the advertisements of an active router that sends them at this interval."""
+        self.state = State.BACKUP
+        self.active_interval = active_interval
+        self.set_timer(self.active_down_interval)
 
     def become_active(self) -> None:
+        """Take over."""
         self.state = State.ACTIVE
         self.advertise()
 
     def advertise(self) -> None:
+        """Send an advertisement, and the next after the interval."""
         self.send(self.config.priority)
-        self.arm(self.config.interval)
+        self.set_timer(self.config.interval)
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -8,67 +8,70 @@
 import pytest
 from proxy import WAIT, Terminal, free_port, proxy
 
-from linnetshift.vrrp.protocol import Advertisement, BadAdvertisement, decode
+from linnetshift.vrrp.protocol import Advertisement, AdvertisementError
 from linnetshift.vrrp.router import Router, State, VrrpConfig
 
 # Version 3, type 1, VRID 7, priority 100, one address, 1 s, checksum, 192.0.2.1: worked out by hand.
 KNOWN = bytes.fromhex("310764010064a891c0000201")
 
 
-def test_the_form_is_the_standards() -> None:
+def test_encoding_matches_rfc_9568() -> None:
     advertisement = Advertisement(7, 100, 100, ("192.0.2.1",))
     assert advertisement.encode() == KNOWN
-    assert decode(KNOWN) == advertisement
+    assert Advertisement.decode(KNOWN) == advertisement
 
 
 @pytest.mark.parametrize(
     "data",
     [b"", KNOWN[:7], KNOWN[:-1], KNOWN + bytes(4), b"\x21" + KNOWN[1:], KNOWN[:2] + b"\x65" + KNOWN[3:]],
 )
-def test_what_is_malformed_is_dropped(data: bytes) -> None:
-    with pytest.raises(BadAdvertisement):
-        decode(data)
+def test_malformed_advertisement_raises_advertisement_error(data: bytes) -> None:
+    with pytest.raises(AdvertisementError):
+        Advertisement.decode(data)
 
 
-class Bench:
+class RouterHarness:
     def __init__(self, priority: int, preempt: bool = True) -> None:
         self.sent: list[int] = []
-        self.armed: list[float] = []
+        self.timers_cs: list[float] = []
         config = VrrpConfig(7, priority, 100, preempt, ("10.0.0.2", 1), (), ())
-        self.router = Router(config, self.sent.append, self.armed.append)
+        self.router = Router(config, self.sent.append, self.timers_cs.append)
         self.router.start()
 
-    def hear(self, priority: int, interval: int = 100, sender: str = "10.0.0.1") -> None:
-        self.router.heard(Advertisement(7, priority, interval, ()), sender)
+    def receive(self, priority: int, interval: int = 100, sender: str = "10.0.0.1") -> None:
+        self.router.handle_advertisement(Advertisement(7, priority, interval, ()), sender)
 
 
 @pytest.mark.parametrize("priority, state", [(255, State.ACTIVE), (254, State.BACKUP), (1, State.BACKUP)])
 def test_only_the_owner_starts_active(priority: int, state: State) -> None:
-    assert Bench(priority).router.state is state
+    assert RouterHarness(priority).router.state is state
 
 
-def test_a_backup_waits_three_intervals_and_its_skew() -> None:
-    bench = Bench(156)
-    assert bench.armed == [300 + 100 * 100 / 256]
-    bench.hear(200, interval=50)  # the active one's interval counts
-    assert bench.armed[-1] == 150 + 100 * 50 / 256
-    bench.hear(0)  # it gives its part up
-    assert bench.armed[-1] == 100 * 50 / 256
-    bench.router.timer_fired()
-    assert bench.router.state is State.ACTIVE and bench.sent == [156]
+def test_backup_takes_over_after_three_intervals_and_its_skew_time() -> None:
+    harness = RouterHarness(156)
+    assert harness.timers_cs == [300 + 100 * 100 / 256]
+    harness.receive(200, interval=50)  # the active one's interval counts
+    assert harness.timers_cs[-1] == 150 + 100 * 50 / 256
+    harness.receive(0)  # the active router stops
+    assert harness.timers_cs[-1] == 100 * 50 / 256
+    harness.router.handle_timer()
+    assert harness.router.state is State.ACTIVE and harness.sent == [156]
 
 
 @pytest.mark.parametrize(
-    "preempt, heard, heeded", [(True, 99, False), (True, 100, True), (False, 1, True), (True, 101, True)]
+    "preempt, priority, is_followed",
+    [(True, 99, False), (True, 100, True), (False, 1, True), (True, 101, True)],
 )
-def test_whom_a_backup_heeds(preempt: bool, heard: int, heeded: bool) -> None:
-    bench = Bench(100, preempt)
-    bench.hear(heard)
-    assert len(bench.armed) == (2 if heeded else 1)
+def test_backup_follows_an_active_router_of_precedence(
+    preempt: bool, priority: int, is_followed: bool
+) -> None:
+    harness = RouterHarness(100, preempt)
+    harness.receive(priority)
+    assert len(harness.timers_cs) == (2 if is_followed else 1)
 
 
 @pytest.mark.parametrize(
-    "heard, sender, state",
+    "priority, sender, state",
     [
         (101, "10.0.0.1", State.BACKUP),
         (100, "10.0.0.3", State.BACKUP),
@@ -77,23 +80,23 @@
         (0, "10.0.0.3", State.ACTIVE),
     ],
 )
-def test_to_whom_an_active_one_yields(heard: int, sender: str, state: State) -> None:
-    bench = Bench(100)
-    bench.router.timer_fired()
-    bench.hear(heard, sender=sender)
-    assert bench.router.state is state
-    assert len(bench.sent) == (1 if state is State.BACKUP else 2)  # it asserts itself at once
+def test_active_router_yields_to_precedence(priority: int, sender: str, state: State) -> None:
+    harness = RouterHarness(100)
+    harness.router.handle_timer()
+    harness.receive(priority, sender=sender)
+    assert harness.router.state is state
+    assert len(harness.sent) == (1 if state is State.BACKUP else 2)  # it asserts itself at once
 
 
 @pytest.mark.parametrize("active", [True, False])
-def test_shutting_down_releases_the_part(active: bool) -> None:
-    bench = Bench(255 if active else 100)
-    bench.router.stop()
-    assert bench.router.state is State.INITIALIZE
-    assert bench.sent == ([255, 0] if active else [])
+def test_shutdown_of_an_active_router_advertises_priority_zero(active: bool) -> None:
+    harness = RouterHarness(255 if active else 100)
+    harness.router.stop()
+    assert harness.router.state is State.INITIALIZE
+    assert harness.sent == ([255, 0] if active else [])
 
 
-def test_the_front_listens_only_while_active(tmp_path: Path) -> None:
+def test_channels_frontend_listens_only_while_active(tmp_path: Path) -> None:
     peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     peer.bind(("127.0.0.1", 0))
     peer.settimeout(WAIT)
@@ -113,7 +116,7 @@
     with proxy(tmp_path, own=own) as running:
         with pytest.raises(ConnectionRefusedError):
             running.client(port=running.extra_port)
-        assert decode(peer.recv(2048)) == Advertisement(7, 100, 20, ("127.0.0.1",))
+        assert Advertisement.decode(peer.recv(2048)) == Advertisement(7, 100, 20, ("127.0.0.1",))
         terminal = Terminal(running.extra_port)
         terminal.open(1)
         _, endpoint = running.serve_any()
