--- /dev/null
+++ b/linnetshift/event_loop/actor.py
@@ -0,0 +1,103 @@
+"""Actors: coroutines that receive messages from a mailbox, one at a time, on the event loop's thread."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Generator
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
+
+from linnetshift.event_loop.timers import ActorTimer, Timer
+
+if TYPE_CHECKING:
+    from linnetshift.event_loop.loop import Loop
+
+# A generator: each `yield` waits for the next message.
+ActorCoroutine = Generator[None, Any, None]
+
+
+class Io(NamedTuple):
+    """Message to an actor: its socket is ready, as epoll's event mask says."""
+
+    mask: int
+
+
+class Closable(Protocol):
+    """What an actor owns besides its timers: a stream."""
+
+    def close(self) -> None:
+        """Release descriptor and buffers; a second call has no effect."""
+
+
+class Actor:
+    """A coroutine with a mailbox, its timers and at most one stream.
+
+    An actor that has ended, in whichever way, has released all that it owned: coroutine, mailbox, timers and
+    stream. Others may still reference it and read its attributes; it costs them a few plain values.
+    """
+
+    stream: Closable | None = None
+
+    def __init__(self, loop: Loop) -> None:
+        """An actor that receives nothing until `start`."""
+        self.loop = loop
+        self.mailbox: deque[Any] = deque()
+        self.timers: set[ActorTimer] = set()
+        self.is_scheduled = False  # in the loop's queue of actors with messages
+        self.coroutine: ActorCoroutine | None = None
+
+    def start(self, coroutine: ActorCoroutine) -> None:
+        """Run the coroutine up to its first `yield`, at once."""
+        self.coroutine = coroutine
+        self._resume(None)
+
+    def post(self, message: object) -> None:
+        """Leave a message for the loop's next turn; dropped where the actor has ended or not started."""
+        if self.coroutine is None:
+            return
+        self.mailbox.append(message)
+        if not self.is_scheduled:
+            self.is_scheduled = True
+            self.loop.ready_actors.append(self)
+
+    def set_timer(self, delay_ns: int, tag: object) -> Timer:
+        """Have `Timeout(tag)` posted after `delay_ns`; cancelling is too late for one in the mailbox."""
+        timer = ActorTimer(self, tag)
+        self.timers.add(timer)
+        self.loop.schedule(delay_ns, timer)
+        return timer
+
+    def process_mailbox(self) -> None:
+        """Pass all messages to the coroutine, those it posts to itself meanwhile included."""
+        self.is_scheduled = False
+        while self.mailbox and self.coroutine is not None:
+            self._resume(self.mailbox.popleft())
+
+    def _resume(self, message: object) -> None:
+        assert self.coroutine is not None
+        try:
+            self.coroutine.send(message)
+        except StopIteration:
+            self.end()
+        # One of the edges that contain faults: `faulted` decides whether the program goes on.
+        except Exception as error:
+            self.coroutine = None  # first, so that it receives nothing that its fault sets off
+            try:
+                self.faulted(error)
+            finally:
+                self.end()
+
+    def end(self) -> None:
+        """Release everything at once: waiting for the garbage collector would keep thousands of buffers."""
+        self.coroutine = None
+        self.mailbox.clear()
+        while self.timers:
+            next(iter(self.timers)).cancel()
+        if self.stream is not None:
+            self.stream.close()
+
+    def faulted(self, error: Exception) -> None:
+        """Called with an exception that left the coroutine; the actor is ended after it.
+
+        Actors of one connection override it and contain the fault; by default it ends the program.
+        """
+        raise error
--- a/linnetshift/frontends/channels/channel.py
+++ b/linnetshift/frontends/channels/channel.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from linnetshift.broker.active_request import ActiveRequest, UpstreamConnection
-from linnetshift.event_loop.loop import MS, S
+from linnetshift.event_loop.timers import MS, S
 from linnetshift.frontends.channels.messages import (
     OpenFailureReason,
     encode_channel_close,
--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -9,7 +9,7 @@
 from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.config.names import UNKNOWN
 from linnetshift.event_loop.connection_limits import MOST_WAIT_MS
-from linnetshift.event_loop.loop import MS
+from linnetshift.event_loop.timers import MS
 from linnetshift.frontends.channels.channel import Channel
 from linnetshift.frontends.channels.messages import (
     OpenFailureReason,
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -13,11 +13,12 @@
 from itertools import count
 from typing import TYPE_CHECKING, NamedTuple
 
+from linnetshift.event_loop.actor import ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.connection_limits import DRAIN_NS, REQUEST_LINE_TIMEOUT_NS, Reading
-from linnetshift.event_loop.loop import ActorCoroutine, Io, S, Timeout, Timer
 from linnetshift.event_loop.outbound_connection import Steps, Stop, linger
 from linnetshift.event_loop.stream import End, Stream
+from linnetshift.event_loop.timers import S, Timeout, Timer
 from linnetshift.frontends.channels.channel import Channel, CloseTimeout
 from linnetshift.frontends.channels.message_handlers import handle_message
 from linnetshift.frontends.channels.messages import (
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -10,7 +10,9 @@
 import socket
 from collections.abc import Callable
 
-from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Io, Loop, Timeout, Timer
+from linnetshift.event_loop.actor import Actor, ActorCoroutine, Io
+from linnetshift.event_loop.loop import Loop
+from linnetshift.event_loop.timers import MS, Timeout, Timer
 from linnetshift.observability import log
 from linnetshift.vrrp.protocol import PRIORITY_RELEASED, Advertisement, AdvertisementError
 from linnetshift.vrrp.router import Router, State, VrrpConfig
--- a/tests/test_ended.py
+++ b/tests/test_ended.py
@@ -19,8 +19,10 @@
 from linnetshift.admin.server import AdminConnection
 from linnetshift.broker.active_request import ActiveRequest, Attempt
 from linnetshift.discovery.http_call import Call
-from linnetshift.event_loop.loop import FEW, MS, Actor, ActorCoroutine, ActorTimer, Loop, S
+from linnetshift.event_loop.actor import Actor, ActorCoroutine
+from linnetshift.event_loop.loop import MAX_CANCELLED_TIMERS, Loop
 from linnetshift.event_loop.stream import MAX_LINE, SMALL, End, Stream
+from linnetshift.event_loop.timers import MS, ActorTimer, S
 from linnetshift.frontends.channels.channel import Channel
 from linnetshift.frontends.channels.session import Session
 from linnetshift.frontends.line_protocol.client_connection import ClientConnection
@@ -303,7 +305,7 @@
     actor.post("unread")
     actor.end()
     loop.call_later(0, lambda: None)
-    loop.turn()
+    loop.run_once()
     assert not actor.timers and not actor.mailbox and theirs.recv(1) == b""
     seen = weakref.ref(actor)
     del actor
@@ -322,7 +324,7 @@
     actor.start(actor.run())
     actor.post("go on")
     loop.call_later(0, lambda: None)
-    loop.turn()
+    loop.run_once()
     assert actor.error == "broken" and not actor.timers and actor.coroutine is None
 
 
@@ -370,15 +372,15 @@
     loop.call_later(0, lambda: fired.append(1))
     for _ in range(10_000):
         loop.call_later(600 * S, lambda: fired.append(2)).cancel()
-    assert len(loop.timers) <= 2 * FEW + 2
+    assert len(loop.timers) <= 2 * MAX_CANCELLED_TIMERS + 2
     twice = loop.call_later(600 * S, lambda: None)
     twice.cancel()
     twice.cancel()
     loop.call_later(MS, lambda: fired.append(3))
     while len(fired) < 2:
-        loop.turn()
+        loop.run_once()
     assert fired == [1, 3]
-    assert loop.dead == sum(timer.call is None for _, _, timer in loop.timers)
+    assert loop.cancelled_timers == sum(timer.callback is None for _, _, timer in loop.timers)
 
 
 def test_an_answer_ends_the_wait_for_one(one: Inside) -> None:
@@ -386,7 +388,7 @@
         withdraws(one)
     loop = one.program.loop
     until = time.monotonic() + WAIT
-    while any(at > loop.now() + 60 * S and timer.call for at, _, timer in tuple(loop.timers)):
+    while any(at > loop.now() + 60 * S and timer.callback for at, _, timer in tuple(loop.timers)):
         assert time.monotonic() < until
         time.sleep(0.02)
 
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -162,7 +162,7 @@
         dial.stream.close()
         dial.post(Stop())
         loop.call_later(0, lambda: None)
-        loop.turn()
+        loop.run_once()
     assert dial.came_up is False and dial.coroutine is None
 
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -6,7 +6,9 @@
 import select
 import socket
 
-from linnetshift.event_loop.loop import Actor, ActorCoroutine, Io, Loop, Timeout
+from linnetshift.event_loop.actor import Actor, ActorCoroutine, Io
+from linnetshift.event_loop.loop import Loop
+from linnetshift.event_loop.timers import Timeout
 
 
 def test_what_arrived_during_a_stall_comes_before_the_timers_that_ran_out() -> None:
@@ -25,8 +27,8 @@
         loop.watch(ours.fileno(), select.EPOLLIN, lambda mask: actor.post(Io(mask)))
         actor.set_timer(0, "late")
         theirs.send(b"in time")
-        loop.turn()
-        loop.turn()
+        loop.run_once()
+        loop.run_once()
     assert seen[:2] == [Io(select.EPOLLIN), Timeout("late")]
 
 
@@ -48,10 +50,10 @@
     for (ours, theirs), (other, _) in zip(pairs, reversed(pairs), strict=True):
         theirs.send(b"x")
         loop.watch(ours.fileno(), select.EPOLLIN, lambda _, closed=other: first_heard(closed))  # type: ignore[misc]
-    loop.turn()
+    loop.run_once()
     assert told == ["first"]
     for ours, _ in pairs:
         if ours.fileno() >= 0:
             loop.unwatch(ours.fileno())
-    loop.turn()
+    loop.run_once()
     assert told == ["first", "successor"]
