--- a/linnetshift/event_loop/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -1,4 +1,4 @@
-"""A nonblocking TCP socket with one bounded buffer each way, read as lines that are slices of it."""
+"""A nonblocking stream socket with one bounded buffer each way, read as lines that are slices of it."""
 
 from __future__ import annotations
 
@@ -10,140 +10,171 @@
 
 from linnetshift.event_loop.loop import Loop
 
-# A peer that is gone without a word: unanswered keep-alives, or data left unacknowledged, end the connection.
-HALF_OPEN = (
+# A peer can vanish without FIN or RST (power, cable, a dropped NAT entry). TCP then ends the connection by
+# itself: when keep-alive probes on an idle connection get no answer, or sent data is not acknowledged. For
+# both the user timeout takes precedence over the number of probes (tcp(7)).
+KEEPALIVE_IDLE_S = 15
+KEEPALIVE_INTERVAL_S = 5
+KEEPALIVE_PROBES = 3
+UNACKNOWLEDGED_TIMEOUT_MS = 20_000
+KEEPALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 15),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 5),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 20_000),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
 )
-CLOSE_WAIT = 8  # the state of a TCP connection whose peer has ended its sending
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-MAX_LINE = 4096
-SMALL = 1024  # bytes that a stream reads into until there is more at once: most never say much
-NOTHING = memoryview(b"")
-NOWHERE = bytearray(1 << 20)  # never written: the kernel throws away what is read with MSG_TRUNC
+# The first byte of TCP_INFO is the state; in CLOSE_WAIT (linux/tcp_states.h) the peer has sent its FIN.
+TCP_STATE_BYTES = 1
+TCP_STATE_CLOSE_WAIT = 8
+# SO_LINGER, on with 0 s: close drops what is unsent and sends RST instead of FIN.
+LINGER_ZERO = struct.pack("ii", 1, 0)
+# The protocol's longest line, its end included.
+MAX_LINE_BYTES = 4096
+# The read buffer of a new stream: most peers send little, and there are streams by the ten thousand.
+INITIAL_BUFFER_BYTES = 1024
+EMPTY_VIEW = memoryview(b"")
+# Passed to reads with MSG_TRUNC, for which the kernel discards up to this length and writes nothing.
+DISCARD_BUFFER = bytearray(1 << 20)
 
 
 class End(Enum):
-    """How a peer ended its side: the other side is ended the same way."""
+    """How a peer ended its side of the connection; the other side is ended the same way."""
 
     FIN = "fin"
     RESET = "reset"
 
 
-class LineTooLong(ValueError):
+class LineTooLongError(ValueError):
     """A line longer than the protocol allows."""
 
 
-def unheard(_mask: int) -> None:
-    """In place of the callback of a stream that is closed."""
+def ignore_io(_mask: int) -> None:
+    """The callback of a closed stream."""
 
 
 class Stream:
-    """What is read stays in a bounded buffer until the next `fill`; what cannot be written yet is copied.
+    """A socket with a read buffer and a buffer of unsent data.
 
-    The buffer starts small and has its full size once a read has filled it. A stream that is closed holds
-    neither buffer nor callback: whoever keeps it keeps nothing else. Slices given out before stay whole.
+    What is read stays in the read buffer, `view[start:stop]`, until the next `fill`. The buffer starts small
+    and has its full size once a read has filled it. What can't be written yet is copied to `unsent`.
 
-    Whoever feeds `send` stops reading its own peer while `is_congested`, so neither buffer outgrows a few
-    lines.
+    Whoever feeds `send` stops reading its own peer while `is_congested`, so that neither buffer outgrows a
+    few lines.
+
+    A closed stream holds neither buffer nor callback, so that whoever still references it keeps nothing else
+    alive. Slices given out before remain valid.
     """
 
     def __init__(
-        self, loop: Loop, sock: socket.socket, ready: Callable[[int], None], size: int = 2 * MAX_LINE
+        self,
+        loop: Loop,
+        sock: socket.socket,
+        io_callback: Callable[[int], None],
+        size: int = 2 * MAX_LINE_BYTES,
     ) -> None:
-        self.loop, self.sock, self.ready = loop, sock, ready
+        """Take over the socket; `io_callback` gets epoll's mask, `size` bounds the read buffer in bytes."""
+        self.loop = loop
+        self.sock = sock
+        self.io_callback = io_callback
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
+            # Lines are small and each is waited for: Nagle's algorithm would hold them back for an ACK.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            for level, option, value in HALF_OPEN:
+            for level, option, value in KEEPALIVE_OPTIONS:
                 sock.setsockopt(level, option, value)
         self.fd = sock.fileno()
         self.size = size
-        self.buffer = bytearray(min(SMALL, size))
+        self.buffer = bytearray(min(INITIAL_BUFFER_BYTES, size))
         self.view = memoryview(self.buffer)
-        self.start = self.stop = 0
-        self.out = bytearray()
-        self.reading = True
-        self.connecting = False
-        self.broken = False  # a write found the peer gone
-        self.ending = False  # nothing more will be sent
+        self.start = 0  # of what has been read and not been taken
+        self.stop = 0  # its end
+        self.unsent = bytearray()
+        self.reading = True  # whether the owner wants more
+        self.connecting = False  # connect has not finished
+        self.broken = False  # a write failed: the connection is gone
+        self.ending = False  # nothing more will be sent: FIN follows what is in `unsent`
         self.closed = False
-        self.interest = 0
+        self.watched_mask = 0
         loop.streams += 1
 
     @property
     def is_congested(self) -> bool:
-        return bool(self.out)
+        """Whether data waits because the socket's send buffer is full."""
+        return bool(self.unsent)
 
     def arm(self) -> None:
-        """Tell epoll what is wanted now; with nothing wanted, even a hang-up must not spin the loop."""
+        """Watch for what is wanted now; with nothing wanted, even a hang-up must not wake the loop."""
         if self.closed:
             return
-        mask = (select.EPOLLIN if self.reading and not self.connecting else 0) | (
-            select.EPOLLOUT if (self.out and not self.broken) or self.connecting else 0
-        )
-        if mask != self.interest:
-            self.interest = mask
+        mask = 0
+        if self.reading and not self.connecting:
+            mask = select.EPOLLIN
+        if (self.unsent and not self.broken) or self.connecting:
+            mask |= select.EPOLLOUT
+        if mask != self.watched_mask:
+            self.watched_mask = mask
             if mask:
-                self.loop.watch(self.fd, mask, self.ready)
+                self.loop.watch(self.fd, mask, self.io_callback)
             else:
                 self.loop.unwatch(self.fd)
 
     def want(self, reading: bool) -> None:
+        """Read on, or leave what the peer sends to the kernel's buffer and TCP's flow control."""
         self.reading = reading
         self.arm()
 
     # ---- reading ----------------------------------------------------------------------------
 
     def fill(self) -> End | None:
-        """Read once; how the peer ended, if it did. Slices given out before are void after this."""
+        """Read once, and return how the peer ended if it did; slices given out before are void after this."""
         if self.closed:
             return End.RESET
         kept = self.stop - self.start
-        if self.stop == len(self.view) < self.size:  # the read before filled it: there is more than a little
+        if self.stop == len(self.view) < self.size:  # the last read filled the initial buffer
             grown = bytearray(self.size)
             grown[:kept] = self.view[self.start : self.stop]
-            self.buffer, self.view = grown, memoryview(grown)
+            self.buffer = grown
+            self.view = memoryview(grown)
         elif self.start:
             self.view[:kept] = self.view[self.start : self.stop]
-        self.start, self.stop = 0, kept
+        self.start = 0
+        self.stop = kept
         if self.stop == len(self.view):
             return None
         try:
-            got = self.sock.recv_into(self.view[self.stop :])
+            received = self.sock.recv_into(self.view[self.stop :])
         except BlockingIOError:
             return None
         except OSError:
             return End.RESET
-        if not got:
+        if not received:
             return End.FIN
-        self.stop += got
+        self.stop += received
         return None
 
     @property
     def is_present(self) -> bool:
-        """Whether the peer's end has not come yet, for who must know it before it is read.
+        """Whether the peer has not ended, found out without reading.
 
-        Where it lies behind bytes that nobody has read, only the connection's state tells of it.
+        Behind unread bytes a FIN shows only in the connection's TCP state.
         """
-        unread = self.unread()
-        if not unread:
-            return unread is None
+        has_unread = self._has_unread()
+        if not has_unread:
+            return has_unread is None
         try:
-            return self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != CLOSE_WAIT
+            info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_STATE_BYTES)
         except OSError:
             return False
+        return info[0] != TCP_STATE_CLOSE_WAIT
 
     @property
     def has_nothing_unread(self) -> bool:
-        """Whether the peer is there and has said nothing more: behind what it said its end may lie."""
-        return self.unread() is None
+        """Whether the peer is there and nothing that it sent is unread; a FIN may lie behind unread bytes."""
+        return self._has_unread() is None
 
-    def unread(self) -> bool | None:
-        """Whether bytes wait to be read; None where there is nothing to read, not even an end."""
+    def _has_unread(self) -> bool | None:
+        """True for unread bytes, False where the peer has ended, None for neither."""
         if self.closed or self.broken:
             return False
         try:
@@ -154,56 +185,63 @@
             return False
 
     def drain(self) -> int:
-        """Read once and let it go; how much there was, -1 once the peer has ended."""
-        self.start = self.stop = 0
+        """Read once and discard; how many bytes there were, -1 once the peer has ended."""
+        self.start = 0
+        self.stop = 0
         try:
-            return self.sock.recv_into(NOWHERE, 0, socket.MSG_TRUNC) or -1
+            return self.sock.recv_into(DISCARD_BUFFER, 0, socket.MSG_TRUNC) or -1
         except BlockingIOError:
             return 0
         except OSError:
             return -1
 
     def take(self, size: int) -> memoryview | None:
-        """The next `size` bytes, once they are there."""
+        """The next `size` bytes, or None until they have been read."""
         if self.stop - self.start < size:
             return None
         self.start += size
         return self.view[self.start - size : self.start]
 
     def line(self) -> memoryview | None:
-        """The next whole line with its end, once it is there."""
+        """The next line with its end, or None until it has been read.
+
+        Raises LineTooLongError as soon as more than MAX_LINE_BYTES have come without an end.
+        """
         size = self.buffer.find(b"\n", self.start, self.stop) + 1 - self.start
-        if max(size, self.stop - self.start if size <= 0 else 0) > MAX_LINE:
-            raise LineTooLong
+        if max(size, self.stop - self.start if size <= 0 else 0) > MAX_LINE_BYTES:
+            raise LineTooLongError
         return self.take(size) if size > 0 else None
 
     def lines(self) -> Iterator[memoryview]:
+        """All lines that have been read; raises LineTooLongError."""
         while (line := self.line()) is not None:
             yield line
 
     def rest(self) -> memoryview:
-        """What came without the end of a line."""
-        self.start, at = self.stop, self.start
-        return self.view[at : self.stop]
+        """Take all that has been read and not been taken: after `lines`, what has no line end."""
+        start = self.start
+        self.start = self.stop
+        return self.view[start : self.stop]
 
     # ---- writing ----------------------------------------------------------------------------
 
     def send(self, data: memoryview | bytes) -> None:
-        """Write at once what the socket takes and keep a copy of the rest."""
+        """Write at once what the socket takes and copy the rest; without effect once sending has ended."""
         if self.broken or self.closed or self.ending:
             return
-        sent = 0 if self.out else self._write(data)
+        sent = 0 if self.unsent else self._write(data)
         if sent < len(data) and not self.broken:
-            self.out += data[sent:]
+            self.unsent += data[sent:]
             self.arm()
 
     def flush(self) -> None:
-        if self.out:
-            del self.out[: self._write(self.out)]
+        """Write what the socket takes of the unsent data, then FIN if `finish` was called."""
+        if self.unsent:
+            del self.unsent[: self._write(self.unsent)]
         if self.broken:
-            self.out.clear()
-        if not self.out and self.ending:
-            self._shut()
+            self.unsent.clear()
+        if not self.unsent and self.ending:
+            self._shut_down_sending()
         self.arm()
 
     def _write(self, data: memoryview | bytes | bytearray) -> int:
@@ -218,26 +256,30 @@
     # ---- ending -----------------------------------------------------------------------------
 
     def finish(self) -> None:
-        """End the sending side once everything is written; the peer sees a plain end."""
+        """End the sending side with FIN once everything is written; the peer may still send."""
         self.ending = True
-        if not self.out:
-            self._shut()
+        if not self.unsent:
+            self._shut_down_sending()
 
-    def _shut(self) -> None:
+    def _shut_down_sending(self) -> None:
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.broken = True
 
     def close(self, how: End = End.FIN) -> None:
+        """Close the socket and release buffers and callback; unread bytes make the kernel send RST anyway."""
         if self.closed:
             return
         self.closed = True
         self.loop.streams -= 1
         self.loop.unwatch(self.fd)
         if how is End.RESET:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
         self.sock.close()
-        self.ready = unheard
-        self.buffer, self.out = bytearray(), bytearray()
-        self.view, self.start, self.stop = NOTHING, 0, 0
+        self.io_callback = ignore_io
+        self.buffer = bytearray()
+        self.unsent = bytearray()
+        self.view = EMPTY_VIEW
+        self.start = 0
+        self.stop = 0
--- a/linnetshift/frontends/channels/packets.py
+++ b/linnetshift/frontends/channels/packets.py
@@ -8,7 +8,7 @@
 import os
 import struct
 
-from linnetshift.event_loop.stream import LineTooLong, Stream
+from linnetshift.event_loop.stream import LineTooLongError, Stream
 from linnetshift.frontends.channels.messages import DisconnectReason
 
 IDENTIFICATION = b"SSH-2.0-linnetshift\r\n"
@@ -49,7 +49,7 @@
             if len(line) > MAX_IDENTIFICATION_BYTES or bytes(line[:8]) not in KNOWN_VERSIONS:
                 raise ProtocolError("not SSH 2.0", DisconnectReason.PROTOCOL_VERSION_NOT_SUPPORTED)
             return True
-    except LineTooLong:
+    except LineTooLongError:
         raise ProtocolError("no identification") from None
     return False
 
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -191,7 +191,7 @@
                 self.end_reason = Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
         if self.stream.broken:
             self.end_reason = Reason.CLIENT_RESET
-        self.stream.want(len(self.stream.out) < MAX_UNSENT_BYTES)
+        self.stream.want(len(self.stream.unsent) < MAX_UNSENT_BYTES)
 
     def _send_keepalive(self) -> None:
         """Ask for any answer, even a refusal: a half-open connection gives none."""
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -18,7 +18,7 @@
 )
 from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, Timeout
 from linnetshift.event_loop.outbound_connection import Resume, Steps, Stop, linger
-from linnetshift.event_loop.stream import End, LineTooLong, Stream
+from linnetshift.event_loop.stream import End, LineTooLongError, Stream
 from linnetshift.frontends.line_protocol.request_line import BadLine, RequestLine, parse_request_line
 from linnetshift.frontends.listener import Frontend
 from linnetshift.observability import log
@@ -180,7 +180,7 @@
                     self.stream.send(self.frontend.readiness(bytes(line[:6])))
                     self.frontend.connection_limiter.answered(self)
                     asked = True
-            except (BadLine, LineTooLong) as error:
+            except (BadLine, LineTooLongError) as error:
                 return self.bad_line(str(error))
             # Without this, what is owed to someone who asks on and reads nothing would fill memory.
             self.stream.want(not self.stream.is_congested)
@@ -316,7 +316,7 @@
         try:
             while not link.is_congested and (line := self.stream.line()) is not None:
                 link.deliver(line)
-        except LineTooLong:
+        except LineTooLongError:
             self.error = "too long"
             self.broker.handle_client_ended(request, False)
             return False
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -9,7 +9,7 @@
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, Timeout
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Resume, Steps, Stop, linger
-from linnetshift.event_loop.stream import End, LineTooLong, Stream
+from linnetshift.event_loop.stream import End, LineTooLongError, Stream
 from linnetshift.observability import log
 from linnetshift.observability.log import Reason
 from linnetshift.routing.events import Outcome
@@ -148,7 +148,7 @@
         """What the first line means; None where it stands, NOT_YET before it is whole."""
         try:
             line = stream.line()
-        except LineTooLong:
+        except LineTooLongError:
             self.reason = Reason.BAD_LINE
             return Outcome.ERROR
         if line is None:
@@ -210,7 +210,7 @@
             while not client.is_congested and (line := stream.line()) is not None:
                 self.heed(line)
                 client.deliver(line)
-        except LineTooLong:
+        except LineTooLongError:
             return End.RESET
         stream.want(not client.is_congested)
         return None
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -9,7 +9,7 @@
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, Timeout
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Steps
-from linnetshift.event_loop.stream import LineTooLong, Stream
+from linnetshift.event_loop.stream import LineTooLongError, Stream
 from linnetshift.observability import log
 from linnetshift.observability.log import Reason
 from linnetshift.routing.events import Outcome
@@ -71,7 +71,7 @@
                     end = stream.fill()
                     try:
                         line = stream.line()
-                    except LineTooLong:
+                    except LineTooLongError:
                         outcome = Outcome.ERROR
                         break
                     if line is not None:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -190,6 +190,6 @@
         assert time.monotonic() < until
         around.loop.call_later(MS, lambda: None)  # else the last turn would wait for what never comes
         around.loop.run_once()
-        most = max(most, len(beside.stream.out))
+        most = max(most, len(beside.stream.unsent))
     assert 0 < most < 2 * beat and beside.stream.closed and not beside.timers
     theirs.close()
--- a/tests/test_ended.py
+++ b/tests/test_ended.py
@@ -21,7 +21,7 @@
 from linnetshift.discovery.http_call import Call
 from linnetshift.event_loop.actor import Actor, ActorCoroutine
 from linnetshift.event_loop.loop import MAX_CANCELLED_TIMERS, Loop
-from linnetshift.event_loop.stream import MAX_LINE, SMALL, End, Stream
+from linnetshift.event_loop.stream import INITIAL_BUFFER_BYTES, MAX_LINE_BYTES, End, Stream
 from linnetshift.event_loop.timers import MS, ActorTimer, S
 from linnetshift.frontends.channels.channel import Channel
 from linnetshift.frontends.channels.session import Session
@@ -336,11 +336,11 @@
     theirs.send(b"one\r\ntwo")
     assert stream.fill() is None
     line = stream.line()
-    stream.out += b"x" * 9000
+    stream.unsent += b"x" * 9000
     buffer = weakref.ref(stream)  # the stream itself stays: it must cost little
     stream.close()
     assert buffer() is stream and line == b"one\r\n"  # a slice given out stays whole
-    assert len(stream.view) == len(stream.buffer) == len(stream.out) == 0
+    assert len(stream.view) == len(stream.buffer) == len(stream.unsent) == 0
     assert stream.line() is None and stream.fill() is End.RESET and bytes(stream.rest()) == b""
     seen = weakref.ref(actor)
     del actor
@@ -355,13 +355,13 @@
     assert isinstance(stream, Stream)
     long = bytes(range(32, 127)) * 40 + b"\r\n"
     theirs.send(b"short\r\n" + long)
-    assert len(stream.view) == SMALL
+    assert len(stream.view) == INITIAL_BUFFER_BYTES
     lines = []
     while len(lines) < 2:
         assert stream.fill() is None
         lines += [bytes(line) for line in stream.lines()]
     assert lines == [b"short\r\n", long]
-    assert len(stream.view) == 2 * MAX_LINE
+    assert len(stream.view) == 2 * MAX_LINE_BYTES
     stream.close()
     theirs.close()
 
