--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -81,7 +81,7 @@
         return retry | returned
 
     def request_line_encoder(self) -> Callable[[int], bytes]:
-        """What encodes the request line for the endpoint, given the milliseconds left for its answer."""
+        """What encodes the endpoint's request line, given the milliseconds that remain for its answer."""
         head = f"OPEN {secrets.randbits(64):016x} {self.key:016x} c={self.class_name},t={self.tenant},d="
         options = f",g={self.group:016x}" if self.group else ""
         if self.flags & RETRY_FLAG:
@@ -89,8 +89,8 @@
         if self.flags & RETURNED_FLAG:
             options += ",again=1"
 
-        def encode(left_ms: int) -> bytes:
-            return f"{head}{left_ms}{options}\r\n".encode()
+        def encode(remaining_ms: int) -> bytes:
+            return f"{head}{remaining_ms}{options}\r\n".encode()
 
         return encode
 
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -21,7 +21,7 @@
 # More than the longest advertisement, 8 bytes and 4 for each of 255 addresses.
 MAX_DATAGRAM_BYTES = 2048
 # Read at one turn of the loop: a flood must not keep it from everything else.
-MAX_DATAGRAMS_PER_TURN = 32
+MAX_DATAGRAMS_PER_READ = 32
 
 
 class Vrrp(Actor):
@@ -123,7 +123,7 @@
         self.timer = self.set_timer(int(centiseconds * CENTISECOND_NS), self.timer_tag)
 
     def _receive(self) -> None:
-        for _ in range(MAX_DATAGRAMS_PER_TURN):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -9,13 +9,13 @@
 import pytest
 from proxy import Conn, Listener, RunningProxy, Terminal, proxy
 
-ON = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-DATA, ADJUST, EOF, CLOSE, REQUEST = 94, 93, 96, 97, 98
+CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
+DATA, WINDOW_ADJUST, EOF, CLOSE, CHANNEL_REQUEST = 94, 93, 96, 97, 98
 
 
 @pytest.fixture
 def one(tmp_path: Path) -> Iterator[RunningProxy]:
-    with proxy(tmp_path, own=ON) as running:
+    with proxy(tmp_path, own=CHANNELS_ENABLED) as running:
         yield running
 
 
@@ -32,7 +32,7 @@
     return rest[4:]
 
 
-def test_a_channel_is_served_to_its_end(one: RunningProxy) -> None:
+def test_channel_is_served_to_its_end(one: RunningProxy) -> None:
     terminal = Terminal(one.extra_port)
     channel, _, endpoint = served(one, terminal, 5)
     assert b" c=feed,t=acme,d=" in endpoint.first  # type: ignore[attr-defined]
@@ -48,15 +48,15 @@
     one.logged("side=channel reason=served")
 
 
-def test_a_reset_is_told_apart_from_an_end(one: RunningProxy) -> None:
+def test_endpoint_reset_sends_a_reset_request(one: RunningProxy) -> None:
     terminal = Terminal(one.extra_port)
     _, _, endpoint = served(one, terminal, 5)
     endpoint.close("reset")
-    assert b"reset@linnetshift" in terminal.expect(REQUEST, 5)
+    assert b"reset@linnetshift" in terminal.expect(CHANNEL_REQUEST, 5)
     terminal.expect(CLOSE, 5)
 
 
-def turn_away(listener: Listener) -> None:
+def reject_all_attempts(listener: Listener) -> None:
     for _ in range(4):  # as many attempts as are allowed
         conn = listener.accept()
         conn.line()
@@ -64,25 +64,25 @@
         conn.close()
 
 
-def stay_silent(listener: Listener) -> None:
+def accept_without_answer(listener: Listener) -> None:
     listener.accept()
 
 
-def nothing(listener: Listener) -> None:
+def do_nothing(listener: Listener) -> None:
     pass
 
 
 @pytest.mark.parametrize(
     "how, gateway, code, text",
     [
-        ({}, turn_away, 4, b"come again after 1000 ms"),
-        ({"wait_ms": 300}, stay_silent, None, b""),
-        ({"klass": b"unheard-of"}, nothing, 2, b"unknown class"),
-        ({"tenant": b"a,at=s-0"}, nothing, 2, b"impossible tenant"),
-        ({"kind": b"session"}, nothing, 3, b"invocation@linnetshift"),
+        ({}, reject_all_attempts, 4, b"come again after 1000 ms"),
+        ({"wait_ms": 300}, accept_without_answer, None, b""),
+        ({"klass": b"unheard-of"}, do_nothing, 2, b"unknown class"),
+        ({"tenant": b"a,at=s-0"}, do_nothing, 2, b"impossible tenant"),
+        ({"kind": b"session"}, do_nothing, 3, b"invocation@linnetshift"),
     ],
 )
-def test_refusals(
+def test_failure_to_open_has_its_reason_code(
     one: RunningProxy, how: dict[str, int], gateway: Callable[[Listener], None], code: int | None, text: bytes
 ) -> None:
     # Each way of not being served has its own code, and a deadline is kept whatever the gateway does.
@@ -94,7 +94,7 @@
     assert text in rest
 
 
-def test_a_gateway_that_stalls_one_channel_leaves_the_others_alone(one: RunningProxy) -> None:
+def test_endpoint_that_stalls_one_channel_does_not_delay_others(one: RunningProxy) -> None:
     # What one gateway does not read may fill that channel's window and nothing else.
     terminal = Terminal(one.extra_port)
     slow, _, stalled = served(one, terminal, 1)
@@ -106,14 +106,14 @@
         terminal.packet(DATA, quick, b"M 1 x\r\n")
         assert endpoint.line() == b"M 1 x\r\n"
         endpoint.send(b"M 1 x\r\n")
-        while (got := terminal.read())[0] == ADJUST:
+        while (got := terminal.read())[0] == WINDOW_ADJUST:
             pass
         assert got[0] == DATA and got[1].endswith(b"M 1 x\r\n")
     for _ in range(32):
         assert stalled.line() == line  # held back by its gateway, not lost
 
 
-def test_a_terminal_that_stalls_one_channel_leaves_the_others_alone(one: RunningProxy) -> None:
+def test_client_that_stalls_one_channel_does_not_delay_others(one: RunningProxy) -> None:
     # Lines without window wait on their own channel; the endpoint is read no further meanwhile.
     terminal = Terminal(one.extra_port)
     stalled, _, flood = served(one, terminal, 1, window=10)
@@ -123,31 +123,31 @@
     for _ in range(50):
         endpoint.send(b"quick\r\n")
         assert data(terminal, 2) == b"quick\r\n"
-    terminal.packet(ADJUST, stalled, 32)
+    terminal.packet(WINDOW_ADJUST, stalled, 32)
     got = b""
     while len(got) < 32:
         got += data(terminal, 1)
     assert got == (b"0123456789ab\r\n" * 3)[10:]
 
 
-def test_on_a_drain_only_that_endpoints_channels_move(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=2, own=ON) as running:
+def test_draining_endpoint_migrates_only_its_channels(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=2, own=CHANNELS_ENABLED) as running:
         terminal = Terminal(running.extra_port)
-        held: dict[str, list[tuple[int, int, Conn]]] = {"s-0": [], "s-1": []}
+        established: dict[str, list[tuple[int, int, Conn]]] = {"s-0": [], "s-1": []}
         for number in range(12):
             channel, listener, endpoint = served(running, terminal, number, key=number + 1)
-            held[listener.uid].append((number, channel, endpoint))
-        assert held["s-0"] and held["s-1"]
+            established[listener.uid].append((number, channel, endpoint))
+        assert established["s-0"] and established["s-1"]
         running.discovery.change(**{"s-0": "DRAINING"})
         moved = set()
-        for _ in held["s-0"]:
+        for _ in established["s-0"]:
             kind, rest = terminal.read()
-            assert kind == REQUEST and b"move@linnetshift" in rest
+            assert kind == CHANNEL_REQUEST and b"move@linnetshift" in rest
             number = int.from_bytes(rest[:4], "big")
             terminal.expect(CLOSE, number)
             moved.add(number)
-        assert moved == {number for number, _, _ in held["s-0"]}
-        for number, channel, endpoint in held["s-1"]:
+        assert moved == {number for number, _, _ in established["s-0"]}
+        for number, channel, endpoint in established["s-1"]:
             terminal.packet(DATA, channel, b"still here\r\n")
             assert endpoint.line() == b"still here\r\n"
             endpoint.send(b"yes\r\n")
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "disconnect", "fin", "reset"])
-def test_a_client_that_ends_takes_its_endpoints_along(one: RunningProxy, how: str) -> None:
+def test_client_end_is_passed_on_to_its_endpoints(one: RunningProxy, how: str) -> None:
     terminal = Terminal(one.extra_port)
     channel, _, endpoint = served(one, terminal, 1)
     if how == "close":
@@ -180,7 +180,7 @@
         struct.pack(">IB", 28, 10) + bytes([91]) + bytes(26),
     ],
 )
-def test_malformed_packets_end_the_session_alone(one: RunningProxy, sent: bytes) -> None:
+def test_malformed_packet_ends_only_its_session(one: RunningProxy, sent: bytes) -> None:
     other = Terminal(one.extra_port)
     terminal = Terminal(one.extra_port)
     terminal.send(sent)
@@ -198,14 +198,14 @@
 
 
 @pytest.mark.parametrize("line", [b"SSH-1.5-old\r\n", b"x" * 6000])
-def test_another_protocol_is_disconnected(one: RunningProxy, line: bytes) -> None:
+def test_other_protocol_version_is_disconnected(one: RunningProxy, line: bytes) -> None:
     conn = one.client(line, one.extra_port)
     assert conn.line().startswith(b"SSH-2.0-")
     conn.exactly(5)
     assert conn.exactly(1) == b"\x01"
 
 
-def test_what_is_not_known_is_answered_by_the_book(one: RunningProxy) -> None:
+def test_unknown_messages_are_answered_as_rfc_4254_requires(one: RunningProxy) -> None:
     terminal = Terminal(one.extra_port)
     channel, _, endpoint = served(one, terminal, 1)
     terminal.packet(80, b"keepalive@example", 1 << 24)  # a want-reply of 1 and three bytes that are ignored
@@ -220,11 +220,11 @@
     assert data(terminal, 1) == b"still served\r\n"
 
 
-def test_channels_move_before_a_planned_stop(one: RunningProxy) -> None:
+def test_channels_migrate_before_a_planned_stop(one: RunningProxy) -> None:
     terminal = Terminal(one.extra_port)
     channel, _, _ = served(one, terminal, 1)
     one.leave()
-    assert b"move@linnetshift" in terminal.expect(REQUEST, 1)
+    assert b"move@linnetshift" in terminal.expect(CHANNEL_REQUEST, 1)
     terminal.expect(CLOSE, 1)
     terminal.packet(CLOSE, channel)
     terminal.expect(1, 11)
@@ -243,14 +243,14 @@
         (CONTRACT, b"other", b"team: come again after 60000 ms"),
     ],
 )
-def test_a_breach_of_contract_says_when_to_come_again(
+def test_contract_limit_reports_retry_after(
     tmp_path: Path, contract: str, tenant: bytes, limit: bytes
 ) -> None:
-    with proxy(tmp_path, own=ON + contract) as running:
+    with proxy(tmp_path, own=CHANNELS_ENABLED + contract) as running:
         terminal = Terminal(running.extra_port)
-        held = served(running, terminal, 1) if b"concurrency" in limit or b"rate" in limit else None
+        established = served(running, terminal, 1) if b"concurrency" in limit or b"rate" in limit else None
         terminal.open(2, tenant=tenant)
         assert limit in terminal.expect(92, 2, 1)
         client = running.client(b"OPEN 1 2 c=feed,t=%s,d=2000\r\n" % tenant)
         assert client.line().startswith(b"BUSY ")
-        del held
+        del established
--- a/tests/test_ended.py
+++ b/tests/test_memory_after_connections_end.py
@@ -1,4 +1,4 @@
-"""What an ended connection leaves behind: nothing, by counting references alone."""
+"""An ended connection leaves nothing in memory, even without the garbage collector."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from rig.crowd import Input, play
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-OF_ONE = (
+CLASSES_PER_CONNECTION = (
     ClientConnection,
     Session,
     Channel,
@@ -41,11 +41,11 @@
     ActiveRequest,
     Attempt,
 )
-SHARED = (Stream, ActorTimer, Call)  # of which those that run on keep some
+SHARED_CLASSES = (Stream, ActorTimer, Call)  # of which connections that are open keep some
 
 
 @pytest.fixture
-def uncounted() -> Iterator[None]:
+def without_collector() -> Iterator[None]:
     gc.collect()
     gc.disable()
     yield
@@ -53,34 +53,34 @@
 
 
 @pytest.fixture
-def one(uncounted: None, tmp_path: Path) -> Iterator[Inside]:
+def one(without_collector: None, tmp_path: Path) -> Iterator[Inside]:
     with inside(tmp_path, endpoints=2, own=CHANNELS, admin_server=True, rules={"warmUpNs": 1}) as running:
         yield running
 
 
-def living() -> Counter[str]:
+def count_objects() -> Counter[str]:
     """How many there are of each class; with the collector off, all that any reference or cycle keeps."""
-    kinds = {kind: kind.__name__ for kind in (*OF_ONE, *SHARED)}
+    kinds = {kind: kind.__name__ for kind in (*CLASSES_PER_CONNECTION, *SHARED_CLASSES)}
     return Counter(kinds[type(each)] for each in gc.get_objects() if type(each) in kinds)
 
 
-def gone(before: Counter[str]) -> None:
+def wait_until_released(before: Counter[str]) -> None:
     """Wait until nothing is left that was not there before: shorter than any timer that could free it."""
     until = time.monotonic() + 5.0
-    while left := living() - before:
+    while left := count_objects() - before:
         assert time.monotonic() < until, left
         time.sleep(0.02)
 
 
 def served(one: Inside) -> None:
-    client, endpoint = one.standing(one.listeners.index(one_asked(one)))
+    client, endpoint = one.standing(one.listeners.index(find_chosen_endpoint(one)))
     endpoint.send(b"LOAD 9\r\nBYE\r\n")
     endpoint.close()
     assert client.line() + client.line() == b"LOAD 9\r\nBYE\r\n"
     assert client.ended() == "fin"
 
 
-def one_asked(one: Inside) -> object:
+def find_chosen_endpoint(one: Inside) -> object:
     """Which endpoint the key's ranking sends a connection to: found by one that is let go."""
     client = one.open()
     listener, endpoint = one.serve_any()
@@ -90,7 +90,7 @@
     return listener
 
 
-def stand(one: Inside) -> tuple[object, object]:
+def establish(one: Inside) -> tuple[object, object]:
     client = one.open()
     _, endpoint = one.serve_any()
     assert client.line() == b"UP r1\r\n"
@@ -98,7 +98,7 @@
 
 
 def client_leaves(one: Inside, how: str = "fin") -> None:
-    client, endpoint = stand(one)
+    client, endpoint = establish(one)
     client.close(how)  # type: ignore[attr-defined]
     assert endpoint.ended() == how  # type: ignore[attr-defined]
 
@@ -108,12 +108,12 @@
 
 
 def endpoint_resets(one: Inside) -> None:
-    client, endpoint = stand(one)
+    client, endpoint = establish(one)
     endpoint.close("reset")  # type: ignore[attr-defined]
     assert client.ended() == "reset"  # type: ignore[attr-defined]
 
 
-def turned_away(one: Inside) -> None:
+def rejected(one: Inside) -> None:
     client = one.open(wait_ms=1000)
     while not select.select([client.sock], [], [], 0)[0]:
         ready, _, _ = select.select([client.sock, *(each.sock for each in one.listeners)], [], [], WAIT)
@@ -133,7 +133,7 @@
     attempt.line()
 
 
-def withdraws(one: Inside) -> None:
+def client_leaves_before_answer(one: Inside) -> None:
     client = one.open(wait_ms=600_000)
     attempt = one.asked().accept()
     attempt.line()
@@ -141,7 +141,7 @@
     assert attempt.ended() in ("fin", "reset")
 
 
-def moved(one: Inside) -> None:
+def migrated(one: Inside) -> None:
     client = one.open()
     listener, _endpoint = one.serve_any()
     assert client.line() == b"UP r1\r\n"
@@ -149,7 +149,7 @@
     assert client.line() == b"MOVE\r\n"
 
 
-def speaks_nonsense(one: Inside) -> None:
+def sends_malformed_line(one: Inside) -> None:
     assert one.client(b"HELLO\r\n").line() == b"ERR\r\n"
 
 
@@ -157,7 +157,7 @@
     assert one.alive()
 
 
-def says_nothing(one: Inside) -> None:
+def sends_nothing(one: Inside) -> None:
     assert one.client().line() == b"ERR\r\n"
 
 
@@ -168,7 +168,7 @@
     return terminal, terminal.confirmed(5), endpoint
 
 
-def session_leaves(one: Inside) -> None:
+def session_ends(one: Inside) -> None:
     terminal, _, endpoint = channel(one)
     terminal.close()
     endpoint.ended()  # type: ignore[attr-defined]
@@ -217,54 +217,54 @@
     assert terminal.read()[0] == 1
 
 
-def operator_calls(one: Inside) -> None:
+def admin_request(one: Inside) -> None:
     assert one.call("GET /ops/readiness") == 200
 
 
-def operator_is_broken(one: Inside) -> None:
+def malformed_admin_request(one: Inside) -> None:
     assert b"400" in one.client(b"\0\0\r\n\r\n", one.admin_port).line()
 
 
 @pytest.mark.parametrize(
-    "story",
+    "scenario",
     [
         served,
         client_leaves,
         client_resets,
         endpoint_resets,
-        turned_away,
+        rejected,
         times_out,
-        withdraws,
-        moved,
-        speaks_nonsense,
+        client_leaves_before_answer,
+        migrated,
+        sends_malformed_line,
         health_checks,
-        says_nothing,
-        session_leaves,
+        sends_nothing,
+        session_ends,
         channel_closes,
         channel_without_window,
         session_reads_nothing,
         session_breaks_the_protocol,
         session_stops_in_a_packet,
-        operator_calls,
-        operator_is_broken,
+        admin_request,
+        malformed_admin_request,
     ],
 )
-def test_nothing_is_left_of_a_connection(one: Inside, story: Callable[[Inside], None]) -> None:
+def test_ended_connection_leaves_no_objects(one: Inside, scenario: Callable[[Inside], None]) -> None:
     # Cycles waited for a full collection with all their buffers, and armed timers held whole sessions.
     assert one.alive()
     until = time.monotonic() + WAIT
-    while living()["PlatformConsumer"]:
+    while count_objects()[ClientConnection.__name__]:
         assert time.monotonic() < until
-    before = living()
-    before["Call"] += 1  # a watch that ends is followed by the next at once
-    before["Stream"] += 1
-    before["Alarm"] += 2
-    story(one)
-    gone(before)
+    before = count_objects()
+    before[Call.__name__] += 1  # a watch that ends is followed by the next at once
+    before[Stream.__name__] += 1
+    before[ActorTimer.__name__] += 2
+    scenario(one)
+    wait_until_released(before)
 
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
-def test_memory_is_level_without_the_collector(tmp_path: Path, frontend: str) -> None:
+def test_memory_does_not_grow_without_the_collector(tmp_path: Path, frontend: str) -> None:
     # 10 KB stayed of each on one frontend and 37 KB on the other: 6 and 22 MiB for these 600.
     with proxy(tmp_path, own=CHANNELS, command=uncollected()) as running:
         port = running.extra_port if frontend == "channels" else running.port
@@ -278,7 +278,7 @@
         assert running.alive()
 
 
-class Quiet(Actor):
+class IdleActor(Actor):
     def run(self) -> ActorCoroutine:
         while True:
             yield
@@ -287,15 +287,15 @@
         self.error = str(error)
 
 
-def pair(loop: Loop) -> tuple[Quiet, socket.socket]:
+def pair(loop: Loop) -> tuple[IdleActor, socket.socket]:
     """An actor with a stream, and the other end of that."""
     ours, theirs = socket.socketpair()
-    actor = Quiet(loop)
+    actor = IdleActor(loop)
     actor.stream = Stream(loop, ours, actor.post)
     return actor, theirs
 
 
-def test_an_actor_ended_from_outside_lets_go_of_everything(uncounted: None) -> None:
+def test_actor_ended_from_outside_releases_everything(without_collector: None) -> None:
     loop = Loop()
     actor, theirs = pair(loop)
     actor.start(actor.run())
@@ -312,8 +312,8 @@
     assert seen() is None and not loop.handlers
 
 
-def test_a_fault_frees_the_actor_after_it_was_told(uncounted: None) -> None:
-    class Faulty(Quiet):
+def test_actor_is_released_after_its_fault_was_reported(without_collector: None) -> None:
+    class Faulty(IdleActor):
         def run(self) -> ActorCoroutine:
             self.set_timer(600 * S, "late")
             yield
@@ -328,7 +328,7 @@
     assert actor.error == "broken" and not actor.timers and actor.coroutine is None
 
 
-def test_a_closed_stream_holds_no_buffer_and_calls_nobody(uncounted: None) -> None:
+def test_closed_stream_keeps_no_buffer_and_no_callback(without_collector: None) -> None:
     loop = Loop()
     actor, theirs = pair(loop)
     stream = actor.stream
@@ -348,7 +348,7 @@
     theirs.close()
 
 
-def test_a_buffer_grows_when_it_is_filled_and_keeps_what_it_holds() -> None:
+def test_read_buffer_grows_when_filled_and_keeps_its_content() -> None:
     loop = Loop()
     actor, theirs = pair(loop)
     stream = actor.stream
@@ -383,9 +383,9 @@
     assert loop.cancelled_timers == sum(timer.callback is None for _, _, timer in loop.timers)
 
 
-def test_an_answer_ends_the_wait_for_one(one: Inside) -> None:
+def test_answer_cancels_the_deadline_timer(one: Inside) -> None:
     for _ in range(3):
-        withdraws(one)
+        client_leaves_before_answer(one)
     loop = one.program.loop
     until = time.monotonic() + WAIT
     while any(at > loop.now() + 60 * S and timer.callback for at, _, timer in tuple(loop.timers)):
@@ -393,8 +393,8 @@
         time.sleep(0.02)
 
 
-def test_a_reader_that_stops_and_goes_on_has_one_alarm(one: Inside) -> None:
-    client, endpoint = stand(one)
+def test_reader_that_pauses_repeatedly_has_one_stall_timer(one: Inside) -> None:
+    client, endpoint = establish(one)
     much = (b"x" * 3998 + b"\r\n") * 4000  # more than the kernel holds: the proxy must stop and go on
     for _ in range(5):
         sender = threading.Thread(target=endpoint.send, args=(much,))  # type: ignore[attr-defined]
@@ -411,4 +411,4 @@
             left -= got
         sender.join(WAIT)
     timers = [each for each in gc.get_objects() if type(each) is ActorTimer]
-    assert sum(set_timer.tag == "stalled" for set_timer in timers) <= 1
+    assert sum(timer.tag == "stalled" for timer in timers) <= 1
