--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import re
 import secrets
 from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple
@@ -31,8 +32,8 @@
 MAX_SESSION_CHANNELS = 256
 # When all sessions together have too many channels, clients come back after this.
 OVERLOADED_RETRY_AFTER_MS = 1000
-# These have a meaning in a request line, where the tenant is one of several NAME=VALUE pairs.
-TENANT_DELIMITERS = ",=\x7f"
+# Control characters, space, and what separates the NAME=VALUE pairs of a request line; the tenant is one.
+INVALID_TENANT_CHARACTERS = re.compile(r"[\x00-\x20,=\x7f]")
 
 
 class ChannelOpenError(ValueError):
@@ -69,9 +70,7 @@
     @property
     def has_valid_tenant(self) -> bool:
         """Whether the tenant's name can stand in a request line."""
-        if len(self.tenant) > MOST_TOLD:
-            return False
-        return not any(char <= " " or char in TENANT_DELIMITERS for char in self.tenant)
+        return len(self.tenant) <= MOST_TOLD and INVALID_TENANT_CHARACTERS.search(self.tenant) is None
 
     @property
     def routing_flags(self) -> int:
