--- a/linnetshift/frontends/line_protocol/message_relay.py
+++ b/linnetshift/frontends/line_protocol/message_relay.py
@@ -8,7 +8,7 @@
 from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.event_loop.loop import Io, Timeout
 from linnetshift.event_loop.outbound_connection import Resume, Steps
-from linnetshift.event_loop.stream import End, LineTooLong
+from linnetshift.event_loop.stream import End, LineTooLongError
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.messages import EndpointEnded, MigrationRequested
 from linnetshift.observability.log import Reason
@@ -69,7 +69,7 @@
         try:
             while not link.is_congested and (line := self.stream.line()) is not None:
                 link.deliver(line)
-        except LineTooLong:
+        except LineTooLongError:
             self.connection.set_line_too_long()
             self.broker.handle_client_ended(self.request, False)
             return False
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -8,7 +8,7 @@
 from linnetshift.event_loop.connection_limits import REQUEST_LINE_TIMEOUT_NS
 from linnetshift.event_loop.loop import Io, Timeout
 from linnetshift.event_loop.outbound_connection import Steps, Stop
-from linnetshift.event_loop.stream import End, LineTooLong
+from linnetshift.event_loop.stream import End, LineTooLongError
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.messages import ShutdownNotice
 from linnetshift.frontends.line_protocol.request_line import RequestLineError, parse_request_line
@@ -42,7 +42,7 @@
         while True:
             try:
                 is_submitted = self._process_lines()
-            except (RequestLineError, LineTooLong) as error:
+            except (RequestLineError, LineTooLongError) as error:
                 return self.connection.answer_bad_line(str(error))
             if is_submitted:
                 timer.cancel()
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -11,7 +11,7 @@
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, Timeout
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Resume, Steps, Stop, linger
-from linnetshift.event_loop.stream import End, LineTooLong, Stream
+from linnetshift.event_loop.stream import End, LineTooLongError, Stream
 from linnetshift.observability import log
 from linnetshift.observability.log import Reason
 from linnetshift.routing.events import Outcome
@@ -203,7 +203,7 @@
         """Read the answer once it is whole; the result if it is not that the request is accepted."""
         try:
             line = stream.line()
-        except LineTooLong:
+        except LineTooLongError:
             return AttemptResult(Reason.BAD_LINE, Outcome.ERROR)
         if line is None:
             return None
@@ -267,7 +267,7 @@
             while not client.is_congested and (line := stream.line()) is not None:
                 self.inspect_line(line)
                 client.deliver(line)
-        except LineTooLong:
+        except LineTooLongError:
             return End.RESET
         stream.want(not client.is_congested)
         return None
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -17,7 +17,7 @@
 from linnetshift.broker.administrative_drains import AdministrativeDrains
 from linnetshift.event_loop import connection_limits
 from linnetshift.event_loop.loop import Loop
-from linnetshift.frontends.channels import session
+from linnetshift.frontends.channels import frontend
 from linnetshift.lifecycle import peer_process
 from linnetshift.lifecycle.peer_process import PeerProcess
 from linnetshift.lifecycle.takeover_messages import PeerResources
@@ -144,7 +144,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A channel costs its opener nothing, and a waiting one no descriptor: 256 in each session would fit.
-    monkeypatch.setattr(session, "MOST_OPEN", 2)
+    monkeypatch.setattr(frontend, "MAX_OPEN_CHANNELS", 2)
     own = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
     with inside(tmp_path, own=own) as running:
         first, second = Terminal(running.extra_port), Terminal(running.extra_port)
@@ -156,7 +156,7 @@
         first.close()
         assert attempts[0].line()
         assert attempts[1].line()
-        while running.program.channels.open > 1:
+        while running.program.channels.open_channels > 1:
             time.sleep(0.01)
         second.open(4)
         running.listeners[0].serve()
@@ -191,8 +191,8 @@
         assert time.monotonic() < until
         # Else the last turn would wait for an event that never comes.
         around.loop.call_later(MS, lambda: None)
-        around.loop.turn()
-        most = max(most, len(peer.stream.out))
+        around.loop.run_once()
+        most = max(most, len(peer.stream.unsent))
     assert 0 < most < 2 * beat
     assert peer.stream.closed
     assert not peer.timers
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -77,5 +77,5 @@
     with connect(acceptor):
         assert acceptor.loop.handlers == {}
         acceptor.set_paused(False)
-        acceptor.loop.turn()
+        acceptor.loop.run_once()
         assert len(accepted) == 1
--- a/tests/test_ended.py
+++ b/tests/test_memory_after_connections_end.py
@@ -1,4 +1,4 @@
-"""What an ended connection leaves behind: nothing, by counting references alone."""
+"""An ended connection leaves nothing in memory, even without the garbage collector."""
 
 from __future__ import annotations
 
@@ -19,16 +19,19 @@
 from linnetshift.admin.connection import AdminConnection
 from linnetshift.broker.active_request import ActiveRequest, Attempt
 from linnetshift.discovery.http_call import DiscoveryCall
-from linnetshift.event_loop.loop import FEW, MS, Actor, ActorCoroutine, ActorTimer, Loop, S
-from linnetshift.event_loop.stream import MAX_LINE, SMALL, End, Stream
-from linnetshift.frontends.channels.session import Channel, Session
+from linnetshift.event_loop.actor import Actor, ActorCoroutine
+from linnetshift.event_loop.loop import MAX_CANCELLED_TIMERS, Loop
+from linnetshift.event_loop.stream import INITIAL_BUFFER_BYTES, MAX_LINE_BYTES, End, Stream
+from linnetshift.event_loop.timers import MS, ActorTimer, S
+from linnetshift.frontends.channels.channel import Channel
+from linnetshift.frontends.channels.session import Session
 from linnetshift.frontends.line_protocol.client_connection import ClientConnection
 from linnetshift.upstream.endpoint_connection import EndpointConnection
 from linnetshift.upstream.health_checker import HealthChecker
 from rig.crowd import Input, play
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-OF_ONE = (
+CLASSES_PER_CONNECTION = (
     ClientConnection,
     Session,
     Channel,
@@ -38,11 +41,11 @@
     ActiveRequest,
     Attempt,
 )
-SHARED = (Stream, ActorTimer, DiscoveryCall)  # of which those that run on keep some
+SHARED_CLASSES = (Stream, ActorTimer, DiscoveryCall)  # of which connections that are open keep some
 
 
 @pytest.fixture
-def uncounted() -> Iterator[None]:
+def without_collector() -> Iterator[None]:
     gc.collect()
     gc.disable()
     yield
@@ -50,34 +53,34 @@
 
 
 @pytest.fixture
-def one(uncounted: None, tmp_path: Path) -> Iterator[Inside]:
+def one(without_collector: None, tmp_path: Path) -> Iterator[Inside]:
     with inside(tmp_path, endpoints=2, own=CHANNELS, admin_server=True, rules={"warmUpNs": 1}) as running:
         yield running
 
 
-def living() -> Counter[str]:
+def count_objects() -> Counter[str]:
     """How many there are of each class; with the collector off, all that any reference or cycle keeps."""
-    kinds = {kind: kind.__name__ for kind in (*OF_ONE, *SHARED)}
+    kinds = {kind: kind.__name__ for kind in (*CLASSES_PER_CONNECTION, *SHARED_CLASSES)}
     return Counter(kinds[type(each)] for each in gc.get_objects() if type(each) in kinds)
 
 
-def gone(before: Counter[str]) -> None:
+def wait_until_released(before: Counter[str]) -> None:
     """Wait until nothing is left that was not there before: shorter than any timer that could free it."""
     until = time.monotonic() + 5.0
-    while left := living() - before:
+    while left := count_objects() - before:
         assert time.monotonic() < until, left
         time.sleep(0.02)
 
 
 def served(one: Inside) -> None:
-    client, endpoint = one.standing(one.listeners.index(one_asked(one)))
+    client, endpoint = one.standing(one.listeners.index(find_chosen_endpoint(one)))
     endpoint.send(b"LOAD 9\r\nBYE\r\n")
     endpoint.close()
     assert client.line() + client.line() == b"LOAD 9\r\nBYE\r\n"
     assert client.ended() == "fin"
 
 
-def one_asked(one: Inside) -> object:
+def find_chosen_endpoint(one: Inside) -> object:
     """Which endpoint the key's ranking sends a connection to: found by one that is let go."""
     client = one.open()
     listener, endpoint = one.serve_any()
@@ -87,7 +90,7 @@
     return listener
 
 
-def stand(one: Inside) -> tuple[object, object]:
+def establish(one: Inside) -> tuple[object, object]:
     client = one.open()
     _, endpoint = one.serve_any()
     assert client.line() == b"UP r1\r\n"
@@ -95,7 +98,7 @@
 
 
 def client_leaves(one: Inside, how: str = "fin") -> None:
-    client, endpoint = stand(one)
+    client, endpoint = establish(one)
     client.close(how)  # type: ignore[attr-defined]
     assert endpoint.ended() == how  # type: ignore[attr-defined]
 
@@ -105,12 +108,12 @@
 
 
 def endpoint_resets(one: Inside) -> None:
-    client, endpoint = stand(one)
+    client, endpoint = establish(one)
     endpoint.close("reset")  # type: ignore[attr-defined]
     assert client.ended() == "reset"  # type: ignore[attr-defined]
 
 
-def turned_away(one: Inside) -> None:
+def rejected(one: Inside) -> None:
     client = one.open(wait_ms=1000)
     while not select.select([client.sock], [], [], 0)[0]:
         ready, _, _ = select.select([client.sock, *(each.sock for each in one.listeners)], [], [], WAIT)
@@ -130,7 +133,7 @@
     attempt.line()
 
 
-def withdraws(one: Inside) -> None:
+def client_leaves_before_answer(one: Inside) -> None:
     client = one.open(wait_ms=600_000)
     attempt = one.asked().accept()
     attempt.line()
@@ -138,7 +141,7 @@
     assert attempt.ended() in ("fin", "reset")
 
 
-def moved(one: Inside) -> None:
+def migrated(one: Inside) -> None:
     client = one.open()
     listener, _endpoint = one.serve_any()
     assert client.line() == b"UP r1\r\n"
@@ -146,7 +149,7 @@
     assert client.line() == b"MOVE\r\n"
 
 
-def speaks_nonsense(one: Inside) -> None:
+def sends_malformed_line(one: Inside) -> None:
     assert one.client(b"HELLO\r\n").line() == b"ERR\r\n"
 
 
@@ -154,7 +157,7 @@
     assert one.alive()
 
 
-def says_nothing(one: Inside) -> None:
+def sends_nothing(one: Inside) -> None:
     assert one.client().line() == b"ERR\r\n"
 
 
@@ -165,7 +168,7 @@
     return terminal, terminal.confirmed(5), endpoint
 
 
-def session_leaves(one: Inside) -> None:
+def session_ends(one: Inside) -> None:
     terminal, _, endpoint = channel(one)
     terminal.close()
     endpoint.ended()  # type: ignore[attr-defined]
@@ -214,54 +217,54 @@
     assert terminal.read()[0] == 1
 
 
-def operator_calls(one: Inside) -> None:
+def admin_request(one: Inside) -> None:
     assert one.call("GET /ops/readiness") == 200
 
 
-def operator_is_broken(one: Inside) -> None:
+def malformed_admin_request(one: Inside) -> None:
     assert b"400" in one.client(b"\0\0\r\n\r\n", one.admin_port).line()
 
 
 @pytest.mark.parametrize(
-    "story",
+    "scenario",
     [
         served,
         client_leaves,
         client_resets,
         endpoint_resets,
-        turned_away,
+        rejected,
         times_out,
-        withdraws,
-        moved,
-        speaks_nonsense,
+        client_leaves_before_answer,
+        migrated,
+        sends_malformed_line,
         health_checks,
-        says_nothing,
-        session_leaves,
+        sends_nothing,
+        session_ends,
         channel_closes,
         channel_without_window,
         session_reads_nothing,
         session_breaks_the_protocol,
         session_stops_in_a_packet,
-        operator_calls,
-        operator_is_broken,
+        admin_request,
+        malformed_admin_request,
     ],
 )
-def test_nothing_is_left_of_a_connection(one: Inside, story: Callable[[Inside], None]) -> None:
+def test_ended_connection_leaves_no_objects(one: Inside, scenario: Callable[[Inside], None]) -> None:
     # Cycles waited for a full collection with all their buffers, and armed timers held whole sessions.
     assert one.alive()
     until = time.monotonic() + WAIT
-    while living()["PlatformConsumer"]:
+    while count_objects()[ClientConnection.__name__]:
         assert time.monotonic() < until
-    before = living()
-    before["DiscoveryCall"] += 1  # a watch that ends is followed by the next at once
-    before["Stream"] += 1
-    before["Alarm"] += 2
-    story(one)
-    gone(before)
+    before = count_objects()
+    before[DiscoveryCall.__name__] += 1  # a watch that ends is followed by the next at once
+    before[Stream.__name__] += 1
+    before[ActorTimer.__name__] += 2
+    scenario(one)
+    wait_until_released(before)
 
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
-def test_memory_is_level_without_the_collector(tmp_path: Path, frontend: str) -> None:
+def test_memory_does_not_grow_without_the_collector(tmp_path: Path, frontend: str) -> None:
     # 10 KB stayed of each on one frontend and 37 KB on the other: 6 and 22 MiB for these 600.
     with proxy(tmp_path, own=CHANNELS, command=uncollected()) as running:
         port = running.extra_port if frontend == "channels" else running.port
@@ -275,7 +278,7 @@
         assert running.alive()
 
 
-class Quiet(Actor):
+class IdleActor(Actor):
     def run(self) -> ActorCoroutine:
         while True:
             yield
@@ -284,15 +287,15 @@
         self.error = str(error)
 
 
-def pair(loop: Loop) -> tuple[Quiet, socket.socket]:
+def pair(loop: Loop) -> tuple[IdleActor, socket.socket]:
     """An actor with a stream, and the other end of that."""
     ours, theirs = socket.socketpair()
-    actor = Quiet(loop)
+    actor = IdleActor(loop)
     actor.stream = Stream(loop, ours, actor.post)
     return actor, theirs
 
 
-def test_an_actor_ended_from_outside_lets_go_of_everything(uncounted: None) -> None:
+def test_actor_ended_from_outside_releases_everything(without_collector: None) -> None:
     loop = Loop()
     actor, theirs = pair(loop)
     actor.start(actor.run())
@@ -302,15 +305,15 @@
     actor.post("unread")
     actor.end()
     loop.call_later(0, lambda: None)
-    loop.turn()
+    loop.run_once()
     assert not actor.timers and not actor.mailbox and theirs.recv(1) == b""
     seen = weakref.ref(actor)
     del actor
     assert seen() is None and not loop.handlers
 
 
-def test_a_fault_frees_the_actor_after_it_was_told(uncounted: None) -> None:
-    class Faulty(Quiet):
+def test_actor_is_released_after_its_fault_was_reported(without_collector: None) -> None:
+    class Faulty(IdleActor):
         def run(self) -> ActorCoroutine:
             self.set_timer(600 * S, "late")
             yield
@@ -321,11 +324,11 @@
     actor.start(actor.run())
     actor.post("go on")
     loop.call_later(0, lambda: None)
-    loop.turn()
+    loop.run_once()
     assert actor.error == "broken" and not actor.timers and actor.coroutine is None
 
 
-def test_a_closed_stream_holds_no_buffer_and_calls_nobody(uncounted: None) -> None:
+def test_closed_stream_keeps_no_buffer_and_no_callback(without_collector: None) -> None:
     loop = Loop()
     actor, theirs = pair(loop)
     stream = actor.stream
@@ -333,11 +336,11 @@
     theirs.send(b"one\r\ntwo")
     assert stream.fill() is None
     line = stream.line()
-    stream.out += b"x" * 9000
+    stream.unsent += b"x" * 9000
     buffer = weakref.ref(stream)  # the stream itself stays: it must cost little
     stream.close()
     assert buffer() is stream and line == b"one\r\n"  # a slice given out stays whole
-    assert len(stream.view) == len(stream.buffer) == len(stream.out) == 0
+    assert len(stream.view) == len(stream.buffer) == len(stream.unsent) == 0
     assert stream.line() is None and stream.fill() is End.RESET and bytes(stream.rest()) == b""
     seen = weakref.ref(actor)
     del actor
@@ -345,20 +348,20 @@
     theirs.close()
 
 
-def test_a_buffer_grows_when_it_is_filled_and_keeps_what_it_holds() -> None:
+def test_read_buffer_grows_when_filled_and_keeps_its_content() -> None:
     loop = Loop()
     actor, theirs = pair(loop)
     stream = actor.stream
     assert isinstance(stream, Stream)
     long = bytes(range(32, 127)) * 40 + b"\r\n"
     theirs.send(b"short\r\n" + long)
-    assert len(stream.view) == SMALL
+    assert len(stream.view) == INITIAL_BUFFER_BYTES
     lines = []
     while len(lines) < 2:
         assert stream.fill() is None
         lines += [bytes(line) for line in stream.lines()]
     assert lines == [b"short\r\n", long]
-    assert len(stream.view) == 2 * MAX_LINE
+    assert len(stream.view) == 2 * MAX_LINE_BYTES
     stream.close()
     theirs.close()
 
@@ -369,29 +372,29 @@
     loop.call_later(0, lambda: fired.append(1))
     for _ in range(10_000):
         loop.call_later(600 * S, lambda: fired.append(2)).cancel()
-    assert len(loop.timers) <= 2 * FEW + 2
+    assert len(loop.timers) <= 2 * MAX_CANCELLED_TIMERS + 2
     twice = loop.call_later(600 * S, lambda: None)
     twice.cancel()
     twice.cancel()
     loop.call_later(MS, lambda: fired.append(3))
     while len(fired) < 2:
-        loop.turn()
+        loop.run_once()
     assert fired == [1, 3]
-    assert loop.dead == sum(timer.call is None for _, _, timer in loop.timers)
+    assert loop.cancelled_timers == sum(timer.callback is None for _, _, timer in loop.timers)
 
 
-def test_an_answer_ends_the_wait_for_one(one: Inside) -> None:
+def test_answer_cancels_the_deadline_timer(one: Inside) -> None:
     for _ in range(3):
-        withdraws(one)
+        client_leaves_before_answer(one)
     loop = one.program.loop
     until = time.monotonic() + WAIT
-    while any(at > loop.now() + 60 * S and timer.call for at, _, timer in tuple(loop.timers)):
+    while any(at > loop.now() + 60 * S and timer.callback for at, _, timer in tuple(loop.timers)):
         assert time.monotonic() < until
         time.sleep(0.02)
 
 
-def test_a_reader_that_stops_and_goes_on_has_one_alarm(one: Inside) -> None:
-    client, endpoint = stand(one)
+def test_reader_that_pauses_repeatedly_has_one_stall_timer(one: Inside) -> None:
+    client, endpoint = establish(one)
     much = (b"x" * 3998 + b"\r\n") * 4000  # more than the kernel holds: the proxy must stop and go on
     for _ in range(5):
         sender = threading.Thread(target=endpoint.send, args=(much,))  # type: ignore[attr-defined]
@@ -408,4 +411,4 @@
             left -= got
         sender.join(WAIT)
     timers = [each for each in gc.get_objects() if type(each) is ActorTimer]
-    assert sum(set_timer.tag == "stalled" for set_timer in timers) <= 1
+    assert sum(timer.tag == "stalled" for timer in timers) <= 1
