--- a/linnetshift/__main__.py
+++ b/linnetshift/__main__.py
@@ -7,9 +7,9 @@
 import sys
 import time
 
-from linnetshift.config.errors import ConfigError
+from linnetshift.config.errors import ConfigurationError
 from linnetshift.config.loader import read_files
-from linnetshift.config.proxy_file import platform_listener
+from linnetshift.config.platform_listener import platform_listener
 from linnetshift.lifecycle.hot_restart import TakeoverSocketPath, request_takeover
 from linnetshift.observability import log
 from linnetshift.proxy import Proxy
@@ -36,7 +36,7 @@
         given = platform_listener()
         place = TakeoverSocketPath(config.name) if given is not None else None
         program = Proxy(config, own, given, place, request_takeover(place) if place is not None else None)
-    except ConfigError as error:
+    except ConfigurationError as error:
         print(f"linnetshift: {error}", file=sys.stderr)
         return 2
     except OSError as error:
--- a/linnetshift/config/broker_file.py
+++ b/linnetshift/config/broker_file.py
@@ -1,98 +1,146 @@
-"""The broker's own file: channels, VRRP and contracts."""
+"""The broker file: a TOML document that turns on channels, VRRP and contracts."""
 
 from __future__ import annotations
 
 import ipaddress
+import math
 import tomllib
 from pathlib import Path
 from typing import Any, NamedTuple
 
 from linnetshift.broker.contracts import Budget, Contract, Contracts
-from linnetshift.config.errors import ConfigError
+from linnetshift.config.errors import (
+    FileSyntaxError,
+    InvalidValueError,
+    MissingKeyError,
+    UnreadableFileError,
+)
 from linnetshift.config.names import NameRegistry
 from linnetshift.event_loop.address import Address, parse_address
 from linnetshift.routing.settings import Settings
 from linnetshift.vrrp.router import VrrpConfig
 
-OWN_FILE = Path(__file__).parent.parent.parent / "deploy" / "broker.toml"
+DEFAULT_FILE = Path(__file__).parent.parent.parent / "deploy" / "broker.toml"
 
+# RFC 9568, section 5.2: one octet each for the virtual router's number, the priority and the number of
+# addresses, twelve bits for the interval in centiseconds.
+MAX_VRID = 255
+MAX_PRIORITY = 255
+MAX_ADDRESSES = 255
+MAX_INTERVAL_CS = 4095
 
-class BrokerFile(NamedTuple):
-    """The parts that are off unless the broker's own file turns them on."""
+DEFAULT_PRIORITY = 100
+DEFAULT_INTERVAL_CS = 100
+
+NumbersByClass = dict[str, set[int]]
+"""All numbers that a class of a name has or had, by the name."""
+
+
+class BrokerConfig(NamedTuple):
+    """The contents of the broker file; what it does not turn on is off."""
 
     channels: Address | None = None
     vrrp: VrrpConfig | None = None
     contracts: Contracts = Contracts()
 
 
-def read_broker_file(path: str | None, names: NameRegistry, settings: Settings) -> BrokerFile:
-    """`deploy/broker.toml`, or the file that the environment names instead."""
-    place = Path(path) if path else OWN_FILE
-    if not path and not place.exists():
-        return BrokerFile()
-    try:
-        raw = tomllib.loads(place.read_text(encoding="utf-8"))
-    except OSError as error:
-        raise ConfigError(f"cannot read {place}: {error.strerror}") from None
-    except ValueError as error:
-        raise ConfigError(f"{place} is not TOML: {error}") from None
+def read_broker_file(path: str | None, names: NameRegistry, settings: Settings) -> BrokerConfig:
+    """Read `path`, or `deploy/broker.toml` where it is empty; raises ConfigurationError.
+
+    A missing `deploy/broker.toml` turns everything off; a missing file that was named is an error.
+    """
+    file = Path(path) if path else DEFAULT_FILE
+    if not path and not file.exists():
+        return BrokerConfig()
+    document = _load_document(file)
     try:
-        channels, vrrp = raw.get("channels", {}), raw.get("vrrp", {})
-        return BrokerFile(
-            channels=parse_address(str(channels["listen"])) if channels.get("enabled") else None,
-            vrrp=read_vrrp(vrrp) if vrrp.get("enabled") else None,
-            contracts=read_contracts(raw.get("contract", []), names, settings),
-        )
+        return _parse_document(document, names, settings)
     except KeyError as error:
-        raise ConfigError(f"{place}: key {error} is missing") from None
+        raise MissingKeyError(file, error.args[0]) from None
     except (ValueError, TypeError, AttributeError, OverflowError) as error:
-        raise ConfigError(f"{place}: {error}") from None
+        raise InvalidValueError(file, error) from None
+
 
+def _load_document(file: Path) -> dict[str, Any]:
+    try:
+        return tomllib.loads(file.read_text(encoding="utf-8"))
+    except OSError as error:
+        raise UnreadableFileError(file, error.strerror) from None
+    except ValueError as error:
+        raise FileSyntaxError(file, "TOML", error) from None
 
-def read_vrrp(raw: dict[str, Any]) -> VrrpConfig:
+
+def _parse_document(document: dict[str, Any], names: NameRegistry, settings: Settings) -> BrokerConfig:
+    """Raises KeyError for a missing key, and other built-in errors for values of a wrong type or range."""
+    channels = document.get("channels", {})
+    vrrp = document.get("vrrp", {})
+    return BrokerConfig(
+        channels=parse_address(str(channels["listen"])) if channels.get("enabled") else None,
+        vrrp=_parse_vrrp(vrrp) if vrrp.get("enabled") else None,
+        contracts=_parse_contracts(document.get("contract", []), names, settings),
+    )
+
+
+def _parse_vrrp(raw: dict[str, Any]) -> VrrpConfig:
     config = VrrpConfig(
         vrid=int(raw["vrid"]),
-        priority=int(raw.get("priority", 100)),
-        interval=int(raw.get("interval_cs", 100)),
+        priority=int(raw.get("priority", DEFAULT_PRIORITY)),
+        interval=int(raw.get("interval_cs", DEFAULT_INTERVAL_CS)),
         preempt=bool(raw.get("preempt", True)),
         listen=parse_address(str(raw["listen"])),
         peers=tuple(parse_address(str(peer)) for peer in raw["peers"]),
         addresses=tuple(str(ipaddress.IPv4Address(address)) for address in raw.get("addresses", [])),
     )
-    if not 1 <= config.vrid <= 255 or not 1 <= config.priority <= 255:
+    if not 1 <= config.vrid <= MAX_VRID or not 1 <= config.priority <= MAX_PRIORITY:
         raise ValueError("vrrp's vrid and priority lie between 1 and 255")
-    if not 1 <= config.interval <= 4095 or len(config.addresses) > 255:
+    if not 1 <= config.interval <= MAX_INTERVAL_CS or len(config.addresses) > MAX_ADDRESSES:
         raise ValueError("vrrp's interval_cs lies between 1 and 4095, with at most 255 addresses")
     return config
 
 
-def read_contracts(raw: list[dict[str, Any]], names: NameRegistry, settings: Settings) -> Contracts:
-    """Services go by name: whatever rules a class of that name has or had."""
-    numbers: dict[str, set[int]] = {}
-    for number, klass in enumerate(settings.classes):
-        numbers.setdefault(klass.name, set()).add(number)
+def _parse_contracts(raw: list[dict[str, Any]], names: NameRegistry, settings: Settings) -> Contracts:
+    """The contracts by the number of their team.
+
+    A contract names services, and covers every class that has or had that name, whatever its rules.
+    """
+    numbers: NumbersByClass = {}
+    for number, request_class in enumerate(settings.classes):
+        numbers.setdefault(request_class.name, set()).add(number)
     teams: dict[int, Contract] = {}
     for item in raw:
-        team, services = str(item["team"]), item.get("services")
-        for kind, name, known in [("team", team, names.tenants)] + [
-            ("service", str(service), numbers) for service in services or []
-        ]:
-            if name not in known:
-                raise ValueError(f"a contract names the unknown {kind} {name!r}")
-        teams[names.tenants[team]] = Contract(
-            services=None if services is None else frozenset().union(*(numbers[str(s)] for s in services)),
-            rate=read_budget(item, "rate_per_s", "rate_burst"),
-            retries=read_budget(item, "retries_per_s", "retries_burst"),
-            concurrency=int(item["concurrency"]) if "concurrency" in item else None,
-        )
+        team = str(item["team"])
+        contract = _parse_contract(item, team, names, numbers)
+        teams[names.tenants[team]] = contract
     return Contracts(teams)
 
 
-def read_budget(item: dict[str, Any], rate_key: str, burst_key: str) -> Budget | None:
+def _parse_contract(
+    item: dict[str, Any], team: str, names: NameRegistry, numbers: NumbersByClass
+) -> Contract:
+    services = item.get("services")
+    service_names = [str(service) for service in services or []]
+    _check_known("team", team, names.tenants)
+    for name in service_names:
+        _check_known("service", name, numbers)
+    return Contract(
+        services=None if services is None else frozenset().union(*(numbers[s] for s in service_names)),
+        rate=_parse_budget(item, "rate_per_s", "rate_burst"),
+        retries=_parse_budget(item, "retries_per_s", "retries_burst"),
+        concurrency=int(item["concurrency"]) if "concurrency" in item else None,
+    )
+
+
+def _check_known(kind: str, name: str, known: dict[str, Any]) -> None:
+    if name not in known:
+        raise ValueError(f"a contract names the unknown {kind} {name!r}")
+
+
+def _parse_budget(item: dict[str, Any], rate_key: str, burst_key: str) -> Budget | None:
+    """The token bucket that the two keys describe, in requests a second and requests; None without a rate."""
     if rate_key not in item:
         return None
     rate = float(item[rate_key])
     burst = float(item.get(burst_key, max(1.0, rate)))
-    if not 0.0 < rate < float("inf") or not 1.0 <= burst < float("inf"):
+    if not 0.0 < rate < math.inf or not 1.0 <= burst < math.inf:
         raise ValueError(f"{rate_key} must be above 0 and {burst_key} 1 or more")
     return Budget(rate, burst)
--- a/linnetshift/config/loader.py
+++ b/linnetshift/config/loader.py
@@ -4,14 +4,29 @@
 
 import os
 from collections.abc import Collection
+from typing import NamedTuple
 
-from linnetshift.config.broker_file import BrokerFile, read_broker_file
-from linnetshift.config.proxy_file import Config, read_config
+from linnetshift.config.broker_file import BrokerConfig, read_broker_file
+from linnetshift.config.proxy_file import ProxyConfig, read_config
+
+PROXY_FILE_VARIABLE = "GW_CONFIG"
+BROKER_FILE_VARIABLE = "LINNETSHIFT_BROKER"
+
+
+class ConfigurationFiles(NamedTuple):
+    """The contents of both files, read together."""
+
+    proxy: ProxyConfig
+    broker: BrokerConfig
 
 
 def read_files(
-    former: Config | None = None, in_use: Collection[int] | None = None
-) -> tuple[Config, BrokerFile]:
-    config = read_config(os.environ.get("GW_CONFIG"), former, in_use)
-    own = read_broker_file(os.environ.get("LINNETSHIFT_BROKER"), config.names, config.settings)
-    return config, own
+    former: ProxyConfig | None = None, classes_in_use: Collection[int] | None = None
+) -> ConfigurationFiles:
+    """Read the proxy file and the broker file; raises ConfigurationError.
+
+    `former` and `classes_in_use` are for a reload, see `read_config`.
+    """
+    proxy = read_config(os.environ.get(PROXY_FILE_VARIABLE), former, classes_in_use)
+    broker = read_broker_file(os.environ.get(BROKER_FILE_VARIABLE), proxy.names, proxy.settings)
+    return ConfigurationFiles(proxy, broker)
--- a/linnetshift/config/names.py
+++ b/linnetshift/config/names.py
@@ -2,54 +2,83 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from linnetshift.routing.settings import Settings
 
-UNKNOWN = -1  # the place of a name that the settings do not know
-MOST_NAMES = 4096  # of tenants, zones or kinds, with those that reloads have dropped
+UNKNOWN = -1  # the number of a name that the settings do not list
+
+# Of tenants, zones or kinds each, with those that reloads have dropped: numbers are never reused, so that
+# without a limit every renaming would grow the tables for as long as the process lives.
+MAX_NAMES = 4096
+
+
+class NumberedNames(NamedTuple):
+    """The three kinds of names whose numbers last as long as the process; each maps a name to its number."""
+
+    tenants: dict[str, int]
+    zones: dict[str, int]
+    kinds: dict[str, int]
 
 
 class NameRegistry:
-    """Numbers of classes; places of tenants, zones and kinds, which no later settings give to another name.
+    """The number of each class, tenant, zone and endpoint kind, by its name.
 
-    What is under way refers to them: a place is a name's for good, wherever later lists have the name.
+    Requests and endpoints in use refer to tenants, zones and kinds by number. Such a number therefore belongs
+    to its name for good, whatever the order of the lists in later settings. The number of a class stands for
+    its rules: a class that changes gets a new one (`Settings.following`).
     """
 
     def __init__(
-        self, settings: dict[str, object], known: Settings, former: NameRegistry | None = None
+        self,
+        raw_settings: dict[str, object],
+        parsed_settings: Settings,
+        former: NameRegistry | None = None,
     ) -> None:
-        self.classes = {known.classes[number].name: number for number in known.numbers}
-        before: tuple[dict[str, int], ...] = former.lists() if former is not None else ({}, {}, {})
-        self.tenants, self.zones, self.kinds = (
-            self._places(settings.get(key), places)
-            for key, places in zip(("tenants", "zones", "models"), before, strict=True)
-        )
-
-    def lists(self) -> tuple[dict[str, int], ...]:
-        return self.tenants, self.zones, self.kinds
-
-    def follow(self, later: NameRegistry) -> dict[str, int]:
-        """The classes that are offered no more, which are still known: clients learn of it later."""
-        for known, listed in zip(self.lists(), later.lists(), strict=True):
+        """Number what the settings list, on from the numbers that `former` has given.
+
+        Raises ValueError where there would be more than `MAX_NAMES` of one kind.
+        """
+        before = former.numbered_names() if former is not None else NumberedNames({}, {}, {})
+        self.classes = {parsed_settings.classes[number].name: number for number in parsed_settings.numbers}
+        self.tenants = self._number(raw_settings.get("tenants"), before.tenants)
+        self.zones = self._number(raw_settings.get("zones"), before.zones)
+        self.kinds = self._number(raw_settings.get("models"), before.kinds)
+
+    def numbered_names(self) -> NumberedNames:
+        """The tables themselves, not copies."""
+        return NumberedNames(self.tenants, self.zones, self.kinds)
+
+    def adopt(self, later: NameRegistry) -> dict[str, int]:
+        """Take up the names of reloaded settings, in place, as other parts hold this registry.
+
+        Returns the classes that are no longer offered, by name. They stay known until `forget_classes`:
+        clients learn of the change later.
+        """
+        for known, listed in zip(self.numbered_names(), later.numbered_names(), strict=True):
             known.update(listed)
         dropped = {name: number for name, number in self.classes.items() if name not in later.classes}
         self.classes = {**dropped, **later.classes}
         return dropped
 
-    def forget(self, dropped: dict[str, int], offered: tuple[int, ...]) -> None:
+    def forget_classes(self, dropped: dict[str, int], offered: tuple[int, ...]) -> None:
+        """Make dropped classes unknown, but for those that have been offered again or replaced since."""
         for name, number in dropped.items():
             if number not in offered and self.classes.get(name) == number:
                 del self.classes[name]
 
     @staticmethod
-    def told(listed: object) -> list[str]:
+    def names_in(listed: object) -> list[str]:
+        """The names in a list of the settings, whose items are names or objects with a key `name`."""
         items = listed if isinstance(listed, list) else []
         return [str(item.get("name") if isinstance(item, dict) else item) for item in items]
 
     @classmethod
-    def _places(cls, listed: object, before: dict[str, int]) -> dict[str, int]:
-        places = dict(before)
-        for name in cls.told(listed):
-            places.setdefault(name, len(places))
-        if len(places) > MOST_NAMES:
+    def _number(cls, listed: object, before: dict[str, int]) -> dict[str, int]:
+        """The numbers in `before`, and the next ones for names that are new."""
+        numbers = dict(before)
+        for name in cls.names_in(listed):
+            numbers.setdefault(name, len(numbers))
+        if len(numbers) > MAX_NAMES:
             raise ValueError("more names of one kind since the start than can be kept; that needs a restart")
-        return places
+        return numbers
--- /dev/null
+++ b/linnetshift/config/platform_listener.py
@@ -0,0 +1,28 @@
+"""The listening socket that the platform holds for clients and passes to the process."""
+
+from __future__ import annotations
+
+import os
+import socket
+
+from linnetshift.config.errors import EnvironmentVariableError
+
+LISTENER_VARIABLE = "GW_LISTEN_FD"
+
+
+def platform_listener() -> socket.socket | None:
+    """The listening socket of the platform, or None where it passes none.
+
+    Raises EnvironmentVariableError where the variable names a descriptor that is no listening socket.
+    """
+    descriptor = os.environ.get(LISTENER_VARIABLE)
+    if not descriptor:
+        return None
+    try:
+        listener = socket.socket(fileno=int(descriptor))
+        if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+            raise ValueError("does not listen")
+    except (ValueError, OSError) as error:
+        reason = error.strerror if isinstance(error, OSError) else error
+        raise EnvironmentVariableError(LISTENER_VARIABLE, f"names no listening socket: {reason}") from None
+    return listener
--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -1,105 +1,133 @@
-"""What a proxy is told: the platform's JSON, and the broker's own file for all that the platform has not."""
+"""The proxy file: the JSON document in which the platform names addresses and settings."""
 
 from __future__ import annotations
 
 import json
 import os
-import socket
 from collections.abc import Collection
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from linnetshift.config.errors import ConfigError
+from linnetshift.config.errors import (
+    EnvironmentVariableError,
+    FileSyntaxError,
+    InvalidValueError,
+    MissingKeyError,
+    MissingSettingsError,
+    UnreadableFileError,
+)
 from linnetshift.config.names import NameRegistry
 from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
 from linnetshift.event_loop.address import Address, parse_address
 from linnetshift.routing.settings import Settings
 
-Keys = dict[str, Any]  # with the keys below each, where it is an object
+ADMIN_ADDRESS_VARIABLE = "GW_ADMIN_ADDR"  # takes precedence over the key `admin_addr`
 
+Keys = dict[str, Any]
+"""The keys of an object, each with the `Keys` of its value; empty where that is no object."""
+
+
+class ProxyConfig(NamedTuple):
+    """The contents of the proxy file."""
 
-class Config(NamedTuple):
     name: str
     listen: Address
     discovery: Address
-    seed: int
-    known: EndpointListUpdate
+    seed: int  # of the random source
+    cached_list: EndpointListUpdate  # the endpoints that the platform knew when it wrote the file
     settings: Settings
     names: NameRegistry
-    sockets: int  # the platform's limit; 0 where it gives none
-    admin: Address | None  # where operators call, if they do
-    keys: Keys  # that the file has
-
-
-def keys_of(document: dict[str, Any]) -> Keys:
-    return {key: keys_of(below) if isinstance(below, dict) else {} for key, below in document.items()}
-
-
-def check_keys(document: Any, keys: Keys, path: str = "") -> None:
-    """A file that lacks what the one before had is a broken one, though it could be read."""
-    for key, below in keys.items():
-        if not isinstance(document, dict) or key not in document:
-            raise KeyError(path + key)
-        check_keys(document[key], below, f"{path}{key}.")
+    max_sockets: int  # the platform's limit; 0 where it gives none
+    admin: Address | None  # of the admin server; None where it is off
+    keys: Keys  # of the whole document
 
 
 def read_config(
-    path: str | None, former: Config | None = None, in_use: Collection[int] | None = None
-) -> Config:
-    """Raises ConfigError; with `former`, where the file lacks what that one had, and with its numbers.
+    path: str | None, former: ProxyConfig | None = None, classes_in_use: Collection[int] | None = None
+) -> ProxyConfig:
+    """Read and validate the proxy file; raises ConfigurationError.
 
-    `in_use`: numbers of classes that something under way refers to; None where that is not known.
+    `former` is the configuration in use at a reload: its numbers are kept, and a file that lacks a key which
+    that one had is rejected. `classes_in_use` are numbers of classes that something under way refers to;
+    None where that is not known.
     """
     if not path:
-        raise ConfigError("GW_CONFIG does not name a configuration file")
+        raise EnvironmentVariableError("GW_CONFIG", "does not name a configuration file")
+    document = _load_document(path)
     try:
-        with open(path, encoding="utf-8") as file:
-            raw: Any = json.load(file)
-    except OSError as error:
-        raise ConfigError(f"cannot read {path}: {error.strerror}") from None
-    except ValueError as error:
-        raise ConfigError(f"{path} is not JSON: {error}") from None
-    if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
-        raise ConfigError(f"{path} holds no settings")
-    admin = os.environ.get("GW_ADMIN_ADDR") or raw.get("admin_addr")
-    try:
-        check_keys(raw, former.keys if former is not None else {})
-        listen, discovery = parse_address(str(raw["listen"])), parse_address(str(raw["discovery"]))
-        settings = Settings.parse(raw["settings"])
-        if former is not None:
-            settings = settings.following(former.settings, in_use)
-        names = NameRegistry(raw["settings"], settings, former.names if former is not None else None)
-        zones = names.told(raw["settings"].get("zones"))
-        if 0 <= settings.zone < len(zones):
-            settings = replace(settings, zone=names.zones[zones[settings.zone]])
-        return Config(
-            name=str(raw.get("name", "")),
-            listen=listen,
-            discovery=discovery,
-            seed=int(str(raw.get("seed", "0")), 16),
-            known=read_list(raw.get("known", {"targets": []}), names, cached=True),
-            settings=settings,
-            names=names,
-            sockets=int((raw.get("limits") or {}).get("sockets") or 0),
-            admin=parse_address(str(admin)) if admin else None,
-            keys=keys_of(raw),
-        )
+        return _parse_document(document, former, classes_in_use)
     except KeyError as error:
-        raise ConfigError(f"{path}: key {error} is missing") from None
+        raise MissingKeyError(path, error.args[0]) from None
     except (ValueError, TypeError, AttributeError, OverflowError) as error:
-        raise ConfigError(f"{path}: {error}") from None
+        raise InvalidValueError(path, error) from None
 
 
-def platform_listener() -> socket.socket | None:
-    """The listening socket that the platform holds for clients, where it does."""
-    told = os.environ.get("GW_LISTEN_FD")
-    if not told:
-        return None
+def _load_document(path: str) -> dict[str, Any]:
+    """The JSON object in the file, which has an object `settings`."""
     try:
-        listener = socket.socket(fileno=int(told))
-        if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise ValueError("does not listen")
-    except (ValueError, OSError) as error:
-        reason = error.strerror if isinstance(error, OSError) else error
-        raise ConfigError(f"GW_LISTEN_FD names no listening socket: {reason}") from None
-    return listener
+        with open(path, encoding="utf-8") as file:
+            document: Any = json.load(file)
+    except OSError as error:
+        raise UnreadableFileError(path, error.strerror) from None
+    except ValueError as error:
+        raise FileSyntaxError(path, "JSON", error) from None
+    if not isinstance(document, dict) or not isinstance(document.get("settings"), dict):
+        raise MissingSettingsError(path)
+    return document
+
+
+def _parse_document(
+    document: dict[str, Any], former: ProxyConfig | None, classes_in_use: Collection[int] | None
+) -> ProxyConfig:
+    """Raises KeyError for a missing key, and other built-in errors for values of a wrong type or range."""
+    _check_keys(document, former.keys if former is not None else {})
+    listen = parse_address(str(document["listen"]))
+    discovery = parse_address(str(document["discovery"]))
+    raw_settings = document["settings"]
+    settings = Settings.parse(raw_settings)
+    if former is not None:
+        settings = settings.following(former.settings, classes_in_use)
+    names = NameRegistry(raw_settings, settings, former.names if former is not None else None)
+    return ProxyConfig(
+        name=str(document.get("name", "")),
+        listen=listen,
+        discovery=discovery,
+        seed=int(str(document.get("seed", "0")), 16),
+        cached_list=read_list(document.get("known", {"targets": []}), names, cached=True),
+        settings=_with_registered_zone(settings, raw_settings.get("zones"), names),
+        names=names,
+        max_sockets=int((document.get("limits") or {}).get("sockets") or 0),
+        admin=_admin_address(document),
+        keys=_keys_of(document),
+    )
+
+
+def _with_registered_zone(settings: Settings, raw_zones: object, names: NameRegistry) -> Settings:
+    """The settings with this proxy's zone as numbered by the registry.
+
+    The file gives it as an index into its own list of zones, whose order may change between two reloads.
+    """
+    zones = names.names_in(raw_zones)
+    if 0 <= settings.zone < len(zones):
+        return replace(settings, zone=names.zones[zones[settings.zone]])
+    return settings
+
+
+def _admin_address(document: dict[str, Any]) -> Address | None:
+    address = os.environ.get(ADMIN_ADDRESS_VARIABLE) or document.get("admin_addr")
+    return parse_address(str(address)) if address else None
+
+
+def _keys_of(document: dict[str, Any]) -> Keys:
+    return {key: _keys_of(value) if isinstance(value, dict) else {} for key, value in document.items()}
+
+
+def _check_keys(document: Any, keys: Keys, path: str = "") -> None:
+    """Raise KeyError with the dotted path of a key that the former file had and this one lacks.
+
+    Such a file is a broken one, though it may be valid JSON and every missing key optional.
+    """
+    for key, below in keys.items():
+        if not isinstance(document, dict) or key not in document:
+            raise KeyError(path + key)
+        _check_keys(document[key], below, f"{path}{key}.")
--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -1,4 +1,4 @@
-"""The actor that lets the balancer decide on all that came in at one turn of the event loop."""
+"""The actor that lets the balancer decide on all events of one turn of the event loop together."""
 
 from __future__ import annotations
 
@@ -9,64 +9,95 @@
 from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Loop, Timeout, Timer
 from linnetshift.observability import log
 
-REVIEW_NS = 125 * MS  # how often silence is looked for
-REVIEWS = 8  # and message times at one in so many
+# How often endpoints are checked for unresponsiveness: well under the 400 ms without an answer after which
+# the broker counts one as unresponsive.
+REVIEW_INTERVAL_NS = 125 * MS
 
+# Message latencies are reviewed, and new deployment facts logged, once a second.
+REVIEWS_PER_LATENCY_REVIEW = 8
+
+
+class ProcessEvents(NamedTuple):
+    """The broker has queued events for the balancer."""
+
+
+class ConfirmProcessing(NamedTuple):
+    """Call `done` once the balancer has decided on everything that is queued by now."""
 
-class Settled(NamedTuple):
     done: Callable[[], None]
 
 
+class Review(NamedTuple):
+    """The tag of the review timer; reviews are numbered from 1."""
+
+    number: int
+
+
+PROCESS_EVENTS = ProcessEvents()  # posted for every event: one object serves all
+
+
 class DecisionLoop(Actor):
-    """Lets the broker decide on all that has come in at one turn of the loop together."""
+    """Runs the broker's queued events through the balancer, and its periodic reviews.
+
+    It is the broker's `Timers` port. `broker` is set before `run` starts, as the broker needs this port.
+    """
 
     broker: Broker
 
-    def __init__(self, loop: Loop, waiting: bool = False) -> None:
-        """`waiting`: nothing is decided before discovery's first word, or its failure to say any."""
+    def __init__(self, loop: Loop, waits_for_discovery: bool = False) -> None:
+        """`waits_for_discovery`: decide nothing before discovery's first call has ended."""
         super().__init__(loop)
-        self.waiting = waiting
+        self.waits_for_discovery = waits_for_discovery
 
     def handle_discovery_ready(self) -> None:
-        if self.waiting:
-            self.waiting = False
+        """A call to discovery has ended, with an answer or without; decisions begin with the first."""
+        if self.waits_for_discovery:
+            self.waits_for_discovery = False
             self.schedule_processing()
 
     def schedule_processing(self) -> None:
-        self.post(None)
+        """Have the balancer decide once the events at hand are all queued."""
+        self.post(PROCESS_EVENTS)
 
     def when_processed(self, done: Callable[[], None]) -> None:
-        """Have `done` called once the module has decided on all that is in by now."""
-        self.post(Settled(done))
+        """Have `done` called once the balancer has decided on everything that is queued by now."""
+        self.post(ConfirmProcessing(done))
 
     def set_balancer_timer(self, delay_ns: int, token: int) -> None:
+        """Have the balancer's timer with this token fire after the delay."""
         self.call_later(delay_ns, lambda: self.broker.timer_fired(token))
 
     def call_later(self, delay_ns: int, fire: Callable[[], None]) -> Timer:
+        """Have `fire` called after the delay, outside this actor's mailbox."""
         return self.loop.call_later(delay_ns, fire)
 
     def run(self) -> ActorCoroutine:
-        self.set_timer(REVIEW_NS, 1)
+        """Handle messages for as long as the process lives."""
+        self.set_timer(REVIEW_INTERVAL_NS, Review(1))
         while True:
             match (yield):
-                case Timeout(tag=int(review)):
-                    self.set_timer(REVIEW_NS, review + 1)
-                    self.broker.review_unresponsive_endpoints()
-                    if review % REVIEWS == 0:
-                        self.broker.review_latency()
-                        for what, value in self.broker.deployment_facts.fresh():
-                            log.note("deployment-fact-observed", what=what, value=value)
-                case Settled(done):
-                    self.decide()
+                case Timeout(tag=Review(number)):
+                    self.set_timer(REVIEW_INTERVAL_NS, Review(number + 1))
+                    self._review(number)
+                case ConfirmProcessing(done):
+                    self._process_events()
                     done()
-                case _:
-                    self.decide()
-
-    def decide(self) -> None:
-        if self.waiting:
+                case ProcessEvents():
+                    self._process_events()
+
+    def _review(self, number: int) -> None:
+        self.broker.review_unresponsive_endpoints()
+        if number % REVIEWS_PER_LATENCY_REVIEW == 0:
+            self.broker.review_latency()
+            for what, value in self.broker.deployment_facts.fresh():
+                log.note("deployment-fact-observed", what=what, value=value)
+
+    def _process_events(self) -> None:
+        if self.waits_for_discovery:
             return
         try:
             self.broker.process_events()
         except Exception as error:
-            # What stands goes on, and the broker answers what the module no longer does.
+            # This edge contains faults: one in the decisions must not end the established connections. They
+            # go on, and the broker itself answers requests that get no decision.
             log.fault(error)
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -13,10 +13,10 @@
 from linnetshift.broker.administrative_drains import MOST_LISTED
 from linnetshift.broker.broker import Broker
 from linnetshift.broker.snapshot import export_state
-from linnetshift.config.broker_file import BrokerFile
-from linnetshift.config.errors import ConfigError
+from linnetshift.config.broker_file import BrokerConfig
+from linnetshift.config.errors import ConfigurationError, RestartRequiredError
 from linnetshift.config.loader import read_files
-from linnetshift.config.proxy_file import Config
+from linnetshift.config.proxy_file import ProxyConfig
 from linnetshift.decision_loop import DecisionLoop
 from linnetshift.discovery.endpoint_list import EndpointListUpdate, describe
 from linnetshift.discovery.watch import Discovery, WatchTimeouts
@@ -50,8 +50,8 @@
 
     def __init__(
         self,
-        config: Config,
-        own: BrokerFile,
+        config: ProxyConfig,
+        own: BrokerConfig,
         given: socket.socket | None = None,
         socket_path: TakeoverSocketPath | None = None,
         predecessor: PredecessorState | None = None,
@@ -61,10 +61,10 @@
         self.config, self.names, self.own = config, config.names, own
         self.connector = EndpointConnector(loop)
         imported = ImportedState(predecessor, self.names)
-        known = imported.list_update or config.known
+        known = imported.list_update or config.cached_list
         pushed = not config.settings.must_poll
         # What the agent of pushed lists has counts as told from the start, whatever the file says.
-        self.decision_loop = DecisionLoop(loop, waiting=pushed)
+        self.decision_loop = DecisionLoop(loop, waits_for_discovery=pushed)
         self.discovery = Discovery(
             loop,
             config.discovery,
@@ -89,7 +89,7 @@
         if pushed:
             # Pushed lists stop at the agent on this machine, and the module never asks for them.
             self.discovery.watch(True)
-        self.connection_limiter = ConnectionLimiter(loop, config.sockets)
+        self.connection_limiter = ConnectionLimiter(loop, config.max_sockets)
         imported.restore(self.broker)
         self.peer_migrated = imported.peer_resources.moved  # by the other process, so far
         self.update_peer_resources(imported.peer_resources)
@@ -287,7 +287,7 @@
         try:
             config, own = read_files(self.config, self.classes_in_use())
             if own.vrrp != self.own.vrrp:
-                raise ConfigError("a change of [vrrp] needs a restart")
+                raise RestartRequiredError("vrrp")
             if config.admin is not None and config.admin != self.admin_server.address:
                 admin_server = self.admin_server.open(config.admin)
             wanted = [(self.frontend, config.listen), (self.channels, own.channels)]
@@ -297,7 +297,7 @@
                 idle = frontend is self.channels and own.vrrp is not None and frontend.address is None
                 if address is not None and address != frontend.address and not idle:
                     bound.append((frontend, Acceptor(self.loop, address, frontend.take)))
-        except (ConfigError, OSError) as error:
+        except (ConfigurationError, OSError) as error:
             for acceptor in [acceptor for _, acceptor in bound] + (
                 [admin_server] if admin_server is not None else []
             ):
@@ -311,11 +311,13 @@
         if own.channels is None and self.channels.address is not None:
             self.migrate_channels()
         self.config, self.own = config, own
-        dropped = self.names.follow(config.names)
+        dropped = self.names.adopt(config.names)
         self.broker.configure(config.settings, own.contracts)
-        self.loop.call_later(DROPPED_NS, lambda: self.names.forget(dropped, self.config.settings.numbers))
-        if config.known.event.version > self.discovery.version:
-            self.listed(config.known)
+        self.loop.call_later(
+            DROPPED_NS, lambda: self.names.forget_classes(dropped, self.config.settings.numbers)
+        )
+        if config.cached_list.event.version > self.discovery.version:
+            self.listed(config.cached_list)
         self.discovery.relocate(config.discovery, WatchTimeouts.of(config.settings))
         log.note(
             "configuration-reloaded",
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -15,7 +15,7 @@
 from proxy import RunningProxy, proxy, settings
 
 from linnetshift.config.broker_file import read_broker_file
-from linnetshift.config.errors import ConfigError
+from linnetshift.config.errors import ConfigurationError
 from linnetshift.config.proxy_file import read_config
 from linnetshift.event_loop.loop import ActorCoroutine, Io, Loop, S
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Stop
@@ -109,7 +109,7 @@
         for before in (None, former):
             try:
                 read_config(str(path), before)
-            except ConfigError as error:
+            except ConfigurationError as error:
                 refused += 1
                 assert "\n" not in str(error)
     assert 0 < refused < 3000
@@ -138,7 +138,7 @@
         path.write_bytes(scar(rng, text))
         try:
             read_broker_file(str(path), config.names, config.settings)
-        except ConfigError as error:
+        except ConfigurationError as error:
             refused += 1
             assert "\n" not in str(error)
     assert refused
