--- a/linnetshift/__main__.py
+++ b/linnetshift/__main__.py
@@ -1,4 +1,4 @@
-"""One real proxy: reads its configuration, wires the parts and runs until told to leave."""
+"""The entry point of one proxy process: signals and exit status."""
 
 from __future__ import annotations
 
@@ -14,13 +14,16 @@
 from linnetshift.observability import log
 from linnetshift.proxy import Proxy
 
+EXIT_UNUSABLE_CONFIGURATION = 2
+
 
 def catch_signals() -> int:
-    """The pipe that tells of them. From the first moment: one that nobody catches ends the program.
+    """Catch the signals that the proxy acts on; returns the descriptor at which their numbers arrive.
 
-    Python's own handler runs between two instructions; the byte it leaves wakes the poll.
+    It is called before anything else: a signal that nobody catches ends the process. Python runs its own
+    handler between two instructions; the byte that it writes to the pipe wakes the event loop.
     """
-    # A pipe and no pair of sockets: where the platform leads all sockets, only those of IP work.
+    # A pipe and not a pair of sockets: where the platform redirects all sockets, only those of IP work.
     reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
     signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
@@ -28,30 +31,41 @@
     return reader
 
 
+def start_proxy() -> Proxy:
+    """The proxy that the environment describes, which takes over from a running process where there is one.
+
+    Raises ConfigurationError where a file or variable cannot be used, OSError where an address cannot.
+    """
+    config, broker_config = read_files()
+    listener = platform_listener()
+    if listener is None:
+        return Proxy.start(config, broker_config)
+    socket_path = TakeoverSocketPath(config.name)
+    return Proxy.start(config, broker_config, listener, socket_path, request_takeover(socket_path))
+
+
 def main() -> int:
+    """Run the proxy until it has shut down; returns the exit status."""
     log.set_up()
-    signals = catch_signals()
+    wakeup_pipe = catch_signals()
     try:
-        config, own = read_files()
-        given = platform_listener()
-        place = TakeoverSocketPath(config.name) if given is not None else None
-        program = Proxy(config, own, given, place, request_takeover(place) if place is not None else None)
+        proxy = start_proxy()
     except ConfigurationError as error:
         print(f"linnetshift: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE_CONFIGURATION
     except OSError as error:
         print(f"linnetshift: cannot listen: {error.strerror}", file=sys.stderr)
-        return 2
-    program.watch_signals(signals)
+        return EXIT_UNUSABLE_CONFIGURATION
+    proxy.watch_signals(wakeup_pipe)
     log.note(
         "process-started",
-        name=config.name,
-        listen=f"{config.listen[0]}:{config.listen[1]}",
+        name=proxy.config.name,
+        listen=f"{proxy.config.listen[0]}:{proxy.config.listen[1]}",
         start_ms=int(time.process_time() * 1000),
     )
-    program.log_settings()
-    program.loop.run()
-    program.hot_restart.end()
+    proxy.log_settings()
+    proxy.loop.run()
+    proxy.hot_restart.end()
     return 0
 
 
--- a/linnetshift/config/names.py
+++ b/linnetshift/config/names.py
@@ -8,7 +8,7 @@
 
 UNKNOWN = -1  # the number of a name that the settings do not list
 
-# Of tenants, zones or kinds each, with those that reloads have dropped: numbers are never reused, so that
+# Of tenants, zones or kinds each, with those that are no longer listed: numbers are never reused, so that
 # without a limit every renaming would grow the tables for as long as the process lives.
 MAX_NAMES = 4096
 
@@ -57,13 +57,13 @@
         """
         for known, listed in zip(self.numbered_names(), later.numbered_names(), strict=True):
             known.update(listed)
-        dropped = {name: number for name, number in self.classes.items() if name not in later.classes}
-        self.classes = {**dropped, **later.classes}
-        return dropped
+        discontinued = {name: number for name, number in self.classes.items() if name not in later.classes}
+        self.classes = {**discontinued, **later.classes}
+        return discontinued
 
-    def forget_classes(self, dropped: dict[str, int], offered: tuple[int, ...]) -> None:
-        """Make dropped classes unknown, but for those that have been offered again or replaced since."""
-        for name, number in dropped.items():
+    def forget_classes(self, discontinued: dict[str, int], offered: tuple[int, ...]) -> None:
+        """Make discontinued classes unknown, but for those that have been offered again or replaced since."""
+        for name, number in discontinued.items():
             if number not in offered and self.classes.get(name) == number:
                 del self.classes[name]
 
--- /dev/null
+++ b/linnetshift/lifecycle/channels_activation.py
@@ -0,0 +1,97 @@
+"""When the channels frontend listens: always, or with VRRP only while this proxy is the active router."""
+
+from __future__ import annotations
+
+import socket
+
+from linnetshift.broker.broker import Broker
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.loop import Loop
+from linnetshift.frontends.channels.session import ChannelsFrontend
+from linnetshift.lifecycle.graceful_shutdown import ChannelMigrator
+from linnetshift.vrrp.instance import Vrrp
+from linnetshift.vrrp.router import State, VrrpConfig
+
+# The names under which descriptors pass to a successor.
+CHANNELS_SOCKET = "channels"
+VRRP_SOCKET = "vrrp"
+
+
+class ChannelsActivation:
+    """Opens and closes the listener of the channels frontend.
+
+    It owns the VRRP instance and the sockets that a predecessor passed on.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        broker: Broker,
+        frontend: ChannelsFrontend,
+        address: Address | None,
+        inherited_sockets: dict[str, socket.socket],
+    ) -> None:
+        """`address` is where channels are accepted, None where they are off; `start` opens it."""
+        self.loop = loop
+        self.broker = broker
+        self.frontend = frontend
+        self.address = address
+        self.inherited_sockets = inherited_sockets
+        self.vrrp: Vrrp | None = None
+
+    def start(self, vrrp: VrrpConfig | None, was_active: bool) -> None:
+        """Listen, or join VRRP, as the active router where the predecessor was it; raises OSError."""
+        if vrrp is not None:
+            inherited = self.inherited_sockets.pop(VRRP_SOCKET, None)
+            self.vrrp = Vrrp(self.loop, vrrp, self.handle_vrrp_change, inherited, was_active)
+            self.vrrp.start(self.vrrp.run())
+        elif self.address is not None:
+            self._listen(self.address)
+        # An open listener that nobody accepts from would keep its clients waiting.
+        for unused in self.inherited_sockets.values():
+            unused.close()
+
+    @property
+    def is_vrrp_active(self) -> bool:
+        """Whether VRRP is on and this proxy is the active router."""
+        return self.vrrp is not None and self.vrrp.router.state is State.ACTIVE
+
+    @property
+    def may_listen_elsewhere(self) -> bool:
+        """Whether a reload may open another address; a backup router opens none."""
+        return self.vrrp is None or self.frontend.address is not None
+
+    def descriptors(self) -> dict[str, int]:
+        """The open descriptors that pass to a successor, by name."""
+        acceptor = self.frontend.acceptor
+        descriptors = {
+            CHANNELS_SOCKET: acceptor.listener.fileno() if acceptor is not None else -1,
+            VRRP_SOCKET: self.vrrp.sock.fileno() if self.vrrp is not None else -1,
+        }
+        return {name: descriptor for name, descriptor in descriptors.items() if descriptor >= 0}
+
+    def handle_vrrp_change(self, is_active: bool) -> None:
+        """Listen while this proxy is the active router; migrate the channels once it no longer is."""
+        if not is_active:
+            self.migrate_channels()
+        elif self.address is not None:
+            self._listen(self.address)
+
+    def migrate_channels(self) -> None:
+        """Stop listening, and migrate the established channels over a short time."""
+        self.frontend.leave()
+        migrator = ChannelMigrator(self.loop, self.broker, self.frontend)
+        migrator.start(migrator.run())
+
+    def pause_vrrp(self, paused: bool) -> None:
+        """Leave the router's part to another process of this proxy, or resume it."""
+        if self.vrrp is not None:
+            self.vrrp.pause(paused)
+
+    def stop_vrrp(self) -> None:
+        """Release the active router's part, as this proxy shuts down."""
+        if self.vrrp is not None:
+            self.vrrp.stop()
+
+    def _listen(self, address: Address) -> None:
+        self.frontend.listen(address, self.inherited_sockets.pop(CHANNELS_SOCKET, None))
--- /dev/null
+++ b/linnetshift/lifecycle/local_process.py
@@ -0,0 +1,111 @@
+"""What this process does when another process of the same proxy asks, during a hot restart."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from linnetshift.broker.broker import Broker
+from linnetshift.broker.snapshot import export_state
+from linnetshift.config.names import NameRegistry
+from linnetshift.decision_loop import DecisionLoop
+from linnetshift.discovery.endpoint_list import describe
+from linnetshift.discovery.watch import Discovery
+from linnetshift.event_loop.connection_limits import ConnectionLimiter
+from linnetshift.event_loop.loop import Loop
+from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
+from linnetshift.lifecycle.channels_activation import ChannelsActivation
+from linnetshift.lifecycle.hot_restart import PeerResources, spent
+from linnetshift.lifecycle.shutdown_coordinator import ShutdownCoordinator
+from linnetshift.observability import log
+from linnetshift.upstream.connector import EndpointConnector
+
+
+@dataclass(slots=True, kw_only=True, eq=False)
+class LocalProcess:
+    """This process's side of a hot restart: the `RestartOperations` of `HotRestart`."""
+
+    loop: Loop
+    names: NameRegistry
+    broker: Broker
+    decision_loop: DecisionLoop
+    discovery: Discovery
+    connector: EndpointConnector
+    connection_limiter: ConnectionLimiter
+    frontend: LineProtocolFrontend
+    activation: ChannelsActivation
+    shutdown: ShutdownCoordinator
+    migrated_by_peer: int  # clients that the other process had told to migrate when it last reported
+
+    def state(self) -> tuple[dict[str, Any], list[int]]:
+        """All that a successor needs to take over, and the descriptors that pass with it.
+
+        The keys are those of every earlier version.
+        """
+        descriptors = self.activation.descriptors()
+        state = {
+            "list": {"rev": self.discovery.version, "all": True, "targets": self._listed_endpoints()},
+            "bans": self.broker.administrative_drains.state(),
+            "budgets": spent(self.broker.contracts, self.names),
+            "holdings": self.peer_resources(),
+            "memory": export_state(self.broker.balancer, self.broker.latency_estimator),
+            "active": self.activation.is_vrrp_active,
+            "passed": list(descriptors),
+        }
+        return state, list(descriptors.values())
+
+    def _listed_endpoints(self) -> list[dict[str, Any]]:
+        """The endpoint list as discovery would send it."""
+        addresses = self.connector.addresses
+        return [
+            describe(entry, addresses[endpoint], self.names)
+            for endpoint, entry in self.broker.administrative_drains.listed.items()
+            if endpoint in addresses
+        ]
+
+    def yield_to_successor(self, yields: bool) -> None:
+        """Leave what arrives to the successor and migrate the clients to it, or accept again."""
+        if self.shutdown.is_terminating and not yields:
+            return  # this process ends in a moment: it must not accept again
+        self.frontend.pause(yields)
+        self.activation.frontend.pause(yields)
+        if self.shutdown.is_terminating:
+            return  # the clients are being migrated already
+        self.activation.pause_vrrp(yields)
+        if yields:
+            self.shutdown.start_replaced()
+        else:
+            self.shutdown.cancel()
+
+    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+        """Drain the endpoint in this process, or restore it; `done` is called once that is acted on."""
+        is_known = self.broker.drain_endpoint(endpoint) if out else self.broker.restore_endpoint(endpoint)
+        log.note(
+            "administrative-drain-changed",
+            endpoint=endpoint.decode(errors="replace"),
+            out=out,
+            known=is_known,
+        )
+        self.decision_loop.when_processed(done)
+
+    def peer_resources(self) -> dict[str, Any]:
+        """What the other process has to count together with its own; `PeerResources.read` reads it."""
+        loads = {
+            endpoint.decode(): [(established.load, established.group) for established in connections]
+            for endpoint, connections in self.broker.loads().items()
+        }
+        return {"streams": self.loop.streams, "loads": loads, "moved": self.broker.migrated}
+
+    def update_peer_resources(self, peer_resources: PeerResources) -> None:
+        """Count what the other process holds together with what this one does."""
+        estimator = self.broker.latency_estimator
+        self.connection_limiter.peer_descriptors = peer_resources.streams
+        estimator.elsewhere = dict(peer_resources.loads)
+        # A client that the other process migrated comes back to this one, and was this proxy's before: it is
+        # not a client that another proxy migrated here.
+        newly_migrated = peer_resources.moved - self.migrated_by_peer
+        for _ in range(min(newly_migrated, self.connection_limiter.descriptors)):
+            estimator.guest(False, self.loop.now())
+        self.migrated_by_peer = peer_resources.moved
+        self.broker.balancer.elsewhere = sum(map(len, peer_resources.loads.values()))
--- /dev/null
+++ b/linnetshift/lifecycle/log_summaries.py
@@ -0,0 +1,53 @@
+"""What the log says of an endpoint list and of the settings in use."""
+
+from __future__ import annotations
+
+from linnetshift.event_loop.loop import MS, S
+from linnetshift.observability import log
+from linnetshift.routing.events import EndpointList, EndpointState, ListForm
+from linnetshift.routing.settings import Settings
+
+# Endpoints that started more recently are named in the log with their age: those may still be warming up.
+RECENT_START_NS = 60 * S
+
+
+def describe_list(event: EndpointList, now_ns: int) -> dict[str, object]:
+    """The log fields of a list or of its changes; ages are in milliseconds.
+
+    Together with the time of the line they tell how old each list was in a run.
+    """
+    recent = [
+        (entry.endpoint, (now_ns - entry.started_ns) // MS)
+        for entry in event.entries
+        if now_ns - entry.started_ns < RECENT_START_NS
+    ]
+    return {
+        "form": ListForm(event.form).name.lower(),
+        "rev": event.version,
+        "entries": len(event.entries),
+        "draining": sum(entry.state == EndpointState.DRAINING for entry in event.entries),
+        "removed": sum(entry.state == EndpointState.REMOVED for entry in event.entries),
+        "warming_up": ",".join(f"{endpoint.decode('utf-8', 'replace')}@{age}" for endpoint, age in recent),
+    }
+
+
+def log_settings(settings: Settings) -> None:
+    """Log how the settings were understood, for operators to compare with what they meant."""
+    log.note(
+        "settings-applied",
+        proxies=settings.balancers,
+        cross_zone_weight=f"{settings.cross_zone_weight:.3f}",
+        weights="sizes" if settings.weights_are_sizes else "no-sizes",
+        lists="asked-for" if settings.must_poll else "pushed",
+        health_checks=_health_checks(settings),
+        attempts=min(offered.max_attempts for offered in settings.offered),
+        aim_ms=min(offered.latency_objective_ns for offered in settings.offered) // MS,
+        cold_from=settings.cold_from,
+        warm_ms=settings.warm_up_ns // MS,
+    )
+
+
+def _health_checks(settings: Settings) -> str:
+    if not settings.may_health_check:
+        return "none"
+    return ",".join(settings.report_columns) or "plain"
--- /dev/null
+++ b/linnetshift/lifecycle/reload.py
@@ -0,0 +1,133 @@
+"""Reload: both configuration files are read again while the proxy serves on."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from functools import partial
+
+from linnetshift.admin.server import AdminServer
+from linnetshift.broker.broker import Broker
+from linnetshift.config.broker_file import BrokerConfig
+from linnetshift.config.errors import ConfigurationError, RestartRequiredError
+from linnetshift.config.loader import ConfigurationFiles, read_files
+from linnetshift.config.names import NameRegistry
+from linnetshift.config.proxy_file import ProxyConfig
+from linnetshift.discovery.endpoint_list import EndpointListUpdate
+from linnetshift.discovery.watch import Discovery, WatchTimeouts
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.loop import Loop, S
+from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
+from linnetshift.frontends.listener import Acceptor, Frontend
+from linnetshift.lifecycle.channels_activation import ChannelsActivation
+from linnetshift.lifecycle.log_summaries import log_settings
+from linnetshift.observability import log
+
+# How long requests of a class that is no longer offered are still taken: clients learn of it later.
+DISCONTINUED_CLASS_GRACE_NS = 30 * S
+
+
+@dataclass(slots=True)
+class BoundListeners:
+    """The listeners that a reload has opened; whoever takes one up closes it from then on."""
+
+    frontends: list[tuple[Frontend, Acceptor]] = field(default_factory=list)
+    admin: Acceptor | None = None
+
+    def close(self) -> None:
+        """Close all of them, as the reload has failed."""
+        for _, acceptor in self.frontends:
+            acceptor.close()
+        if self.admin is not None:
+            self.admin.close()
+
+
+@dataclass(slots=True, kw_only=True, eq=False)
+class ConfigurationReloader:
+    """Holds the configuration in use and replaces it.
+
+    Requests under way, rate limits, and what is known of endpoints last through a reload.
+    """
+
+    config: ProxyConfig
+    broker_config: BrokerConfig
+    loop: Loop
+    names: NameRegistry  # of the whole process; those of `config` are merged into it
+    broker: Broker
+    discovery: Discovery
+    frontend: LineProtocolFrontend
+    activation: ChannelsActivation
+    admin_server: AdminServer
+    handle_list_update: Callable[[EndpointListUpdate], None]
+    has_platform_listener: bool  # the platform holds the socket for clients, which stays where it is
+
+    def reload(self) -> None:
+        """Take up both files as they are now, or leave all as it is where anything is wrong with them.
+
+        All files are validated and all new listeners open before the first change.
+        """
+        listeners = BoundListeners()
+        try:
+            files = read_files(self.config, self._classes_in_use())
+            if files.broker.vrrp != self.broker_config.vrrp:
+                raise RestartRequiredError("vrrp")
+            self._bind(files, listeners)
+        except (ConfigurationError, OSError) as error:
+            listeners.close()
+            log.note("configuration-rejected", error=str(error))
+            return
+        self._switch_listeners(files, listeners)
+        discontinued = self._apply(files)
+        log.note(
+            "configuration-reloaded",
+            discovery=f"{self.config.discovery[0]}:{self.config.discovery[1]}",
+            classes=",".join(offered.name for offered in self.config.settings.offered),
+            dropped=",".join(discontinued),
+        )
+        log_settings(self.config.settings)
+
+    def _classes_in_use(self) -> set[int]:
+        """The classes of open requests, and those that clients may still name."""
+        in_requests = {request.klass for request in self.broker.requests.values()}
+        return in_requests | {*self.names.classes.values()}
+
+    def _bind(self, files: ConfigurationFiles, listeners: BoundListeners) -> None:
+        """Open the listeners at addresses that have changed; raises OSError."""
+        admin = files.proxy.admin
+        if admin is not None and admin != self.admin_server.address:
+            listeners.admin = self.admin_server.open(admin)
+        if self.frontend.is_draining:
+            return  # this process shuts down, or another accepts in its place
+        if not self.has_platform_listener:
+            self._bind_frontend(self.frontend, files.proxy.listen, listeners)
+        if self.activation.may_listen_elsewhere:
+            self._bind_frontend(self.activation.frontend, files.broker.channels, listeners)
+
+    def _bind_frontend(self, frontend: Frontend, address: Address | None, listeners: BoundListeners) -> None:
+        if address is not None and address != frontend.address:
+            acceptor = Acceptor(self.loop, address, frontend.take)
+            listeners.frontends.append((frontend, acceptor))
+
+    def _switch_listeners(self, files: ConfigurationFiles, listeners: BoundListeners) -> None:
+        for frontend, acceptor in listeners.frontends:
+            frontend.follow(acceptor)
+        if listeners.admin is not None or files.proxy.admin is None:
+            self.admin_server.follow(listeners.admin)
+        if files.broker.channels is None and self.activation.frontend.address is not None:
+            self.activation.migrate_channels()
+
+    def _apply(self, files: ConfigurationFiles) -> dict[str, int]:
+        """Use the new configuration from now on; returns the classes that are no longer offered."""
+        self.config = files.proxy
+        self.broker_config = files.broker
+        self.activation.address = files.broker.channels
+        discontinued = self.names.adopt(files.proxy.names)
+        self.broker.configure(files.proxy.settings, files.broker.contracts)
+        self.loop.call_later(DISCONTINUED_CLASS_GRACE_NS, partial(self._forget_classes, discontinued))
+        if files.proxy.cached_list.event.version > self.discovery.version:
+            self.handle_list_update(files.proxy.cached_list)
+        self.discovery.relocate(files.proxy.discovery, WatchTimeouts.of(files.proxy.settings))
+        return discontinued
+
+    def _forget_classes(self, discontinued: dict[str, int]) -> None:
+        self.names.forget_classes(discontinued, self.config.settings.numbers)
--- /dev/null
+++ b/linnetshift/lifecycle/shutdown_coordinator.py
@@ -0,0 +1,81 @@
+"""When this process shuts down: on a signal, or because a successor has replaced it."""
+
+from __future__ import annotations
+
+from linnetshift.broker.broker import Broker
+from linnetshift.event_loop.connection_limits import ConnectionLimiter
+from linnetshift.event_loop.loop import Loop
+from linnetshift.event_loop.stream import Stream
+from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
+from linnetshift.lifecycle.channels_activation import ChannelsActivation
+from linnetshift.lifecycle.graceful_shutdown import GracefulShutdown
+
+
+class ShutdownCoordinator:
+    """Starts, shortens and cancels the graceful shutdown."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        broker: Broker,
+        frontend: LineProtocolFrontend,
+        activation: ChannelsActivation,
+        connection_limiter: ConnectionLimiter,
+    ) -> None:
+        """Nothing shuts down yet."""
+        self.loop = loop
+        self.broker = broker
+        self.frontend = frontend
+        self.activation = activation
+        self.channels = activation.frontend
+        self.connection_limiter = connection_limiter
+        self.shutdown: GracefulShutdown | None = None
+        self.is_terminating = False  # on a signal, which nothing cancels
+
+    def terminate(self, is_replaced: bool) -> None:
+        """A signal asks for the end; one that comes again changes nothing.
+
+        `is_replaced`: a successor accepts in place of this process.
+        """
+        if self.is_terminating:
+            return
+        self.is_terminating = True
+        if self.shutdown is not None and is_replaced:
+            self.shutdown.shorten()
+        else:
+            self._start(is_replaced=False)
+
+    def start_replaced(self) -> None:
+        """A successor accepts from now on: migrate the clients to it, and end."""
+        self._start(is_replaced=True)
+
+    def cancel(self) -> None:
+        """The successor is gone: this process serves on."""
+        if self.shutdown is not None:
+            self.shutdown.end()
+
+    def _start(self, is_replaced: bool) -> None:
+        self.frontend.is_draining = True
+        if not is_replaced:
+            self.activation.stop_vrrp()
+        self.shutdown = GracefulShutdown(
+            self.loop,
+            self.broker,
+            self._stop_listening,
+            self._connections_in_use,
+            self._open_streams,
+            self.frontend.notify_idle_clients,
+            is_replaced,
+        )
+        self.shutdown.start(self.shutdown.run())
+
+    def _stop_listening(self) -> None:
+        self.frontend.close()
+        self.channels.leave()
+
+    def _connections_in_use(self) -> int:
+        """Connections that await something; one that is silent must not delay the shutdown."""
+        return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle()
+
+    def _open_streams(self) -> list[Stream]:
+        return [each.stream for each in (*self.frontend.clients, *self.channels.sessions)]
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -1,4 +1,4 @@
-"""The composition root: all parts of one proxy, wired."""
+"""The composition root: which part of a proxy knows which."""
 
 from __future__ import annotations
 
@@ -7,143 +7,230 @@
 import signal
 import socket
 from collections.abc import Callable
-from typing import Any
 
 from linnetshift.admin.server import AdminServer
 from linnetshift.broker.administrative_drains import MOST_LISTED
 from linnetshift.broker.broker import Broker
-from linnetshift.broker.snapshot import export_state
 from linnetshift.config.broker_file import BrokerConfig
-from linnetshift.config.errors import ConfigurationError, RestartRequiredError
-from linnetshift.config.loader import read_files
 from linnetshift.config.proxy_file import ProxyConfig
 from linnetshift.decision_loop import DecisionLoop
-from linnetshift.discovery.endpoint_list import EndpointListUpdate, describe
+from linnetshift.discovery.endpoint_list import EndpointListUpdate
 from linnetshift.discovery.watch import Discovery, WatchTimeouts
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
-from linnetshift.event_loop.loop import MS, Loop, S
+from linnetshift.event_loop.loop import Loop
 from linnetshift.frontends.channels.session import MOST_OPEN, ChannelsFrontend
 from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
-from linnetshift.frontends.listener import Acceptor, Frontend
-from linnetshift.lifecycle.graceful_shutdown import ChannelMigrator, GracefulShutdown
+from linnetshift.lifecycle.channels_activation import ChannelsActivation
 from linnetshift.lifecycle.hot_restart import (
     HotRestart,
     ImportedState,
-    PeerResources,
     PredecessorState,
     TakeoverSocketPath,
-    spent,
 )
+from linnetshift.lifecycle.local_process import LocalProcess
+from linnetshift.lifecycle.log_summaries import describe_list, log_settings
+from linnetshift.lifecycle.reload import ConfigurationReloader
+from linnetshift.lifecycle.shutdown_coordinator import ShutdownCoordinator
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
-from linnetshift.routing.events import EndpointList, EndpointState, ListForm
+from linnetshift.routing.events import ListForm
 from linnetshift.upstream.connector import EndpointConnector
-from linnetshift.vrrp.instance import Vrrp
-from linnetshift.vrrp.router import State
 
-COLD_NS = 60 * S  # endpoints that started so lately are told in the log, with their age
-DROPPED_NS = 30 * S  # how long a class that is dropped can still be asked for
+SIGNAL_READ_BYTES = 64  # of the wakeup pipe at once; each signal leaves one byte
 
 
 class Proxy:
-    """All parts of one proxy, wired."""
+    """All parts of one proxy, wired; the `Operations` that the admin server offers.
+
+    `Proxy.start` is the way to make one: the constructor opens no socket and starts no actor.
+    """
+
+    hot_restart: HotRestart  # from the end of `start`, as it tells a predecessor that this process accepts
 
     def __init__(
         self,
         config: ProxyConfig,
-        own: BrokerConfig,
-        given: socket.socket | None = None,
+        broker_config: BrokerConfig,
+        platform_listener: socket.socket | None,
+        imported: ImportedState,
+    ) -> None:
+        """Wire the parts."""
+        self.loop = Loop()
+        self.names = config.names
+        self.platform_listener = platform_listener
+        self._wire_decisions(config, broker_config, imported.list_update or config.cached_list)
+        self._wire_frontends(config, broker_config, imported)
+        self.admin_server = AdminServer(self.loop, self)
+        self._wire_lifecycle(config, broker_config, imported)
+
+    @classmethod
+    def start(
+        cls,
+        config: ProxyConfig,
+        broker_config: BrokerConfig,
+        platform_listener: socket.socket | None = None,
         socket_path: TakeoverSocketPath | None = None,
         predecessor: PredecessorState | None = None,
+    ) -> Proxy:
+        """A proxy that serves once its loop runs; raises OSError where an address cannot be used.
+
+        `platform_listener` is the socket that the platform holds for clients, `socket_path` where a successor
+        finds this process, `predecessor` what the process handed over that this one replaces.
+        """
+        imported = ImportedState(predecessor, config.names)
+        proxy = cls(config, broker_config, platform_listener, imported)
+        proxy._start_decisions(imported)
+        proxy._open_listeners(imported)
+        proxy.hot_restart = HotRestart(proxy.loop, proxy.local_process, socket_path, predecessor)
+        return proxy
+
+    @property
+    def config(self) -> ProxyConfig:
+        """The proxy file's contents, as last read without an error."""
+        return self.reloader.config
+
+    # ---- wiring -----------------------------------------------------------------------------
+
+    def _wire_decisions(
+        self, config: ProxyConfig, broker_config: BrokerConfig, known: EndpointListUpdate
     ) -> None:
-        """`given` is the platform's listening socket, `predecessor` what the process before handed over."""
-        self.loop = loop = Loop()
-        self.config, self.names, self.own = config, config.names, own
-        self.connector = EndpointConnector(loop)
-        imported = ImportedState(predecessor, self.names)
-        known = imported.list_update or config.cached_list
-        pushed = not config.settings.must_poll
-        # What the agent of pushed lists has counts as told from the start, whatever the file says.
-        self.decision_loop = DecisionLoop(loop, waits_for_discovery=pushed)
+        self.connector = EndpointConnector(self.loop)
+        # Where lists are pushed, the agent on this machine has the current one from the start: nothing is
+        # decided on the file's older one before the agent has answered or failed.
+        self.decision_loop = DecisionLoop(self.loop, waits_for_discovery=not config.settings.must_poll)
         self.discovery = Discovery(
-            loop,
+            self.loop,
             config.discovery,
             self.names,
             known,
-            self.listed,
+            self.handle_list_update,
             WatchTimeouts.of(config.settings),
             config.seed,
             self.decision_loop.handle_discovery_ready,
         )
-        self.broker = self.decision_loop.broker = self.connector.broker = Broker(
+        self.broker = Broker(
             config.settings,
             config.seed,
-            loop.now,
+            self.loop.now,
             self.decision_loop,
             self.discovery,
             self.connector,
-            own.contracts,
+            broker_config.contracts,
+        )
+        self.decision_loop.broker = self.broker
+        self.connector.broker = self.broker
+
+    def _wire_frontends(
+        self, config: ProxyConfig, broker_config: BrokerConfig, imported: ImportedState
+    ) -> None:
+        self.connection_limiter = ConnectionLimiter(self.loop, config.max_sockets)
+        self.frontend = LineProtocolFrontend(self.loop, self.broker, self.names, self.connection_limiter)
+        self.channels = ChannelsFrontend(self.loop, self.broker, self.names, self.connection_limiter)
+        self.activation = ChannelsActivation(
+            self.loop, self.broker, self.channels, broker_config.channels, imported.sockets
+        )
+
+    def _wire_lifecycle(
+        self, config: ProxyConfig, broker_config: BrokerConfig, imported: ImportedState
+    ) -> None:
+        self.shutdown = ShutdownCoordinator(
+            self.loop, self.broker, self.frontend, self.activation, self.connection_limiter
+        )
+        self.local_process = LocalProcess(
+            loop=self.loop,
+            names=self.names,
+            broker=self.broker,
+            decision_loop=self.decision_loop,
+            discovery=self.discovery,
+            connector=self.connector,
+            connection_limiter=self.connection_limiter,
+            frontend=self.frontend,
+            activation=self.activation,
+            shutdown=self.shutdown,
+            migrated_by_peer=imported.peer_resources.moved,
         )
+        self.reloader = ConfigurationReloader(
+            config=config,
+            broker_config=broker_config,
+            loop=self.loop,
+            names=self.names,
+            broker=self.broker,
+            discovery=self.discovery,
+            frontend=self.frontend,
+            activation=self.activation,
+            admin_server=self.admin_server,
+            handle_list_update=self.handle_list_update,
+            has_platform_listener=self.platform_listener is not None,
+        )
+
+    # ---- start ------------------------------------------------------------------------------
+
+    def _start_decisions(self, imported: ImportedState) -> None:
+        """Start the actors, and decide on the first list with what a predecessor knew."""
         self.decision_loop.start(self.decision_loop.run())
         self.discovery.start(self.discovery.run())
-        if pushed:
-            # Pushed lists stop at the agent on this machine, and the module never asks for them.
+        if not self.config.settings.must_poll:
+            # Pushed lists stop at the agent on this machine, and the balancer never asks for them.
             self.discovery.watch(True)
-        self.connection_limiter = ConnectionLimiter(loop, config.max_sockets)
         imported.restore(self.broker)
-        self.peer_migrated = imported.peer_resources.moved  # by the other process, so far
-        self.update_peer_resources(imported.peer_resources)
-        self.listed(known)
+        self.local_process.update_peer_resources(imported.peer_resources)
+        self.handle_list_update(imported.list_update or self.config.cached_list)
         imported.import_state(self.broker)
-        self.frontend = LineProtocolFrontend(loop, self.broker, self.names, self.connection_limiter)
-        self.given = given
-        self.frontend.listen(config.listen, given)
-        self.channels = ChannelsFrontend(loop, self.broker, self.names, self.connection_limiter)
-        self.vrrp: Vrrp | None = None
-        self.passed = imported.sockets
-        if own.vrrp is not None:
-            socket_before = self.passed.pop("vrrp", None)
-            self.vrrp = Vrrp(loop, own.vrrp, self.handle_vrrp_change, socket_before, imported.active)
-            self.vrrp.start(self.vrrp.run())
-        elif own.channels is not None:
-            self.channels.listen(own.channels, self.passed.pop("channels", None))
-        for unused in self.passed.values():  # else what connects there would wait for nobody
-            unused.close()
-        self.shutdown: GracefulShutdown | None = None
-        self.is_shutting_down = False  # by a signal
-        self.admin_server = AdminServer(loop, self)
-        if config.admin is not None:
-            self.admin_server.follow(self.admin_server.open(config.admin))
-        self.hot_restart = HotRestart(loop, self, socket_path, predecessor)
-
-    def listed(self, list_update: EndpointListUpdate) -> None:
+
+    def _open_listeners(self, imported: ImportedState) -> None:
+        self.frontend.listen(self.config.listen, self.platform_listener)
+        self.activation.start(self.reloader.broker_config.vrrp, imported.active)
+        if self.config.admin is not None:
+            self.admin_server.follow(self.admin_server.open(self.config.admin))
+
+    def log_settings(self) -> None:
+        """Log how the settings in use were understood."""
+        log_settings(self.config.settings)
+
+    # ---- events -----------------------------------------------------------------------------
+
+    def handle_list_update(self, list_update: EndpointListUpdate) -> None:
+        """Pass an endpoint list, its changes or the failure to get one to the connector and the broker."""
         event = self.broker.administrative_drains.bounded(list_update.event)
         if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
-            log.note("endpoint-list-received", **self.describe_list(event))
-        if left_out := len(list_update.event.entries) - len(event.entries):
-            log.note("endpoint-limit-exceeded", left_out=left_out)
-        self.connector.listed(
-            event, {entry.endpoint: list_update.addresses[entry.endpoint] for entry in event.entries}
-        )
+            log.note("endpoint-list-received", **describe_list(event, self.loop.now()))
+        excess = len(list_update.event.entries) - len(event.entries)
+        if excess:
+            log.note("endpoint-limit-exceeded", left_out=excess)
+        addresses = {entry.endpoint: list_update.addresses[entry.endpoint] for entry in event.entries}
+        self.connector.listed(event, addresses)
         self.broker.handle_endpoint_list(event)
 
-    def describe_list(self, event: EndpointList) -> dict[str, object]:
-        """A list or its changes in the words of the log; with it a run's logs tell how old each list was."""
-        now = self.loop.now()
-        cold = [
-            (e.endpoint, (now - e.started_ns) // MS) for e in event.entries if now - e.started_ns < COLD_NS
-        ]
-        return {
-            "form": ListForm(event.form).name.lower(),
-            "rev": event.version,
-            "entries": len(event.entries),
-            "draining": sum(entry.state == EndpointState.DRAINING for entry in event.entries),
-            "removed": sum(entry.state == EndpointState.REMOVED for entry in event.entries),
-            "warming_up": ",".join(f"{endpoint.decode('utf-8', 'replace')}@{age}" for endpoint, age in cold),
-        }
+    def watch_signals(self, wakeup_pipe: int) -> None:
+        """Act on the signals whose numbers arrive at this descriptor."""
+
+        def handle_ready(_mask: int) -> None:
+            self._handle_signals(set(os.read(wakeup_pipe, SIGNAL_READ_BYTES)))
+
+        self.loop.watch(wakeup_pipe, select.EPOLLIN, handle_ready)
+
+    def _handle_signals(self, caught: set[int]) -> None:
+        if signal.SIGHUP in caught:
+            self.reloader.reload()
+        if caught != {signal.SIGHUP}:
+            self.shutdown.terminate(is_replaced=self.hot_restart.successor is not None)
+
+    # ---- operations of the admin server -----------------------------------------------------
+
+    def readiness(self) -> str:
+        """Why no client is accepted at the moment; empty while they are."""
+        if self.shutdown.is_terminating:
+            return "leaving"
+        if self.hot_restart.successor is not None:
+            return "replaced by another process"
+        if self.hot_restart.is_joining:
+            return "taking over"
+        if not self.broker.administrative_drains.listed:
+            return "waiting for the list of providers"
+        return "" if self.frontend.address is not None else "not listening"
 
     def resource_usage(self) -> dict[str, ResourceUsage]:
-        """Every container that lives as long as the program; docs/memory.md says the same bounds."""
+        """Every container that lives as long as the process; docs/memory.md says the same bounds."""
         connections = self.connection_limiter.descriptors + MOST_OPEN
         return {
             **self.loop.resource_usage(connections),
@@ -157,213 +244,16 @@
         }
 
     def is_drain_limit_reached(self, endpoint: bytes) -> bool:
-        return self.broker.administrative_drains.full() and not self.broker.administrative_drains.holds(
-            endpoint
-        )
-
-    # ---- what operators ask -----------------------------------------------------------------
-
-    def readiness(self) -> str:
-        if self.is_shutting_down:
-            return "leaving"
-        if self.hot_restart.successor is not None:
-            return "replaced by another process"
-        if self.hot_restart.is_joining:
-            return "taking over"
-        if not self.broker.administrative_drains.listed:
-            return "waiting for the list of providers"
-        return "" if self.frontend.address is not None else "not listening"
+        """Whether so many endpoints are drained that this one cannot be too."""
+        drains = self.broker.administrative_drains
+        return drains.full() and not drains.holds(endpoint)
 
     def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
-        known = self.broker.administrative_drains.knows(endpoint)
-        if known:
-            self.hot_restart.apply_administrative_drain(endpoint, out, lambda: done(True))
-        else:
-            done(False)
+        """Drain an endpoint or restore it, here and in every other process of this proxy.
 
-    # ---- the process before or after this one -----------------------------------------------
-
-    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
-        known = self.broker.drain_endpoint(endpoint) if out else self.broker.restore_endpoint(endpoint)
-        log.note(
-            "administrative-drain-changed", endpoint=endpoint.decode(errors="replace"), out=out, known=known
-        )
-        self.decision_loop.when_processed(done)
-
-    def state(self) -> tuple[dict[str, Any], list[int]]:
-        administrative_drains, connector = self.broker.administrative_drains, self.connector
-        targets = [
-            describe(entry, connector.addresses[endpoint], self.names)
-            for endpoint, entry in administrative_drains.listed.items()
-            if endpoint in connector.addresses
-        ]
-        passing = {
-            "channels": self.channels.acceptor.listener.fileno() if self.channels.acceptor else -1,
-            "vrrp": self.vrrp.sock.fileno() if self.vrrp else -1,
-        }
-        passing = {what: fd for what, fd in passing.items() if fd >= 0}
-        state = {
-            "list": {"rev": self.discovery.version, "all": True, "targets": targets},
-            "bans": administrative_drains.state(),
-            "budgets": spent(self.own.contracts, self.names),
-            "holdings": self.peer_resources(),
-            "memory": export_state(self.broker.balancer, self.broker.latency_estimator),
-            "active": self.vrrp is not None and self.vrrp.router.state is State.ACTIVE,
-            "passed": list(passing),
-        }
-        return state, list(passing.values())
-
-    def yield_to_successor(self, back: bool) -> None:
-        """Leave all that arrives to the new process and move what is here to it; or take it on again."""
-        if self.is_shutting_down and not back:
-            return  # nobody will be here in a moment
-        self.frontend.pause(back)
-        self.channels.pause(back)
-        if self.is_shutting_down:
-            return  # and on its way as it is
-        if self.vrrp is not None:
-            self.vrrp.pause(back)
-        if back:
-            self.start_shutdown(replaced=True)
-        elif self.shutdown is not None:
-            self.shutdown.end()
-
-    def peer_resources(self) -> dict[str, Any]:
-        loads = {
-            endpoint.decode(): [(one.load, one.group) for one in held]
-            for endpoint, held in self.broker.loads().items()
-        }
-        return {"streams": self.loop.streams, "loads": loads, "moved": self.broker.migrated}
-
-    def update_peer_resources(self, peer_resources: PeerResources) -> None:
-        self.connection_limiter.peer_descriptors = peer_resources.streams
-        self.broker.latency_estimator.elsewhere = dict(peer_resources.loads)
-        # It comes back here, and was this proxy's before.
-        for _ in range(min(peer_resources.moved - self.peer_migrated, self.connection_limiter.descriptors)):
-            self.broker.latency_estimator.guest(False, self.loop.now())
-        self.peer_migrated = peer_resources.moved
-        self.broker.balancer.elsewhere = sum(map(len, peer_resources.loads.values()))
-
-    # ---- what happens to the program --------------------------------------------------------
-
-    def handle_vrrp_change(self, active: bool) -> None:
-        """The channels frontend listens only while active; its channels move once it no longer is."""
-        if active and self.own.channels is not None:
-            self.channels.listen(self.own.channels, self.passed.pop("channels", None))
-        elif not active:
-            self.migrate_channels()
-
-    def migrate_channels(self) -> None:
-        self.channels.leave()
-        migrator = ChannelMigrator(self.loop, self.broker, self.channels)
-        migrator.start(migrator.run())
-
-    def held(self) -> int:
-        """Connections that are owed something: who says nothing must not keep a proxy that leaves."""
-        return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle()
-
-    def watch_signals(self, reader: int) -> None:
-        self.signals = reader
-        self.loop.watch(reader, select.EPOLLIN, self.handle_signals)
-
-    def handle_signals(self, _mask: int) -> None:
-        caught = set(os.read(self.signals, 64))
-        if signal.SIGHUP in caught:
-            self.reload()
-        if caught != {signal.SIGHUP} and not self.is_shutting_down:
-            self.is_shutting_down = True
-            if self.shutdown is not None and self.hot_restart.successor is not None:
-                self.shutdown.shorten()
-            else:
-                self.start_shutdown(replaced=False)
-
-    def reload(self) -> None:
-        """Take up both files as they are now; what is under way, known or spent stays.
-
-        Whatever is wrong with them, the program runs on with what it had.
+        `done` is called once that is acted on, with whether the endpoint is known.
         """
-        bound: list[tuple[Frontend, Acceptor]] = []
-        admin_server: Acceptor | None = None
-        try:
-            config, own = read_files(self.config, self.classes_in_use())
-            if own.vrrp != self.own.vrrp:
-                raise RestartRequiredError("vrrp")
-            if config.admin is not None and config.admin != self.admin_server.address:
-                admin_server = self.admin_server.open(config.admin)
-            wanted = [(self.frontend, config.listen), (self.channels, own.channels)]
-            for frontend, address in () if self.frontend.is_draining else wanted:
-                if frontend is self.frontend and self.given is not None:
-                    continue  # the platform's own: it is where it is
-                idle = frontend is self.channels and own.vrrp is not None and frontend.address is None
-                if address is not None and address != frontend.address and not idle:
-                    bound.append((frontend, Acceptor(self.loop, address, frontend.take)))
-        except (ConfigurationError, OSError) as error:
-            for acceptor in [acceptor for _, acceptor in bound] + (
-                [admin_server] if admin_server is not None else []
-            ):
-                acceptor.close()
-            log.note("configuration-rejected", error=str(error))
+        if not self.broker.administrative_drains.knows(endpoint):
+            done(False)
             return
-        for frontend, acceptor in bound:
-            frontend.follow(acceptor)
-        if admin_server is not None or config.admin is None:
-            self.admin_server.follow(admin_server)
-        if own.channels is None and self.channels.address is not None:
-            self.migrate_channels()
-        self.config, self.own = config, own
-        dropped = self.names.adopt(config.names)
-        self.broker.configure(config.settings, own.contracts)
-        self.loop.call_later(
-            DROPPED_NS, lambda: self.names.forget_classes(dropped, self.config.settings.numbers)
-        )
-        if config.cached_list.event.version > self.discovery.version:
-            self.listed(config.cached_list)
-        self.discovery.relocate(config.discovery, WatchTimeouts.of(config.settings))
-        log.note(
-            "configuration-reloaded",
-            discovery=f"{config.discovery[0]}:{config.discovery[1]}",
-            classes=",".join(klass.name for klass in config.settings.offered),
-            dropped=",".join(dropped),
-        )
-        self.log_settings()
-
-    def log_settings(self) -> None:
-        """What was made of the settings, for staff to compare with what they meant."""
-        settings = self.config.settings
-        log.note(
-            "settings-applied",
-            proxies=settings.balancers,
-            cross_zone_weight=f"{settings.cross_zone_weight:.3f}",
-            weights="sizes" if settings.weights_are_sizes else "no-sizes",
-            lists="asked-for" if settings.must_poll else "pushed",
-            health_checks=",".join(settings.report_columns) or "plain"
-            if settings.may_health_check
-            else "none",
-            attempts=min(c.max_attempts for c in settings.offered),
-            aim_ms=min(c.latency_objective_ns for c in settings.offered) // MS,
-            cold_from=settings.cold_from,
-            warm_ms=settings.warm_up_ns // MS,
-        )
-
-    def classes_in_use(self) -> set[int]:
-        """By open requests, and by clients that have not heard of the last change."""
-        return {i.klass for i in self.broker.requests.values()} | {*self.names.classes.values()}
-
-    def start_shutdown(self, replaced: bool) -> None:
-        self.frontend.is_draining = True
-        if self.vrrp is not None and not replaced:
-            self.vrrp.stop()
-        self.shutdown = GracefulShutdown(
-            self.loop,
-            self.broker,
-            self.stop_listening,
-            self.held,
-            lambda: [each.stream for each in (*self.frontend.clients, *self.channels.sessions)],
-            self.frontend.notify_idle_clients,
-            replaced,
-        )
-        self.shutdown.start(self.shutdown.run())
-
-    def stop_listening(self) -> None:
-        self.frontend.close()
-        self.channels.leave()
+        self.hot_restart.apply_administrative_drain(endpoint, out, lambda: done(True))
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -495,7 +495,7 @@
     with world(folder, own=own, **how) as made:
         config = read_config(str(made.config))
         broker_file = read_broker_file(str(made.own), config.names, config.settings)
-        running = Inside(Proxy(config, broker_file), made.port, made.extra)
+        running = Inside(Proxy.start(config, broker_file), made.port, made.extra)
         running.listeners, running.discovery, running.config = made.listeners, made.discovery, made.config
         running.admin_port = made.admin
         try:
