--- /dev/null
+++ b/tests/test_configuration.py
@@ -0,0 +1,181 @@
+"""The configuration files: what their errors name, and which numbers names get."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+from conftest import raw_settings
+
+from linnetshift.config.broker_file import BrokerConfig, read_broker_file
+from linnetshift.config.errors import (
+    ConfigurationError,
+    ConfigurationFileError,
+    EnvironmentVariableError,
+    FileSyntaxError,
+    InvalidValueError,
+    MissingKeyError,
+    MissingSettingsError,
+    UnreadableFileError,
+)
+from linnetshift.config.loader import read_files
+from linnetshift.config.names import MAX_NAMES, NameRegistry
+from linnetshift.config.platform_listener import platform_listener
+from linnetshift.config.proxy_file import ProxyConfig, read_config
+from linnetshift.routing.settings import Settings
+
+DOCUMENT: dict[str, Any] = {
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "settings": raw_settings(tenants=[{"name": "acme"}]),
+}
+
+
+def written(folder: Path, document: object) -> Path:
+    """A proxy file with this content."""
+    file = folder / "config.json"
+    file.write_text(document if isinstance(document, str) else json.dumps(document))
+    return file
+
+
+def without(key: str) -> dict[str, Any]:
+    return {name: value for name, value in DOCUMENT.items() if name != key}
+
+
+@pytest.mark.parametrize(
+    "document, error_type, text",
+    [
+        ("{", FileSyntaxError, " is not JSON: "),
+        ([], MissingSettingsError, " holds no settings"),
+        (without("listen"), MissingKeyError, ": key 'listen' is missing"),
+        ({**DOCUMENT, "discovery": "nowhere"}, InvalidValueError, ": 'nowhere' is not ADDRESS:PORT"),
+        ({**DOCUMENT, "seed": "x"}, InvalidValueError, "invalid literal"),
+    ],
+)
+def test_unusable_proxy_file_is_named_with_the_reason(
+    tmp_path: Path, document: object, error_type: type[ConfigurationFileError], text: str
+) -> None:
+    file = written(tmp_path, document)
+    with pytest.raises(error_type) as caught:
+        read_config(str(file))
+    assert str(caught.value).startswith(str(file))
+    assert text in str(caught.value)
+    assert caught.value.file == str(file)
+    assert isinstance(caught.value, ConfigurationError)
+
+
+def test_unreadable_proxy_file_gives_the_systems_reason(tmp_path: Path) -> None:
+    with pytest.raises(UnreadableFileError, match=r"^cannot read .*none.json: No such file or directory$"):
+        read_config(str(tmp_path / "none.json"))
+
+
+def test_key_that_the_former_file_had_is_named_by_its_path(tmp_path: Path) -> None:
+    former = read_config(str(written(tmp_path, {**DOCUMENT, "limits": {"sockets": 9, "cores": 1}})))
+    file = written(tmp_path, {**DOCUMENT, "limits": {"sockets": 9}})
+    with pytest.raises(MissingKeyError) as caught:
+        read_config(str(file), former)
+    assert caught.value.key == "limits.cores"
+    assert str(caught.value) == f"{file}: key 'limits.cores' is missing"
+
+
+def test_missing_variable_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.delenv("GW_CONFIG", raising=False)
+    with pytest.raises(EnvironmentVariableError, match=r"^GW_CONFIG does not name a configuration file$"):
+        read_files()
+
+
+@pytest.mark.parametrize("descriptor", ["x", "987654"])
+def test_descriptor_that_is_no_listening_socket_is_rejected(
+    monkeypatch: pytest.MonkeyPatch, descriptor: str
+) -> None:
+    monkeypatch.setenv("GW_LISTEN_FD", descriptor)
+    with pytest.raises(
+        EnvironmentVariableError, match=r"^GW_LISTEN_FD names no listening socket: "
+    ) as caught:
+        platform_listener()
+    assert caught.value.variable == "GW_LISTEN_FD"
+
+
+def test_admin_address_of_the_environment_takes_precedence(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    file = str(written(tmp_path, {**DOCUMENT, "admin_addr": "127.0.0.1:3"}))
+    monkeypatch.delenv("GW_ADMIN_ADDR", raising=False)
+    assert read_config(file).admin == ("127.0.0.1", 3)
+    monkeypatch.setenv("GW_ADMIN_ADDR", "127.0.0.1:4")
+    assert read_config(file).admin == ("127.0.0.1", 4)
+
+
+@pytest.mark.parametrize(
+    "content, text",
+    [
+        ("[", " is not TOML: "),
+        ("[channels]\nenabled = true\n", ": key 'listen' is missing"),
+        ('[[contract]]\nteam = "nobody"\n', ": a contract names the unknown team 'nobody'"),
+        (
+            '[[contract]]\nteam = "acme"\nservices = ["none"]\n',
+            ": a contract names the unknown service 'none'",
+        ),
+        ('[[contract]]\nteam = "acme"\nrate_per_s = 0\n', ": rate_per_s must be above 0 and rate_burst 1"),
+    ],
+)
+def test_unusable_broker_file_is_named_with_the_reason(tmp_path: Path, content: str, text: str) -> None:
+    config = read_config(str(written(tmp_path, DOCUMENT)))
+    file = tmp_path / "broker.toml"
+    file.write_text(content)
+    with pytest.raises(ConfigurationFileError) as caught:
+        read_broker_file(str(file), config.names, config.settings)
+    assert str(caught.value).startswith(f"{file}{text}")
+
+
+def test_disabled_tables_of_the_broker_file_turn_nothing_on(tmp_path: Path) -> None:
+    config = read_config(str(written(tmp_path, DOCUMENT)))
+    file = tmp_path / "broker.toml"
+    file.write_text("[channels]\nenabled = false\n[vrrp]\nenabled = false\n")
+    read = read_broker_file(str(file), config.names, config.settings)
+    assert (read.channels, read.vrrp, read.contracts.teams) == (None, None, {})
+    assert isinstance(read, BrokerConfig)
+    assert isinstance(config, ProxyConfig)
+
+
+def registry(former: NameRegistry | None = None, **settings: object) -> NameRegistry:
+    raw = {**raw_settings(), "zones": [], "models": [], **settings}
+    return NameRegistry(raw, Settings.parse(raw), former)
+
+
+def test_number_stays_with_its_name_in_whatever_order_later_lists_have_it() -> None:
+    first = registry(zones=["a", "b"], models=[{"name": "m"}])
+    later = registry(first, zones=["c", "b"], models=["n", "m"])
+    assert later.zones == {"a": 0, "b": 1, "c": 2}
+    assert later.kinds == {"m": 0, "n": 1}
+    assert first.zones == {"a": 0, "b": 1}  # numbering the later names leaves the former registry alone
+
+
+def test_registry_adopts_later_names_in_place() -> None:
+    first = registry(zones=["a"])
+    zones = first.zones
+    assert first.adopt(registry(first, zones=["b"])) == {}
+    assert zones is first.zones
+    assert zones == {"a": 0, "b": 1}
+
+
+def test_discontinued_class_is_known_until_it_is_forgotten() -> None:
+    names, later = registry(), registry()
+    (name, number) = next(iter(names.classes.items()))
+    later.classes = {"late": number + 1}
+    discontinued = names.adopt(later)
+    assert discontinued == {name: number}
+    assert names.classes == {name: number, "late": number + 1}
+    names.forget_classes(discontinued, (number, number + 1))  # it has been offered again since
+    assert name in names.classes
+    names.forget_classes(discontinued, (number + 1,))
+    assert names.classes == {"late": number + 1}
+
+
+def test_names_of_one_kind_have_a_limit() -> None:
+    full = registry(zones=[str(number) for number in range(MAX_NAMES)])
+    assert len(full.zones) == MAX_NAMES
+    with pytest.raises(ValueError, match="more names of one kind since the start than can be kept"):
+        registry(full, zones=["one more"])
--- /dev/null
+++ b/tests/test_decision_loop.py
@@ -0,0 +1,85 @@
+"""The decision loop: when the broker's events are processed, and what a fault there does."""
+
+from __future__ import annotations
+
+import logging
+from typing import Any
+
+import pytest
+
+from linnetshift.decision_loop import REVIEWS_PER_LATENCY_REVIEW, DecisionLoop, Review
+from linnetshift.event_loop.loop import Loop, Timeout
+
+
+class StandInBroker:
+    """Records what the decision loop has it do."""
+
+    def __init__(self) -> None:
+        self.calls: list[str] = []
+        self.fault: Exception | None = None
+        self.deployment_facts = self
+
+    def process_events(self) -> None:
+        self.calls.append("process_events")
+        if self.fault is not None:
+            raise self.fault
+
+    def review_unresponsive_endpoints(self) -> None:
+        self.calls.append("review_unresponsive_endpoints")
+
+    def review_latency(self) -> None:
+        self.calls.append("review_latency")
+
+    def fresh(self) -> list[tuple[str, Any]]:
+        return [("fact", 7)]
+
+
+def started(waits_for_discovery: bool = False) -> tuple[DecisionLoop, StandInBroker]:
+    decision_loop, broker = DecisionLoop(Loop(), waits_for_discovery), StandInBroker()
+    decision_loop.broker = broker  # type: ignore[assignment]
+    decision_loop.start(decision_loop.run())
+    return decision_loop, broker
+
+
+def test_confirmation_follows_the_decision_on_all_that_was_queued() -> None:
+    decision_loop, broker = started()
+    decision_loop.schedule_processing()
+    decision_loop.when_processed(lambda: broker.calls.append("done"))
+    assert broker.calls == []
+    decision_loop.process_mailbox()
+    assert broker.calls == ["process_events", "process_events", "done"]
+
+
+def test_nothing_is_decided_before_the_first_call_to_discovery_has_ended() -> None:
+    decision_loop, broker = started(waits_for_discovery=True)
+    decision_loop.schedule_processing()
+    decision_loop.when_processed(lambda: broker.calls.append("done"))
+    decision_loop.process_mailbox()
+    assert broker.calls == ["done"]
+    decision_loop.handle_discovery_ready()
+    decision_loop.handle_discovery_ready()  # later calls change nothing
+    decision_loop.process_mailbox()
+    assert broker.calls == ["done", "process_events"]
+
+
+def test_fault_in_a_decision_is_logged_and_contained(caplog: pytest.LogCaptureFixture) -> None:
+    decision_loop, broker = started()
+    broker.fault = ValueError("a fault")
+    with caplog.at_level(logging.ERROR, "linnetshift"):
+        decision_loop.when_processed(lambda: broker.calls.append("done"))
+        decision_loop.process_mailbox()
+    assert [record.getMessage() for record in caplog.records] == ["fault"]
+    assert broker.calls == ["process_events", "done"]
+    assert decision_loop.coroutine is not None
+
+
+def test_latency_is_reviewed_at_one_review_in_so_many(caplog: pytest.LogCaptureFixture) -> None:
+    decision_loop, broker = started()
+    with caplog.at_level(logging.INFO, "linnetshift"):
+        for number in range(1, 2 * REVIEWS_PER_LATENCY_REVIEW + 1):
+            decision_loop.post(Timeout(Review(number)))
+            decision_loop.process_mailbox()
+    assert broker.calls.count("review_unresponsive_endpoints") == 2 * REVIEWS_PER_LATENCY_REVIEW
+    assert broker.calls.count("review_latency") == 2
+    assert broker.calls[REVIEWS_PER_LATENCY_REVIEW] == "review_latency"
+    assert [record.getMessage() for record in caplog.records] == 2 * ["deployment-fact-observed"]
