--- a/linnetshift/config/broker_file.py
+++ b/linnetshift/config/broker_file.py
@@ -123,7 +123,7 @@
     for name in service_names:
         _check_known("service", name, numbers)
     return Contract(
-        services=None if services is None else frozenset().union(*(numbers[s] for s in service_names)),
+        services=None if services is None else frozenset().union(*(numbers[str(s)] for s in services)),
         rate=_parse_budget(item, "rate_per_s", "rate_burst"),
         retries=_parse_budget(item, "retries_per_s", "retries_burst"),
         concurrency=int(item["concurrency"]) if "concurrency" in item else None,
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -118,6 +118,7 @@
             '[[contract]]\nteam = "acme"\nservices = ["none"]\n',
             ": a contract names the unknown service 'none'",
         ),
+        ('[[contract]]\nteam = "acme"\nservices = 0\n', ": 'int' object is not iterable"),
         ('[[contract]]\nteam = "acme"\nrate_per_s = 0\n', ": rate_per_s must be above 0 and rate_burst 1"),
     ],
 )
