--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""What differs between deployments, on the real program: lists, health checks, weights."""
+"""What differs between deployments, on the real process: how lists arrive, what health checks ask."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from proxy import proxy
 
 
-@pytest.mark.parametrize("how", ["push", "ask"])
-def test_a_change_of_the_list_arrives_however_lists_come(tmp_path: Path, how: str) -> None:
-    # Where lists are pushed nobody asked the agent: the list stayed as it was at the start for good.
-    with proxy(tmp_path, 2, discovery=how) as running:
+@pytest.mark.parametrize("mode", ["push", "ask"])
+def test_list_change_arrives_whether_lists_are_pushed_or_polled(tmp_path: Path, mode: str) -> None:
+    # Where lists are pushed the agent was not polled: the list stayed for good as it was at the start.
+    with proxy(tmp_path, 2, discovery=mode) as running:
         running.discovery.change(**{"s-0": "DRAINING"})
         running.logged("event=endpoint-list-received form=full rev=2")
         for _ in range(8):
@@ -22,7 +22,7 @@
             endpoint.close()
 
 
-def test_a_pushed_list_is_asked_for_again_after_a_failure(tmp_path: Path) -> None:
+def test_pushed_list_is_polled_again_after_a_failure(tmp_path: Path) -> None:
     with proxy(tmp_path, 1, discovery="push") as running:
         running.discovery.fail(True)
         running.logged("event=discovery-call-failed")
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    "more, asked, answer, logged",
+    ("more", "sent", "answer", "logged"),
     [
         ({}, b"PING\r\n", b"PONG\r\n", r"reason=answered provider=s-0 ms=\d+$"),
         (COLUMNS, b"STATS\r\n", b"PONG x0=0.5,zz=1,outstanding=7\r\n", r"answered .* outstanding=7.0 x0=0.5"),
@@ -51,14 +51,14 @@
         ),
     ],
 )
-def test_a_health_check_asks_for_what_the_settings_name(
-    tmp_path: Path, more: dict[str, object], asked: bytes, answer: bytes, logged: str
+def test_health_check_requests_the_report_that_the_settings_name(
+    tmp_path: Path, more: dict[str, object], sent: bytes, answer: bytes, logged: str
 ) -> None:
     with proxy(tmp_path, 1, allowed={"probing": True}, **more) as running:
         client = running.open()
-        check_health = running.listeners[0].accept()
-        assert check_health.line() == asked
-        check_health.send(answer)
+        connection = running.listeners[0].accept()
+        assert connection.line() == sent
+        connection.send(answer)
         running.logged(logged)
         if answer != b"ERR\r\n":
             running.listeners[0].serve()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the files are read anew while the program serves on."""
+"""Reload on SIGHUP: both files are read again while the proxy serves on."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from linnetshift.routing.settings import Settings
 
 
-def test_the_watch_moves_and_nothing_is_dropped(tmp_path: Path) -> None:
-    # SIGHUP used to end the program, and discovery's old address falls silent after it.
+def test_changed_discovery_address_is_watched_and_no_connection_ends(tmp_path: Path) -> None:
+    # SIGHUP used to end the process, and discovery's old address stops answering after it.
     with proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         client = running.open()
@@ -41,8 +41,8 @@
     return {"services": [{**settings()["services"][0], **changes}]}
 
 
-def test_open_requests_keep_the_rules_they_began_with(tmp_path: Path) -> None:
-    # Classes that went or changed were refused as "lost their place", and the new ones' clients turned away.
+def test_open_request_keeps_the_rules_of_its_class_when_the_class_is_gone(tmp_path: Path) -> None:
+    # Settings without a class or with other rules for it were rejected, and so were clients of a new class.
     feed = settings()["services"][0]
     with proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
@@ -58,14 +58,14 @@
         late = running.client(b"OPEN 3 2 c=late,t=acme,d=2000\r\n")
         _, its_endpoint = running.serve_any()
         assert late.line() == b"UP r1\r\n"
-        still = running.client(b"OPEN 4 2 c=feed,t=acme,d=2000\r\n")  # it has not heard of the change
+        still = running.client(b"OPEN 4 2 c=feed,t=acme,d=2000\r\n")  # a client that does not know of it yet
         _, kept = running.serve_any()
         assert still.line() == b"UP r1\r\n"
         for conn in (again, its_endpoint, kept):
             conn.close()
 
 
-def test_a_number_never_changes_its_meaning() -> None:
+def test_class_number_always_stands_for_the_same_rules() -> None:
     first = Settings.parse(raw_settings())
     second = Settings.parse(raw_settings(**service(effect="once"))).following(first)
     third = Settings.parse(raw_settings()).following(second)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes, says",
+    ("changes", "error"),
     [
         ({"listen": "nowhere"}, "ADDRESS:PORT"),
         ({"listen": "192.0.2.1:1"}, "Cannot assign"),
@@ -99,11 +99,13 @@
         ({"known": {"rev": -1, "all": True, "targets": []}}, "no version"),
     ],
 )
-def test_what_cannot_be_used_changes_nothing(tmp_path: Path, changes: dict[str, Any], says: str) -> None:
+def test_unusable_configuration_is_rejected_and_changes_nothing(
+    tmp_path: Path, changes: dict[str, Any], error: str
+) -> None:
     with proxy(tmp_path) as running:
         client, endpoint = running.standing()
         elsewhere = DiscoveryServer([])
-        running.reload(f"event=configuration-rejected .*{says}", discovery=elsewhere.address, **changes)
+        running.reload(f"event=configuration-rejected .*{error}", discovery=elsewhere.address, **changes)
         running.discovery.change(**{running.listeners[0].uid: "DRAINING"})
         endpoint.send(b"still\r\n")
         assert client.line() == b"still\r\n"
@@ -112,7 +114,7 @@
 
 
 @pytest.mark.parametrize("part", [0, 1, 0.5, 0.99])
-def test_a_file_cut_short_changes_nothing(tmp_path: Path, part: float) -> None:
+def test_truncated_file_is_rejected_and_changes_nothing(tmp_path: Path, part: float) -> None:
     with proxy(tmp_path) as running:
         whole = running.config.read_text()
         running.config.write_text(whole[: int(part if part == 1 else part * len(whole))])
@@ -121,7 +123,7 @@
         running.standing()
 
 
-def test_settings_and_addresses_are_taken_up(tmp_path: Path) -> None:
+def test_changed_settings_and_addresses_are_applied(tmp_path: Path) -> None:
     base = settings()
     more = [*base["services"], {**base["services"][0], "name": "late"}]
     with proxy(tmp_path, own='[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n') as running:
@@ -144,7 +146,7 @@
         assert standing.line() == b"on\r\n"
 
 
-def test_what_a_team_holds_goes_on_counting(tmp_path: Path) -> None:
+def test_requests_in_flight_count_towards_the_reloaded_contract(tmp_path: Path) -> None:
     one = '[[contract]]\nteam = "acme"\nconcurrency = 1\n'
     with proxy(tmp_path, own=one) as running:
         held = running.standing()
@@ -153,7 +155,7 @@
         held[0].close()
 
 
-def test_a_reload_beside_a_planned_stop(tmp_path: Path) -> None:
+def test_reload_during_graceful_shutdown_is_applied(tmp_path: Path) -> None:
     with proxy(tmp_path) as running:
         client, _ = running.standing()
         running.leave()
@@ -164,8 +166,8 @@
         assert running.process.wait(WAIT) == 0
 
 
-def test_a_name_keeps_its_place_wherever_later_lists_have_it(tmp_path: Path) -> None:
-    # Another order of tenants, zones or models was refused, and discovery's new address with it.
+def test_reordered_names_keep_their_numbers(tmp_path: Path) -> None:
+    # Another order of tenants, zones or models was rejected, and discovery's new address with it.
     one = '[[contract]]\nteam = "acme"\nconcurrency = 1\n[[contract]]\nteam = "other"\n'
     with proxy(tmp_path, own=one) as running:
         held_by_acme = running.standing()
@@ -178,16 +180,18 @@
         assert running.open().line() == b"BUSY 1000\r\n"  # acme's one is taken, by the number it began with
         other = running.client(b"OPEN 1 2 c=feed,t=other,d=2000\r\n")
         kept = running.listeners[0].serve()
-        assert other.line() == b"UP r1\r\n" and kept
+        assert other.line() == b"UP r1\r\n"
+        assert kept
         held_by_acme[0].close()
 
 
-def test_what_an_unknown_tenant_holds_is_not_counted_for_a_new_one(tmp_path: Path) -> None:
-    # A name past the list's end had the number that the next tenant got.
+def test_requests_of_an_unlisted_tenant_do_not_count_for_one_listed_later(tmp_path: Path) -> None:
+    # A tenant that was not listed had the number that the next listed one got.
     with proxy(tmp_path) as running:
         connection = running.client(b"OPEN 1 2 c=feed,t=nobody,d=2000\r\n")
         endpoint = running.listeners[0].serve()
-        assert connection.line() == b"UP r1\r\n" and endpoint
+        assert connection.line() == b"UP r1\r\n"
+        assert endpoint
         (tmp_path / "broker.toml").write_text('[[contract]]\nteam = "late"\nconcurrency = 1\n')
         running.reload(
             "event=configuration-reloaded",
@@ -195,11 +199,12 @@
         )
         first = running.client(b"OPEN 2 2 c=feed,t=late,d=2000\r\n")
         kept = running.listeners[0].serve()
-        assert first.line() == b"UP r1\r\n" and kept
+        assert first.line() == b"UP r1\r\n"
+        assert kept
         assert running.client(b"OPEN 3 2 c=feed,t=late,d=2000\r\n").line() == b"BUSY 1000\r\n"
 
 
-def test_our_own_zone_is_found_by_its_name(tmp_path: Path) -> None:
+def test_zone_of_this_proxy_is_found_by_its_name(tmp_path: Path) -> None:
     with world(tmp_path, zones=["a", "b"], zone=1) as made:
         first = read_config(str(made.config))
         text = made.config.read_text().replace('"zones": ["a", "b"]', '"zones": ["c", "b"]')
@@ -210,8 +215,8 @@
 
 
 @pytest.mark.parametrize("state", ["held", "connecting", "sent"])
-@pytest.mark.parametrize("before, after", [("once", "repeatable"), ("repeatable", "once")])
-def test_what_is_under_way_ends_under_the_effect_it_began_with(
+@pytest.mark.parametrize(("before", "after"), [("once", "repeatable"), ("repeatable", "once")])
+def test_request_in_flight_is_retried_by_the_effect_it_began_with(
     tmp_path: Path, state: str, before: str, after: str
 ) -> None:
     base = {**settings()["services"][0], "aimNs": 10 * S, "hardLimitNs": 20 * S}
@@ -239,7 +244,8 @@
             assert client.line() == b"ERR\r\n"
         else:
             again = second.serve()
-            assert client.line() == b"UP r1\r\n" and again
+            assert client.line() == b"UP r1\r\n"
+            assert again
         fresh = running.client(LINE.replace(b"77", b"78") % LONG)
         attempt = running.asked().accept()
         assert attempt.line().startswith(b"OPEN 78 ")
@@ -248,4 +254,5 @@
             assert fresh.line() == b"ERR\r\n"
         else:
             _, kept = running.serve_any()
-            assert fresh.line() == b"UP r1\r\n" and kept
+            assert fresh.line() == b"UP r1\r\n"
+            assert kept
