--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -22,7 +22,7 @@
 from linnetshift.upstream.connector import EndpointConnector
 
 
-@dataclass(slots=True, kw_only=True, eq=False)
+@dataclass(slots=True, kw_only=True, eq=False, repr=False)
 class LocalProcess:
     """This process's side of a hot restart: the `RestartOperations` of `HotRestart`."""
 
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -27,7 +27,7 @@
 DISCONTINUED_CLASS_GRACE_NS = 30 * S
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class BoundListeners:
     """The listeners that a reload has opened; whoever takes one up closes it from then on."""
 
@@ -42,7 +42,7 @@
             self.admin.close()
 
 
-@dataclass(slots=True, kw_only=True, eq=False)
+@dataclass(slots=True, kw_only=True, eq=False, repr=False)
 class ConfigurationReloader:
     """Holds the configuration in use and replaces it.
 
