--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -16,8 +16,9 @@
 from linnetshift.event_loop.loop import Loop
 from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
 from linnetshift.lifecycle.channels_activation import ChannelsActivation
-from linnetshift.lifecycle.hot_restart import PeerResources, spent
 from linnetshift.lifecycle.shutdown_coordinator import ShutdownCoordinator
+from linnetshift.lifecycle.takeover_messages import ExportedState, PeerResources
+from linnetshift.lifecycle.token_bucket_state import export_token_buckets
 from linnetshift.observability import log
 from linnetshift.upstream.connector import EndpointConnector
 
@@ -38,22 +39,17 @@
     shutdown: ShutdownCoordinator
     migrated_by_peer: int  # clients that the other process had told to migrate when it last reported
 
-    def state(self) -> tuple[dict[str, Any], list[int]]:
-        """All that a successor needs to take over, and the descriptors that pass with it.
-
-        The keys are those of every earlier version.
-        """
-        descriptors = self.activation.descriptors()
-        state = {
-            "list": {"rev": self.discovery.version, "all": True, "targets": self._listed_endpoints()},
-            "bans": self.broker.administrative_drains.state(),
-            "budgets": spent(self.broker.contracts, self.names),
-            "holdings": self.peer_resources(),
-            "memory": export_state(self.broker.balancer, self.broker.latency_estimator),
-            "active": self.activation.is_vrrp_active,
-            "passed": list(descriptors),
-        }
-        return state, list(descriptors.values())
+    def state(self) -> ExportedState:
+        """All that a successor needs to take over."""
+        return ExportedState(
+            endpoint_list={"rev": self.discovery.version, "all": True, "targets": self._listed_endpoints()},
+            administrative_drains=self.broker.administrative_drains.state(),
+            token_buckets=export_token_buckets(self.broker.contracts, self.names.tenants),
+            peer_resources=self.peer_resources(),
+            snapshot=export_state(self.broker.balancer, self.broker.latency_estimator),
+            is_vrrp_active=self.activation.is_vrrp_active,
+            descriptors=self.activation.descriptors(),
+        )
 
     def _listed_endpoints(self) -> list[dict[str, Any]]:
         """The endpoint list as discovery would send it."""
@@ -89,13 +85,9 @@
         )
         self.decision_loop.when_processed(done)
 
-    def peer_resources(self) -> dict[str, Any]:
-        """What the other process has to count together with its own; `PeerResources.read` reads it."""
-        loads = {
-            endpoint.decode(): [(established.load, established.group) for established in connections]
-            for endpoint, connections in self.broker.loads().items()
-        }
-        return {"streams": self.loop.streams, "loads": loads, "moved": self.broker.migrated}
+    def peer_resources(self) -> PeerResources:
+        """What the other process has to count together with its own."""
+        return PeerResources(self.loop.streams, self.broker.migrated, self.broker.loads())
 
     def update_peer_resources(self, peer_resources: PeerResources) -> None:
         """Count what the other process holds together with what this one does."""
--- a/linnetshift/lifecycle/shutdown_coordinator.py
+++ b/linnetshift/lifecycle/shutdown_coordinator.py
@@ -12,7 +12,7 @@
 
 
 class ShutdownCoordinator:
-    """Starts, shortens and cancels the graceful shutdown."""
+    """Starts, shortens and cancels the graceful shutdown, whose `ShutdownClients` it is."""
 
     def __init__(
         self,
@@ -58,24 +58,24 @@
         self.frontend.is_draining = True
         if not is_replaced:
             self.activation.stop_vrrp()
-        self.shutdown = GracefulShutdown(
-            self.loop,
-            self.broker,
-            self._stop_listening,
-            self._connections_in_use,
-            self._open_streams,
-            self.frontend.notify_idle_clients,
-            is_replaced,
-        )
+        self.shutdown = GracefulShutdown(self.loop, self.broker, self, is_replaced)
         self.shutdown.start(self.shutdown.run())
 
-    def _stop_listening(self) -> None:
+    # ---- the shutdown's clients -------------------------------------------------------------
+
+    def stop_listening(self) -> None:
+        """Close the listening sockets of both frontends."""
         self.frontend.close()
         self.channels.leave()
 
-    def _connections_in_use(self) -> int:
+    def connections_in_use(self) -> int:
         """Connections that await something; one that is silent must not delay the shutdown."""
         return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle()
 
-    def _open_streams(self) -> list[Stream]:
+    def open_streams(self) -> list[Stream]:
+        """The streams of all connections of both frontends."""
         return [each.stream for each in (*self.frontend.clients, *self.channels.sessions)]
+
+    def notify_idle_clients(self) -> None:
+        """Have the clients without a request migrate too."""
+        self.frontend.notify_idle_clients()
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -21,16 +21,13 @@
 from linnetshift.frontends.channels.session import MOST_OPEN, ChannelsFrontend
 from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
 from linnetshift.lifecycle.channels_activation import ChannelsActivation
-from linnetshift.lifecycle.hot_restart import (
-    HotRestart,
-    ImportedState,
-    PredecessorState,
-    TakeoverSocketPath,
-)
+from linnetshift.lifecycle.hot_restart import HotRestart
+from linnetshift.lifecycle.imported_state import ImportedState
 from linnetshift.lifecycle.local_process import LocalProcess
 from linnetshift.lifecycle.log_summaries import describe_list, log_settings
 from linnetshift.lifecycle.reload import ConfigurationReloader
 from linnetshift.lifecycle.shutdown_coordinator import ShutdownCoordinator
+from linnetshift.lifecycle.takeover_socket import PredecessorState, TakeoverSocketPath
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.events import ListForm
