--- a/linnetshift/config/names.py
+++ b/linnetshift/config/names.py
@@ -26,7 +26,7 @@
 
     Requests and endpoints in use refer to tenants, zones and kinds by number. Such a number therefore belongs
     to its name for good, whatever the order of the lists in later settings. The number of a class stands for
-    its rules: a class that changes gets a new one (`Settings.following`).
+    its rules: a class that changes gets a new one (`Settings.numbered_after`).
     """
 
     def __init__(
@@ -40,7 +40,9 @@
         Raises ValueError where there would be more than `MAX_NAMES` of one kind.
         """
         before = former.numbered_names() if former is not None else NumberedNames({}, {}, {})
-        self.classes = {parsed_settings.classes[number].name: number for number in parsed_settings.numbers}
+        self.classes = {
+            parsed_settings.classes[number].name: number for number in parsed_settings.offered_numbers
+        }
         self.tenants = self._number(raw_settings.get("tenants"), before.tenants)
         self.zones = self._number(raw_settings.get("zones"), before.zones)
         self.kinds = self._number(raw_settings.get("models"), before.kinds)
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -19,7 +19,7 @@
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import Loop
 from linnetshift.frontends.channels.session import MOST_OPEN, ChannelsFrontend
-from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
+from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
 from linnetshift.lifecycle.channels_activation import ChannelsActivation
 from linnetshift.lifecycle.hot_restart import (
     HotRestart,
