--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -86,7 +86,7 @@
     raw_settings = document["settings"]
     settings = Settings.parse(raw_settings)
     if former is not None:
-        settings = settings.following(former.settings, classes_in_use)
+        settings = settings.numbered_after(former.settings, classes_in_use)
     names = NameRegistry(raw_settings, settings, former.names if former is not None else None)
     return ProxyConfig(
         name=str(document.get("name", "")),
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -14,7 +14,7 @@
 from linnetshift.discovery.watch import Discovery
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import Loop
-from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
+from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
 from linnetshift.lifecycle.channels_activation import ChannelsActivation
 from linnetshift.lifecycle.shutdown_coordinator import ShutdownCoordinator
 from linnetshift.lifecycle.takeover_messages import ExportedState, PeerResources
@@ -64,8 +64,8 @@
         """Leave what arrives to the successor and migrate the clients to it, or accept again."""
         if self.shutdown.is_terminating and not yields:
             return  # this process ends in a moment: it must not accept again
-        self.frontend.pause(yields)
-        self.activation.frontend.pause(yields)
+        self.frontend.set_paused(yields)
+        self.activation.frontend.set_paused(yields)
         if self.shutdown.is_terminating:
             return  # the clients are being migrated already
         self.activation.pause_vrrp(yields)
--- a/linnetshift/lifecycle/log_summaries.py
+++ b/linnetshift/lifecycle/log_summaries.py
@@ -42,7 +42,7 @@
         health_checks=_health_checks(settings),
         attempts=min(offered.max_attempts for offered in settings.offered),
         aim_ms=min(offered.latency_objective_ns for offered in settings.offered) // MS,
-        cold_from=settings.cold_from,
+        cold_from=settings.initial_capacity_share,
         warm_ms=settings.warm_up_ns // MS,
     )
 
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -17,7 +17,7 @@
 from linnetshift.discovery.watch import Discovery, WatchTimeouts
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.loop import Loop, S
-from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
+from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
 from linnetshift.frontends.listener import Acceptor, Frontend
 from linnetshift.lifecycle.channels_activation import ChannelsActivation
 from linnetshift.lifecycle.log_summaries import log_settings
@@ -105,12 +105,12 @@
 
     def _bind_frontend(self, frontend: Frontend, address: Address | None, listeners: BoundListeners) -> None:
         if address is not None and address != frontend.address:
-            acceptor = Acceptor(self.loop, address, frontend.take)
+            acceptor = Acceptor(self.loop, address, frontend.handle_connection)
             listeners.frontends.append((frontend, acceptor))
 
     def _switch_listeners(self, files: ConfigurationFiles, listeners: BoundListeners) -> None:
         for frontend, acceptor in listeners.frontends:
-            frontend.follow(acceptor)
+            frontend.use_acceptor(acceptor)
         if listeners.admin is not None or files.proxy.admin is None:
             self.admin_server.follow(listeners.admin)
         if files.broker.channels is None and self.activation.frontend.address is not None:
@@ -130,4 +130,4 @@
         return discontinued
 
     def _forget_classes(self, discontinued: dict[str, int]) -> None:
-        self.names.forget_classes(discontinued, self.config.settings.numbers)
+        self.names.forget_classes(discontinued, self.config.settings.offered_numbers)
--- a/linnetshift/lifecycle/shutdown_coordinator.py
+++ b/linnetshift/lifecycle/shutdown_coordinator.py
@@ -6,7 +6,7 @@
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.stream import Stream
-from linnetshift.frontends.line_protocol.client_connection import LineProtocolFrontend
+from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
 from linnetshift.lifecycle.channels_activation import ChannelsActivation
 from linnetshift.lifecycle.graceful_shutdown import GracefulShutdown
 
