--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -23,8 +23,8 @@
 from typing import Any, NamedTuple, Protocol
 
 from linnetshift.broker.broker import Broker
-from linnetshift.broker.contracts import Budget, Contracts
-from linnetshift.broker.latency_estimator import Standing
+from linnetshift.broker.contracts import Contracts
+from linnetshift.broker.latency_estimator import EstablishedConnection
 from linnetshift.broker.snapshot import import_state
 from linnetshift.config.names import NameRegistry
 from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
@@ -33,6 +33,7 @@
 from linnetshift.event_loop.stream import End, Stream
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
+from linnetshift.util.token_bucket import TokenBucket
 
 TAKEOVER_TIMEOUT_S = (
     2.5  # how long a new process waits for the state of one that may hang; then it goes on alone
@@ -127,15 +128,17 @@
     """What is left of each team's budgets: rate and retries, as level and time."""
     teams = {place: name for name, place in names.tenants.items()}
     return {
-        teams[team]: [None if b is None else [b.level, b.at] for b in (contract.rate, contract.retries)]
+        teams[team]: [
+            None if b is None else [b.level, b.refilled_at_ns] for b in (contract.rate, contract.retries)
+        ]
         for team, contract in contracts.teams.items()
         if team in teams
     }
 
 
-def take_over(budget: Budget | None, left: list[float] | None) -> None:
+def take_over(budget: TokenBucket | None, left: list[float] | None) -> None:
     if budget is not None and left is not None:
-        budget.level, budget.at = float(left[0]), int(left[1])
+        budget.level, budget.refilled_at_ns = float(left[0]), int(left[1])
 
 
 class ImportedState:
@@ -167,7 +170,7 @@
         """Before the list is told."""
         try:
             if self.state:
-                broker.administrative_drains.restore(self.state["bans"])
+                broker.administrative_drains.import_state(self.state["bans"])
                 for team, left in self.state["budgets"].items():
                     contract = broker.contracts.teams.get(self.names.tenants[team])
                     if contract is not None:
@@ -194,7 +197,7 @@
 
     streams: int = 0  # descriptors
     moved: int = 0  # clients told to move, ever
-    loads: Mapping[bytes, list[Standing]] = MappingProxyType({})  # by endpoint
+    loads: Mapping[bytes, list[EstablishedConnection]] = MappingProxyType({})  # by endpoint
 
     @classmethod
     def read(cls, told: dict[str, Any]) -> PeerResources:
@@ -202,7 +205,8 @@
         streams, moved = int(told.get("streams", 0)), int(told.get("moved", 0))
         loads = {
             endpoint.encode(): [
-                Standing(None if load is None else float(load), int(group), 0) for load, group in held
+                EstablishedConnection(None if load is None else float(load), int(group), 0)
+                for load, group in held
             ]
             for endpoint, held in told.get("loads", {}).items()
         }
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -46,7 +46,7 @@
         descriptors = self.activation.descriptors()
         state = {
             "list": {"rev": self.discovery.version, "all": True, "targets": self._listed_endpoints()},
-            "bans": self.broker.administrative_drains.state(),
+            "bans": self.broker.administrative_drains.export_state(),
             "budgets": spent(self.broker.contracts, self.names),
             "holdings": self.peer_resources(),
             "memory": export_state(self.broker.balancer, self.broker.latency_estimator),
@@ -101,11 +101,11 @@
         """Count what the other process holds together with what this one does."""
         estimator = self.broker.latency_estimator
         self.connection_limiter.peer_descriptors = peer_resources.streams
-        estimator.elsewhere = dict(peer_resources.loads)
+        estimator.peer_connections = dict(peer_resources.loads)
         # A client that the other process migrated comes back to this one, and was this proxy's before: it is
         # not a client that another proxy migrated here.
         newly_migrated = peer_resources.moved - self.migrated_by_peer
         for _ in range(min(newly_migrated, self.connection_limiter.descriptors)):
-            estimator.guest(False, self.loop.now())
+            estimator.migrations.record_migrated_out(self.loop.now())
         self.migrated_by_peer = peer_resources.moved
         self.broker.balancer.elsewhere = sum(map(len, peer_resources.loads.values()))
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -30,7 +30,7 @@
     def review_latency(self) -> None:
         self.calls.append("review_latency")
 
-    def fresh(self) -> list[tuple[str, Any]]:
+    def take_unreported(self) -> list[tuple[str, Any]]:
         return [("fact", 7)]
 
 
