--- a/linnetshift/config/broker_file.py
+++ b/linnetshift/config/broker_file.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from linnetshift.broker.contracts import Budget, Contract, Contracts
+from linnetshift.broker.contracts import Contract, Contracts
 from linnetshift.config.errors import (
     FileSyntaxError,
     InvalidValueError,
@@ -18,6 +18,7 @@
 from linnetshift.config.names import NameRegistry
 from linnetshift.event_loop.address import Address, parse_address
 from linnetshift.routing.settings import Settings
+from linnetshift.util.token_bucket import TokenBucket
 from linnetshift.vrrp.router import VrrpConfig
 
 DEFAULT_FILE = Path(__file__).parent.parent.parent / "deploy" / "broker.toml"
@@ -124,8 +125,8 @@
         _check_known("service", name, numbers)
     return Contract(
         services=None if services is None else frozenset().union(*(numbers[str(s)] for s in services)),
-        rate=_parse_budget(item, "rate_per_s", "rate_burst"),
-        retries=_parse_budget(item, "retries_per_s", "retries_burst"),
+        rate=_parse_token_bucket(item, "rate_per_s", "rate_burst"),
+        retries=_parse_token_bucket(item, "retries_per_s", "retries_burst"),
         concurrency=int(item["concurrency"]) if "concurrency" in item else None,
     )
 
@@ -135,7 +136,7 @@
         raise ValueError(f"a contract names the unknown {kind} {name!r}")
 
 
-def _parse_budget(item: dict[str, Any], rate_key: str, burst_key: str) -> Budget | None:
+def _parse_token_bucket(item: dict[str, Any], rate_key: str, burst_key: str) -> TokenBucket | None:
     """The token bucket that the two keys describe, in requests a second and requests; None without a rate."""
     if rate_key not in item:
         return None
@@ -143,4 +144,4 @@
     burst = float(item.get(burst_key, max(1.0, rate)))
     if not 0.0 < rate < math.inf or not 1.0 <= burst < math.inf:
         raise ValueError(f"{rate_key} must be above 0 and {burst_key} 1 or more")
-    return Budget(rate, burst)
+    return TokenBucket(rate, burst)
--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -89,7 +89,7 @@
         self.broker.review_unresponsive_endpoints()
         if number % REVIEWS_PER_LATENCY_REVIEW == 0:
             self.broker.review_latency()
-            for what, value in self.broker.deployment_facts.fresh():
+            for what, value in self.broker.deployment_facts.take_unreported():
                 log.note("deployment-fact-observed", what=what, value=value)
 
     def _process_events(self) -> None:
--- a/linnetshift/lifecycle/imported_state.py
+++ b/linnetshift/lifecycle/imported_state.py
@@ -76,7 +76,7 @@
         if not self.state:
             return
         try:
-            broker.administrative_drains.restore(self.state[ADMINISTRATIVE_DRAINS_KEY])
+            broker.administrative_drains.import_state(self.state[ADMINISTRATIVE_DRAINS_KEY])
             self._restore_token_buckets(broker)
         except _WRONG_SHAPE_ERRORS as error:
             log.note("imported-state-rejected", error=f"{type(error).__name__}: {error}")
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -43,7 +43,7 @@
         """All that a successor needs to take over."""
         return ExportedState(
             endpoint_list={"rev": self.discovery.version, "all": True, "targets": self._listed_endpoints()},
-            administrative_drains=self.broker.administrative_drains.state(),
+            administrative_drains=self.broker.administrative_drains.export_state(),
             token_buckets=export_token_buckets(self.broker.contracts, self.names.tenants),
             peer_resources=self.peer_resources(),
             snapshot=export_state(self.broker.balancer, self.broker.latency_estimator),
@@ -93,11 +93,11 @@
         """Count what the other process holds together with what this one does."""
         estimator = self.broker.latency_estimator
         self.connection_limiter.peer_descriptors = peer_resources.streams
-        estimator.elsewhere = dict(peer_resources.loads)
+        estimator.peer_connections = dict(peer_resources.loads)
         # A client that the other process migrated comes back to this one, and was this proxy's before: it is
         # not a client that another proxy migrated here.
         newly_migrated = peer_resources.moved - self.migrated_by_peer
         for _ in range(min(newly_migrated, self.connection_limiter.descriptors)):
-            estimator.guest(False, self.loop.now())
+            estimator.migrations.record_migrated_out(self.loop.now())
         self.migrated_by_peer = peer_resources.moved
         self.broker.balancer.elsewhere = sum(map(len, peer_resources.loads.values()))
--- a/linnetshift/lifecycle/takeover_messages.py
+++ b/linnetshift/lifecycle/takeover_messages.py
@@ -13,7 +13,7 @@
 from types import MappingProxyType
 from typing import Any, NamedTuple
 
-from linnetshift.broker.latency_estimator import Standing
+from linnetshift.broker.latency_estimator import EstablishedConnection
 from linnetshift.observability import log
 
 KIND_KEY = "say"
@@ -64,7 +64,9 @@
 
     streams: int = 0  # open descriptors
     moved: int = 0  # clients migrated since the process started
-    loads: Mapping[bytes, list[Standing]] = MappingProxyType({})  # established connections by endpoint
+    loads: Mapping[bytes, list[EstablishedConnection]] = MappingProxyType(
+        {}
+    )  # established connections by endpoint
 
     def to_json(self) -> dict[str, object]:
         """Return the keys shared by the heartbeat and the exported state.
@@ -92,7 +94,8 @@
         moved = int(document.get(MIGRATED_KEY, 0))
         loads = {
             endpoint.encode(): [
-                Standing(None if load is None else float(load), int(group), 0) for load, group in connections
+                EstablishedConnection(None if load is None else float(load), int(group), 0)
+                for load, group in connections
             ]
             for endpoint, connections in document.get(LOADS_KEY, {}).items()
         }
@@ -103,7 +106,7 @@
         return cls(streams, moved, loads)
 
 
-def _is_possible(connections: list[Standing]) -> bool:
+def _is_possible(connections: list[EstablishedConnection]) -> bool:
     """Whether all reported loads are finite and not negative."""
     loads = [connection.load for connection in connections if connection.load is not None]
     return all(math.isfinite(load) and load >= 0.0 for load in loads)
--- a/linnetshift/lifecycle/token_bucket_state.py
+++ b/linnetshift/lifecycle/token_bucket_state.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Mapping
 
-from linnetshift.broker.contracts import Budget, Contracts
+from linnetshift.broker.contracts import Contracts
+from linnetshift.util.token_bucket import TokenBucket
 
 TokenBucketState = list[float]  # level in tokens, and the time in ns for which it was computed
 
@@ -19,7 +20,7 @@
     teams = {number: name for name, number in tenants.items()}
     return {
         teams[team]: [
-            None if bucket is None else [bucket.level, bucket.at]
+            None if bucket is None else [bucket.level, bucket.refilled_at_ns]
             for bucket in (contract.rate, contract.retries)
         ]
         for team, contract in contracts.teams.items()
@@ -27,11 +28,11 @@
     }
 
 
-def restore_token_bucket(bucket: Budget | None, state: TokenBucketState | None) -> None:
+def restore_token_bucket(bucket: TokenBucket | None, state: TokenBucketState | None) -> None:
     """Continue with the predecessor's level, where both versions of the contract set a limit.
 
     Raises IndexError, OverflowError, TypeError or ValueError where the state has another shape.
     """
     if bucket is not None and state is not None:
         bucket.level = float(state[0])
-        bucket.at = int(state[1])
+        bucket.refilled_at_ns = int(state[1])
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from linnetshift.admin.server import AdminServer
-from linnetshift.broker.administrative_drains import MOST_LISTED
+from linnetshift.broker.administrative_drains import MAX_LISTED
 from linnetshift.broker.broker import Broker
 from linnetshift.config.broker_file import BrokerConfig
 from linnetshift.config.proxy_file import ProxyConfig
@@ -188,7 +188,7 @@
 
     def handle_list_update(self, list_update: EndpointListUpdate) -> None:
         """Pass an endpoint list, its changes or the failure to get one to the connector and the broker."""
-        event = self.broker.administrative_drains.bounded(list_update.event)
+        event = self.broker.administrative_drains.limit_entries(list_update.event)
         if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
             log.note("endpoint-list-received", **describe_list(event, self.loop.now()))
         excess = len(list_update.event.entries) - len(event.entries)
@@ -232,7 +232,7 @@
         return {
             **self.loop.resource_usage(connections),
             **self.broker.resource_usage(connections),
-            **self.connector.resource_usage(MOST_LISTED),
+            **self.connector.resource_usage(MAX_LISTED),
             **self.connection_limiter.resource_usage(connections),
             **self.frontend.resource_usage(connections),
             **self.channels.resource_usage(connections),
@@ -243,14 +243,14 @@
     def is_drain_limit_reached(self, endpoint: bytes) -> bool:
         """Whether so many endpoints are drained that this one cannot be too."""
         drains = self.broker.administrative_drains
-        return drains.full() and not drains.holds(endpoint)
+        return drains.is_full() and not drains.is_drained(endpoint)
 
     def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
         """Drain an endpoint or restore it, here and in every other process of this proxy.
 
         `done` is called once that is acted on, with whether the endpoint is known.
         """
-        if not self.broker.administrative_drains.knows(endpoint):
+        if not self.broker.administrative_drains.is_known(endpoint):
             done(False)
             return
         self.hot_restart.apply_administrative_drain(endpoint, out, lambda: done(True))
