--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -100,4 +100,4 @@
         for _ in range(min(newly_migrated, self.connection_limiter.descriptors)):
             estimator.migrations.record_migrated_out(self.loop.now())
         self.migrated_by_peer = peer_resources.moved
-        self.broker.balancer.elsewhere = sum(map(len, peer_resources.loads.values()))
+        self.broker.balancer.ranking.predecessor_connections = sum(map(len, peer_resources.loads.values()))
