--- a/linnetshift/__main__.py
+++ b/linnetshift/__main__.py
@@ -46,7 +46,7 @@
 
 def main() -> int:
     """Run the proxy until it has shut down; returns the exit status."""
-    log.set_up()
+    log.configure()
     wakeup_pipe = catch_signals()
     try:
         proxy = start_proxy()
@@ -57,7 +57,7 @@
         print(f"linnetshift: cannot listen: {error.strerror}", file=sys.stderr)
         return EXIT_UNUSABLE_CONFIGURATION
     proxy.watch_signals(wakeup_pipe)
-    log.note(
+    log.info(
         "process-started",
         name=proxy.config.name,
         listen=f"{proxy.config.listen[0]}:{proxy.config.listen[1]}",
--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -17,7 +17,7 @@
     UnreadableFileError,
 )
 from linnetshift.config.names import NameRegistry
-from linnetshift.discovery.endpoint_list import EndpointListUpdate, read_list
+from linnetshift.discovery.endpoint_list import EndpointListUpdate, parse_endpoint_list
 from linnetshift.event_loop.address import Address, parse_address
 from linnetshift.routing.settings import Settings
 
@@ -93,7 +93,7 @@
         listen=listen,
         discovery=discovery,
         seed=int(str(document.get("seed", "0")), 16),
-        cached_list=read_list(document.get("known", {"targets": []}), names, cached=True),
+        cached_list=parse_endpoint_list(document.get("known", {"targets": []}), names, is_cached=True),
         settings=_with_registered_zone(settings, raw_settings.get("zones"), names),
         names=names,
         max_sockets=int((document.get("limits") or {}).get("sockets") or 0),
--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -90,7 +90,7 @@
         if number % REVIEWS_PER_LATENCY_REVIEW == 0:
             self.broker.review_latency()
             for what, value in self.broker.deployment_facts.take_unreported():
-                log.note("deployment-fact-observed", what=what, value=value)
+                log.info("deployment-fact-observed", what=what, value=value)
 
     def _process_events(self) -> None:
         if self.waits_for_discovery:
@@ -100,4 +100,4 @@
         except Exception as error:
             # This edge contains faults: one in the decisions must not end the established connections. They
             # go on, and the broker itself answers requests that get no decision.
-            log.fault(error)
+            log.exception(error)
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -22,7 +22,7 @@
 from linnetshift.frontends.line_protocol.request_line import RequestLine, RequestLineError
 from linnetshift.frontends.line_protocol.request_reader import RequestReader
 from linnetshift.observability import log
-from linnetshift.observability.log import MOST_TOLD, Reason
+from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
 
 if TYPE_CHECKING:
     from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
@@ -134,7 +134,7 @@
 
     def faulted(self, error: Exception) -> None:
         """Contain a fault of this program: other clients must not pay for one met on this connection."""
-        log.fault(error)
+        log.exception(error)
         if self.request is not None:
             self.broker.handle_client_ended(self.request, True)
         self.stream.close(End.RESET)
@@ -230,7 +230,7 @@
             self.frontend.ids.discard(self.id)
         fields: dict[str, object] = {}
         if self.error:
-            fields["error"] = self.error[:MOST_TOLD]
+            fields["error"] = self.error[:MAX_LOGGED_CHARS]
         fields["id"] = self.request.id if self.request is not None else 0
         if self.id is not None:
             fields["open"] = f"{self.id:x}"
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -97,7 +97,7 @@
                     continue
                 if error.errno in SHORTAGE:
                     self._pause_for(ACCEPT_PAUSE_NS)
-                    log.note("accept-paused", error=error.strerror)
+                    log.info("accept-paused", error=error.strerror)
                     return
                 continue  # the peer was gone before it was accepted
             self.on_accept(sock, peer)
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -10,7 +10,7 @@
 from linnetshift.broker.snapshot import export_state
 from linnetshift.config.names import NameRegistry
 from linnetshift.decision_loop import DecisionLoop
-from linnetshift.discovery.endpoint_list import describe
+from linnetshift.discovery.endpoint_list import serialize_entry
 from linnetshift.discovery.watch import Discovery
 from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import Loop
@@ -55,7 +55,7 @@
         """The endpoint list as discovery would send it."""
         addresses = self.connector.addresses
         return [
-            describe(entry, addresses[endpoint], self.names)
+            serialize_entry(entry, addresses[endpoint], self.names)
             for endpoint, entry in self.broker.administrative_drains.listed.items()
             if endpoint in addresses
         ]
@@ -77,7 +77,7 @@
     def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
         """Drain the endpoint in this process, or restore it; `done` is called once that is acted on."""
         is_known = self.broker.drain_endpoint(endpoint) if out else self.broker.restore_endpoint(endpoint)
-        log.note(
+        log.info(
             "administrative-drain-changed",
             endpoint=endpoint.decode(errors="replace"),
             out=out,
--- a/linnetshift/lifecycle/log_summaries.py
+++ b/linnetshift/lifecycle/log_summaries.py
@@ -33,7 +33,7 @@
 
 def log_settings(settings: Settings) -> None:
     """Log how the settings were understood, for operators to compare with what they meant."""
-    log.note(
+    log.info(
         "settings-applied",
         proxies=settings.balancers,
         cross_zone_weight=f"{settings.cross_zone_weight:.3f}",
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -74,11 +74,11 @@
             self._bind(files, listeners)
         except (ConfigurationError, OSError) as error:
             listeners.close()
-            log.note("configuration-rejected", error=str(error))
+            log.info("configuration-rejected", error=str(error))
             return
         self._switch_listeners(files, listeners)
         discontinued = self._apply(files)
-        log.note(
+        log.info(
             "configuration-reloaded",
             discovery=f"{self.config.discovery[0]}:{self.config.discovery[1]}",
             classes=",".join(offered.name for offered in self.config.settings.offered),
--- a/linnetshift/lifecycle/takeover_messages.py
+++ b/linnetshift/lifecycle/takeover_messages.py
@@ -56,7 +56,7 @@
 
     def __init__(self, cause: Exception) -> None:
         """`cause` loses its traceback, see `log.words`."""
-        super().__init__(f"{type(cause).__name__}: {log.words(cause)}")
+        super().__init__(f"{type(cause).__name__}: {log.error_text(cause)}")
 
 
 class PeerResources(NamedTuple):
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -190,10 +190,10 @@
         """Pass an endpoint list, its changes or the failure to get one to the connector and the broker."""
         event = self.broker.administrative_drains.limit_entries(list_update.event)
         if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
-            log.note("endpoint-list-received", **describe_list(event, self.loop.now()))
+            log.info("endpoint-list-received", **describe_list(event, self.loop.now()))
         excess = len(list_update.event.entries) - len(event.entries)
         if excess:
-            log.note("endpoint-limit-exceeded", left_out=excess)
+            log.info("endpoint-limit-exceeded", left_out=excess)
         addresses = {entry.endpoint: list_update.addresses[entry.endpoint] for entry in event.entries}
         self.connector.listed(event, addresses)
         self.broker.handle_endpoint_list(event)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -128,7 +128,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Answered callers that kept sending held a descriptor each for up to 3 s, however many they were.
-    monkeypatch.setattr(server, "MOST_CALLERS", 3)
+    monkeypatch.setattr(server, "MAX_CONNECTIONS", 3)
     with inside(tmp_path, admin_server=True) as running:
         kept = []
         for _ in range(9):
