--- a/linnetshift/admin/connection.py
+++ b/linnetshift/admin/connection.py
@@ -12,10 +12,12 @@
 
 from linnetshift.admin.operations import Operations
 from linnetshift.admin.routes import AdminRequest, DrainChange, Response, dispatch
+from linnetshift.event_loop.actor import Actor, ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Io, Loop, S, Timeout
+from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.outbound_connection import Steps, Stop, linger
 from linnetshift.event_loop.stream import End, Stream
+from linnetshift.event_loop.timers import MS, S, Timeout
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
 
--- a/linnetshift/discovery/endpoint_list.py
+++ b/linnetshift/discovery/endpoint_list.py
@@ -10,7 +10,7 @@
 
 from linnetshift.config.names import UNKNOWN, NameRegistry
 from linnetshift.event_loop.address import Address, parse_address
-from linnetshift.event_loop.loop import MS
+from linnetshift.event_loop.timers import MS
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS
 from linnetshift.routing.events import EndpointEntry, EndpointList, EndpointState, ListForm
--- a/linnetshift/discovery/http_call.py
+++ b/linnetshift/discovery/http_call.py
@@ -9,10 +9,12 @@
 
 import h11
 
+from linnetshift.event_loop.actor import Actor, ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.loop import Actor, ActorCoroutine, Io, Loop, S, Timeout
+from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Steps
 from linnetshift.event_loop.stream import End, Stream
+from linnetshift.event_loop.timers import S, Timeout
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS
 
--- a/linnetshift/discovery/stale_list.py
+++ b/linnetshift/discovery/stale_list.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from linnetshift.discovery.endpoint_list import EndpointListError
-from linnetshift.event_loop.loop import S
+from linnetshift.event_loop.timers import S
 from linnetshift.routing.events import EndpointList, ListForm
 
 # How long answers have to contradict what is known before they are believed.
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -14,8 +14,10 @@
 )
 from linnetshift.discovery.http_call import CallEnded, DiscoveryCall
 from linnetshift.discovery.stale_list import StaleListFilter
+from linnetshift.event_loop.actor import Actor, ActorCoroutine
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Loop, S, Timeout
+from linnetshift.event_loop.loop import Loop
+from linnetshift.event_loop.timers import MS, S, Timeout
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS
 from linnetshift.routing.events import EndpointList, ListForm
--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -9,8 +9,10 @@
 import resource
 from typing import Protocol
 
-from linnetshift.event_loop.loop import MS, Actor, Loop, S, Timer
+from linnetshift.event_loop.actor import Actor
+from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.stream import Stream
+from linnetshift.event_loop.timers import MS, S, Timer
 from linnetshift.observability.resource_usage import ResourceUsage
 
 # A request line comes with its connection; one that takes longer is answered and closed, within 3 s in all.
--- a/linnetshift/event_loop/loop.py
+++ b/linnetshift/event_loop/loop.py
@@ -9,12 +9,10 @@
 from collections.abc import Callable
 from itertools import count
 
-from linnetshift.event_loop.actor import Actor, ActorCoroutine, Io
-from linnetshift.event_loop.timers import MS, ActorTimer, S, Timeout, Timer
+from linnetshift.event_loop.actor import Actor
+from linnetshift.event_loop.timers import MS, S, Timer
 from linnetshift.observability.resource_usage import ResourceUsage
 
-__all__ = ["MS", "Actor", "ActorCoroutine", "ActorTimer", "Handler", "Io", "Loop", "S", "Timeout", "Timer"]
-
 # Called with epoll's event mask when a descriptor is ready.
 Handler = Callable[[int], None]
 # So many cancelled timers stay in the heap in any case: rebuilding it for fewer costs more than they do.
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -8,10 +8,11 @@
 from collections.abc import Generator
 from typing import Any
 
+from linnetshift.event_loop.actor import Actor, Io
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.connection_limits import STALL_NS
-from linnetshift.event_loop.loop import Actor, Io, S, Timeout
 from linnetshift.event_loop.stream import End, Stream
+from linnetshift.event_loop.timers import S, Timeout
 from linnetshift.observability import log
 
 LINGER_NS = S // 2  # how long an ended connection waits for the peer's own end
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -6,11 +6,12 @@
 from typing import TYPE_CHECKING
 
 from linnetshift.broker.active_request import ActiveRequest
+from linnetshift.event_loop.actor import ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.connection_limits import DRAIN_NS, Reading
-from linnetshift.event_loop.loop import MS, ActorCoroutine, Io
 from linnetshift.event_loop.outbound_connection import Resume, Steps, Stop, linger
 from linnetshift.event_loop.stream import End, Stream
+from linnetshift.event_loop.timers import MS
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.message_relay import MessageRelay
 from linnetshift.frontends.line_protocol.messages import (
--- a/linnetshift/frontends/line_protocol/message_relay.py
+++ b/linnetshift/frontends/line_protocol/message_relay.py
@@ -6,9 +6,10 @@
 from typing import TYPE_CHECKING
 
 from linnetshift.broker.active_request import ActiveRequest
-from linnetshift.event_loop.loop import Io, Timeout
+from linnetshift.event_loop.actor import Io
 from linnetshift.event_loop.outbound_connection import Resume, Steps
 from linnetshift.event_loop.stream import End, LineTooLongError
+from linnetshift.event_loop.timers import Timeout
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.messages import EndpointEnded, MigrationRequested
 from linnetshift.observability.log import Reason
--- a/linnetshift/frontends/line_protocol/request_line.py
+++ b/linnetshift/frontends/line_protocol/request_line.py
@@ -8,7 +8,7 @@
 from linnetshift.event_loop.connection_limits import (
     MOST_WAIT_MS,
 )
-from linnetshift.event_loop.loop import MS
+from linnetshift.event_loop.timers import MS
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.routing.events import RETRY, RETURNED
 
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -5,10 +5,11 @@
 import select
 from typing import TYPE_CHECKING
 
+from linnetshift.event_loop.actor import Io
 from linnetshift.event_loop.connection_limits import REQUEST_LINE_TIMEOUT_NS
-from linnetshift.event_loop.loop import Io, Timeout
 from linnetshift.event_loop.outbound_connection import Steps, Stop
 from linnetshift.event_loop.stream import End, LineTooLongError
+from linnetshift.event_loop.timers import Timeout
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.messages import ShutdownNotice
 from linnetshift.frontends.line_protocol.request_line import RequestLineError, parse_request_line
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -14,7 +14,8 @@
 from linnetshift.event_loop.connection_limits import (
     ConnectionLimiter,
 )
-from linnetshift.event_loop.loop import MS, Loop
+from linnetshift.event_loop.loop import Loop
+from linnetshift.event_loop.timers import MS
 from linnetshift.observability import log
 
 BACKLOG = 1024  # connections that the kernel keeps for a listening socket
--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -10,8 +10,10 @@
 from typing import Protocol
 
 from linnetshift.broker.broker import Broker
-from linnetshift.event_loop.loop import MS, Actor, ActorCoroutine, Loop, S
+from linnetshift.event_loop.actor import Actor, ActorCoroutine
+from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.stream import Stream
+from linnetshift.event_loop.timers import MS, S
 from linnetshift.frontends.channels.frontend import ChannelsFrontend
 from linnetshift.observability import log
 from linnetshift.routing.settings import Settings
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -10,9 +10,11 @@
 from itertools import count
 from typing import Any, Protocol
 
+from linnetshift.event_loop.actor import ActorCoroutine, Io
 from linnetshift.event_loop.connection_limits import Reading
-from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, S, Timeout
+from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.stream import Stream
+from linnetshift.event_loop.timers import MS, S, Timeout
 from linnetshift.lifecycle.restart_operations import RestartOperations
 from linnetshift.lifecycle.takeover_messages import (
     AdministrativeDrain,
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -8,10 +8,12 @@
 from linnetshift.broker.active_request import Attempt
 from linnetshift.broker.broker import Broker
 from linnetshift.broker.ports import Client
+from linnetshift.event_loop.actor import ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, Timeout
+from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Resume, Steps, Stop, linger
 from linnetshift.event_loop.stream import End, LineTooLongError, Stream
+from linnetshift.event_loop.timers import MS, Timeout
 from linnetshift.observability import log
 from linnetshift.observability.log import Reason
 from linnetshift.routing.events import Outcome
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -6,10 +6,12 @@
 import select
 from collections.abc import Callable
 
+from linnetshift.event_loop.actor import ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.loop import MS, ActorCoroutine, Io, Loop, Timeout
+from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Steps
 from linnetshift.event_loop.stream import LineTooLongError, Stream
+from linnetshift.event_loop.timers import MS, Timeout
 from linnetshift.observability import log
 from linnetshift.observability.log import Reason
 from linnetshift.routing.events import Outcome
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -15,10 +15,12 @@
 from proxy import RunningProxy, proxy, settings
 
 from linnetshift.config.broker_file import read_broker_file
-from linnetshift.config.errors import ConfigError
+from linnetshift.config.errors import ConfigurationError
 from linnetshift.config.proxy_file import read_config
-from linnetshift.event_loop.loop import ActorCoroutine, Io, Loop, S
+from linnetshift.event_loop.actor import ActorCoroutine, Io
+from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Stop
+from linnetshift.event_loop.timers import S
 from rig import wires
 from rig.attack import Attack, Broken, Endpoints, shrink
 from rig.crowd import Input
@@ -109,7 +111,7 @@
         for before in (None, former):
             try:
                 read_config(str(path), before)
-            except ConfigError as error:
+            except ConfigurationError as error:
                 refused += 1
                 assert "\n" not in str(error)
     assert 0 < refused < 3000
@@ -138,7 +140,7 @@
         path.write_bytes(scar(rng, text))
         try:
             read_broker_file(str(path), config.names, config.settings)
-        except ConfigError as error:
+        except ConfigurationError as error:
             refused += 1
             assert "\n" not in str(error)
     assert refused
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -11,7 +11,8 @@
 import pytest
 from proxy import WAIT
 
-from linnetshift.event_loop.loop import MS, Loop
+from linnetshift.event_loop.loop import Loop
+from linnetshift.event_loop.timers import MS
 from linnetshift.lifecycle import peer_process
 from linnetshift.lifecycle.hot_restart import HotRestart
 from linnetshift.lifecycle.takeover_messages import ExportedState, PeerResources
--- a/tests/test_request_line.py
+++ b/tests/test_request_line.py
@@ -9,7 +9,7 @@
 
 from linnetshift.config.names import UNKNOWN, NameRegistry
 from linnetshift.event_loop.connection_limits import MOST_WAIT_MS
-from linnetshift.event_loop.loop import MS
+from linnetshift.event_loop.timers import MS
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.request_line import RequestLineError, parse_request_line
 from linnetshift.routing.events import RETRY, RETURNED
