--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 import numpy as np
+import pytest
 from conftest import S, balancer, endpoint, entry, listed, only, raw_settings, request
+from routing_parts import Parts
 
 from linnetshift.routing.actions import Send
 from linnetshift.routing.balancer import Balancer
@@ -101,3 +103,29 @@
         node.step(now * S, [])
         shares.append(list(first_endpoints(node, range(1, 3001)).values()).count(endpoint(9)))
     assert shares[0] < 130 < shares[1] < shares[2] and 230 < shares[2] < 370
+
+
+def test_candidates_are_made_anew_after_a_list_update_and_in_each_step_of_a_warm_up() -> None:
+    parts = Parts(endpoints=2)
+    made = parts.ranking.candidates()
+    parts.at(500 * S)
+    assert parts.ranking.candidates() is made
+    parts.endpoints.apply(listed(entry(0), entry(1, started_ns=500 * S)))
+    parts.ranking.invalidate()
+    made = parts.ranking.candidates()
+    assert made.total_capacity == 1.25 and made.valid_until == 500 * S + 10 * S // 16
+    assert parts.slow_start.shares == {endpoint(1): 0.25 / 1.25}
+    parts.at(made.valid_until - 1)
+    assert parts.ranking.candidates() is made
+    parts.at(made.valid_until)
+    assert parts.ranking.candidates() is not made
+
+
+def test_slow_start_tokens_come_by_the_connections_of_both_processes() -> None:
+    for predecessor, rate in ((0, 0.5 * 3.0 * 7 / 0.7 / 10), (7, 0.5 * 3.0 * 14 / 0.7 / 10)):
+        parts = Parts(endpoints=1)
+        for number in range(7):
+            parts.connection(number, parts.endpoint(0))
+        parts.ranking.predecessor_connections = predecessor
+        parts.ranking.candidates()
+        assert parts.slow_start.tokens_per_s == pytest.approx(rate)
--- /dev/null
+++ b/tests/test_tick_timer.py
@@ -0,0 +1,28 @@
+"""The tick timer and the context that it reads the time of a tick from."""
+
+from __future__ import annotations
+
+from conftest import MS, S
+from routing_parts import Parts
+
+from linnetshift.routing.actions import SetTimer
+from linnetshift.routing.tick_timer import TICK_TOKEN
+
+
+def test_timer_is_set_once_until_it_has_fired() -> None:
+    parts = Parts()
+    parts.tick_timer.start()
+    parts.tick_timer.start()
+    assert parts.context.actions == [SetTimer(50 * MS, TICK_TOKEN)]
+    parts.tick_timer.handle_fired()
+    parts.tick_timer.start()
+    assert len(parts.context.actions) == 2
+
+
+def test_step_begins_without_actions_and_never_before_the_last_one() -> None:
+    parts = Parts()
+    parts.tick_timer.start()
+    parts.at(3 * S)
+    assert (parts.context.now, parts.context.actions) == (3 * S, [])
+    parts.at(2 * S)
+    assert parts.context.now == 3 * S
