--- a/rig/fleet/stands.py
+++ b/rig/fleet/stands.py
@@ -74,8 +74,10 @@
     async def open(self) -> None:
         for node in range(self.scenario.nodes):
 
-            def accept(r: asyncio.StreamReader, w: asyncio.StreamWriter, node: int = node) -> object:
-                return self.serve(r, w, node)
+            async def accept(
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, node: int = node
+            ) -> None:
+                await self.serve(reader, writer, node)
 
             server = await asyncio.start_server(accept, "127.0.0.1", 0, backlog=512)
             self.servers.append(server)
@@ -159,8 +161,10 @@
     async def open(self) -> None:
         for node in range(self.scenario.nodes):
 
-            def accept(r: asyncio.StreamReader, w: asyncio.StreamWriter, node: int = node) -> object:
-                return self.serve(r, w, node)
+            async def accept(
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, node: int = node
+            ) -> None:
+                await self.serve(reader, writer, node)
 
             server = await asyncio.start_server(accept, "127.0.0.1", 0)
             self.servers.append(server)
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -459,8 +459,12 @@
 def successor_of(old: RunningProxy) -> Iterator[RunningProxy]:
     """The program started again, with all that the old one has but the operators' address."""
     admin = free_port()
-    env = {"GW_ADMIN_ADDR": f"127.0.0.1:{admin}"}
-    process = launch(str(old.config), str(old.config.parent / "broker.toml"), held=old.held, **env)
+    process = launch(
+        str(old.config),
+        str(old.config.parent / "broker.toml"),
+        held=old.held,
+        GW_ADMIN_ADDR=f"127.0.0.1:{admin}",
+    )
     new = RunningProxy(process, old.port, old.extra_port)
     new.listeners, new.discovery, new.config, new.held = old.listeners, old.discovery, old.config, old.held
     new.admin_port = admin
