--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -30,6 +30,8 @@
 from linnetshift.proxy import Proxy
 
 ROOT = Path(__file__).parent.parent
+# Versions before December 2026, which bench/ compares this one with, log `started`.
+STARTED = "event=(process-)?started"
 WAIT = 20.0  # no wait is longer; all of them end with the event waited for
 OPEN = b"OPEN %016x 7f3a9c21e0b4d655 c=feed,t=acme,d=%d\r\n"
 RESET = struct.pack("ii", 1, 0)  # a close with this lingering resets
@@ -469,7 +471,7 @@
     new.listeners, new.discovery, new.config, new.held = old.listeners, old.discovery, old.config, old.held
     new.admin_port = admin
     try:
-        new.logged("event=process-started")
+        new.logged(STARTED)
         yield new
     finally:
         process.kill()
@@ -578,7 +580,7 @@
         running.listeners, running.discovery, running.config = made.listeners, made.discovery, made.config
         running.admin_port = made.admin
         try:
-            running.logged("event=process-started")
+            running.logged(STARTED)
             yield running
         finally:
             running.process.kill()
