--- a/rig/fleet/play.py
+++ b/rig/fleet/play.py
@@ -15,6 +15,7 @@
 from pathlib import Path
 from typing import Any
 
+from rig.base_settings import S, changed_settings
 from rig.fleet.ledger import Asked, Broken, Ledger, Referee
 from rig.fleet.links import Link
 from rig.fleet.scenario import Fault, Scenario
@@ -25,37 +26,31 @@
 GRACE_S = 0.5
 BEAT_S, AIM_S = 0.25, 0.2  # a client sends a line so often, and wants it back within that
 GAP_S = (0.05, 0.4)  # after a break or a rejection a client comes again
-MS, S = 1_000_000, 1_000_000_000
 
 
 def settings(scenario: Scenario, node: int) -> dict[str, Any]:
-    """What a node is told of the world, in the platform's form."""
+    """The settings that the proxy file of one node holds."""
     how, traffic = scenario.servers, scenario.traffic
-    return {
+    service = {
+        "name": "feed",
+        "aimNs": int(traffic.deadline_s / 4 * S),
+        "hardLimitNs": int(traffic.deadline_s * S),
+        "effect": "repeatable",
+        "group": "all",
+    }
+    changes: dict[str, Any] = {
         "myNumber": node,
         "balancers": scenario.told_nodes or scenario.nodes,
-        "zone": 0,
         "discovery": "ask",
-        "weightSource": "nominal",
         "zones": ["a"],
         "tenants": [{"name": "acme", "fraction": 1.0}],
-        "services": [
-            {
-                "name": "feed",
-                "aimNs": int(traffic.deadline_s / 4 * S),
-                "hardLimitNs": int(traffic.deadline_s * S),
-                "effect": "repeatable",
-                "group": "all",
-            }
-        ],
+        "services": [service],
         "familyInfo": {
-            "mode": "proxy",
             "groups": True,
             "messageAimNs": [int(AIM_S * S)],
             "tenantQuotaConnections": [how.count * how.cores / traffic.load],
         },
         "rules": {
-            "answerSlackNs": 16 * MS,
             "drainGraceNs": int(GRACE_S * S),
             "coldFrom": how.cold_from,
             "warmUpNs": int(how.warm_s * S),
@@ -63,18 +58,8 @@
             "tipAfterNs": int(how.tip_s * S),
             "mustAskInNs": 2 * S,
         },
-        "allowed": {
-            "connectTimeoutNs": 200 * MS,
-            "maxAttempts": 4,
-            "parallelTries": False,
-            "probing": False,
-            "peerMessages": False,
-            "mayCancel": True,
-            "retryAfter": True,
-            "maxRetryAfterNs": 1 * S,
-        },
-        "stepNs": 4 * MS,
     }
+    return changed_settings(changes)
 
 
 @dataclass
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,57 +17,17 @@
     Request,
 )
 from linnetshift.routing.settings import Settings
+from rig.base_settings import MS as MS
+from rig.base_settings import S as S
+from rig.base_settings import changed_settings
 
 settings.register_profile("same", derandomize=True, deadline=None)  # one verdict for one text, always
 settings.load_profile("same")
 
-MS = 1_000_000
-S = 1_000_000_000
-
 
 def raw_settings(**changes: Any) -> dict[str, Any]:
-    raw: dict[str, Any] = {
-        "myNumber": 0,
-        "balancers": 4,
-        "zone": 0,
-        "discovery": "push",
-        "weightSource": "nominal",
-        "services": [
-            {
-                "name": "feed",
-                "aimNs": 400 * MS,
-                "hardLimitNs": 2 * S,
-                "effect": "repeatable",
-                "group": "all",
-                "windowNs": 3 * S,
-                "worth": 2.0,
-            }
-        ],
-        "familyInfo": {"messageAimNs": [60 * MS], "mode": "proxy"},
-        "rules": {
-            "answerSlackNs": 16 * MS,
-            "drainGraceNs": 500 * MS,
-            "coldFrom": 0.25,
-            "warmUpNs": 10 * S,
-            "fallMultiple": 3.0,
-            "tipAfterNs": 2 * S,
-            "mustAskInNs": 8 * S,
-        },
-        "allowed": {
-            "connectTimeoutNs": 200 * MS,
-            "maxAttempts": 4,
-            "parallelTries": False,
-            "probing": False,
-            "peerMessages": False,
-            "mayCancel": True,
-            "retryAfter": True,
-            "maxRetryAfterNs": 1 * S,
-        },
-        "stepNs": 4 * MS,
-    }
-    for key, value in changes.items():
-        raw[key] = {**raw[key], **value} if isinstance(value, dict) and key in raw else value
-    return raw
+    """The settings object of a proxy file, with changes to the base settings."""
+    return changed_settings(changes)
 
 
 def effect(word: str, group: str = "all", **more: Any) -> dict[str, Any]:
