--- a/tests/test_owed.py
+++ b/tests/test_final_answers.py
@@ -1,6 +1,6 @@
-"""Each state of a request against each event that ends something: what is owed then, and to whom.
+"""The final answer of a request: each state of it against each event that ends a connection or the process.
 
-The bad order is forced: connections that come up late (a full queue at the endpoint), and a program that is
+The unlucky order is forced: connections that come up late (a full queue at the endpoint), and a program that is
 stopped while both ends act, so that it finds what they did in one turn and in that order.
 """
 
@@ -82,7 +82,7 @@
 # ---- a connection that comes up late ---------------------------------------------------------
 
 
-def test_one_that_was_told_to_leave_while_it_was_dialled_gets_not_a_byte(tmp_path: Path) -> None:
+def test_endpoint_drained_while_connecting_is_sent_nothing(tmp_path: Path) -> None:
     # The list was looked at when the module decided, up to a connect's time before the line went out.
     with patient(tmp_path) as running:
         first, second = ranked(running)
@@ -152,7 +152,7 @@
         running.logged("side=channel")
 
 
-def test_a_burst_of_leavers_has_nothing_sent_for_it(tmp_path: Path) -> None:
+def test_burst_of_departed_clients_sends_nothing(tmp_path: Path) -> None:
     # Eight are dialled, the others held; all leave while the program is busy, then the connections come up.
     with patient(tmp_path) as running:
         first, _ = ranked(running)
@@ -171,7 +171,7 @@
         assert heard.startswith(b"OPEN 77 ") and again
 
 
-def test_nothing_is_sent_for_one_that_left_before_it_was_accepted(tmp_path: Path) -> None:
+def test_client_that_left_before_accept_sends_nothing(tmp_path: Path) -> None:
     with patient(tmp_path) as running:
         first, _ = ranked(running)
         with running.stopped():
@@ -182,7 +182,7 @@
         assert first.accept().line().startswith(b"OPEN 77 ") and again
 
 
-def test_a_held_request_of_one_who_left_is_not_sent_when_its_turn_comes(tmp_path: Path) -> None:
+def test_queued_request_of_departed_client_is_not_sent(tmp_path: Path) -> None:
     with patient(tmp_path) as running:
         first, _ = ranked(running)
         client, out = held(running, first)
@@ -194,7 +194,7 @@
         assert first.accept().line().startswith(b"OPEN 78 ") and again
 
 
-def test_one_that_closes_as_it_accepts_proves_that_nothing_ran(tmp_path: Path) -> None:
+def test_endpoint_that_closes_on_accept_proves_nothing_was_executed(tmp_path: Path) -> None:
     # The line was written to a connection that was known to be over, and counted as what may have run.
     with patient(tmp_path, **ONCE) as running:
         first, second = ranked(running)
@@ -206,7 +206,7 @@
         assert client.line() == b"UP r1\r\n"
 
 
-def test_a_repeat_is_not_sent_once_its_window_is_over(tmp_path: Path) -> None:
+def test_retry_is_not_sent_after_its_idempotency_window(tmp_path: Path) -> None:
     # Looked at when the module decided, and not when the connection was up and the line went out.
     window = {"effect": "by_key", "group": "all", "windowNs": 2 * S}
     base = {**settings()["services"][0], "aimNs": 10 * S, "hardLimitNs": 20 * S, **window}
@@ -224,7 +224,7 @@
         assert client.line() == b"ERR\r\n"  # "come again" would say that coming again is harmless
 
 
-def test_a_repeat_that_could_come_too_late_is_not_begun(tmp_path: Path) -> None:
+def test_retry_that_could_miss_its_idempotency_window_is_not_started(tmp_path: Path) -> None:
     with patient(
         tmp_path, effect="by_key", group="all", windowNs=5 * S
     ) as running:  # a connect may take 10 s
@@ -274,7 +274,9 @@
 
 @pytest.mark.parametrize("state", ["held", "connecting", "sent"])
 @pytest.mark.parametrize("leave", [fin, reset])
-def test_a_client_leaves(tmp_path: Path, state: str, leave: Callable[[Conn], None]) -> None:
+def test_departed_client_ends_its_request_in_each_state(
+    tmp_path: Path, state: str, leave: Callable[[Conn], None]
+) -> None:
     with patient(tmp_path) as running:
         first, _ = ranked(running)
         running.seen.clear()
@@ -305,7 +307,7 @@
     ],
 )
 @pytest.mark.parametrize("end", ["leaves", "stops"])
-def test_what_may_have_run_is_never_called_harmless(
+def test_possibly_executed_request_is_never_rejected_as_retry_safe(
     tmp_path: Path, state: str, rules: dict[str, Any], answer: bytes, end: str
 ) -> None:
     # At a planned stop, and to a client that had ended its sending, all were told to come again.
@@ -324,7 +326,7 @@
 
 
 @pytest.mark.parametrize("act", [fin, reset, cut, garbage, endless, twice])
-def test_an_endpoint_ends_what_may_have_run(tmp_path: Path, act: Callable[[Conn], None]) -> None:
+def test_endpoint_end_fails_possibly_executed_request(tmp_path: Path, act: Callable[[Conn], None]) -> None:
     with patient(tmp_path, **ONCE) as running:
         first, _ = ranked(running)
         running.seen.clear()
@@ -338,7 +340,7 @@
 
 
 @pytest.mark.parametrize("later", [b"ERR\r\n", b"BUSY\r\n", b"UP r2\r\n"])
-def test_a_second_answer_is_nobody_s(tmp_path: Path, later: bytes) -> None:
+def test_second_answer_is_not_relayed(tmp_path: Path, later: bytes) -> None:
     with patient(tmp_path) as running:
         first, second = ranked(running)
         client, endpoint = sent(running, first)
@@ -351,7 +353,7 @@
         assert client.line() == b"x\r\n"
 
 
-def test_half_a_line_and_the_end_are_passed_on(tmp_path: Path) -> None:
+def test_partial_line_and_end_are_relayed(tmp_path: Path) -> None:
     with proxy(tmp_path) as running:
         client, endpoint = running.standing()
         with running.stopped():
@@ -363,7 +365,7 @@
         running.logged("side=client reason=endpoint-left")
 
 
-def test_a_slow_reader_gets_the_word_to_move_and_all_before_it(tmp_path: Path) -> None:
+def test_slow_reader_receives_everything_before_its_migration(tmp_path: Path) -> None:
     # Half a second after that word it was closed, whatever it had not taken yet, that word too.
     with proxy(tmp_path, 2) as running:
         first, _ = ranked(running)
@@ -387,7 +389,7 @@
 # ---- SIGTERM ---------------------------------------------------------------------------------
 
 
-def test_all_in_the_accept_queue_are_answered_at_a_planned_stop(tmp_path: Path) -> None:
+def test_graceful_shutdown_answers_the_accept_queue(tmp_path: Path) -> None:
     # 64 are accepted in a turn; those behind them were reset when the listener closed.
     with proxy(tmp_path) as running:
         running.leave()
@@ -401,7 +403,7 @@
         assert running.process.wait(WAIT) == 0
 
 
-def test_all_in_the_queue_of_an_address_that_is_left_are_served(tmp_path: Path) -> None:
+def test_reload_serves_the_accept_queue_of_the_former_address(tmp_path: Path) -> None:
     with patient(tmp_path, endpoints=1) as running:
         port = free_port()
         text = running.config.read_text().replace(f"127.0.0.1:{running.port}", f"127.0.0.1:{port}")
@@ -417,7 +419,7 @@
 
 
 @pytest.mark.parametrize("said", [b"", b"OPEN 1 2 c=fe", b"PING\r\n"])
-def test_who_rests_is_told_and_what_crosses_that_is_not_sent_on(tmp_path: Path, said: bytes) -> None:
+def test_idle_client_is_notified_and_crossing_request_is_not_sent(tmp_path: Path, said: bytes) -> None:
     # It was reset by the exit, and a line that came in that moment was lost.
     with proxy(tmp_path) as running:
         resting = running.client(said)
@@ -436,9 +438,7 @@
 
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
-def test_a_late_request_on_a_resting_connection_is_answered_until_the_end(
-    tmp_path: Path, frontend: str
-) -> None:
+def test_late_request_on_idle_connection_is_answered_until_exit(tmp_path: Path, frontend: str) -> None:
     with proxy(tmp_path, own=CHANNELS) as running:
         standing = running.standing()  # keeps the program until its turn to be moved
         resting: Conn = Terminal(running.extra_port) if frontend == "channels" else running.client()
@@ -466,7 +466,7 @@
         assert running.process.wait(WAIT) == 0
 
 
-def test_a_word_of_farewell_outlives_what_was_never_read(tmp_path: Path) -> None:
+def test_last_answer_survives_unread_input(tmp_path: Path) -> None:
     with proxy(tmp_path) as running:
         client, endpoint = running.standing()
         running.leave()
@@ -481,7 +481,7 @@
         assert running.process.wait(WAIT) == 0
 
 
-def test_an_up_that_is_on_its_way_when_the_stop_comes_is_passed_on(tmp_path: Path) -> None:
+def test_answer_under_way_at_shutdown_is_relayed(tmp_path: Path) -> None:
     # Both are there in one turn: the client is served, and then moved like any other.
     with patient(tmp_path) as running:
         first, _ = ranked(running)
@@ -496,7 +496,7 @@
         assert running.process.wait(WAIT) == 0
 
 
-def test_a_flood_and_leavers_during_a_planned_stop_cost_nobody_its_last_word(tmp_path: Path) -> None:
+def test_flood_during_shutdown_costs_no_client_its_answer(tmp_path: Path) -> None:
     with patient(tmp_path) as running:
         first, _ = ranked(running)
         client = running.client(LINE.replace(b"77", b"76") % LONG)
@@ -521,7 +521,7 @@
         assert running.process.wait(WAIT) == 0
 
 
-def test_a_reset_long_after_the_line_s_last_byte_is_what_may_have_run(tmp_path: Path) -> None:
+def test_late_reset_counts_as_possibly_executed(tmp_path: Path) -> None:
     with patient(tmp_path, **ONCE) as running:
         first, second = ranked(running)
         client, endpoint = sent(running, first)
--- a/tests/test_hostile.py
+++ b/tests/test_hostile_peers.py
@@ -1,4 +1,4 @@
-"""Peers that mean harm, on every wire the program has: it lives, answers, and keeps nothing."""
+"""Hostile peers on every wire: the program goes on, answers, and its memory and descriptors return."""
 
 from __future__ import annotations
 
--- a/tests/test_size.py
+++ b/tests/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""The size that is asked for: many processes that start at once, a thousand endpoints, no descriptor free."""
+"""Large fleets: many processes that start at once, a thousand endpoints, no descriptor free."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("how", ["down", "refused", "silent", "slow", "crowded"])
-def test_processes_that_start_together_are_ready_without_the_discovery(tmp_path: Path, how: str) -> None:
+def test_processes_that_start_together_are_ready_without_discovery(tmp_path: Path, how: str) -> None:
     # They all answer while discovery has not said a word to any of them, and serve by the list they have.
     with ExitStack() as stack:
         made = stack.enter_context(world(tmp_path, discovery="ask", rules={"mustAskInNs": 10 * S}))
@@ -78,7 +78,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (60, 60))
 
 
-def test_a_crowd_that_fills_the_descriptors_keeps_nobody_from_what_is_theirs(tmp_path: Path) -> None:
+def test_idle_crowd_that_fills_the_descriptors_blocks_no_client(tmp_path: Path) -> None:
     # Idle clients may fill them while discovery is down; its return, attempts and reloads need some.
     with proxy(tmp_path, endpoints=2, before=few, rules={"mustAskInNs": S}) as running:
         client = running.open()
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("discovery", ["ask", "push"])
-def test_a_list_of_a_thousand_endpoints_is_whole(tmp_path: Path, discovery: str) -> None:
+def test_list_of_a_thousand_endpoints_is_complete(tmp_path: Path, discovery: str) -> None:
     with proxy(tmp_path, discovery=discovery, balancers=230) as running:
         (there,) = running.listeners
         later = DiscoveryServer([])
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,7 +10,7 @@
 import pytest
 from conftest import MS, S, raw_settings
 from proxy import WAIT, DiscoveryServer, free_port, proxy, settings, world
-from test_owed import LINE, LONG, in_state, let_go
+from test_final_answers import LINE, LONG, in_state, let_go
 from test_platform import ranked
 
 from linnetshift.config.proxy_file import read_config
