--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -1,7 +1,7 @@
 """The final answer of a request: each state of it against each event that ends a connection or the process.
 
-The unlucky order is forced: connections that come up late (a full queue at the endpoint), and a program that is
-stopped while both ends act, so that it finds what they did in one turn and in that order.
+The unlucky order is forced: connections that come up late (a full queue at the endpoint), and a program that
+is stopped while both ends act, so that it finds what they did in one turn and in that order.
 """
 
 from __future__ import annotations
