--- /dev/null
+++ b/rig/decision_recordings/clients.py
@@ -0,0 +1,85 @@
+"""Simulated clients: new requests, retries, bursts, and clients that leave early."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from rig.decision_recordings import wire
+from rig.decision_recordings.model import MILLISECOND, Request, RequestFlag
+from rig.decision_recordings.world import World
+
+HINTED_SHARE = 0.7
+"""Share of the requests that hint at how long they will take."""
+
+LEAVING_RATE_PER_S = 5.0
+"""Rate at which clients that do not wait for their answer leave."""
+
+
+class Clients:
+    """Sends requests to the instances."""
+
+    def __init__(self, world: World) -> None:
+        self.world = world
+        self.arrivals_per_s = world.scenario.arrivals_per_s
+
+    def new_request(self, instance: int, flags: int = 0) -> Request:
+        """A request with random properties, which is not sent yet."""
+        world = self.world
+        services = world.scenario.services
+        random = world.random
+        service = random.randrange(len(services))
+        budget = int(services[service]["hardLimitNs"] * random.choice((1.0, 1.0, 0.6, 0.2)))
+        is_hinted = random.random() < HINTED_SHARE
+        return Request(
+            id=next(world.request_ids),
+            instance=instance,
+            service=service,
+            group=random.choice(world.groups) if world.groups else 0,
+            key=random.choice((0, random.choice(world.keys))),
+            hint_ns=random.randint(20, 90) * MILLISECOND if is_hinted else 0,
+            flags=flags | (RequestFlag.HINTED if is_hinted else 0),
+            budget_ns=random.choice((budget, budget, 0)),
+        )
+
+    def retry_of(self, former: Request, instance: int, flags: int) -> Request:
+        """The next try of the client of a former request, which is not sent yet."""
+        request = self.new_request(instance, flags)
+        request.service = former.service
+        request.group = former.group
+        request.key = former.key
+        return request
+
+    def retry(self, former: Request, flags: int) -> None:
+        """Send the next try of a client through any live instance."""
+        self.send(self.retry_of(former, self.world.random_live_instance(), flags))
+
+    def send(self, request: Request) -> None:
+        """Send a request; some of the clients leave before the answer."""
+        world = self.world
+        hard_limit_ns = world.scenario.services[request.service]["hardLimitNs"]
+        request.deadline_ns = world.now_ns + (request.budget_ns or hard_limit_ns)
+        world.requests[request.id] = request
+        world.send_event(request.instance, wire.new_request(request))
+        if world.random.random() < world.scenario.withdrawn_share:
+            world.after(world.interval_ns(LEAVING_RATE_PER_S), partial(self.leave, request))
+
+    def leave(self, request: Request) -> None:
+        """The client closes; an attempt that is out still gets its result."""
+        if request.id in self.world.requests and not request.is_abandoned:
+            request.is_abandoned = True
+            self.world.send_event(request.instance, wire.client_left(request.id))
+
+    def arrive(self) -> None:
+        """One new client, which schedules the next."""
+        self.world.after(self.world.interval_ns(self.arrivals_per_s), self.arrive)
+        self.send(self.new_request(self.world.random_live_instance()))
+
+    def set_arrivals(self, per_s: float) -> None:
+        """Change the rate of new clients."""
+        self.arrivals_per_s = per_s
+
+    def burst(self, requests: int) -> None:
+        """Many clients at one moment, about half of which return after a break."""
+        for _ in range(requests):
+            instance = self.world.random_live_instance()
+            self.send(self.new_request(instance, RequestFlag.RETURNED * self.world.random.randrange(2)))
--- /dev/null
+++ b/rig/decision_recordings/notes.py
@@ -0,0 +1,137 @@
+"""Notes about connections, and events that fit nothing an instance knows."""
+
+from __future__ import annotations
+
+import math
+from functools import partial
+
+from rig.decision_recordings import wire
+from rig.decision_recordings.clients import Clients
+from rig.decision_recordings.endpoint_model import EndpointModel
+from rig.decision_recordings.model import (
+    MILLISECOND,
+    SECOND,
+    Condition,
+    Endpoint,
+    Outcome,
+    Request,
+    RequestFlag,
+)
+from rig.decision_recordings.wire import NoteKind
+from rig.decision_recordings.world import World
+
+UNKNOWN_REQUEST = 4_000_000_000
+"""Id that no request has."""
+
+UNKNOWN_ADDRESS = b"\xff" * 6
+"""Address that no endpoint has."""
+
+UNKNOWN_NOTE_KIND = 9
+"""Code that no kind of note has."""
+
+LOAD_NOTE_SHARE = 0.1
+"""Share of the connections whose load is noted each second."""
+
+SLOW_MESSAGE_LOAD = 0.8
+"""Load over which messages are slow enough to be noted."""
+
+BUSY_MESSAGE_MS = 50.0
+"""Time of a message at a busy endpoint, in milliseconds."""
+
+FULL_LOAD_MESSAGE_MS = 30.0
+"""Time of a message at load 1, in milliseconds; it grows with the fourth power of the load."""
+
+
+class Notes:
+    """Sends notes once a second, and odd events at the scenario's rate."""
+
+    def __init__(self, world: World, clients: Clients, endpoint_model: EndpointModel) -> None:
+        self.world = world
+        self.clients = clients
+        self.endpoint_model = endpoint_model
+
+    def send_notes(self) -> None:
+        """Loads of some connections, and one message time of each slow endpoint to each instance."""
+        world = self.world
+        random = world.random
+        world.after(SECOND, self.send_notes)
+        noted: set[tuple[int, bytes]] = set()
+        for request in list(world.requests.values()):
+            endpoint = request.endpoint
+            if endpoint is None or not request.is_established:
+                continue
+            note = partial(wire.connection_note, request.id, request.attempt, endpoint.address)
+            if random.random() < LOAD_NOTE_SHARE:
+                world.send_event(request.instance, note(NoteKind.LOAD, random.uniform(2e4, 1.5e5)))
+            load = self.endpoint_model.load(endpoint)
+            is_busy = endpoint.fault is Condition.BUSY
+            place = (request.instance, endpoint.address)
+            if (load > SLOW_MESSAGE_LOAD or is_busy) and place not in noted:
+                noted.add(place)
+                took_ms = BUSY_MESSAGE_MS if is_busy else FULL_LOAD_MESSAGE_MS * load**4
+                took_ms *= random.uniform(0.8, 1.2)
+                world.send_event(request.instance, note(NoteKind.MESSAGE_TIME, took_ms))
+
+    def send_odd_event(self) -> None:
+        """An event that fits nothing the instance knows or has a senseless value, and a known id again."""
+        world = self.world
+        world.after(world.interval_ns(world.scenario.odd_per_s), self.send_odd_event)
+        if not world.requests:
+            return
+        number = world.random_live_instance()
+        request = world.random.choice(list(world.requests.values()))
+        endpoint = world.random.choice(world.endpoints)
+        odd_events = [
+            *self._odd_results(request, endpoint),
+            *self._odd_peer_messages(number, endpoint),
+            *self._odd_notes(request, endpoint),
+            wire.adopted_connection(self.clients.new_request(number), UNKNOWN_ADDRESS),
+        ]
+        world.send_event(number, world.random.choice(odd_events))
+        is_mid_flow = bool(request.flags & RequestFlag.MID_FLOW)
+        if request.is_established and not (request.is_abandoned or is_mid_flow):
+            world.send_event(request.instance, wire.new_request(request))
+            world.send_event(request.instance, wire.adopted_connection(request, endpoint.address))
+
+    def _odd_results(self, request: Request, endpoint: Endpoint) -> list[bytes]:
+        address = endpoint.address
+        later_attempt = request.attempt + 1 & 0xFF
+        columns = len(self.world.scenario.columns)
+        return [
+            wire.established(UNKNOWN_REQUEST, MILLISECOND, 0, address),
+            wire.established(request.id, MILLISECOND, later_attempt, address),
+            wire.established(request.id, MILLISECOND, max(0, request.attempt), UNKNOWN_ADDRESS),
+            wire.attempt_result(UNKNOWN_REQUEST, address, False, 0, MILLISECOND, Outcome.ERROR),
+            wire.attempt_result(request.id, address, False, later_attempt, MILLISECOND, Outcome.RESET),
+            wire.client_left(UNKNOWN_REQUEST),
+            wire.timer_expired(self.world.random.randrange(40)),
+            wire.probe_result(Outcome.OK, MILLISECOND, UNKNOWN_ADDRESS, [1.0, 1.0]),
+            wire.probe_result(Outcome.OK, MILLISECOND, address, [1.0]),
+            wire.probe_result(Outcome.OK, MILLISECOND, address, [math.nan] * columns),
+            wire.probe_result(Outcome.OK, MILLISECOND, address, [2e6] * columns),
+        ]
+
+    def _odd_peer_messages(self, number: int, endpoint: Endpoint) -> list[bytes]:
+        address = endpoint.address
+        balancers = self.world.scenario.balancers
+        neighbour = (number + 1) % balancers
+        return [
+            wire.peer_message(number, b"s" + address),
+            wire.peer_message(balancers, b"s" + address),
+            wire.peer_message(neighbour, b"s" + UNKNOWN_ADDRESS),
+            wire.peer_message(neighbour, b"x" + address),
+            wire.peer_message(neighbour, b""),
+            wire.peer_message(neighbour, b"h" + address),
+        ]
+
+    @staticmethod
+    def _odd_notes(request: Request, endpoint: Endpoint) -> list[bytes]:
+        address = endpoint.address
+        return [
+            wire.connection_note(UNKNOWN_REQUEST, 0, address, NoteKind.LOAD, 5e4),
+            wire.connection_note(UNKNOWN_REQUEST, 0, address, NoteKind.MESSAGE_TIME, 90.0),
+            wire.connection_note(request.id, 0, UNKNOWN_ADDRESS, NoteKind.MESSAGE_TIME, 90.0),
+            wire.connection_note(request.id, 0, address, NoteKind.MESSAGE_TIME, math.nan),
+            wire.connection_note(request.id, 0, address, NoteKind.LOAD, -1.0),
+            wire.connection_note(request.id, 0, address, UNKNOWN_NOTE_KIND, 90.0),
+        ]
--- a/tests/test_decision_recordings.py
+++ b/tests/test_decision_recordings.py
@@ -1,4 +1,4 @@
-"""The `sim` command decides byte for byte as recorded; `rig/decision_recordings.py` makes the recordings.
+"""The `sim` command decides byte for byte as recorded; `rig/decision_recordings` makes the recordings.
 
 A change of behaviour that is meant needs new recordings. One that only renames or moves code does not.
 """
@@ -11,14 +11,21 @@
 
 import pytest
 
-from rig.decision_recordings import DATA, ROOT, SCENARIOS, frames, simulator_command
+from rig.decision_recordings.recorder import DATA, ROOT, simulator_command
+from rig.decision_recordings.scenarios import SCENARIOS
+from rig.decision_recordings.wire import frames
 
 RECORDINGS = 8
+"""How many scenarios are recorded."""
+
 REPLAY_TIMEOUT_S = 60
+"""How long one replay may take, in seconds."""
+
 NAMES = sorted(path.name.removesuffix(".in.xz") for path in DATA.glob("*.in.xz"))
 
 
 def read(name: str) -> bytes:
+    """Content of one recorded file."""
     return lzma.decompress((DATA / name).read_bytes())
 
 
@@ -27,8 +34,8 @@
     pairs = zip_longest(frames(expected), frames(actual))
     for number, (recorded, replayed) in enumerate(pairs):
         if recorded != replayed:
-            told = ["no frame" if each is None else each.hex() for each in (recorded, replayed)]
-            return f"frame {number} differs: recorded {told[0]}, replayed {told[1]}"
+            frames_hex = ["no frame" if each is None else each.hex() for each in (recorded, replayed)]
+            return f"frame {number} differs: recorded {frames_hex[0]}, replayed {frames_hex[1]}"
     return ""
 
 
