--- a/rig/fleet/node_process.py
+++ b/rig/fleet/node_process.py
@@ -6,9 +6,7 @@
 import contextlib
 import json
 import os
-import random
 import signal
-import socket
 import sys
 from pathlib import Path
 
@@ -16,6 +14,7 @@
 from rig.fleet.model_discovery import DiscoveryServer
 from rig.fleet.node_settings import node_settings
 from rig.fleet.scenario import Scenario
+from rig.free_port import free_port
 
 ROOT = Path(__file__).parent.parent.parent
 """Root of the repository, where the program is started."""
@@ -26,9 +25,6 @@
 READY_POLL_S = 0.02
 """Time between two tries whether a process is ready, in seconds."""
 
-PORTS = (12_000, 32_000)
-"""Ports of the nodes: below those that the kernel gives to outgoing connections."""
-
 
 class NodeProcess:
     """One node: its links, which last for the run, and its process, which may be started again."""
@@ -124,11 +120,3 @@
             await self.process.wait()
         for link in (self.client_link, self.discovery_link, *self.endpoint_links.values()):
             await link.close()
-
-
-def free_port() -> int:
-    """A port on which nothing listens; the kernel gives none of these to an outgoing connection meanwhile."""
-    while True:
-        port = random.SystemRandom().randrange(*PORTS)
-        with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
-            return port
--- /dev/null
+++ b/tests/connections.py
@@ -0,0 +1,134 @@
+"""Ends of connections to the program: lines, and SSH's framing and channels. All waits are bounded."""
+
+from __future__ import annotations
+
+import socket
+import struct
+
+WAIT = 20.0
+"""Longest wait of a test, in seconds; all of them end with the event that is waited for."""
+
+RESET = struct.pack("ii", 1, 0)
+"""SO_LINGER with a time of zero: close sends a reset."""
+
+READ_BYTES = 1 << 16
+"""Most bytes that are read at once."""
+
+MAX_PACKET_BYTES = 1 << 15
+"""Largest packet that a channel is opened with."""
+
+
+def ssh_string(text: bytes) -> bytes:
+    """A string of a binary message (RFC 4251, section 5)."""
+    return struct.pack(">I", len(text)) + text
+
+
+class Conn:
+    """One end of a connection, read line by line."""
+
+    def __init__(self, sock: socket.socket) -> None:
+        self.sock = sock
+        sock.settimeout(WAIT)
+        self._unread = b""
+
+    def send(self, data: bytes) -> None:
+        """Send all of the data."""
+        self.sock.sendall(data)
+
+    def exactly(self, size: int) -> bytes:
+        """So many bytes; fewer at the end of the connection."""
+        while len(self._unread) < size and (data := self.sock.recv(READ_BYTES)):
+            self._unread += data
+        result = self._unread[:size]
+        self._unread = self._unread[size:]
+        return result
+
+    def line(self) -> bytes:
+        """The next line; the rest, or nothing, at the end of the connection."""
+        while b"\n" not in self._unread and (data := self.sock.recv(READ_BYTES)):
+            self._unread += data
+        line, end, self._unread = self._unread.partition(b"\n")
+        return line + end
+
+    def ended(self) -> str:
+        """How the other side ended the connection; a line that comes before that is an error."""
+        try:
+            rest = self.line()
+        except ConnectionResetError:
+            return "reset"
+        assert not rest
+        return "fin"
+
+    def close(self, how: str = "fin") -> None:
+        """Close with a FIN or, as `how` says, a reset."""
+        if how == "reset":
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        self.sock.close()
+
+
+class Terminal(Conn):
+    """An emulated terminal: SSH's framing and channels, written independently of the program."""
+
+    def __init__(self, port: int, sock: socket.socket | None = None) -> None:
+        super().__init__(sock or socket.create_connection(("127.0.0.1", port), WAIT))
+        if sock is None:
+            self.send(b"SSH-2.0-terminal\r\n")
+        assert self.line().startswith(b"SSH-2.0-")
+
+    @classmethod
+    def over(cls, conn: Conn) -> Terminal:
+        """A terminal on a connection that has sent its identification already."""
+        return cls(0, conn.sock)
+
+    def packet(self, *fields: int | bytes) -> None:
+        """Send a message of this number; integers are sent as uint32, bytes as strings."""
+        kind, *rest = fields
+        assert isinstance(kind, int)
+        payload = bytes([kind]) + b"".join(
+            struct.pack(">I", each) if isinstance(each, int) else ssh_string(each) for each in rest
+        )
+        self.raw(payload)
+
+    def raw(self, payload: bytes) -> None:
+        """Send a payload in a packet without cipher and MAC."""
+        padding = 4 + -(len(payload) + 9) % 8
+        self.send(struct.pack(">IB", len(payload) + padding + 1, padding) + payload + bytes(padding))
+
+    def read(self) -> tuple[int, bytes]:
+        """The next message's number, and the rest of its payload."""
+        head = self.exactly(5)
+        assert len(head) == 5, "the connection ended"
+        length, padding = struct.unpack(">IB", head)
+        assert (length + 4) % 8 == 0
+        assert padding >= 4
+        payload = self.exactly(length - 1)[: length - 1 - padding]
+        return payload[0], payload[1:]
+
+    def expect(self, kind: int, *numbers: int) -> bytes:
+        """Read the next message, which must have this number and these first integers; the rest."""
+        received, rest = self.read()
+        size = 4 * len(numbers)
+        assert (received, struct.unpack(f">{len(numbers)}I", rest[:size])) == (kind, numbers), (
+            received,
+            rest,
+        )
+        return rest[size:]
+
+    def open(
+        self,
+        number: int,
+        key: int = 7,
+        wait_ms: int = 2000,
+        window: int = 1 << 20,
+        klass: bytes = b"feed",
+        kind: bytes = b"invocation@linnetshift",
+        tenant: bytes = b"acme",
+    ) -> None:
+        """Open a channel of this number with a request; `wait_ms` is its deadline."""
+        head = b"\x5a" + ssh_string(kind) + struct.pack(">III", number, window, MAX_PACKET_BYTES)
+        names = ssh_string(klass) + ssh_string(tenant)
+        self.raw(head + names + struct.pack(">QQI", key, 0, wait_ms))
+
+    def confirmed(self, number: int) -> int:
+        """The proxy's number for a channel, whose confirmation is the next message."""
+        return int.from_bytes(self.expect(91, number)[:4], "big")
--- /dev/null
+++ b/tests/emulated_peers.py
@@ -0,0 +1,202 @@
+"""Emulated endpoints and discovery, which the tests direct."""
+
+from __future__ import annotations
+
+import json
+import queue
+import re
+import socket
+import threading
+import time
+from contextlib import suppress
+from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
+from pathlib import Path
+from typing import Any, NamedTuple
+from urllib.parse import parse_qs, urlsplit
+
+from connections import RESET, WAIT, Conn
+
+
+class Listener:
+    """An emulated endpoint: the test itself accepts and answers."""
+
+    def __init__(self, uid: str) -> None:
+        self.uid = uid
+        self.state = "SERVING"
+        self.boot_ms = 0
+        self.sock = socket.create_server(("127.0.0.1", 0))
+        self.sock.settimeout(WAIT)
+        self.port = self.sock.getsockname()[1]
+
+    def accept(self) -> Conn:
+        """Accept the next connection."""
+        return Conn(self.sock.accept()[0])
+
+    def stall(self) -> None:
+        """Leave new connections connecting: the queue of those to accept is full from now on."""
+        self.sock.listen(0)
+        self.filler = socket.create_connection(("127.0.0.1", self.port), WAIT)
+
+    def dialled(self) -> None:
+        """Wait until a connection to this endpoint is connecting: the kernel lists it as SYN_SENT."""
+        until_s = time.monotonic() + WAIT
+        pattern = re.compile(rf":{self.port:04X} 02 ")
+        while not pattern.search(Path("/proc/net/tcp").read_text()):
+            assert time.monotonic() < until_s
+            time.sleep(0.002)
+
+    def go_on(self) -> None:
+        """Let new connections connect again, late, when the kernel retries."""
+        self.sock.listen(128)
+        self.accept().close()
+        self.filler.close()
+
+    def serve(self) -> Conn:
+        """Accept one connection, read its first line and answer UP."""
+        conn = self.accept()
+        conn.first = conn.line()  # type: ignore[attr-defined]
+        conn.send(b"UP r1\r\n")
+        return conn
+
+    def entry(self) -> dict[str, Any]:
+        """The entry in discovery's list."""
+        return {
+            "uid": self.uid,
+            "endpoint": f"127.0.0.1:{self.port}",
+            "az": "a",
+            "model": "m",
+            "pod_group": 0,
+            "state": self.state,
+            "capacity_hint": 1.0,
+            "boot_ms": self.boot_ms,
+        }
+
+
+class Kept(NamedTuple):
+    """A call that is answered once `let_go` is set, with the list as it was when the call came."""
+
+    path: str
+    body: bytes
+    let_go: threading.Event
+
+
+class DiscoveryServer:
+    """Emulated discovery: answers calls with the list; a watch waits for a change.
+
+    `failing` answers every call with a 503, `silent` keeps it, `resets` resets one watch that waits.
+    """
+
+    def __init__(self, listeners: list[Listener], indent: int | None = None) -> None:
+        self.listeners = listeners
+        self.indent = indent
+        self.rev = 1
+        self.failing = False
+        self.silent = False
+        self.resets = False
+        self.kept: queue.Queue[Kept] = queue.Queue()
+        self.instead: list[object] = []
+        """Answers to give once each in place of the list, the last one first."""
+
+        self.news = threading.Condition()
+        self.calls: queue.Queue[str] = queue.Queue()
+        self.server = DiscoveryHttpServer(self)
+        threading.Thread(target=self.server.serve_forever, args=(0.05,), daemon=True).start()
+
+    def listing(self) -> dict[str, Any]:
+        """The whole list as JSON."""
+        return {"rev": self.rev, "all": True, "targets": [each.entry() for each in self.listeners]}
+
+    def next_answer(self) -> bytes:
+        """The body of the next answer."""
+        answer = self.instead.pop() if self.instead else self.listing()
+        return answer if isinstance(answer, bytes) else json.dumps(answer, indent=self.indent).encode()
+
+    def wait_for_change(self, revision: int, timeout_s: float) -> bool:
+        """Wait until the list is newer, with `news` held; False where the watch is to be reset."""
+        self.news.wait_for(lambda: self.rev > revision or self.failing or self.resets, timeout_s)
+        is_reset = self.resets
+        self.resets = False
+        return not is_reset
+
+    def change(self, **changes: str) -> None:
+        """Set new states by uid, and notify all watches."""
+        with self.news:
+            for listener in self.listeners:
+                listener.state = changes.get(listener.uid, listener.state)
+            self.rev += 1
+            self.news.notify_all()
+
+    def reset_watches(self) -> None:
+        """Reset the watch that waits now; later calls are answered."""
+        with self.news:
+            self.resets = True
+            self.news.notify_all()
+
+    def says(self, answer: object) -> None:
+        """Give this answer once in place of the list; bytes are sent as they are."""
+        with self.news:
+            self.instead.append(answer)
+            self.rev += 1
+            self.news.notify_all()
+
+    @property
+    def address(self) -> str:
+        """Where it listens, as host:port."""
+        return f"127.0.0.1:{self.server.server_address[1]}"
+
+    def fail(self, failing: bool) -> None:
+        """Begin or end to answer every call with a 503."""
+        with self.news:
+            self.failing = failing
+            self.news.notify_all()
+
+
+class DiscoveryHttpServer(ThreadingHTTPServer):
+    """HTTP server of the emulated discovery, on a free port."""
+
+    daemon_threads = True
+
+    def __init__(self, discovery: DiscoveryServer) -> None:
+        self.discovery = discovery
+        super().__init__(("127.0.0.1", 0), DiscoveryHandler)
+
+    def shutdown_request(self, request: Any) -> None:
+        """Close without a FIN, which would come before the reset of a connection that lingers."""
+        self.close_request(request)
+
+
+class DiscoveryHandler(BaseHTTPRequestHandler):
+    """Answers one call of the program."""
+
+    server: DiscoveryHttpServer
+
+    def do_GET(self) -> None:  # the name that http.server calls
+        """Answer a call, or a watch once the list changes."""
+        discovery = self.server.discovery
+        discovery.calls.put(self.path)
+        if discovery.silent:
+            kept = Kept(self.path, json.dumps(discovery.listing()).encode(), threading.Event())
+            discovery.kept.put(kept)
+            kept.let_go.wait()
+            self.answer(200, kept.body)
+            return
+        query = parse_qs(urlsplit(self.path).query)
+        with discovery.news:
+            if "since" in query and not discovery.failing:
+                timeout_s = int(query["timeout_ms"][0]) / 1000
+                if not discovery.wait_for_change(int(query["since"][0]), timeout_s):
+                    self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    return
+            body = discovery.next_answer()
+        self.answer(503 if discovery.failing else 200, body)
+
+    def answer(self, status: int, body: bytes) -> None:
+        """Send an answer; the program may be gone at a test's end."""
+        with suppress(ConnectionError):
+            self.send_response(status)
+            self.send_header("Content-Length", str(len(body)))
+            self.end_headers()
+            self.wfile.write(body)
+
+    def log_message(self, *_: object) -> None:
+        """Log nothing."""
--- /dev/null
+++ b/tests/running_proxy.py
@@ -0,0 +1,161 @@
+"""The real program while it runs: its clients, log, operators' calls, and what it holds."""
+
+from __future__ import annotations
+
+import json
+import os
+import queue
+import re
+import select
+import signal
+import socket
+import subprocess
+import threading
+import time
+from collections.abc import Iterator
+from contextlib import contextmanager
+from itertools import count
+from pathlib import Path
+from typing import Any
+
+from connections import WAIT, Conn
+from emulated_peers import DiscoveryServer, Listener
+
+OPEN = b"OPEN %016x 7f3a9c21e0b4d655 c=feed,t=acme,d=%d\r\n"
+"""Request line, for an id and a deadline in milliseconds."""
+
+IDS = count(0x9B1F03AA5C7E2D41)
+"""Ids of requests, a new one for each."""
+
+
+class RunningProxy:
+    """The real program, running."""
+
+    def __init__(self, process: subprocess.Popen[str], port: int, extra_port: int) -> None:
+        self.process = process
+        self.port = port
+        self.extra_port = extra_port
+        self.admin_port = 0
+        self.held: socket.socket | None = None
+        """The platform's listening socket, where the program inherited one."""
+
+        self.listeners: list[Listener] = []
+        self.discovery: DiscoveryServer
+        self.config: Path
+        self.lines: queue.Queue[str] = queue.Queue()
+        """Log lines that were not looked at yet."""
+
+        self.seen: list[str] = []
+        """Log lines that `logged` has passed."""
+
+        threading.Thread(target=self.read, daemon=True).start()
+
+    def read(self) -> None:
+        """Queue the program's log lines until it ends."""
+        assert self.process.stderr is not None
+        for line in self.process.stderr:
+            self.lines.put(line)
+
+    def logged(self, pattern: str) -> str:
+        """Wait for the next log line with the pattern."""
+        while True:
+            line = self.lines.get(timeout=WAIT)
+            self.seen.append(line)
+            if re.search(pattern, line):
+                return line
+
+    def client(self, line: bytes = b"", port: int = 0) -> Conn:
+        """Connect, and send a request line if there is one."""
+        conn = Conn(socket.create_connection(("127.0.0.1", port or self.port), WAIT))
+        if line:
+            conn.send(line)
+        return conn
+
+    def open(self, wait_ms: int = 2000) -> Conn:
+        """Connect and send a request with a new id and this deadline."""
+        return self.client(OPEN % (next(IDS), wait_ms))
+
+    def standing(self, listener: int = 0) -> tuple[Conn, Conn]:
+        """An established connection: the client's end and the endpoint's."""
+        client = self.open()
+        endpoint = self.listeners[listener].serve()
+        assert client.line() == b"UP r1\r\n"
+        return client, endpoint
+
+    def asked(self) -> Listener:
+        """The endpoint that the key's ranking sends the next attempt to."""
+        ready, _, _ = select.select([each.sock for each in self.listeners], [], [], WAIT)
+        return next(each for each in self.listeners if each.sock in ready)
+
+    def serve_any(self) -> tuple[Listener, Conn]:
+        """Serve the next attempt at whichever endpoint gets it."""
+        listener = self.asked()
+        return listener, listener.serve()
+
+    def call(self, call: str) -> int:
+        """Make an operator's call; its status."""
+        conn = self.client(call.encode() + b" HTTP/1.1\r\nHost: x\r\n\r\n", self.admin_port)
+        return int(conn.line().split()[1])
+
+    def resource_usage(self) -> dict[str, Any]:
+        """Size and bound of each of the program's containers."""
+        conn = self.client(b"GET /ops/census HTTP/1.1\r\nHost: x\r\n\r\n", self.admin_port)
+        while conn.line().strip():
+            pass
+        text = b""
+        while line := conn.line():
+            text += line
+        usage: dict[str, Any] = json.loads(text)
+        return usage
+
+    def unread(self) -> list[str]:
+        """Log lines since the last call of this or of `logged`."""
+        lines = []
+        while not self.lines.empty():
+            lines.append(self.lines.get())
+        return lines
+
+    def becomes_ready(self) -> None:
+        """Wait until the program is ready; one that takes over is once it alone accepts."""
+        until_s = time.monotonic() + WAIT
+        while self.call("GET /ops/readiness") != 200:
+            assert time.monotonic() < until_s
+            time.sleep(0.01)
+
+    def alive(self) -> bool:
+        """Whether the program answers a PING."""
+        return self.client(b"PING\r\n").line() == b"PONG\r\n"
+
+    def reload(self, says: str, **changes: Any) -> None:
+        """Change keys of the proxy file, reload, and wait for a log line with the pattern `says`."""
+        self.config.write_text(json.dumps({**json.loads(self.config.read_text()), **changes}))
+        self.process.send_signal(signal.SIGHUP)
+        self.logged(says)
+
+    @contextmanager
+    def stopped(self) -> Iterator[None]:
+        """Pause the process, so that it finds all that happens meanwhile at once, in the order it came."""
+        self.process.send_signal(signal.SIGSTOP)
+        os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
+        try:
+            yield
+        finally:
+            self.process.send_signal(signal.SIGCONT)
+
+    def leave(self) -> None:
+        """Begin the graceful shutdown."""
+        self.process.send_signal(signal.SIGTERM)
+
+    def resident_mib(self) -> float:
+        """Resident memory of the process in MiB."""
+        pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
+        return pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
+
+    def descriptors(self) -> int:
+        """Number of the process's open descriptors."""
+        return len(os.listdir(f"/proc/{self.process.pid}/fd"))
+
+    def cpu_s(self) -> float:
+        """Processor time of the process in seconds, its system calls included."""
+        fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
+        return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
