--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -2,7 +2,7 @@
 
     python example/toy_server.py
 
-A gateway serves whoever opens, sends every line back, and tells a load of its own making. Discovery
+A gateway serves whoever opens, sends every line back, and reports a made-up load. Discovery
 lists both. Type `drain 1`, `ready 1` (or 2) to change a gateway's state, `quit` to end.
 """
 
@@ -21,11 +21,14 @@
 GATEWAYS = {"1": ("127.0.0.1", 8101), "2": ("127.0.0.1", 8102)}
 states = dict.fromkeys(GATEWAYS, "SERVING")
 revision = 1
-news = threading.Condition()
+list_changed = threading.Condition()
 
 
 class Gateway(socketserver.StreamRequestHandler):
+    """One connection to a gateway."""
+
     def handle(self) -> None:
+        """Answer each line until the connection ends."""
         port = self.server.server_address[1]
         for line in self.rfile:
             if line.startswith(b"OPEN "):
@@ -42,12 +45,16 @@
 
 
 class Discovery(BaseHTTPRequestHandler):
+    """One call of discovery."""
+
     def do_GET(self) -> None:
-        asked = parse_qs(urlsplit(self.path).query)
-        with news:
-            if "since" in asked:
-                since, wait = int(asked["since"][0]), int(asked["timeout_ms"][0]) / 1000
-                news.wait_for(lambda: revision > since, wait)
+        """Answer with the list; a watch waits until it changes."""
+        query = parse_qs(urlsplit(self.path).query)
+        with list_changed:
+            if "since" in query:
+                since = int(query["since"][0])
+                timeout_s = int(query["timeout_ms"][0]) / 1000
+                list_changed.wait_for(lambda: revision > since, timeout_s)
             targets = [
                 {
                     "uid": f"gateway-{name}",
@@ -68,28 +75,32 @@
         self.wfile.write(body)
 
     def log_message(self, *_: object) -> None:
-        pass
+        """Log nothing."""
 
 
 class Server(socketserver.ThreadingTCPServer):
-    allow_reuse_address = daemon_threads = True
+    """Serves each connection in a thread."""
+
+    allow_reuse_address = True
+    daemon_threads = True
 
 
 def main() -> None:
+    """Serve until `quit`, and change states as typed."""
     global revision
     servers: list[socketserver.BaseServer] = [Server(address, Gateway) for address in GATEWAYS.values()]
     servers.append(ThreadingHTTPServer(DISCOVERY, Discovery))
     for server in servers:
         threading.Thread(target=server.serve_forever, daemon=True).start()
-    print(f"gateways {GATEWAYS}, directory {DISCOVERY}", flush=True)
+    print(f"gateways {GATEWAYS}, discovery {DISCOVERY}", flush=True)
     for words in map(str.split, sys.stdin):
         if words == ["quit"]:
             return
         if len(words) == 2 and words[0] in ("drain", "ready") and words[1] in states:
-            with news:
+            with list_changed:
                 states[words[1]] = "DRAINING" if words[0] == "drain" else "SERVING"
                 revision += 1
-                news.notify_all()
+                list_changed.notify_all()
         else:
             print("drain 1, ready 1, drain 2, ready 2 or quit", flush=True)
     while True:  # without a terminal, until it is ended
--- a/rig/base_settings.py
+++ b/rig/base_settings.py
@@ -6,7 +6,10 @@
 from typing import Any
 
 MS = 1_000_000
+"""Nanoseconds in a millisecond."""
+
 S = 1_000_000_000
+"""Nanoseconds in a second."""
 
 
 def base_settings() -> dict[str, Any]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and events for tests; figures are made up for the tests, not taken from any deployment."""
+"""Settings and events for unit tests; figures are made up, not taken from any deployment."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from rig.base_settings import S as S
 from rig.base_settings import changed_settings
 
-settings.register_profile("same", derandomize=True, deadline=None)  # one verdict for one text, always
+settings.register_profile("same", derandomize=True, deadline=None)  # the same examples in every run
 settings.load_profile("same")
 
 
@@ -31,33 +31,39 @@
 
 
 def effect(word: str, group: str = "all", **more: Any) -> dict[str, Any]:
+    """Changes to the settings: one service with this effect, and other keys in `more`."""
     return {"services": [{**raw_settings()["services"][0], "effect": word, "group": group, **more}]}
 
 
 def endpoint(number: int) -> bytes:
+    """Address of the endpoint with this number, as it is in events."""
     return bytes([10, 0, number >> 8, number & 255, 31, 144])
 
 
 def entry(number: int, **changes: Any) -> EndpointEntry:
+    """An endpoint's entry in a list: ready, weight 1, started long ago."""
     return EndpointEntry(endpoint(number), number % 3, 0, number % 5, EndpointState.READY, 1.0, 0)._replace(
         **changes
     )
 
 
 def listed(*entries: EndpointEntry, form: int = ListForm.FULL) -> EndpointList:
+    """A list event."""
     return EndpointList(form, 1, entries)
 
 
 def request(number: int, **changes: Any) -> Request:
+    """A request event, with 2 s to its deadline."""
     return Request(number, 0, 0, number + 1000, 0, 0, 0, 2 * S)._replace(**changes)
 
 
 def ended(sent: Send, attempt: int, outcome: int, elapsed: int = 0, closed: bool = False) -> AttemptEnded:
+    """The end of an attempt that was sent, `elapsed` nanoseconds after that."""
     return AttemptEnded(sent.request_id, attempt, sent.endpoint, closed, elapsed, outcome, ())
 
 
 def balancer(endpoints: int = 8, seed: int = 1, window: float = 1e9, **changes: Any) -> Balancer:
-    """A node that knows `addresses` endpoints; a wide window lets tests place many requests at one moment."""
+    """A balancer that knows `endpoints` endpoints; the wide limit lets tests place many requests at once."""
     made = Balancer(Settings.parse(raw_settings(**changes)), seed)
     made.window.size = window
     made.step(1 * S, [listed(*(entry(n) for n in range(endpoints)))])
@@ -65,4 +71,5 @@
 
 
 def only(actions: list[Action], kind: type) -> list[Any]:
+    """The actions of one kind."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -12,47 +12,55 @@
 from conftest import S
 from proxy import OPEN, WAIT, Conn, DiscoveryServer, Listener, RunningProxy, free_port, launch, proxy, world
 
-MANY = 30  # processes
+PROCESSES = 30
+"""Processes that start together."""
+
 ENDPOINTS = 1024
+"""Length of a long list."""
+
+DESCRIPTORS = 60
+"""Limit of descriptors for a process that runs out of them."""
 
 
-class Named:
-    """An endpoint that is listed and never met."""
+class ListedEndpoint:
+    """An endpoint that is listed and never connected to."""
 
     def __init__(self, number: int) -> None:
-        self.uid, self.state = f"p-{number}", "SERVING"
-        self.place = f"127.1.{number >> 8}.{number & 255}:9000"
+        self.uid = f"p-{number}"
+        self.state = "SERVING"
+        self.address = f"127.1.{number >> 8}.{number & 255}:9000"
 
     def entry(self) -> dict[str, Any]:
+        """The entry in discovery's list."""
         return {
             "uid": self.uid,
-            "endpoint": self.place,
+            "endpoint": self.address,
             "az": "a",
             "model": "m",
             "pod_group": 0,
             "state": self.state,
-            "capacity_hint": 1e-6,  # so that the one that is there is the one that is asked
+            "capacity_hint": 1e-6,  # so that the one that exists gets the attempts
             "boot_ms": 0,
         }
 
 
-@pytest.mark.parametrize("how", ["down", "refused", "silent", "slow", "crowded"])
+@pytest.mark.parametrize("how", ["down", "failing", "silent", "slow", "full"])
 def test_processes_that_start_together_are_ready_without_discovery(tmp_path: Path, how: str) -> None:
-    # They all answer while discovery has not said a word to any of them, and serve by the list they have.
+    # They all answer before discovery has answered any of them, and serve with the list of their file.
     with ExitStack() as stack:
         made = stack.enter_context(world(tmp_path, discovery="ask", rules={"mustAskInNs": 10 * S}))
         discovery = made.discovery
         if how == "down":
             discovery.server.server_close()
-        elif how == "refused":
+        elif how == "failing":
             discovery.fail(True)
-        elif how == "crowded":
+        elif how == "full":
             discovery.server.socket.listen(0)
             discovery.silent = True
         else:
             discovery.silent = True
         running = []
-        for number in range(MANY):
+        for number in range(PROCESSES):
             port = free_port()
             folder = tmp_path / str(number)
             folder.mkdir()
@@ -65,7 +73,7 @@
         for one in running:
             one.logged("event=process-started")
             assert one.alive()
-        if how == "slow":  # it answers now, one after the other
+        if how == "slow":  # it answers now, one call after the other
             discovery.silent = False
             discovery.kept.get(timeout=WAIT).let_go.set()
         for number, one in enumerate(running):
@@ -74,13 +82,14 @@
             assert client.line() == b"UP r1\r\n"
 
 
-def few() -> None:
-    resource.setrlimit(resource.RLIMIT_NOFILE, (60, 60))
+def limit_descriptors() -> None:
+    """Run in the child before the program."""
+    resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
 
 
-def test_idle_crowd_that_fills_the_descriptors_blocks_no_client(tmp_path: Path) -> None:
+def test_idle_clients_that_use_all_descriptors_block_no_request(tmp_path: Path) -> None:
     # Idle clients may fill them while discovery is down; its return, attempts and reloads need some.
-    with proxy(tmp_path, endpoints=2, before=few, rules={"mustAskInNs": S}) as running:
+    with proxy(tmp_path, endpoints=2, before=limit_descriptors, rules={"mustAskInNs": S}) as running:
         client = running.open()
         served = running.asked()
         endpoint = served.serve()
@@ -115,7 +124,7 @@
         (there,) = running.listeners
         later = DiscoveryServer([])
         later.indent = 4
-        listed: list[Any] = [there, *map(Named, range(ENDPOINTS - 1))]
+        listed: list[Any] = [there, *map(ListedEndpoint, range(ENDPOINTS - 1))]
         later.listeners = listed
         later.rev = 5
         running.reload("event=configuration-reloaded", discovery=later.address)
