--- a/linnetshift/frontends/channels/channel.py
+++ b/linnetshift/frontends/channels/channel.py
@@ -209,8 +209,8 @@
         """Write one packet of pending data, so that each channel with data gets its turn."""
         size = min(len(self.pending), self.send_window, self.max_data_bytes)
         if size:
-            with memoryview(self.pending) as view:
-                self.session.write(encode_channel_data(self.recipient_channel, view[:size]))
+            with memoryview(self.pending) as view, view[:size] as data:
+                self.session.write(encode_channel_data(self.recipient_channel, data))
             del self.pending[:size]
             self.send_window -= size
         if self.pending:
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -79,7 +79,7 @@
     assert parts.selection.choose(pending, False) is None
     parts.slow_start.token_bucket.level = 1.0
     parts.slow_start.tokens_per_s = 9.0
-    parts.slow_start.token_bucket.refilled_at = 100 * S
+    parts.slow_start.token_bucket.refilled_at_ns = 100 * S
     assert parts.selection.choose(pending, False) is parts.endpoint(0)
 
 
@@ -130,7 +130,7 @@
     parts.at(100 * S)
     parts.endpoints.apply(listed(entry(0, started_ns=100 * S)))
     parts.slow_start.token_bucket.level = 1.0
-    parts.slow_start.token_bucket.refilled_at = 100 * S
+    parts.slow_start.token_bucket.refilled_at_ns = 100 * S
     parts.slow_start.first_arrivals_per_s.add(100 * S, 100.0)
     assert parts.selection.choose(parts.pending(1), False) is parts.endpoint(0)
 
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -28,7 +28,7 @@
     for second, state in ((3, EndpointState.DRAINING), (4, EndpointState.REMOVED)):
         parts.at(second * S)
         parts.connection(second, parts.endpoint(0))
-        update = listed(entry(0, state=state, leave_ns=7), form=ListForm.DELTA)
+        update = listed(entry(0, state=state, drain_within_ns=7), form=ListForm.DELTA)
         assert parts.endpoints.apply(update) == [parts.endpoint(0)]
     assert parts.endpoint(0).draining_since == 3 * S
     assert parts.endpoint(0).drain_within_ns == 7
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -120,12 +120,12 @@
     config = read_config(str(config_file))
     own = read_broker_file(str(broker_file), config.names, config.settings)
     ours, theirs = socket.socketpair()
-    proxy = Proxy(config, own, predecessor=PredecessorState(ours, recorded, b"", []))
+    proxy = Proxy.start(config, own, predecessor=PredecessorState(ours, recorded, b"", []))
     yield proxy
     proxy.frontend.close()
     proxy.channels.close()
-    assert proxy.vrrp is not None
-    proxy.vrrp.sock.close()
+    assert proxy.activation.vrrp is not None
+    proxy.activation.vrrp.sock.close()
     assert proxy.admin_server.acceptor is not None
     proxy.admin_server.acceptor.close()
     ours.close()
@@ -199,7 +199,7 @@
     broker = successor.broker
 
     assert successor.connection_limiter.peer_descriptors == 37
-    assert successor.peer_migrated == 91
+    assert successor.local_process.migrated_by_peer == 91
     assert broker.migrated == 0
     assert connections_at_peers(broker.balancer) == 3
     assert broker.latency_estimator.peer_connections == {
@@ -241,14 +241,14 @@
 
 
 def test_vrrp_stays_active_and_channels_listen_without_descriptors(successor: Proxy) -> None:
-    assert successor.vrrp is not None
-    assert successor.vrrp.router.state is State.ACTIVE
+    assert successor.activation.vrrp is not None
+    assert successor.activation.vrrp.router.state is State.ACTIVE
     assert successor.channels.acceptor is not None
     assert successor.hot_restart.is_joining
 
 
 def test_state_is_handed_on_under_the_same_keys(successor: Proxy, recorded: dict[str, Any]) -> None:
-    state = successor.state()
+    state = successor.local_process.state()
     written = json.loads(json.dumps(state.to_json()))
 
     assert written.keys() == recorded.keys()
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -57,7 +57,7 @@
     for number in range(1, 21):
         parts.connection(number, where)
     (draining,) = parts.endpoints.apply(
-        listed(entry(0, state=EndpointState.DRAINING, leave_ns=500 * MS), form=ListForm.DELTA)
+        listed(entry(0, state=EndpointState.DRAINING, drain_within_ns=500 * MS), form=ListForm.DELTA)
     )
     parts.migration.begin_leaving(draining)
     assert parts.context.actions == [SetTimer(50 * MS, 1 << 16)]
