--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -99,7 +99,7 @@
             return
         try:
             self.broker.process_events()
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # This edge contains faults: one in the decisions must not end the established connections. They
             # go on, and the broker itself answers requests that get no decision.
             log.exception(error)
--- a/linnetshift/event_loop/actor.py
+++ b/linnetshift/event_loop/actor.py
@@ -79,7 +79,7 @@
         except StopIteration:
             self.end()
         # One of the edges that contain faults: `faulted` decides whether the program goes on.
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             self.coroutine = None  # first, so that it receives nothing that its fault sets off
             try:
                 self.faulted(error)
--- a/linnetshift/simulation/adapter.py
+++ b/linnetshift/simulation/adapter.py
@@ -39,7 +39,7 @@
         for number, events in groups:
             try:
                 actions = self._run_instance(number, now_ns, events)
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001
                 # The edge that contains an instance's fault: whatever its decisions raise, the simulator has
                 # to learn which instance failed and why, and one that dies silently tells neither.
                 fault = InstanceFault(number, f"{type(error).__name__}: {error}")
--- a/tests/test_aims.py
+++ b/tests/test_aims.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    "ms, strict_there, loose_there", [(5.0, True, True), (30.0, False, True), (300.0, False, False)]
+    ("ms", "strict_there", "loose_there"), [(5.0, True, True), (30.0, False, True), (300.0, False, False)]
 )
 def test_an_endpoint_is_passed_over_by_the_aim_of_the_class_that_asks(
     ms: float, strict_there: bool, loose_there: bool
@@ -50,7 +50,8 @@
     for turn in range(12):  # at 30 ms the strict are late, and the loose far from it
         for move in only(node.step((3 + turn) * S, [ConnectionNote(1, 0, home, SLOW_NOTE, 30.0)]), Migrate):
             moved.add(move.request_id)
-    assert moved and all(number % 10 == 0 for number in moved)
+    assert moved
+    assert all(number % 10 == 0 for number in moved)
     assert node.admission.load_shedding.admitted_share == 1.0
     assert endpoint(0) in node.endpoints
 
--- a/tests/test_bench_regress.py
+++ b/tests/test_bench_regress.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    "cmd, before, now, word",
+    ("cmd", "before", "now", "word"),
     [
         ("real-score", [0.5, 0.6], [0.75], "gain"),
         ("real-score", [0.5, 0.6], [0.65], "within the swing"),
@@ -67,7 +67,7 @@
     assert [row.word for row in regress.verdicts(entries)] == ["BROKEN"]
 
 
-@pytest.mark.parametrize("scores, status", [([0.5, 0.5, 0.9], 0), ([0.9, 0.9, 0.5], 1)])
+@pytest.mark.parametrize(("scores", "status"), [([0.5, 0.5, 0.9], 0), ([0.9, 0.9, 0.5], 1)])
 def test_command_prints_one_table(tmp_path: Path, scores: list[float], status: int) -> None:
     for n, score in enumerate(scores):
         (tmp_path / f"{n}.json").write_text(json.dumps(entry(n, "new" if n == 2 else "old", score)))
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    "how, gateway, code, text",
+    ("how", "gateway", "code", "text"),
     [
         ({}, reject_all_attempts, 4, b"come again after 1000 ms"),
         ({"wait_ms": 300}, accept_without_answer, None, b""),
@@ -108,7 +108,8 @@
         endpoint.send(b"M 1 x\r\n")
         while (got := terminal.read())[0] == WINDOW_ADJUST:
             pass
-        assert got[0] == DATA and got[1].endswith(b"M 1 x\r\n")
+        assert got[0] == DATA
+        assert got[1].endswith(b"M 1 x\r\n")
     for _ in range(32):
         assert stalled.line() == line  # held back by its gateway, not lost
 
@@ -137,12 +138,14 @@
         for number in range(12):
             channel, listener, endpoint = served(running, terminal, number, key=number + 1)
             established[listener.uid].append((number, channel, endpoint))
-        assert established["s-0"] and established["s-1"]
+        assert established["s-0"]
+        assert established["s-1"]
         running.discovery.change(**{"s-0": "DRAINING"})
         moved = set()
         for _ in established["s-0"]:
             kind, rest = terminal.read()
-            assert kind == CHANNEL_REQUEST and b"move@linnetshift" in rest
+            assert kind == CHANNEL_REQUEST
+            assert b"move@linnetshift" in rest
             number = int.from_bytes(rest[:4], "big")
             terminal.expect(CLOSE, number)
             moved.add(number)
@@ -235,7 +238,7 @@
 
 
 @pytest.mark.parametrize(
-    "contract, tenant, limit",
+    ("contract", "tenant", "limit"),
     [
         (CONTRACT + "services = []\n", b"acme", b"service: come again after 60000 ms"),
         (CONTRACT + "concurrency = 1\n", b"acme", b"concurrency: come again after 1000 ms"),
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -26,7 +26,8 @@
     made = ConcurrencyLimit()
     for _ in range(10):
         made.record_setup(1 * S, 400 * MS, 1, True, 100.0)
-    assert made.is_congested and made.limit == pytest.approx(INITIAL_LIMIT * 0.7)
+    assert made.is_congested
+    assert made.limit == pytest.approx(INITIAL_LIMIT * 0.7)
     for turn in range(20):
         made.record_setup((2 + turn) * S, 400 * MS, 1, True, 100.0)
     assert made.limit == MIN_LIMIT
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    "document, error_type, text",
+    ("document", "error_type", "text"),
     [
         ("{", FileSyntaxError, " is not JSON: "),
         ([], MissingSettingsError, " holds no settings"),
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize(
-    "content, text",
+    ("content", "text"),
     [
         ("[", " is not TOML: "),
         ("[channels]\nenabled = true\n", ": key 'listen' is missing"),
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -44,7 +44,8 @@
         ],
     )
     sends = only(node.step(2 * S + MS, [request(n) for n in range(200)]), Send)
-    assert len(sends) == 200 and not {s.endpoint for s in sends} & {endpoint(1), endpoint(2)}
+    assert len(sends) == 200
+    assert not {s.endpoint for s in sends} & {endpoint(1), endpoint(2)}
 
 
 def test_an_endpoint_may_come_back_and_restarts_are_seen() -> None:
@@ -52,7 +53,8 @@
     node.step(2 * S, [listed(entry(1, state=EndpointState.REMOVED), form=ListForm.DELTA)])
     assert endpoint(1) not in ready(node)
     node.step(3 * S, [listed(entry(1, started_ns=3 * S), form=ListForm.DELTA)])
-    assert endpoint(1) in ready(node) and node.endpoints.warm_up_factor(node.endpoints[endpoint(1)]) == 0.25
+    assert endpoint(1) in ready(node)
+    assert node.endpoints.warm_up_factor(node.endpoints[endpoint(1)]) == 0.25
     node.step(20 * S, [])
     assert node.endpoints.warm_up_factor(node.endpoints[endpoint(1)]) == 1.0
 
@@ -86,7 +88,8 @@
             (timer,) = only(node.step(now, [listed(form=ListForm.FAILED)]), SetTimer)
             waits.append(timer.delay_ns)
             assert only(node.step(now + timer.delay_ns, [TimerFired(timer.token)]), Watch)
-        assert max(waits) <= 8 * S and sum(waits[4:]) > sum(waits[:4])
+        assert max(waits) <= 8 * S
+        assert sum(waits[4:]) > sum(waits[:4])
         assert ready(node) == {endpoint(1)}
         first_waits.add(waits[0])
     assert len(first_waits) == 6
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -41,7 +41,8 @@
     first = node.step(1 * S, [listed(entry(0, state=state), form=ListForm.DELTA)])
     assert not only(first, Migrate)  # not all at the moment of the news
     paced = moves(node, 200)
-    assert sum(paced) == STANDING and max(paced) <= STANDING // 8
+    assert sum(paced) == STANDING
+    assert max(paced) <= STANDING // 8
 
 
 def test_all_are_gone_before_one_that_was_taken_out_stops() -> None:
@@ -50,7 +51,8 @@
     out = entry(0, state=EndpointState.DRAINING, drain_within_ns=LEAVE_NS)
     node.step(1 * S, [listed(out, form=ListForm.DELTA)])
     paced = moves(node, int(LEAVE_NS / (50 * MS)) + 1)
-    assert sum(paced) == STANDING and max(paced) <= 4
+    assert sum(paced) == STANDING
+    assert max(paced) <= 4
 
 
 def test_the_next_connection_goes_to_an_endpoint_that_is_back() -> None:
@@ -87,7 +89,7 @@
     assert sum(moves(node, 200)) == 1
 
 
-@pytest.mark.parametrize("limit, killed", [(2 * S, 2700 * MS), (10 * S, 3700 * MS)])
+@pytest.mark.parametrize(("limit", "killed"), [(2 * S, 2700 * MS), (10 * S, 3700 * MS)])
 def test_the_kill_is_expected_after_three_seconds_and_a_little(limit: int, killed: int) -> None:
     # Waiting for a longer deadline, the program was killed with connections still to move.
     assert kill_after(Settings.parse(raw_settings(**effect("repeatable", hardLimitNs=limit)))) == killed
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -20,7 +20,8 @@
     parts.requests.remove(connection)
     parts.endpoints.apply(listed(form=ListForm.DELTA))
     assert list(parts.endpoints) == [endpoint(0)]
-    assert endpoint(0) in parts.endpoints and endpoint(1) not in parts.endpoints
+    assert endpoint(0) in parts.endpoints
+    assert endpoint(1) not in parts.endpoints
 
 
 def test_grace_counts_from_the_first_update_that_says_that_it_drains() -> None:
@@ -47,7 +48,8 @@
         0,
     )
     assert (other.ejected_until, other.over_objective_until, other.consecutive_errors) == (9 * S, 9 * S, 2)
-    assert parts.endpoints.warm_up_factor(restarted) == 0.25 and parts.endpoints.is_warming_up(restarted)
+    assert parts.endpoints.warm_up_factor(restarted) == 0.25
+    assert parts.endpoints.is_warming_up(restarted)
     assert not parts.endpoints.is_warming_up(other)
 
 
@@ -76,4 +78,5 @@
     assert where.established_by_group == {5: 2}
     for _ in range(2):
         where.remove_established(first)
-    assert where.established_by_group == {5: 1} and list(where.established) == [2]
+    assert where.established_by_group == {5: 1}
+    assert list(where.established) == [2]
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -116,7 +116,8 @@
         assert endpoint.line() == b""
         running.logged("side=client reason=withdrawn" if frontend == "platform" else "side=channel")
         again = running.client(LINE.replace(b"77", b"78") % LONG)
-        assert first.accept().line().startswith(b"OPEN 78 ") and again
+        assert first.accept().line().startswith(b"OPEN 78 ")
+        assert again
 
 
 @pytest.mark.parametrize("unread", [1, 1000, 20_000_000])
@@ -168,7 +169,8 @@
         heard = b""
         while not heard:
             heard = first.accept().line()
-        assert heard.startswith(b"OPEN 77 ") and again
+        assert heard.startswith(b"OPEN 77 ")
+        assert again
 
 
 def test_client_that_left_before_accept_sends_nothing(tmp_path: Path) -> None:
@@ -179,7 +181,8 @@
             for client in gone:
                 client.close()
         again = running.client(LINE % LONG)
-        assert first.accept().line().startswith(b"OPEN 77 ") and again
+        assert first.accept().line().startswith(b"OPEN 77 ")
+        assert again
 
 
 def test_queued_request_of_departed_client_is_not_sent(tmp_path: Path) -> None:
@@ -191,7 +194,8 @@
             client.close()
         running.logged("side=client reason=withdrawn .*attempts=0")
         again = running.client(LINE.replace(b"77", b"78") % LONG)
-        assert first.accept().line().startswith(b"OPEN 78 ") and again
+        assert first.accept().line().startswith(b"OPEN 78 ")
+        assert again
 
 
 def test_endpoint_that_closes_on_accept_proves_nothing_was_executed(tmp_path: Path) -> None:
@@ -290,12 +294,13 @@
         let_go(out)
         again = running.client(LINE.replace(b"77", b"78") % LONG)
         attempt = running.asked().accept()
-        assert attempt.line().startswith(b"OPEN 78 ") and again  # and nothing of the first
+        assert attempt.line().startswith(b"OPEN 78 ")
+        assert again
         assert len(of_client(running)) == 1
 
 
 @pytest.mark.parametrize(
-    "state, rules, answer",
+    ("state", "rules", "answer"),
     [
         ("held", ONCE, b"BUSY\r\n"),
         ("connecting", ONCE, b"BUSY\r\n"),
@@ -450,7 +455,8 @@
             ends = [running.listeners[0].sock, resting.sock]
             if running.listeners[0].sock in select.select(ends, [], [], WAIT)[0]:
                 kept = running.listeners[0].serve()
-                assert resting.confirmed(5) >= 0 and kept
+                assert resting.confirmed(5) >= 0
+                assert kept
                 assert b"move@linnetshift" in resting.expect(98, 5)
                 resting.expect(97, 5)
             else:
@@ -458,7 +464,8 @@
         else:
             resting.send(LINE % 2000)
             kept = running.listeners[0].serve()
-            assert resting.line() == b"UP r1\r\n" and kept
+            assert resting.line() == b"UP r1\r\n"
+            assert kept
             assert resting.line() == b"MOVE\r\n"
         assert standing[0].line() == b"MOVE\r\n"
         for client in (standing[0], resting):
@@ -515,7 +522,9 @@
             first.sock.setblocking(False)
             first.accept().send(b"UP r1\r\n")
         assert waiting.line() in (b"UP r1\r\n", b"BUSY 1000\r\n", b"BUSY\r\n", b"ERR\r\n")
-        assert client.line() == b"MOVE\r\n" and len(crowd) == 60 and kept
+        assert client.line() == b"MOVE\r\n"
+        assert len(crowd) == 60
+        assert kept
         for one in (client, waiting, *crowd):
             one.close()
         assert running.process.wait(WAIT) == 0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -40,21 +40,24 @@
         fleet.run(fleet.now + 20 * MS)
     fleet.run(fleet.now + 2 * S)
     jammed = [at for at, _, _, where in fleet.sends if where == endpoint(3)]
-    assert not fleet.answers and len(fleet.sends) == 80
+    assert not fleet.answers
+    assert len(fleet.sends) == 80
     if nodes == 40:
-        assert not jammed and len({where for _, _, where in fleet.health_checks}) == 8
+        assert not jammed
+        assert len({where for _, _, where in fleet.health_checks}) == 8
     else:
         # Who has more connections than there are endpoints hears from most of them and asks no more.
-        assert len(fleet.health_checks) < 40 and len(fleet.health_checks) <= sum(
-            at < 2 * S for at, _, _ in fleet.health_checks
-        )
+        assert len(fleet.health_checks) < 40
+        assert len(fleet.health_checks) <= sum(at < 2 * S for at, _, _ in fleet.health_checks)
 
 
 def note(fleet: Fleet, node: int, number: int, where: bytes, ms: float) -> ConnectionNote:
     return ConnectionNote(number, 0, where, SLOW_NOTE, ms)
 
 
-@pytest.mark.parametrize("nodes, late, served", [(40, 2, True), (40, 5, False), (2, 2, True), (2, 5, False)])
+@pytest.mark.parametrize(
+    ("nodes", "late", "served"), [(40, 2, True), (40, 5, False), (2, 2, True), (2, 5, False)]
+)
 def test_a_few_late_endpoints_are_not_the_fleet(nodes: int, late: int, served: bool) -> None:
     # A node that stood at two endpoints, both late, turned half of all away at once while most endpoints were
     # idle.
@@ -82,7 +85,7 @@
     return [one.id for one in node.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))]
 
 
-@pytest.mark.parametrize("ms, least, most", [(90.0, 8, 15), (1500.0, 29, 35)])
+@pytest.mark.parametrize(("ms", "least", "most"), [(90.0, 8, 15), (1500.0, 29, 35)])
 def test_the_more_work_is_piled_up_the_more_is_moved(ms: float, least: int, most: int) -> None:
     # At 2 s of work piled up a tenth a second was moved: whoever stayed had no message in time for 7 s.
     # A draw decides on each, so the mean of ten fleets is looked at: 11.6 and 32 of 80 are meant.
@@ -116,7 +119,7 @@
 
 
 @pytest.mark.parametrize("nodes", [2, 40])
-@pytest.mark.parametrize("fee, least, most", [(0.0, 0.55, 0.8), (0.1, 0.0, 0.25)])
+@pytest.mark.parametrize(("fee", "least", "most"), [(0.0, 0.55, 0.8), (0.1, 0.0, 0.25)])
 def test_where_crossing_has_a_price_each_zone_has_its_own_place_for_a_key(
     nodes: int, fee: float, least: float, most: float
 ) -> None:
@@ -142,7 +145,7 @@
 
 
 @pytest.mark.parametrize(
-    "flags, dropped, least, most",
+    ("flags", "dropped", "least", "most"),
     [(0, True, 1.0, 1.0), (RETURNED, True, 0.55, 0.85), (RETURNED, False, 1.0, 1.0)],
 )
 def test_who_was_dropped_does_not_always_meet_the_endpoint_that_did_so(
@@ -185,7 +188,7 @@
 
 @pytest.mark.parametrize("nodes", [2, 40])
 @pytest.mark.parametrize(
-    "endpoints, chance",
+    ("endpoints", "chance"),
     [
         ((), False),
         (LEAVING, False),
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(
-    "name, nodes",
+    ("name", "nodes"),
     [(name, 3 if place % 2 else 8) for place, name in enumerate(SCENARIOS)] + [(list(SCENARIOS)[1], 24)],
 )
 def test_invariants_hold_for_processes_under_faults(tmp_path: Path, name: str, nodes: int) -> None:
@@ -129,7 +129,8 @@
 
 
 @pytest.mark.parametrize(
-    "nodes, first_node_share, faults", [(24, 0.0, ""), (32, 0.0, ""), (32, 0.5, ""), (32, 0.0, RESTART_EIGHT)]
+    ("nodes", "first_node_share", "faults"),
+    [(24, 0.0, ""), (32, 0.0, ""), (32, 0.5, ""), (32, 0.0, RESTART_EIGHT)],
 )
 def test_many_processes_keep_to_the_slow_start_budget(
     tmp_path: Path, nodes: int, first_node_share: float, faults: str
@@ -185,7 +186,7 @@
 
 
 @pytest.mark.parametrize(
-    "observations, rules",
+    ("observations", "rules"),
     [
         (one_request(Answer(1.1, "UP")), set()),
         (one_request(), {"unanswered"}),
@@ -206,7 +207,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, message",
+    ("text", "message"),
     [
         ('name = "x"\nnodes = 0', "`$.nodes`"),
         ('name = "x"\n[traffic]\narrivals_per_s = "fast"', "`$.traffic.arrivals_per_s`"),
@@ -264,7 +265,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault, results",
+    ("fault", "results"),
     [
         ("none", ["one", "two", "2"]),
         ("cut", ["one", "silence", "1"]),
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -141,11 +141,12 @@
     recorder.loop.run()
     migrated = recorder.times("migrate")
     assert not recorder.times("stop")  # its listener is the successor's
-    assert min(migrated) == 100 and max(migrated) == 8100
+    assert min(migrated) == 100
+    assert max(migrated) == 8100
     assert recorder.times("notify") == [8350]
 
 
-@pytest.mark.parametrize("signal_ms, last_ms, notified_ms", [(1000, 3100, 3350), (7000, 8100, 8350)])
+@pytest.mark.parametrize(("signal_ms", "last_ms", "notified_ms"), [(1000, 3100, 3350), (7000, 8100, 8350)])
 def test_signal_shortens_the_shutdown_of_a_replaced_process(
     signal_ms: int, last_ms: int, notified_ms: int
 ) -> None:
@@ -162,7 +163,8 @@
     recorder.loop.call_later(500 * MS, recorder.shutdown.end)  # type: ignore[attr-defined]
     recorder.loop.call_later(20 * S, recorder.loop.stop)
     recorder.loop.run()
-    assert recorder.requests and max(recorder.times("migrate")) < 500
+    assert recorder.requests
+    assert max(recorder.times("migrate")) < 500
     assert not recorder.times("notify")
 
 
@@ -174,7 +176,8 @@
     loop.call_later(20 * S, loop.stop)
     loop.run()
     migrated = recorder.times("migrate")
-    assert len(migrated) == 100 and max(migrated) < 2000
+    assert len(migrated) == 100
+    assert max(migrated) < 2000
     assert max(migrated.count(time) for time in set(migrated)) == 3
 
 
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, is_ejected, is_overloaded",
+    ("outcome", "is_ejected", "is_overloaded"),
     [(Outcome.FULL, False, False), (Outcome.TIMEOUT, True, True), (Outcome.CONNECT_FAILED, True, False)],
 )
 def test_check_that_fails_ejects_unless_the_endpoint_had_too_many(
@@ -70,7 +70,8 @@
     loaded, well = parts.endpoint(0), parts.endpoint(1)
     assert answer(parts, loaded, 40.0, 1.5) == pytest.approx(0.3 * 0.75 / 1.5)
     assert answer(parts, well, 40.0, 0.84) == 0.0
-    assert parts.health_checks.advises_against(loaded) and not parts.health_checks.advises_against(well)
+    assert parts.health_checks.advises_against(loaded)
+    assert not parts.health_checks.advises_against(well)
     parts.at(parts.context.now + 3 * S)
     assert not parts.health_checks.advises_against(loaded)
 
@@ -91,14 +92,16 @@
     parts = Parts(**WITH_LOAD)
     where = parts.endpoint(0)
     assert answer(parts, where, *report) == 0.0
-    assert where.load == 0.0 and where.load_reported_at == parts.context.now
+    assert where.load == 0.0
+    assert where.load_reported_at == parts.context.now
 
 
 def test_report_from_before_a_restart_is_not_taken() -> None:
     parts = Parts(**WITH_LOAD)
     where = parts.endpoint(0)
     where.started_at = parts.context.now + 1
-    assert answer(parts, where, 40.0, 1.5) == 0.0 and where.load == 0.0
+    assert answer(parts, where, 40.0, 1.5) == 0.0
+    assert where.load == 0.0
 
 
 def test_check_without_an_answer_for_two_ticks_advises_against_the_endpoint() -> None:
--- a/tests/test_kinds_of_site.py
+++ b/tests/test_kinds_of_site.py
@@ -97,7 +97,8 @@
         node.step(4 * S, [listed()])
         for n in range(1, 7):
             node.step(5 * S, [ended(Send(n, held.id, 0), 0, Outcome.RESET, closed=True)])
-    assert not held.established_by_group and not held.established
+    assert not held.established_by_group
+    assert not held.established
 
 
 def test_an_endpoint_that_errs_on_all_is_passed_over_though_nobody_else_can_serve_yet() -> None:
@@ -155,7 +156,7 @@
     assert 25 <= served <= 55
 
 
-@pytest.mark.parametrize("source, size", [("nominal", 0.3), ("live", 4.0)])
+@pytest.mark.parametrize(("source", "size"), [("nominal", 0.3), ("live", 4.0)])
 def test_a_cold_endpoint_s_part_is_reckoned_from_sizes(source: str, size: float) -> None:
     node = balancer(0, weightSource=source)
     node.step(2 * S, [listed(entry(1, weight=4.0), entry(2, weight=4.0))])
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -112,7 +112,9 @@
         client.send(b"M 1\r\n")
         assert endpoint.line() == b"M 1\r\n"
         endpoint.send(b"R 1\r\n")
-        assert client.line() == b"R 1\r\n" and len(idle) == 120 and another
+        assert client.line() == b"R 1\r\n"
+        assert len(idle) == 120
+        assert another
         running.process.send_signal(signal.SIGTERM)
         assert {client.line(), other.line()} == {b"MOVE\r\n"}
         running.logged("event=shutdown-finished")
@@ -140,4 +142,5 @@
             for line in running.seen
             if "endpoint-limit-exceeded" in line or "endpoint-entries-invalid" in line
         ]
-        assert isinstance(client, Conn) and isinstance(there, Listener)
+        assert isinstance(client, Conn)
+        assert isinstance(there, Listener)
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "over_objective, before, after, is_congested",
+    ("over_objective", "before", "after", "is_congested"),
     [(5, 1.0, 0.65, True), (4, 0.5, 0.5, False), (1, 0.5, 0.55, False), (10, 0.25, 0.2, True)],
 )
 def test_review_adapts_the_share_to_the_endpoints_over_their_objectives(
@@ -25,7 +25,8 @@
 
 def test_review_is_due_once_a_second() -> None:
     made = LoadShedding(reviewed_at=5 * S)
-    assert not made.is_review_due(6 * S - 1) and made.is_review_due(6 * S)
+    assert not made.is_review_due(6 * S - 1)
+    assert made.is_review_due(6 * S)
 
 
 def test_share_recovers_up_to_the_second_limit_and_not_over_it() -> None:
@@ -45,7 +46,8 @@
     keys = [n * 0x9E3779B97F4A7C15 % (1 << 64) for n in range(1, 2001)]
     half = {key for key in keys if LoadShedding(0.5).admits_key(key)}
     more = {key for key in keys if LoadShedding(0.7).admits_key(key)}
-    assert half < more and 900 < len(half) < 1100
+    assert half < more
+    assert 900 < len(half) < 1100
     assert all(LoadShedding().admits_key(key) for key in keys)
 
 
--- a/tests/test_memory_after_connections_end.py
+++ b/tests/test_memory_after_connections_end.py
@@ -306,10 +306,13 @@
     actor.end()
     loop.call_later(0, lambda: None)
     loop.run_once()
-    assert not actor.timers and not actor.mailbox and theirs.recv(1) == b""
+    assert not actor.timers
+    assert not actor.mailbox
+    assert theirs.recv(1) == b""
     seen = weakref.ref(actor)
     del actor
-    assert seen() is None and not loop.handlers
+    assert seen() is None
+    assert not loop.handlers
 
 
 def test_actor_is_released_after_its_fault_was_reported(without_collector: None) -> None:
@@ -325,7 +328,9 @@
     actor.post("go on")
     loop.call_later(0, lambda: None)
     loop.run_once()
-    assert actor.error == "broken" and not actor.timers and actor.coroutine is None
+    assert actor.error == "broken"
+    assert not actor.timers
+    assert actor.coroutine is None
 
 
 def test_closed_stream_keeps_no_buffer_and_no_callback(without_collector: None) -> None:
@@ -339,9 +344,12 @@
     stream.unsent += b"x" * 9000
     buffer = weakref.ref(stream)  # the stream itself stays: it must cost little
     stream.close()
-    assert buffer() is stream and line == b"one\r\n"  # a slice given out stays whole
+    assert buffer() is stream
+    assert line == b"one\r\n"
     assert len(stream.view) == len(stream.buffer) == len(stream.unsent) == 0
-    assert stream.line() is None and stream.fill() is End.RESET and bytes(stream.rest()) == b""
+    assert stream.line() is None
+    assert stream.fill() is End.RESET
+    assert bytes(stream.rest()) == b""
     seen = weakref.ref(actor)
     del actor
     assert seen() is None
--- a/tests/test_message_latency.py
+++ b/tests/test_message_latency.py
@@ -17,14 +17,14 @@
 
 
 @pytest.mark.parametrize(
-    "latency_ms, share", [(39, 0.0), (40, 0.05), (59, 0.05), (60, 0.13), (200, 0.2), (5000, 0.4)]
+    ("latency_ms", "share"), [(39, 0.0), (40, 0.05), (59, 0.05), (60, 0.13), (200, 0.2), (5000, 0.4)]
 )
 def test_share_to_migrate_grows_with_the_queued_work(latency_ms: int, share: float) -> None:
     assert share_to_migrate(latency_ms * MS, OBJECTIVE_NS) == pytest.approx(share)
 
 
 @pytest.mark.parametrize(
-    "latency_ms, is_slow, is_over", [(19, False, False), (20, True, False), (60, True, True)]
+    ("latency_ms", "is_slow", "is_over"), [(19, False, False), (20, True, False), (60, True, True)]
 )
 def test_endpoint_is_slow_from_a_third_of_the_objective_and_over_it_at_all_of_it(
     latency_ms: int, is_slow: bool, is_over: bool
@@ -45,7 +45,8 @@
     reporter(parts).handle_report(where, 59 * MS)
     parts.at(2 * S)
     reporter(parts).handle_report(where, 1 * MS)
-    assert where.over_objective_until == 0 and parts.context.actions == []
+    assert where.over_objective_until == 0
+    assert parts.context.actions == []
 
 
 def test_load_is_checked_before_migration_where_it_is_reported() -> None:
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -39,7 +39,8 @@
     connections = [parts.connection(number, where) for number in range(1, 41)]
     admitted = {c.request.request_id for c in connections if parts.admission.admits(c.request)}
     parts.migration.migrate_excess(where, True, lambda _: 1.0)
-    assert 10 <= len(moved(parts)) <= 15 and not admitted & set(moved(parts))
+    assert 10 <= len(moved(parts)) <= 15
+    assert not admitted & set(moved(parts))
 
 
 def test_admitted_connections_stay_while_most_endpoints_are_slow() -> None:
@@ -67,8 +68,10 @@
         parts.tick_timer.handle_fired()
         parts.migration.handle_tick()
         counts.append(len(moved(parts)))
-    assert sum(counts) == 20 and max(counts[:8]) <= 5
-    assert len(parts.migration) == 0 and not where.established
+    assert sum(counts) == 20
+    assert max(counts[:8]) <= 5
+    assert len(parts.migration) == 0
+    assert not where.established
 
 
 def test_unresponsive_endpoint_is_left_until_its_ejection_ends_or_a_connection_is_established() -> None:
@@ -91,4 +94,5 @@
 def test_endpoint_without_connections_needs_no_leaving() -> None:
     parts = Parts()
     parts.migration.begin_leaving(parts.endpoint(0))
-    assert len(parts.migration) == 0 and parts.context.actions == []
+    assert len(parts.migration) == 0
+    assert parts.context.actions == []
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    "call, status",
+    ("call", "status"),
     [
         ("GET /ops/readiness", 200),
         ("HEAD /ops/readiness", 200),
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize(
-    "starts, seen",
+    ("starts", "seen"),
     [
         ([0], 9 * S),  # the list knows nothing newer: it is taken to have started when it was called back
         ([6 * S], 6 * S),  # it has heard of the restart
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -35,11 +35,12 @@
     parts.outliers.record_failure(failing, is_overload=True)
     assert failing.is_overloaded
     parts.outliers.record_failure(failing, is_overload=False)
-    assert not failing.is_overloaded and failing.ejected_until == until
+    assert not failing.is_overloaded
+    assert failing.ejected_until == until
 
 
 @pytest.mark.parametrize(
-    "outcome, was_established, is_ejected, is_overloaded",
+    ("outcome", "was_established", "is_ejected", "is_overloaded"),
     [
         (Outcome.FULL, False, True, True),
         (Outcome.RESET, True, True, True),
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -55,7 +55,8 @@
         self.new_operations = Operations(streams=5)
         self.old = HotRestart(self.loop, self.old_operations, socket_path, None)
         predecessor = self.request()
-        assert predecessor is not None and predecessor.state["list"] == {"rev": 7}
+        assert predecessor is not None
+        assert predecessor.state["list"] == {"rev": 7}
         self.new = HotRestart(self.loop, self.new_operations, socket_path, predecessor)
 
     def turn_until(self, condition: Callable[[], object]) -> None:
@@ -94,7 +95,8 @@
 def test_old_process_yields_and_the_new_one_learns_of_it(pair: Pair) -> None:
     assert pair.new.is_joining
     pair.turn_until(lambda: not pair.new.is_joining)
-    assert pair.old.successor is not None and pair.old_operations.yields == [True]
+    assert pair.old.successor is not None
+    assert pair.old_operations.yields == [True]
     assert not pair.new_operations.yields
 
 
@@ -130,17 +132,20 @@
     pair.new.peer_processes[0].end()
     pair.turn_until(lambda: pair.old.successor is None)
     assert pair.old_operations.yields == [True, False]
-    assert pair.old_operations.reported[-1] == 0 and not pair.old.peer_processes
+    assert pair.old_operations.reported[-1] == 0
+    assert not pair.old.peer_processes
 
 
 def test_second_successor_finds_the_first_one(pair: Pair) -> None:
     pair.turn_until(lambda: pair.old.successor is not None)
     ours, theirs = socket.socketpair()
     pair.old.accept_successor(theirs)
-    assert ours.recv(1) == b"" and len(pair.old.peer_processes) == 1
+    assert ours.recv(1) == b""
+    assert len(pair.old.peer_processes) == 1
     ours.close()
     third = pair.request()
-    assert third is not None and third.state["holdings"]["streams"] == 5
+    assert third is not None
+    assert third.state["holdings"]["streams"] == 5
     third.sock.close()
 
 
@@ -149,4 +154,5 @@
     peer = pair.new.peer_processes[0]
     peer.stream.send(b'{"say": "held"}\n')
     pair.turn_until(lambda: not pair.old.peer_processes and not pair.new.peer_processes)
-    assert not pair.new.is_joining and peer.stream.closed
+    assert not pair.new.is_joining
+    assert peer.stream.closed
--- a/tests/test_pending_requests.py
+++ b/tests/test_pending_requests.py
@@ -17,13 +17,16 @@
     pending = parts.pending(1)
     parts.requests.begin_attempt(pending, where)
     assert (parts.requests.setups_in_flight, where.in_flight, where.sends_since_report) == (1, 1, 1)
-    assert pending.last_attempt == 0 and pending.endpoints_tried == [where] and not where.is_recovery_due
+    assert pending.last_attempt == 0
+    assert pending.endpoints_tried == [where]
+    assert not where.is_recovery_due
     parts.requests.establish(pending, where)
     assert (parts.requests.setups_in_flight, where.in_flight, len(where.established)) == (0, 1, 1)
     for _ in range(2):
         parts.requests.end_attempt(pending)
     assert (parts.requests.setups_in_flight, where.in_flight, len(where.established)) == (0, 0, 0)
-    assert pending.endpoint is None and 1 in parts.requests
+    assert pending.endpoint is None
+    assert 1 in parts.requests
 
 
 def test_removed_request_gives_back_its_half_open_attempt_and_only_its_own() -> None:
@@ -37,7 +40,8 @@
     assert where.half_open_request == 1
     parts.requests.remove(tester)
     assert where.half_open_request == NO_REQUEST
-    assert len(parts.requests) == 0 and parts.requests.setups_in_flight == 0
+    assert len(parts.requests) == 0
+    assert parts.requests.setups_in_flight == 0
 
 
 def test_adopted_connection_counts_as_established_without_a_set_up() -> None:
@@ -70,6 +74,7 @@
 def test_only_the_first_attempt_of_an_open_connection_is_mid_flow() -> None:
     parts = Parts()
     pending = parts.pending(1, flags=MID_FLOW)
-    assert pending.is_first_mid_flow_attempt and not parts.pending(2).is_first_mid_flow_attempt
+    assert pending.is_first_mid_flow_attempt
+    assert not parts.pending(2).is_first_mid_flow_attempt
     parts.requests.begin_attempt(pending, parts.endpoint(0))
     assert not pending.is_first_mid_flow_attempt
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -78,7 +78,8 @@
 def test_the_hash_stays_strictly_inside_the_unit_interval() -> None:
     for key in (0, 1, MASK):
         found = costs(key, np.array([0, 1, MASK, (key * 3) & MASK], dtype=np.uint64))
-        assert np.all(np.isfinite(found)) and np.all(found > 0.0)
+        assert np.all(np.isfinite(found))
+        assert np.all(found > 0.0)
 
 
 def test_group_members_share_an_endpoint_and_the_client_key_serves_without_a_group() -> None:
@@ -102,7 +103,8 @@
     for now in (100, 105, 111):
         node.step(now * S, [])
         shares.append(list(first_endpoints(node, range(1, 3001)).values()).count(endpoint(9)))
-    assert shares[0] < 130 < shares[1] < shares[2] and 230 < shares[2] < 370
+    assert shares[0] < 130 < shares[1] < shares[2]
+    assert 230 < shares[2] < 370
 
 
 def test_candidates_are_made_anew_after_a_list_update_and_in_each_step_of_a_warm_up() -> None:
@@ -113,7 +115,8 @@
     parts.endpoints.apply(listed(entry(0), entry(1, started_ns=500 * S)))
     parts.ranking.invalidate()
     made = parts.ranking.candidates()
-    assert made.total_capacity == 1.25 and made.valid_until == 500 * S + 10 * S // 16
+    assert made.total_capacity == 1.25
+    assert made.valid_until == 500 * S + 10 * S // 16
     assert parts.slow_start.shares == {endpoint(1): 0.25 / 1.25}
     parts.at(made.valid_until - 1)
     assert parts.ranking.candidates() is made
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -28,7 +28,8 @@
         used.append(parts.context.actions[0].endpoint)
         end(parts, pending, Outcome.CONNECT_FAILED)
     assert len(set(used)) == 4
-    assert parts.context.actions == [Reject(1, 1 * S)] and 1 not in parts.requests
+    assert parts.context.actions == [Reject(1, 1 * S)]
+    assert 1 not in parts.requests
 
 
 def test_request_waits_beyond_the_concurrency_limit_and_is_placed_in_its_turn() -> None:
@@ -44,7 +45,8 @@
     parts.requests.remove(first)
     parts.at(parts.context.now + MS)
     parts.lifecycle.retry_waiting()
-    assert [type(action) for action in parts.context.actions] == [Send] and not parts.requests.waiting
+    assert [type(action) for action in parts.context.actions] == [Send]
+    assert not parts.requests.waiting
 
 
 def test_request_that_no_endpoint_may_serve_is_rejected_at_once() -> None:
@@ -89,7 +91,8 @@
     end(parts, closed, Outcome.ERROR, closed=True)
     connection = parts.connection(2, parts.endpoint(0))
     end(parts, connection, Outcome.RESET)
-    assert parts.context.actions == [] and len(parts.requests) == 0
+    assert parts.context.actions == []
+    assert len(parts.requests) == 0
 
 
 def test_failed_set_ups_lower_the_concurrency_limit_and_ended_connections_do_not() -> None:
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -57,7 +57,8 @@
     (send,) = node.step(2 * S, [request(1)])
     node.step(2 * S + MS, [ended(send, 0, outcome)])
     later = [a for t in range(1, 500) for a in node.step(2 * S + t * 4 * MS, [TimerFired(1 << 16)])]
-    assert not only(later, Send) and not only(later, Reject)
+    assert not only(later, Send)
+    assert not only(later, Reject)
 
 
 def test_once_is_tried_again_after_proof_that_it_never_ran() -> None:
@@ -76,7 +77,8 @@
     node = balancer(30, **effect("by_key", "cell", windowNs=100 * MS))
     (send,) = node.step(2 * S, [request(1)])
     actions = node.step(2 * S + 200 * MS, [ended(send, 0, Outcome.TIMEOUT, 200 * MS)])
-    assert not only(actions, Send) and not only(actions, Reject)
+    assert not only(actions, Send)
+    assert not only(actions, Reject)
 
 
 def test_attempts_never_exceed_the_maximum() -> None:
@@ -89,7 +91,9 @@
         sends += 1
         now += MS
         actions = node.step(now, [ended(send, sends - 1, Outcome.CONNECT_FAILED, MS)])
-    assert sends == 4 and len(only(actions, Reject)) == 1 and not node.requests
+    assert sends == 4
+    assert len(only(actions, Reject)) == 1
+    assert not node.requests
 
 
 @pytest.mark.parametrize("endpoints", [0, 1])
@@ -104,7 +108,8 @@
         now += timer.delay_ns
         assert now < 4 * S
         actions = node.step(now, [TimerFired(timer.token)])
-    assert not only(actions, Send) and not node.requests
+    assert not only(actions, Send)
+    assert not node.requests
 
 
 def test_when_every_endpoint_is_silent_the_plain_ranking_decides() -> None:
@@ -132,7 +137,8 @@
     (other,) = only(node.step(2 * S + 2 * MS, [request(2, group=5)]), Send)
     assert other.endpoint != bad
     trial, next_one = only(node.step(4 * S, [request(3, group=5), request(4, group=5)]), Send)
-    assert trial.endpoint == bad and next_one.endpoint != bad
+    assert trial.endpoint == bad
+    assert next_one.endpoint != bad
     node.step(4 * S + MS, [ConnectionEstablished(3, 0, bad, MS)])
     (after,) = only(node.step(4 * S + 2 * MS, [request(5, group=5)]), Send)
     assert after.endpoint == bad
@@ -157,7 +163,8 @@
     assert node.step(2 * S + 2 * MS, [ended(send, 0, Outcome.RESET), ended(send, 3, Outcome.OK)]) == []
     assert node.step(2 * S + 3 * MS, [ConnectionEstablished(1, 0, send.endpoint, 1), TimerFired(12345)]) == []
     assert node.step(2 * S + 4 * MS, [ConnectionNote(1, 0, endpoint(200), SLOW_NOTE, 1e9)]) == []
-    assert not node.requests and all(not h.in_flight and not h.established for h in node.endpoints.values())
+    assert not node.requests
+    assert all(not h.in_flight and not h.established for h in node.endpoints.values())
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -5.0])
@@ -180,9 +187,11 @@
             AdoptedConnection(8, 0, 1, 2, 0, 0, 0, endpoint(99)),
         ],
     )
-    assert len(node.endpoints[endpoint(1)].established) == 1 and list(node.requests) == [7]
+    assert len(node.endpoints[endpoint(1)].established) == 1
+    assert list(node.requests) == [7]
     node.step(3 * S, [AttemptEnded(7, 0, endpoint(1), True, S, Outcome.OK, ())])
-    assert not node.requests and not node.endpoints[endpoint(1)].established
+    assert not node.requests
+    assert not node.endpoints[endpoint(1)].established
 
 
 def test_set_ups_out_at_once_stay_within_a_window_that_success_widens() -> None:
@@ -196,7 +205,9 @@
         node.step(now, [ConnectionEstablished(s.request_id, 0, s.endpoint, 50 * MS) for s in sends])
         sends = only(node.step(now, [TimerFired(1 << 16)]), Send)
         out.append(len(sends))
-    assert out[0] == 16 and out[1] == 32 and sum(out) + 8 == 300
+    assert out[0] == 16
+    assert out[1] == 32
+    assert sum(out) + 8 == 300
 
 
 def test_a_jammed_store_narrows_the_window_and_ends_early_time_outs() -> None:
@@ -210,7 +221,8 @@
     assert 1 <= len(sends) <= 8
     assert all(send.timeout_ns == 2 * S for send in sends)  # else the store works for nobody
     node.step(now + 2 * S, [ConnectionEstablished(s.request_id, 0, s.endpoint, S) for s in sends])
-    assert node.lifecycle.concurrency_limit.limit <= 8 and node.requests.setups_in_flight == 0
+    assert node.lifecycle.concurrency_limit.limit <= 8
+    assert node.requests.setups_in_flight == 0
 
 
 def crowd(node: object, connections: int) -> list[ConnectionEstablished]:
@@ -244,7 +256,8 @@
             now += S
             node.step(now, [ConnectionNote(r, 0, h, SLOW_NOTE, 500.0) for h, r in by_endpoint.items()])
         refused = only(node.step(now + MS, [request(500 + n, group=n + 1) for n in range(300)]), Reject)
-        assert 150 < len(refused) < 280 and all(r.retry_after_ns > 0 for r in refused)
+        assert 150 < len(refused) < 280
+        assert all(r.retry_after_ns > 0 for r in refused)
         shed.append({r.request_id for r in refused})
     assert shed[0] == shed[1]
 
@@ -257,7 +270,8 @@
     unused = entry(31, zone=1)
     node.step(3 * S, [listed(unused, form=ListForm.DELTA), *broken])
     sends = only(node.step(3 * S + MS, [request(1000 + n) for n in range(200)]), Send)
-    assert len(sends) == 200 and all(node.endpoints[s.endpoint].zone != 1 for s in sends)
+    assert len(sends) == 200
+    assert all(node.endpoints[s.endpoint].zone != 1 for s in sends)
 
 
 def test_drops_of_one_overloaded_endpoint_do_not_condemn_its_zone() -> None:
@@ -272,7 +286,8 @@
     node.step(3 * S, broken)
     sends = only(node.step(3 * S + MS, [request(1000 + n) for n in range(200)]), Send)
     used = {s.endpoint for s in sends}
-    assert jammed not in used and any(node.endpoints[h].zone == 1 for h in used)
+    assert jammed not in used
+    assert any(node.endpoints[h].zone == 1 for h in used)
 
 
 def probing(endpoints: int = 8) -> Balancer:
@@ -305,9 +320,8 @@
     node = probing()
     (check_health,) = only(node.step(2 * S, [request(1)]), HealthCheck)
     actions = node.step(2 * S + MS, [HealthCheckResult(check_health.endpoint, Outcome.OK, MS, report)])
-    assert [s.endpoint for s in only(actions, Send)] == [check_health.endpoint] and not only(
-        actions, HealthCheck
-    )
+    assert [s.endpoint for s in only(actions, Send)] == [check_health.endpoint]
+    assert not only(actions, HealthCheck)
 
 
 def test_a_health_check_that_goes_unanswered_holds_a_request_only_briefly() -> None:
@@ -367,7 +381,8 @@
         (2, b"s" + other[:4]),
     ):
         node.step(2 * S + 2 * MS, [PeerMessage(sender, data)])
-    assert not node.endpoints[other].unresponsive_reports and not len(node.migration)
+    assert not node.endpoints[other].unresponsive_reports
+    assert not len(node.migration)
 
 
 def test_admitted_connections_leave_a_late_endpoint_once_others_are_well() -> None:
@@ -382,7 +397,8 @@
         if all(node.admission.admits(item.request) for item in node.endpoints[hot].established.values()):
             before = len(node.endpoints[hot].established)
             moves = only(node.step(node.now + S, [ConnectionNote(0, 0, hot, SLOW_NOTE, 60.0)]), Migrate)
-            assert moves and len(moves) <= before * 0.15 + 1
+            assert moves
+            assert len(moves) <= before * 0.15 + 1
             return
     raise AssertionError("the host never came down to its admitted connections")
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "word, group, expected",
+    ("word", "group", "expected"),
     [
         ("repeatable", "cell", [0, 1, 2, 3, 4, 5, 6]),
         ("by_key", "all", [0, 1, 2, 3, 4, 5, 6]),
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    "last_attempt, remaining_ms, is_congested, timeout_ms",
+    ("last_attempt", "remaining_ms", "is_congested", "timeout_ms"),
     [(-1, 800, False, 400), (-1, 799, False, 799), (-1, 800, True, 800), (2, 800, False, 800)],
 )
 def test_timeout_leaves_room_for_another_attempt_that_is_worth_it(
@@ -72,10 +72,12 @@
     parts = Parts(**effect("once"))
     pending = parts.pending(1)
     retry_policy.record_attempt_end(pending, parts.endpoint(0), Outcome.CONNECT_FAILED, 1 * S)
-    assert pending.possibly_executed_on is None and retry_policy.client_may_retry(pending, 9 * S)
+    assert pending.possibly_executed_on is None
+    assert retry_policy.client_may_retry(pending, 9 * S)
     retry_policy.record_attempt_end(pending, parts.endpoint(1), Outcome.TIMEOUT, 2 * S)
     retry_policy.record_attempt_end(pending, parts.endpoint(2), Outcome.TIMEOUT, 3 * S)
-    assert pending.possibly_executed_on is parts.endpoint(1) and pending.possibly_executed_at == 2 * S
+    assert pending.possibly_executed_on is parts.endpoint(1)
+    assert pending.possibly_executed_at == 2 * S
     assert not retry_policy.client_may_retry(pending, 2 * S)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -107,7 +107,8 @@
     def check(self, action: Action) -> None:
         match action:
             case Send(request, where, timeout):
-                assert request in self.owed and request not in self.out
+                assert request in self.owed
+                assert request not in self.out
                 assert self.now - self.told.get(where, self.now) <= self.settings.drain_grace_ns
                 self.allow_repeat(request, where)
                 self.check_cold(where)
@@ -117,7 +118,8 @@
                 self.answer(request, attempt, where, min(timeout, self.owed[request] - self.now))
             case Reject(request, _):
                 klass = self.settings.classes[0]
-                assert request in self.owed and request not in self.out
+                assert request in self.owed
+                assert request not in self.out
                 assert (
                     request not in self.maybe
                     or klass.effect == Effect.IDEMPOTENT
@@ -143,7 +145,8 @@
         if request not in self.maybe or klass.effect == Effect.IDEMPOTENT:
             return
         first, sent = self.maybe[request]
-        assert klass.effect == Effect.IDEMPOTENT_BY_KEY and self.now - sent <= klass.idempotency_window_ns
+        assert klass.effect == Effect.IDEMPOTENT_BY_KEY
+        assert self.now - sent <= klass.idempotency_window_ns
         assert klass.scope == Scope.ALL or self.zone[where] == self.zone[first]
 
     def answer(self, request: int, attempt: int, where: bytes, timeout: int) -> None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -42,7 +42,9 @@
 def test_the_agent_is_asked_again_while_the_grace_lasts(grace_ms: int) -> None:
     told = pace(discovery="push", rules={"drainGraceNs": grace_ms * MS})
     assert told.wait_ms * MS + told.margin_ns <= grace_ms * MS * 3 // 4
-    assert told.full_list_ns <= grace_ms * MS and told.wait_ms > 0 and told.margin_ns >= 25 * MS
+    assert told.full_list_ns <= grace_ms * MS
+    assert told.wait_ms > 0
+    assert told.margin_ns >= 25 * MS
 
 
 def drained(running: RunningProxy, first: Listener, second: Listener) -> None:
@@ -67,7 +69,8 @@
     asked = pace(discovery="ask", rules={"mustAskInNs": 3600 * S})
     call = max(WAIT_AFTER_FAILURE_MS * MS + (asked.margin_ns << MAX_TIMEOUT_DOUBLINGS), MAX_FULL_LIST_CALL_NS)
     # One call that failed to come up just before, the back-off, and one that has to be answered.
-    assert longest > 0 and CONNECT_TIMEOUT_NS + longest + call <= 6 * S
+    assert longest > 0
+    assert CONNECT_TIMEOUT_NS + longest + call <= 6 * S
     # And one that fell silent just before discovery could be reached, with the next, answered at once.
     assert call + CONNECT_TIMEOUT_NS <= 6 * S
 
@@ -134,7 +137,7 @@
         assert "since=" in silent_call(running).path
 
 
-@pytest.mark.parametrize("pushed, doubled", [(False, 2), (True, 0)])
+@pytest.mark.parametrize(("pushed", "doubled"), [(False, 2), (True, 0)])
 def test_a_shared_discovery_that_stays_silent_is_waited_for_longer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, pushed: bool, doubled: int
 ) -> None:
--- a/tests/test_simulation_codec.py
+++ b/tests/test_simulation_codec.py
@@ -146,8 +146,10 @@
     run = subprocess.run(
         [sys.executable, "-m", "linnetshift.simulation"], input=data, capture_output=True, timeout=60
     )
-    assert run.returncode == 1 and run.stdout == b""
-    assert run.stderr.count(b"\n") == 1 and run.stderr.startswith(b"linnetshift: ")
+    assert run.returncode == 1
+    assert run.stdout == b""
+    assert run.stderr.count(b"\n") == 1
+    assert run.stderr.startswith(b"linnetshift: ")
 
 
 def test_empty_batches_and_end_of_input() -> None:
@@ -167,14 +169,16 @@
     start = frame(on(1), create(), members(2, entry(1)), on(2), create(), members(2), now=S)
     out = replies(start, frame(on(1), inbound(1), on(2), inbound(1), now=2 * S))
     body = struct.pack(">BIBIq6s", 13, 1, 0, 1, 400 * MS, endpoint(1))
-    assert body in out and out.count(b"\x0d\0\0\0\x02") == 1  # the second only sets a timer
+    assert body in out
+    assert out.count(b"\x0d\0\0\0\x02") == 1
 
 
 def test_halt_and_re_creation_within_one_batch_start_afresh() -> None:
     start = frame(on(1), create(), members(2, entry(1)), now=S)
     again = frame(on(1), inbound(1), HALT, create(), members(2, entry(2)), inbound(2), now=2 * S)
     out = replies(start, again)
-    assert endpoint(2) in out and endpoint(1) not in out
+    assert endpoint(2) in out
+    assert endpoint(1) not in out
     assert replies(start, frame(on(1), HALT), frame(on(1), TIMER)) == struct.pack(">I", 4) * 3
 
 
@@ -192,7 +196,9 @@
 def test_bad_settings_are_a_fault_that_names_the_key(settings: bytes, text: str) -> None:
     record = struct.pack(">BQI", 0, 7, len(settings)) + settings
     out = replies(frame(on(4), record))
-    assert out[4:9] == struct.pack(">BI", 13, 4) and out[9] == 9 and text.encode() in out
+    assert out[4:9] == struct.pack(">BI", 13, 4)
+    assert out[9] == 9
+    assert text.encode() in out
 
 
 def test_unknown_settings_are_skipped() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -44,15 +44,15 @@
     bucket.rate_per_s, bucket.capacity = 0.5, 4.0
     assert not bucket.take() > 0.0
     bucket.refill(S)
-    assert bucket.take() > 0.49 and bucket.level == 0.0
+    assert bucket.take() > 0.49
+    assert bucket.level == 0.0
     bucket.refill(2 * S)
-    assert (
-        not bucket.take() > 0.51 and bucket.level == 0.0
-    )  # it is gone either way, or nodes would save it up
+    assert not bucket.take() > 0.51
+    assert bucket.level == 0.0
 
 
 @pytest.mark.parametrize(
-    "level, rate, ahead, wait",
+    ("level", "rate", "ahead", "wait"),
     [
         (0.0, 0.0, 0, math.inf),
         (1.0, 0.5, 0, 0.0),
@@ -68,7 +68,8 @@
 def test_a_draw_falls_on_an_endpoint_by_its_share_or_on_none() -> None:
     made = SlowStart(TokenBucket(0.0, 0.0, 9.0), 1.0, {b"a": 0.2, b"b": 0.3})
     draws = [made.draw(0, 9 * S, iter([0.0, at]).__next__) for at in (0.0, 0.19, 0.21, 0.49, 0.51, 0.99)]
-    assert draws == [b"a", b"a", b"b", b"b", None, None] and made.token_bucket.level == 3.0
+    assert draws == [b"a", b"a", b"b", b"b", None, None]
+    assert made.token_bucket.level == 3.0
 
 
 def replaced(nodes: int, uneven: bool, restarts: bool, seed: int) -> tuple[int, float, float]:
@@ -119,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    "nodes, uneven, restarts",
+    ("nodes", "uneven", "restarts"),
     [
         (2, False, False),
         (2, True, False),
@@ -138,7 +139,7 @@
 
 
 @pytest.mark.parametrize(
-    "nodes, warm, left_ns, held",
+    ("nodes", "warm", "left_ns", "held"),
     [
         (2, False, S, False),  # one in 2 s, half of it kept back: a turn in 4 s
         (2, False, 5 * S, True),
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -22,7 +22,7 @@
     assert stale_lists.version == 7
 
 
-@pytest.mark.parametrize("contradiction, error", [(OLDER, "version 4 after 5"), (EMPTY, "an empty list")])
+@pytest.mark.parametrize(("contradiction", "error"), [(OLDER, "version 4 after 5"), (EMPTY, "an empty list")])
 def test_contradicting_list_is_used_once_it_was_repeated_for_the_confirmation_time(
     contradiction: EndpointList, error: str
 ) -> None:
--- a/tests/test_takeover_messages.py
+++ b/tests/test_takeover_messages.py
@@ -40,15 +40,16 @@
 ]
 
 
-@pytest.mark.parametrize("message, line", EXCHANGED)
+@pytest.mark.parametrize(("message", "line"), EXCHANGED)
 def test_message_is_encoded_to_the_fixed_line(message: SentMessage, line: str) -> None:
     assert encode_message(message) == line.encode() + b"\n"
 
 
-@pytest.mark.parametrize("message, line", EXCHANGED)
+@pytest.mark.parametrize(("message", "line"), EXCHANGED)
 def test_fixed_line_is_decoded_to_the_message(message: ReceivedMessage, line: str) -> None:
     decoded = decode_message(line.encode() + b"\n")
-    assert type(decoded) is type(message) and decoded == message
+    assert type(decoded) is type(message)
+    assert decoded == message
 
 
 def test_exported_state_keeps_the_keys_and_their_order() -> None:
@@ -78,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, text",
+    ("line", "text"),
     [
         (b"{}", "KeyError: 'say'"),
         (b'{"say": 5}', "ValueError: says nothing"),
--- a/tests/test_takeover_socket.py
+++ b/tests/test_takeover_socket.py
@@ -94,7 +94,8 @@
     thread = answer(socket_path, lambda sock: sock.sendall(first), lambda sock: sock.sendall(b'{"a": 1}\n'))
     predecessor = request_takeover(socket_path)
     thread.join(5)
-    assert predecessor is not None and predecessor.state == {"a": 1}
+    assert predecessor is not None
+    assert predecessor.state == {"a": 1}
     predecessor.sock.close()
 
 
@@ -147,7 +148,7 @@
 
 
 @pytest.mark.parametrize(
-    "state, event",
+    ("state", "event"),
     [
         ({"list": 5}, "imported-list-rejected"),
         ({"list": {"rev": 1, "targets": []}, "holdings": {"streams": -1}}, "imported-state-rejected"),
@@ -159,7 +160,9 @@
 ) -> None:
     with caplog.at_level(logging.INFO, "linnetshift"):
         read = imported({"active": True, **state})
-    assert read.active and read.list_update is None and read.peer_resources == PeerResources()
+    assert read.active
+    assert read.list_update is None
+    assert read.peer_resources == PeerResources()
     assert [record.getMessage() for record in caplog.records] == [event]
 
 
--- a/tests/test_unresponsive_endpoints.py
+++ b/tests/test_unresponsive_endpoints.py
@@ -21,11 +21,13 @@
     parts.connection(1, where)
     unresponsive.handle_connect_failure(where)
     assert parts.context.actions == [SendPeerMessage(ALL_PEERS, b"s" + where.id)]
-    assert not where.ejected_until and len(parts.migration) == 0
+    assert not where.ejected_until
+    assert len(parts.migration) == 0
     parts.at(101 * S)
     unresponsive.handle_connect_failure(where)
     assert not any(isinstance(action, SendPeerMessage) for action in parts.context.actions)
-    assert where.ejected_until and len(parts.migration) == 1
+    assert where.ejected_until
+    assert len(parts.migration) == 1
 
 
 def test_two_reports_of_one_peer_are_not_enough_and_those_of_two_are() -> None:
@@ -46,7 +48,8 @@
     unresponsive.handle_report(established, 2)
     parts.at(105 * S)
     unresponsive.handle_report(old, 2)
-    assert not old.ejected_until and not established.ejected_until
+    assert not old.ejected_until
+    assert not established.ejected_until
 
 
 def test_failure_that_two_peers_know_of_already_is_not_reported() -> None:
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -42,7 +42,7 @@
         self.router.handle_advertisement(Advertisement(7, priority, interval, ()), sender)
 
 
-@pytest.mark.parametrize("priority, state", [(255, State.ACTIVE), (254, State.BACKUP), (1, State.BACKUP)])
+@pytest.mark.parametrize(("priority", "state"), [(255, State.ACTIVE), (254, State.BACKUP), (1, State.BACKUP)])
 def test_only_the_owner_starts_active(priority: int, state: State) -> None:
     assert RouterHarness(priority).router.state is state
 
@@ -55,11 +55,12 @@
     harness.receive(0)  # the active router stops
     assert harness.timers_cs[-1] == 100 * 50 / 256
     harness.router.handle_timer()
-    assert harness.router.state is State.ACTIVE and harness.sent == [156]
+    assert harness.router.state is State.ACTIVE
+    assert harness.sent == [156]
 
 
 @pytest.mark.parametrize(
-    "preempt, priority, is_followed",
+    ("preempt", "priority", "is_followed"),
     [(True, 99, False), (True, 100, True), (False, 1, True), (True, 101, True)],
 )
 def test_backup_follows_an_active_router_of_precedence(
@@ -71,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    "priority, sender, state",
+    ("priority", "sender", "state"),
     [
         (101, "10.0.0.1", State.BACKUP),
         (100, "10.0.0.3", State.BACKUP),
