--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -23,7 +23,7 @@
 # How long a client may leave everything unread.
 STALL_NS = 7 * S
 # No client waits so long for its answer.
-MOST_WAIT_MS = 600_000
+MAX_WAIT_MS = 600_000
 
 # Descriptors that no connection without a request gets: they are for endpoints, discovery, listeners and the
 # log. The larger of a number and a share of all.
@@ -32,7 +32,7 @@
 NO_LIMIT = 1 << 30  # stands for the number of descriptors where neither settings nor system limit it
 
 
-class Reading(Actor):
+class StallDetector(Actor):
     """An actor whose peer is to read what it is sent: detects that it has not for STALL_NS.
 
     Contract: subclasses call `look_for_stall` after each write and flush of `stream`, and end the connection
@@ -118,7 +118,7 @@
         self.remove(connection)
         self.answered_connections[connection] = None
 
-    def talks(self, connection: EvictableConnection) -> None:
+    def handle_partial_line(self, connection: EvictableConnection) -> None:
         """More of its request line came after a pause."""
         if connection in self.silent_connections or connection in self.sending_connections:
             self.remove(connection)
--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -9,7 +9,7 @@
 
 from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.config.names import UNKNOWN
-from linnetshift.event_loop.connection_limits import MOST_WAIT_MS
+from linnetshift.event_loop.connection_limits import MAX_WAIT_MS
 from linnetshift.event_loop.timers import MS
 from linnetshift.frontends.channels.channel import Channel
 from linnetshift.frontends.channels.messages import (
@@ -18,7 +18,7 @@
     retry_after_text,
 )
 from linnetshift.frontends.channels.packets import PayloadReader
-from linnetshift.frontends.line_protocol.client_connection import ANSWER_NS
+from linnetshift.frontends.listener import ANSWER_RESERVE_NS
 from linnetshift.observability.log import MAX_LOGGED_CHARS
 from linnetshift.routing.events import RETRY, RETURNED
 
@@ -120,7 +120,7 @@
 def find_class(session: Session, open_request: ChannelOpenRequest) -> int:
     """The number of the request's class; raises ChannelOpenError where a field has an impossible value."""
     class_number = session.frontend.names.classes.get(open_request.class_name)
-    if class_number is None or not open_request.has_valid_tenant or open_request.wait_ms > MOST_WAIT_MS:
+    if class_number is None or not open_request.has_valid_tenant or open_request.wait_ms > MAX_WAIT_MS:
         raise ChannelOpenError(
             OpenFailureReason.CONNECT_FAILED, "unknown class, impossible tenant or deadline"
         )
@@ -149,6 +149,6 @@
         open_request.group,
         open_request.routing_flags,
         0,
-        session.loop.since + wait_ns - ANSWER_NS,
+        session.loop.since + wait_ns - ANSWER_RESERVE_NS,
         open_request.request_line_encoder(),
     )
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -15,7 +15,7 @@
 
 from linnetshift.event_loop.actor import ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.connection_limits import DRAIN_NS, REQUEST_LINE_TIMEOUT_NS, Reading
+from linnetshift.event_loop.connection_limits import DRAIN_NS, REQUEST_LINE_TIMEOUT_NS, StallDetector
 from linnetshift.event_loop.outbound_connection import Steps, Stop, linger
 from linnetshift.event_loop.stream import End, Stream
 from linnetshift.event_loop.timers import S, Timeout, Timer
@@ -62,7 +62,7 @@
     """Message of the frontend: the session ends once it has no channels."""
 
 
-class Session(Reading):
+class Session(StallDetector):
     """One client's connection and its channels."""
 
     def __init__(self, frontend: ChannelsFrontend, sock: socket.socket, peer: Address) -> None:
@@ -185,7 +185,7 @@
             buffered = self.stream.stop - self.stream.start
             end = self.stream.fill()
             if self.stream.stop > buffered:
-                self.frontend.connection_limiter.talks(self)
+                self.frontend.connection_limiter.handle_partial_line(self)
             self.unanswered_keepalives = 0
             if end is not None:
                 self.end_reason = Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -8,7 +8,7 @@
 from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.event_loop.actor import ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.connection_limits import DRAIN_NS, Reading
+from linnetshift.event_loop.connection_limits import DRAIN_NS, StallDetector
 from linnetshift.event_loop.outbound_connection import Resume, Steps, Stop, linger
 from linnetshift.event_loop.stream import End, Stream
 from linnetshift.event_loop.timers import MS
@@ -22,20 +22,18 @@
 )
 from linnetshift.frontends.line_protocol.request_line import RequestLine, RequestLineError
 from linnetshift.frontends.line_protocol.request_reader import RequestReader
+from linnetshift.frontends.listener import ANSWER_RESERVE_NS
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
 
 if TYPE_CHECKING:
     from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
 
-# How long before the client gives up its answer is sent. The deadline counts from when the client sent the
-# line, which was before the loop saw it.
-ANSWER_NS = 4 * MS
 EARLY_INPUT = "talks on before its answer"
 LINE_TOO_LONG = "too long"
 
 
-class ClientConnection(Reading):
+class ClientConnection(StallDetector):
     """One client's connection: an actor with three states, and the broker's `Client`.
 
     The states are awaiting the request line (`RequestReader`), awaiting the answer, and established
@@ -162,7 +160,7 @@
             group=request_line.group,
             flags=request_line.flags,
             load_hint=request_line.load_hint,
-            deadline=arrived_ns + wait_ns - ANSWER_NS,
+            deadline=arrived_ns + wait_ns - ANSWER_RESERVE_NS,
             encode_request_line=request_line.encode,
             adopted_endpoint=request_line.adopted_endpoint,
         )
--- a/linnetshift/frontends/line_protocol/request_line.py
+++ b/linnetshift/frontends/line_protocol/request_line.py
@@ -6,7 +6,7 @@
 
 from linnetshift.config.names import UNKNOWN, NameRegistry
 from linnetshift.event_loop.connection_limits import (
-    MOST_WAIT_MS,
+    MAX_WAIT_MS,
 )
 from linnetshift.event_loop.timers import MS
 from linnetshift.frontends.line_protocol import protocol
@@ -108,9 +108,9 @@
     if not (text.isdigit() and len(text) <= protocol.MAX_DEADLINE_DIGITS and int(text)):
         raise RequestLineError("bad deadline")
     wait_ms = int(text)
-    if wait_ms > MOST_WAIT_MS and not is_adopted:
+    if wait_ms > MAX_WAIT_MS and not is_adopted:
         raise RequestLineError("endless deadline")
-    return min(wait_ms, MOST_WAIT_MS)
+    return min(wait_ms, MAX_WAIT_MS)
 
 
 def _parse_hexadecimal(text: bytes) -> int:
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -93,4 +93,4 @@
         unread_before = self.stream.stop - self.stream.start
         self.end = self.stream.fill()
         if self.stream.stop > unread_before:
-            self.frontend.connection_limiter.talks(self.connection)
+            self.frontend.connection_limiter.handle_partial_line(self.connection)
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -11,9 +11,7 @@
 from linnetshift.broker.broker import Broker
 from linnetshift.config.names import NameRegistry
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.connection_limits import (
-    ConnectionLimiter,
-)
+from linnetshift.event_loop.connection_limits import ConnectionLimiter
 from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.timers import MS
 from linnetshift.observability import log
@@ -22,6 +20,9 @@
 MAX_ACCEPTS_PER_WAKEUP = 64  # so that a flood leaves time for established connections
 # How long nothing is accepted while descriptors or buffers are short.
 ACCEPT_PAUSE_NS = 50 * MS
+# How long before the client gives up its answer is sent. The deadline counts from when the client sent the
+# request, which was before the loop saw it.
+ANSWER_RESERVE_NS = 4 * MS
 DESCRIPTOR_SHORTAGE = frozenset({errno.EMFILE, errno.ENFILE})
 SHORTAGE = DESCRIPTOR_SHORTAGE | {errno.ENOBUFS, errno.ENOMEM}
 
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from linnetshift.event_loop.actor import ActorCoroutine, Io
-from linnetshift.event_loop.connection_limits import Reading
+from linnetshift.event_loop.connection_limits import StallDetector
 from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.stream import Stream
 from linnetshift.event_loop.timers import MS, S, Timeout
@@ -38,7 +38,7 @@
 HEARTBEAT_INTERVAL_NS = 500 * MS
 # Received bytes without the end of a line: a heartbeat lists every endpoint and stays below this.
 MAX_MESSAGE_BYTES = 1 << 20
-# Drains that the other process has not confirmed; one that hangs is given up soon, see `Reading`.
+# Drains that the other process has not confirmed; one that hangs is given up soon, see `StallDetector`.
 MAX_UNCONFIRMED_DRAINS = 256
 
 
@@ -67,7 +67,7 @@
         """Apply the drain everywhere but at its source; `done` is called once all have it."""
 
 
-class PeerProcess(Reading):
+class PeerProcess(StallDetector):
     """Actor that exchanges messages with one other process of this proxy until either is gone."""
 
     def __init__(
--- a/linnetshift/routing/events.py
+++ b/linnetshift/routing/events.py
@@ -97,9 +97,8 @@
     kind: int  # of machine
     cell: int  # a few endpoints that know each other's idempotency keys; unique over all zones
     state: int  # an `EndpointState`
-    weight: (
-        float  # relative to other endpoints; `Settings.weights_are_sizes` tells whether it varies with load
-    )
+    # Relative to other endpoints; `Settings.weights_are_sizes` tells whether it varies with load.
+    weight: float
     started_ns: int  # when it last started; 0: long ago
     drain_within_ns: int = 0  # while it drains: how soon its connections must be gone; 0: not known
 
--- a/tests/test_request_line.py
+++ b/tests/test_request_line.py
@@ -8,7 +8,7 @@
 import pytest
 
 from linnetshift.config.names import UNKNOWN, NameRegistry
-from linnetshift.event_loop.connection_limits import MOST_WAIT_MS
+from linnetshift.event_loop.connection_limits import MAX_WAIT_MS
 from linnetshift.event_loop.timers import MS
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.request_line import RequestLineError, parse_request_line
@@ -42,10 +42,10 @@
 
 
 def test_only_an_adopted_connection_may_wait_longer_than_the_limit() -> None:
-    line = b"OPEN 1 2 c=feed,d=%d" % (MOST_WAIT_MS + 1)
+    line = b"OPEN 1 2 c=feed,d=%d" % (MAX_WAIT_MS + 1)
     with pytest.raises(RequestLineError, match=r"^endless deadline$"):
         parse_request_line(line + b"\r\n", NAMES)
-    assert parse_request_line(line + b",at=e7\r\n", NAMES).wait_ns == MOST_WAIT_MS * MS
+    assert parse_request_line(line + b",at=e7\r\n", NAMES).wait_ns == MAX_WAIT_MS * MS
 
 
 @pytest.mark.parametrize(
