--- a/linnetshift/observability/log.py
+++ b/linnetshift/observability/log.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import logging
+import re
 import select
 import sys
 import time
@@ -15,6 +16,8 @@
 
 # Text that a peer or a library wrote is cut to this many characters, so that no peer can flood the log.
 MAX_LOGGED_CHARS = 200
+# Blanks and control characters, and what separates or quotes in a log line.
+NEEDS_QUOTES = re.compile(r'[\x00-\x20"=\\]')
 
 
 class Reason(Enum):
@@ -70,7 +73,7 @@
     def quote(value: object) -> str:
         """The value as text, in quotes with escapes where it would not read back as one word."""
         text = str(value.value if isinstance(value, Enum) else value)
-        if text and not any(char <= " " or char in '"=\\' for char in text):
+        if text and NEEDS_QUOTES.search(text) is None:
             return text
         escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n").replace("\r", "\\r")
         return f'"{escaped}"'
