--- a/linnetshift/__main__.py
+++ b/linnetshift/__main__.py
@@ -1,363 +1,29 @@
-"""One real proxy: reads its configuration, wires the parts and runs until told to leave."""
+"""The entry point of one proxy process: signals and exit status."""
 
 from __future__ import annotations
 
 import os
-import select
 import signal
-import socket
 import sys
 import time
-from collections.abc import Callable, Collection
-from typing import Any
 
-from linnetshift.core.bans import MOST_LISTED
-from linnetshift.core.broker import Broker
-from linnetshift.core.census import Held
-from linnetshift.core.memory import recall
-from linnetshift.interface import HostList, HostState, ListForm
-from linnetshift.net import log
-from linnetshift.net.channels import MOST_OPEN, ChannelsFront
-from linnetshift.net.config import (
-    BrokerFile,
-    Config,
-    ConfigError,
-    inherited_listener,
-    read_broker_file,
-    read_config,
-)
-from linnetshift.net.directory import Directory, Pace, Roster, describe
-from linnetshift.net.handover import Holdings, Inherited, Legacy, Place, Succession, meet, spent
-from linnetshift.net.limits import Strangers
-from linnetshift.net.loop import MS, Loop, S
-from linnetshift.net.module import Departure, Module, Mover
-from linnetshift.net.ops import Door
-from linnetshift.net.platform import Acceptor, Front, PlatformFront
-from linnetshift.net.provider import ProviderGate
-from linnetshift.net.vrrp import State, Vrrp
+from linnetshift.config.errors import ConfigurationError
+from linnetshift.config.loader import read_files
+from linnetshift.config.platform_listener import platform_listener
+from linnetshift.lifecycle.takeover_socket import TakeoverSocketPath, request_takeover
+from linnetshift.observability import log
+from linnetshift.proxy import Proxy
 
-COLD_NS = 60 * S  # providers that started so lately are told in the log, with their age
-DROPPED_NS = 30 * S  # how long a class that is dropped can still be asked for
-
-
-class Program:
-    """All parts of one proxy, wired."""
-
-    def __init__(
-        self,
-        config: Config,
-        own: BrokerFile,
-        given: socket.socket | None = None,
-        place: Place | None = None,
-        legacy: Legacy | None = None,
-    ) -> None:
-        """`given` is the platform's listening socket, `legacy` what the process before handed over."""
-        self.loop = loop = Loop()
-        self.config, self.names, self.own = config, config.names, own
-        self.gate = ProviderGate(loop)
-        inherited = Inherited(legacy, self.names)
-        known = inherited.roster or config.known
-        pushed = not config.settings.must_ask
-        # What the agent of pushed lists has counts as told from the start, whatever the file says.
-        self.module = Module(loop, waiting=pushed)
-        self.directory = Directory(
-            loop,
-            config.directory,
-            self.names,
-            known,
-            self.listed,
-            Pace.of(config.settings),
-            config.seed,
-            self.module.informed,
-        )
-        self.broker = self.module.broker = self.gate.broker = Broker(
-            config.settings, config.seed, loop.now, self.module, self.directory, self.gate, own.contracts
-        )
-        self.module.start(self.module.live())
-        self.directory.start(self.directory.live())
-        if pushed:
-            # Pushed lists stop at the agent on this machine, and the module never asks for them.
-            self.directory.watch(True)
-        self.strangers = Strangers(loop, config.sockets)
-        inherited.restore(self.broker)
-        self.moved_beside = inherited.holdings.moved  # by the other process, so far
-        self.holds_beside(inherited.holdings)
-        self.listed(known)
-        inherited.remember(self.broker)
-        self.front = PlatformFront(loop, self.broker, self.names, self.strangers)
-        self.given = given
-        self.front.listen(config.listen, given)
-        self.channels = ChannelsFront(loop, self.broker, self.names, self.strangers)
-        self.vrrp: Vrrp | None = None
-        self.passed = inherited.sockets
-        if own.vrrp is not None:
-            socket_before = self.passed.pop("vrrp", None)
-            self.vrrp = Vrrp(loop, own.vrrp, self.elected, socket_before, inherited.active)
-            self.vrrp.start(self.vrrp.live())
-        elif own.channels is not None:
-            self.channels.listen(own.channels, self.passed.pop("channels", None))
-        for unused in self.passed.values():  # else what connects there would wait for nobody
-            unused.close()
-        self.departure: Departure | None = None
-        self.departing = False  # by a signal
-        self.door = Door(loop, self)
-        if config.admin is not None:
-            self.door.follow(self.door.open(config.admin))
-        self.succession = Succession(loop, self, place, legacy)
-
-    def listed(self, roster: Roster) -> None:
-        event = self.broker.bans.bounded(roster.event)
-        if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
-            log.note("listed", **self.told_of(event))
-        if left_out := len(roster.event.entries) - len(event.entries):
-            log.note("too-many-providers", left_out=left_out)
-        self.gate.listed(event, {entry.host: roster.endpoints[entry.host] for entry in event.entries})
-        self.broker.listed(event)
-
-    def told_of(self, event: HostList) -> dict[str, object]:
-        """A list or its changes in the words of the log; with it a run's logs tell how old each list was."""
-        now = self.loop.now()
-        cold = [(e.host, (now - e.started_ns) // MS) for e in event.entries if now - e.started_ns < COLD_NS]
-        return {
-            "form": ListForm(event.form).name.lower(),
-            "rev": event.version,
-            "entries": len(event.entries),
-            "draining": sum(entry.state == HostState.DRAINING for entry in event.entries),
-            "gone": sum(entry.state == HostState.GONE for entry in event.entries),
-            "cold": ",".join(f"{host.decode('utf-8', 'replace')}@{age}" for host, age in cold),
-        }
-
-    def census(self) -> dict[str, Held]:
-        """Every container that lives as long as the program; docs/memory.md says the same bounds."""
-        connections = self.strangers.descriptors + MOST_OPEN
-        return {
-            **self.loop.held(connections),
-            **self.broker.held(connections),
-            **self.gate.held(MOST_LISTED),
-            **self.strangers.held(connections),
-            **self.front.held(connections),
-            **self.channels.held(connections),
-            **self.door.held(),
-            **self.succession.held(),
-        }
-
-    def crowded(self, provider: bytes) -> bool:
-        return self.broker.bans.full() and not self.broker.bans.holds(provider)
-
-    # ---- what operators ask -----------------------------------------------------------------
-
-    def readiness(self) -> str:
-        if self.departing:
-            return "leaving"
-        if self.succession.heir is not None:
-            return "replaced by another process"
-        if self.succession.joining:
-            return "taking over"
-        if not self.broker.bans.listed:
-            return "waiting for the list of providers"
-        return "" if self.front.address is not None else "not listening"
-
-    def set_out(self, provider: bytes, out: bool, done: Callable[[bool], None]) -> None:
-        known = self.broker.bans.knows(provider)
-        if known:
-            self.succession.ban(provider, out, lambda: done(True))
-        else:
-            done(False)
-
-    # ---- the process before or after this one -----------------------------------------------
-
-    def ban(self, provider: bytes, out: bool, done: Callable[[], None]) -> None:
-        known = self.broker.take_out(provider) if out else self.broker.call_back(provider)
-        log.note("provider-set", provider=provider.decode(errors="replace"), out=out, known=known)
-        self.module.settled(done)
-
-    def state(self) -> tuple[dict[str, Any], list[int]]:
-        bans, gate = self.broker.bans, self.gate
-        targets = [
-            describe(entry, gate.endpoints[host], self.names)
-            for host, entry in bans.listed.items()
-            if host in gate.endpoints
-        ]
-        passing = {
-            "channels": self.channels.acceptor.listener.fileno() if self.channels.acceptor else -1,
-            "vrrp": self.vrrp.sock.fileno() if self.vrrp else -1,
-        }
-        passing = {what: fd for what, fd in passing.items() if fd >= 0}
-        state = {
-            "list": {"rev": self.directory.version, "all": True, "targets": targets},
-            "bans": bans.state(),
-            "budgets": spent(self.own.contracts, self.names),
-            "holdings": self.holdings(),
-            "memory": recall(self.broker.balancer, self.broker.gauge),
-            "active": self.vrrp is not None and self.vrrp.router.state is State.ACTIVE,
-            "passed": list(passing),
-        }
-        return state, list(passing.values())
-
-    def step_back(self, back: bool) -> None:
-        """Leave all that arrives to the new process and move what is here to it; or take it on again."""
-        if self.departing and not back:
-            return  # nobody will be here in a moment
-        self.front.pause(back)
-        self.channels.pause(back)
-        if self.departing:
-            return  # and on its way as it is
-        if self.vrrp is not None:
-            self.vrrp.pause(back)
-        if back:
-            self.depart(replaced=True)
-        elif self.departure is not None:
-            self.departure.end()
-
-    def holdings(self) -> dict[str, Any]:
-        loads = {
-            provider.decode(): [(one.load, one.group) for one in held]
-            for provider, held in self.broker.loads().items()
-        }
-        return {"streams": self.loop.streams, "loads": loads, "moved": self.broker.moved}
-
-    def holds_beside(self, holdings: Holdings) -> None:
-        self.strangers.beside = holdings.streams
-        self.broker.gauge.elsewhere = dict(holdings.loads)
-        # It comes back here, and was this proxy's before.
-        for _ in range(min(holdings.moved - self.moved_beside, self.strangers.descriptors)):
-            self.broker.gauge.guest(False, self.loop.now())
-        self.moved_beside = holdings.moved
-        self.broker.balancer.elsewhere = sum(map(len, holdings.loads.values()))
-
-    # ---- what happens to the program --------------------------------------------------------
-
-    def elected(self, active: bool) -> None:
-        """The channels front listens only while active; its channels move once it no longer is."""
-        if active and self.own.channels is not None:
-            self.channels.listen(self.own.channels, self.passed.pop("channels", None))
-        elif not active:
-            self.move_channels()
-
-    def move_channels(self) -> None:
-        self.channels.leave()
-        mover = Mover(self.loop, self.broker, self.channels)
-        mover.start(mover.live())
-
-    def held(self) -> int:
-        """Connections that are owed something: who says nothing must not keep a proxy that leaves."""
-        return len(self.front.consumers) + len(self.channels.sessions) - self.strangers.idle()
-
-    def heed_signals(self, reader: int) -> None:
-        self.signals = reader
-        self.loop.watch(reader, select.EPOLLIN, self.signalled)
-
-    def signalled(self, _mask: int) -> None:
-        caught = set(os.read(self.signals, 64))
-        if signal.SIGHUP in caught:
-            self.reload()
-        if caught != {signal.SIGHUP} and not self.departing:
-            self.departing = True
-            if self.departure is not None and self.succession.heir is not None:
-                self.departure.hurry()
-            else:
-                self.depart(replaced=False)
-
-    def reload(self) -> None:
-        """Take up both files as they are now; what is under way, known or spent stays.
-
-        Whatever is wrong with them, the program runs on with what it had.
-        """
-        bound: list[tuple[Front, Acceptor]] = []
-        door: Acceptor | None = None
-        try:
-            config, own = read_files(self.config, self.classes_in_use())
-            if own.vrrp != self.own.vrrp:
-                raise ConfigError("a change of [vrrp] needs a restart")
-            if config.admin is not None and config.admin != self.door.address:
-                door = self.door.open(config.admin)
-            wanted = [(self.front, config.listen), (self.channels, own.channels)]
-            for front, address in () if self.front.leaving else wanted:
-                if front is self.front and self.given is not None:
-                    continue  # the platform's own: it is where it is
-                idle = front is self.channels and own.vrrp is not None and front.address is None
-                if address is not None and address != front.address and not idle:
-                    bound.append((front, Acceptor(self.loop, address, front.take)))
-        except (ConfigError, OSError) as error:
-            for acceptor in [acceptor for _, acceptor in bound] + ([door] if door is not None else []):
-                acceptor.close()
-            log.note("reload-refused", error=str(error))
-            return
-        for front, acceptor in bound:
-            front.follow(acceptor)
-        if door is not None or config.admin is None:
-            self.door.follow(door)
-        if own.channels is None and self.channels.address is not None:
-            self.move_channels()
-        self.config, self.own = config, own
-        dropped = self.names.follow(config.names)
-        self.broker.configure(config.settings, own.contracts)
-        self.loop.call_later(DROPPED_NS, lambda: self.names.forget(dropped, self.config.settings.numbers))
-        if config.known.event.version > self.directory.version:
-            self.listed(config.known)
-        self.directory.relocate(config.directory, Pace.of(config.settings))
-        log.note(
-            "reloaded",
-            directory=f"{config.directory[0]}:{config.directory[1]}",
-            classes=",".join(klass.name for klass in config.settings.offered),
-            dropped=",".join(dropped),
-        )
-        self.tell_reckoned()
-
-    def tell_reckoned(self) -> None:
-        """What was made of the settings, for staff to compare with what they meant."""
-        settings = self.config.settings
-        log.note(
-            "reckoned",
-            proxies=settings.balancers,
-            far_weight=f"{settings.far_weight:.3f}",
-            weights="sizes" if settings.weights_are_sizes else "no-sizes",
-            lists="asked-for" if settings.must_ask else "pushed",
-            probes=",".join(settings.report_columns) or "plain" if settings.may_probe else "none",
-            attempts=min(c.max_attempts for c in settings.offered),
-            aim_ms=min(c.aim_ns for c in settings.offered) // MS,
-            cold_from=settings.cold_from,
-            warm_ms=settings.warm_up_ns // MS,
-        )
-
-    def classes_in_use(self) -> set[int]:
-        """By open invocations, and by clients that have not heard of the last change."""
-        return {i.klass for i in self.broker.invocations.values()} | {*self.names.classes.values()}
-
-    def depart(self, replaced: bool) -> None:
-        self.front.leaving = True
-        if self.vrrp is not None and not replaced:
-            self.vrrp.stop()
-        self.departure = Departure(
-            self.loop,
-            self.broker,
-            self.stop_listening,
-            self.held,
-            lambda: [each.stream for each in (*self.front.consumers, *self.channels.sessions)],
-            self.front.send_off,
-            replaced,
-        )
-        self.departure.start(self.departure.live())
-
-    def stop_listening(self) -> None:
-        self.front.close()
-        self.channels.leave()
-
-
-def read_files(
-    former: Config | None = None, in_use: Collection[int] | None = None
-) -> tuple[Config, BrokerFile]:
-    config = read_config(os.environ.get("GW_CONFIG"), former, in_use)
-    own = read_broker_file(os.environ.get("LINNETSHIFT_BROKER"), config.names, config.settings)
-    return config, own
+EXIT_UNUSABLE_CONFIGURATION = 2
 
 
 def catch_signals() -> int:
-    """The pipe that tells of them. From the first moment: one that nobody catches ends the program.
+    """Catch the signals that the proxy acts on; returns the descriptor at which their numbers arrive.
 
-    Python's own handler runs between two instructions; the byte it leaves wakes the poll.
+    It is called before anything else: a signal that nobody catches ends the process. Python runs its own
+    handler between two instructions; the byte that it writes to the pipe wakes the event loop.
     """
-    # A pipe and no pair of sockets: where the platform leads all sockets, only those of IP work.
+    # A pipe and not a pair of sockets: where the platform redirects all sockets, only those of IP work.
     reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
     signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
@@ -365,30 +31,41 @@
     return reader
 
 
+def start_proxy() -> Proxy:
+    """The proxy that the environment describes, which takes over from a running process where there is one.
+
+    Raises ConfigurationError where a file or variable cannot be used, OSError where an address cannot.
+    """
+    config, broker_config = read_files()
+    listener = platform_listener()
+    if listener is None:
+        return Proxy.start(config, broker_config)
+    socket_path = TakeoverSocketPath(config.name)
+    return Proxy.start(config, broker_config, listener, socket_path, request_takeover(socket_path))
+
+
 def main() -> int:
-    log.set_up()
-    signals = catch_signals()
+    """Run the proxy until it has shut down; returns the exit status."""
+    log.configure()
+    wakeup_pipe = catch_signals()
     try:
-        config, own = read_files()
-        given = inherited_listener()
-        place = Place(config.name) if given is not None else None
-        program = Program(config, own, given, place, meet(place) if place is not None else None)
-    except ConfigError as error:
+        proxy = start_proxy()
+    except ConfigurationError as error:
         print(f"linnetshift: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE_CONFIGURATION
     except OSError as error:
         print(f"linnetshift: cannot listen: {error.strerror}", file=sys.stderr)
-        return 2
-    program.heed_signals(signals)
-    log.note(
-        "started",
-        name=config.name,
-        listen=f"{config.listen[0]}:{config.listen[1]}",
+        return EXIT_UNUSABLE_CONFIGURATION
+    proxy.watch_signals(wakeup_pipe)
+    log.info(
+        "process-started",
+        name=proxy.config.name,
+        listen=f"{proxy.config.listen[0]}:{proxy.config.listen[1]}",
         start_ms=int(time.process_time() * 1000),
     )
-    program.tell_reckoned()
-    program.loop.run()
-    program.succession.end()
+    proxy.log_settings()
+    proxy.loop.run()
+    proxy.hot_restart.end()
     return 0
 
 
--- /dev/null
+++ b/linnetshift/broker/broker.py
@@ -0,0 +1,269 @@
+"""Requests, attempts and outcomes: events go to the balancer, and its actions are carried out.
+
+The broker knows no wire and no socket. Frontends submit requests, and connections to endpoints report what
+became of attempts. All that comes in during one turn of the event loop is decided in one step of the
+balancer.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from linnetshift.broker.active_request import ActiveRequest, Attempt
+from linnetshift.broker.administrative_drains import max_names
+from linnetshift.broker.attempts import AttemptTracker
+from linnetshift.broker.connection_review import ConnectionReview
+from linnetshift.broker.contracts import Contracts
+from linnetshift.broker.endpoint_views import EndpointViews
+from linnetshift.broker.event_inbox import EventInbox
+from linnetshift.broker.latency_estimator import EstablishedConnection
+from linnetshift.broker.ports import Connector, Discovery, Timers, UpstreamConnection
+from linnetshift.broker.request_table import RequestTable
+from linnetshift.observability.resource_usage import ResourceUsage
+from linnetshift.routing.actions import (
+    Action,
+    Cancel,
+    Fail,
+    FetchList,
+    HealthCheck,
+    Migrate,
+    Reject,
+    Send,
+    SetTimer,
+    Watch,
+)
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import EndpointList, Outcome, TimerFired
+from linnetshift.routing.settings import Settings
+
+MIGRATED_REASON = "migrated"
+# The most events that one connection can add to the inbox in one turn of the event loop.
+MAX_EVENTS_PER_CONNECTION = 8
+
+
+class Broker:
+    """Joins frontends, connections to endpoints, discovery and the balancer; the parts' common surface.
+
+    Attributes:
+        settings, contracts: as last configured.
+        balancer: decides on all events; its actions are carried out by `perform`.
+        requests: those under way, by id.
+        administrative_drains, latency_estimator, deployment_facts: views of the endpoints.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        clock: Callable[[], int],
+        timers: Timers,
+        discovery: Discovery,
+        connector: Connector,
+        contracts: Contracts,
+    ) -> None:
+        """`clock` gives ns of the system's monotonic clock; `seed` is the balancer's random source's."""
+        self.settings = settings
+        self.balancer = Balancer(settings, seed)
+        self.clock = clock
+        self.timers = timers
+        self.discovery = discovery
+        self.connector = connector
+        self.inbox = EventInbox(timers)
+        self.endpoint_views = EndpointViews(settings, clock, self.inbox)
+        self.administrative_drains = self.endpoint_views.administrative_drains
+        self.latency_estimator = self.endpoint_views.latency_estimator
+        self.deployment_facts = self.endpoint_views.deployment_facts
+        self.request_table = RequestTable(settings, contracts, clock, timers, self.inbox)
+        self.requests = self.request_table.requests
+        self.attempts = AttemptTracker(
+            self.request_table, self.endpoint_views, connector, clock, timers, self.inbox
+        )
+        self.connection_review = ConnectionReview(self.request_table, self.endpoint_views, clock, self.inbox)
+
+    @property
+    def contracts(self) -> Contracts:
+        """The contracts that requests are admitted by."""
+        return self.request_table.contracts
+
+    @property
+    def migrated(self) -> int:
+        """How many clients have been asked to migrate since the start."""
+        return self.connection_review.migrated
+
+    def configure(self, settings: Settings, contracts: Contracts) -> None:
+        """Apply settings and contracts while running; what is known and under way stays."""
+        self.settings = settings
+        self.balancer.configure(settings)
+        self.endpoint_views.configure(settings)
+        self.request_table.configure(settings, contracts)
+
+    # ---- the balancer -----------------------------------------------------------------------
+
+    def process_events(self) -> None:
+        """Let the balancer decide on all that has come in, and do what it says."""
+        events = self.inbox.take()
+        if not events:
+            return
+        for action in self.balancer.step(self.clock(), events):
+            self.perform(action)
+
+    def perform(self, action: Action) -> None:
+        """Carry out one action of the balancer."""
+        match action:
+            case Send(request_id, endpoint, timeout_ns):
+                self.attempts.send(request_id, endpoint, timeout_ns)
+            case Reject(request_id, retry_after_ns):
+                self.reject(request_id, retry_after_ns)
+            case Fail(request_id):
+                self.fail(request_id)
+            case Migrate(request_id):
+                self.migrate(request_id, MIGRATED_REASON)
+            case Cancel(request_id, number):
+                self.cancel(request_id, number)
+            case SetTimer(delay_ns, token):
+                self.timers.set_balancer_timer(delay_ns, token)
+            case Watch(on):
+                self.discovery.watch(on)
+            case FetchList():
+                self.discovery.fetch()
+            case HealthCheck(endpoint):
+                self.connector.check_health(endpoint)
+            case _:
+                pass  # peer messages have no receiver here, and the log lines are for the simulator
+
+    def timer_fired(self, token: int) -> None:
+        """A timer that the balancer set has fired."""
+        self.inbox.post(TimerFired(token))
+
+    # ---- endpoints --------------------------------------------------------------------------
+
+    def handle_endpoint_list(self, event: EndpointList) -> None:
+        """Discovery reported a list or its changes, or failed to."""
+        self.endpoint_views.handle_endpoint_list(event)
+
+    def handle_health_check_result(
+        self, endpoint: bytes, outcome: Outcome, elapsed_ns: int, report: tuple[float, ...]
+    ) -> None:
+        """A health check ended; `report` holds the load report's columns, or nothing."""
+        self.endpoint_views.handle_health_check_result(endpoint, outcome, elapsed_ns, report)
+
+    def drain_endpoint(self, endpoint: bytes) -> bool:
+        """Have nothing new sent there until it is restored; whether it was ever listed and is drained now."""
+        return self.endpoint_views.drain_endpoint(endpoint)
+
+    def restore_endpoint(self, endpoint: bytes) -> bool:
+        """Use a drained endpoint again at once; whether it was ever listed."""
+        return self.endpoint_views.restore_endpoint(endpoint)
+
+    # ---- requests and their final answers ---------------------------------------------------
+
+    def submit(self, request: ActiveRequest) -> None:
+        """Take a request over from a frontend; one final answer is owed to its client from here on."""
+        if not self.request_table.add(request):
+            return
+        if request.adopted_endpoint:
+            self.attempts.begin_adoption(request)
+        else:
+            self.request_table.ask_balancer(request)
+
+    def handle_client_ended(self, request: ActiveRequest, reset: bool) -> None:
+        """The client left, or has been migrated; no effect on a request that is over."""
+        self.attempts.handle_client_ended(request, reset)
+
+    def reject(self, request_id: int, retry_after_ns: int = 0) -> None:
+        """Answer that nothing was done and a retry does no harm; no effect on an answered request."""
+        self.request_table.reject(request_id, retry_after_ns)
+
+    def fail(self, request_id: int) -> None:
+        """Answer that it is not served, which promises nothing; no effect on an answered request."""
+        self.request_table.fail(request_id)
+
+    def answer_unserved(self, request: ActiveRequest) -> None:
+        """Answer now, without the balancer: reject where a retry is harmless, else fail."""
+        self.request_table.answer_unserved(request)
+
+    def is_retry_safe(self, request: ActiveRequest) -> bool:
+        """Whether the client may be told that a retry is harmless."""
+        return self.request_table.is_retry_safe(request)
+
+    def established(self) -> list[ActiveRequest]:
+        """Requests whose connection is established."""
+        return self.request_table.established()
+
+    def unanswered(self) -> list[ActiveRequest]:
+        """Requests that still wait for their final answer."""
+        return self.request_table.unanswered()
+
+    # ---- attempts ---------------------------------------------------------------------------
+
+    def may_send(self, attempt: Attempt) -> bool:
+        """Whether the attempt's request line may go out now; asked at that very moment."""
+        return self.attempts.may_send(attempt)
+
+    def handle_established(self, attempt: Attempt, receipt: memoryview) -> None:
+        """The endpoint serves; `receipt` is its line that says so."""
+        self.attempts.handle_established(attempt, receipt)
+
+    def handle_attempt_ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
+        """The attempt's connection is closed; `reset` tells how."""
+        self.attempts.handle_ended(attempt, outcome, reset)
+
+    def cancel(self, request_id: int, number: int) -> None:
+        """End the attempt of that number, unless it is over or established."""
+        self.attempts.cancel(request_id, number)
+
+    # ---- established connections ------------------------------------------------------------
+
+    def record_response_time(self, attempt: Attempt, elapsed_ns: int) -> None:
+        """The endpoint's reply to a client's message took so long."""
+        self.endpoint_views.record_response_time(attempt, elapsed_ns)
+
+    def record_load_report(self, attempt: Attempt, figure: float) -> None:
+        """The endpoint reported a connection's load in us/s, or its message time in ms."""
+        self.connection_review.record_load_report(attempt, figure)
+
+    def migrate(self, request_id: int, reason: str) -> None:
+        """Ask the client of an established connection to come back elsewhere; `reason` is for the log."""
+        self.connection_review.migrate(request_id, reason)
+
+    def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
+        """Established attempts with their connections, by endpoint."""
+        return self.connection_review.linked()
+
+    def loads(self) -> dict[bytes, list[EstablishedConnection]]:
+        """What established connections ask of each endpoint."""
+        return self.connection_review.loads()
+
+    def review_unresponsive_endpoints(self) -> None:
+        """Migrate the clients of endpoints that vanished; called several times a second."""
+        self.connection_review.review_unresponsive_endpoints()
+
+    def review_latency(self) -> None:
+        """Notify the balancer of endpoints whose messages are slow; called once a second."""
+        self.connection_review.review_latency()
+
+    # ---- resources --------------------------------------------------------------------------
+
+    def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
+        """Sizes and bounds of all containers, under their names in `GET /ops/census`.
+
+        `connections` is the most that may be open or waiting at once.
+        """
+        names = max_names()
+        views, balancer = self.endpoint_views, self.balancer
+        max_events = MAX_EVENTS_PER_CONNECTION * connections + names
+        max_classes = connections + 2 * len(self.settings.offered)
+        return {
+            "broker.invocations": ResourceUsage(len(self.requests), connections),
+            "broker.inbox": ResourceUsage(len(self.inbox.events), max_events),
+            "broker.zones": ResourceUsage(len(views.zones), names),
+            "broker.starts": ResourceUsage(len(views.started_ns), names),
+            "module.hosts": ResourceUsage(len(balancer.endpoints), names),
+            "module.hung": ResourceUsage(len(balancer.migration), names),
+            "module.pending": ResourceUsage(len(balancer.requests), connections),
+            "module.held": ResourceUsage(len(balancer.requests.waiting), connections),
+            "settings.classes": ResourceUsage(len(self.settings.classes), max_classes),
+            **self.administrative_drains.resource_usage(),
+            **self.latency_estimator.resource_usage(names),
+            **self.deployment_facts.resource_usage(names),
+        }
--- /dev/null
+++ b/linnetshift/config/proxy_file.py
@@ -0,0 +1,133 @@
+"""The proxy file: the JSON document in which the platform names addresses and settings."""
+
+from __future__ import annotations
+
+import json
+import os
+from collections.abc import Collection
+from dataclasses import replace
+from typing import Any, NamedTuple
+
+from linnetshift.config.errors import (
+    EnvironmentVariableError,
+    FileSyntaxError,
+    InvalidValueError,
+    MissingKeyError,
+    MissingSettingsError,
+    UnreadableFileError,
+)
+from linnetshift.config.names import NameRegistry
+from linnetshift.discovery.endpoint_list import EndpointListUpdate, parse_endpoint_list
+from linnetshift.event_loop.address import Address, parse_address
+from linnetshift.routing.settings import Settings
+
+ADMIN_ADDRESS_VARIABLE = "GW_ADMIN_ADDR"  # takes precedence over the key `admin_addr`
+
+Keys = dict[str, Any]
+"""The keys of an object, each with the `Keys` of its value; empty where that is no object."""
+
+
+class ProxyConfig(NamedTuple):
+    """The contents of the proxy file."""
+
+    name: str
+    listen: Address
+    discovery: Address
+    seed: int  # of the random source
+    cached_list: EndpointListUpdate  # the endpoints that the platform knew when it wrote the file
+    settings: Settings
+    names: NameRegistry
+    max_sockets: int  # the platform's limit; 0 where it gives none
+    admin: Address | None  # of the admin server; None where it is off
+    keys: Keys  # of the whole document
+
+
+def read_config(
+    path: str | None, former: ProxyConfig | None = None, classes_in_use: Collection[int] | None = None
+) -> ProxyConfig:
+    """Read and validate the proxy file; raises ConfigurationError.
+
+    `former` is the configuration in use at a reload: its numbers are kept, and a file that lacks a key which
+    that one had is rejected. `classes_in_use` are numbers of classes that something under way refers to;
+    None where that is not known.
+    """
+    if not path:
+        raise EnvironmentVariableError("GW_CONFIG", "does not name a configuration file")
+    document = _load_document(path)
+    try:
+        return _parse_document(document, former, classes_in_use)
+    except KeyError as error:
+        raise MissingKeyError(path, error.args[0]) from None
+    except (ValueError, TypeError, AttributeError, OverflowError) as error:
+        raise InvalidValueError(path, error) from None
+
+
+def _load_document(path: str) -> dict[str, Any]:
+    """The JSON object in the file, which has an object `settings`."""
+    try:
+        with open(path, encoding="utf-8") as file:
+            document: Any = json.load(file)
+    except OSError as error:
+        raise UnreadableFileError(path, error.strerror) from None
+    except ValueError as error:
+        raise FileSyntaxError(path, "JSON", error) from None
+    if not isinstance(document, dict) or not isinstance(document.get("settings"), dict):
+        raise MissingSettingsError(path)
+    return document
+
+
+def _parse_document(
+    document: dict[str, Any], former: ProxyConfig | None, classes_in_use: Collection[int] | None
+) -> ProxyConfig:
+    """Raises KeyError for a missing key, and other built-in errors for values of a wrong type or range."""
+    _check_keys(document, former.keys if former is not None else {})
+    listen = parse_address(str(document["listen"]))
+    discovery = parse_address(str(document["discovery"]))
+    raw_settings = document["settings"]
+    settings = Settings.parse(raw_settings)
+    if former is not None:
+        settings = settings.numbered_after(former.settings, classes_in_use)
+    names = NameRegistry(raw_settings, settings, former.names if former is not None else None)
+    return ProxyConfig(
+        name=str(document.get("name", "")),
+        listen=listen,
+        discovery=discovery,
+        seed=int(str(document.get("seed", "0")), 16),
+        cached_list=parse_endpoint_list(document.get("known", {"targets": []}), names, is_cached=True),
+        settings=_with_registered_zone(settings, raw_settings.get("zones"), names),
+        names=names,
+        max_sockets=int((document.get("limits") or {}).get("sockets") or 0),
+        admin=_admin_address(document),
+        keys=_keys_of(document),
+    )
+
+
+def _with_registered_zone(settings: Settings, raw_zones: object, names: NameRegistry) -> Settings:
+    """The settings with this proxy's zone as numbered by the registry.
+
+    The file gives it as an index into its own list of zones, whose order may change between two reloads.
+    """
+    zones = names.names_in(raw_zones)
+    if 0 <= settings.zone < len(zones):
+        return replace(settings, zone=names.zones[zones[settings.zone]])
+    return settings
+
+
+def _admin_address(document: dict[str, Any]) -> Address | None:
+    address = os.environ.get(ADMIN_ADDRESS_VARIABLE) or document.get("admin_addr")
+    return parse_address(str(address)) if address else None
+
+
+def _keys_of(document: dict[str, Any]) -> Keys:
+    return {key: _keys_of(value) if isinstance(value, dict) else {} for key, value in document.items()}
+
+
+def _check_keys(document: Any, keys: Keys, path: str = "") -> None:
+    """Raise KeyError with the dotted path of a key that the former file had and this one lacks.
+
+    Such a file is a broken one, though it may be valid JSON and every missing key optional.
+    """
+    for key, below in keys.items():
+        if not isinstance(document, dict) or key not in document:
+            raise KeyError(path + key)
+        _check_keys(document[key], below, f"{path}{key}.")
--- /dev/null
+++ b/linnetshift/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Discovery: the list of endpoints, fetched and watched over HTTP."""
--- /dev/null
+++ b/linnetshift/event_loop/loop.py
@@ -0,0 +1,135 @@
+"""The event loop: one thread that waits with epoll for descriptors and timers and runs the actors."""
+
+from __future__ import annotations
+
+import heapq
+import select
+import time
+from collections import deque
+from collections.abc import Callable
+from itertools import count
+
+from linnetshift.event_loop.actor import Actor
+from linnetshift.event_loop.timers import MS, S, Timer
+from linnetshift.observability.resource_usage import ResourceUsage
+
+# Called with epoll's event mask when a descriptor is ready.
+Handler = Callable[[int], None]
+# So many cancelled timers stay in the heap in any case: rebuilding it for fewer costs more than they do.
+MAX_CANCELLED_TIMERS = 64
+# The bounds reported with the resource usage, for each connection that may be open.
+HANDLERS_PER_CONNECTION = 2
+ACTORS_PER_CONNECTION = 2
+TIMERS_PER_CONNECTION = 8
+
+
+class Loop:
+    """Runs actors until `stopped` is set.
+
+    The clock is monotonic, in nanoseconds, and anchored to the wall clock once: it never steps back and is
+    still comparable with the start times in the endpoint list.
+
+    A turn has a fixed order: actors with messages, one wait in epoll, the handlers of ready descriptors,
+    timers that are due.
+    """
+
+    def __init__(self) -> None:
+        """A loop without descriptors, actors and timers."""
+        self.offset = time.time_ns() - time.monotonic_ns()
+        self.epoll = select.epoll()
+        self.handlers: dict[int, Handler] = {}
+        self.ready_actors: deque[Actor] = deque()
+        # A heap of due time, sequence number (the order among equal times) and timer.
+        self.timers: list[tuple[int, int, Timer]] = []
+        self.cancelled_timers = 0  # how many of `timers`
+        self.sequence = count()
+        self.stopped = False
+        self.streams = 0  # how many are open
+        # Called for want of a descriptor; closes one and returns True, or returns False.
+        self.make_room: Callable[[], bool] = lambda: False
+        # From when on the descriptors that the last poll returned may have been ready: the start of the poll
+        # where that returned at once, else its end.
+        self.since = self.now()
+
+    def now(self) -> int:
+        """The loop's clock: nanoseconds since the epoch."""
+        return time.monotonic_ns() + self.offset
+
+    def call_later(self, delay_ns: int, callback: Callable[[], None]) -> Timer:
+        """Call the callback once after `delay_ns`, on a later turn."""
+        timer = Timer(self, callback)
+        self.schedule(delay_ns, timer)
+        return timer
+
+    def schedule(self, delay_ns: int, timer: Timer) -> None:
+        """Arm a timer; a negative delay counts as none."""
+        heapq.heappush(self.timers, (self.now() + max(0, delay_ns), next(self.sequence), timer))
+
+    def handle_timer_cancelled(self) -> None:
+        """Count a cancelled timer in the heap; rebuild it where they are many and over half of it."""
+        self.cancelled_timers += 1
+        if self.cancelled_timers > MAX_CANCELLED_TIMERS and 2 * self.cancelled_timers > len(self.timers):
+            self.timers[:] = [entry for entry in self.timers if entry[2].callback is not None]
+            heapq.heapify(self.timers)
+            self.cancelled_timers = 0
+
+    def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
+        """Sizes and their bounds; `connections` is the most that may be open at once."""
+        pending = len(self.timers) - self.cancelled_timers
+        return {
+            "loop.handlers": ResourceUsage(len(self.handlers), HANDLERS_PER_CONNECTION * connections),
+            "loop.ready": ResourceUsage(len(self.ready_actors), ACTORS_PER_CONNECTION * connections),
+            "loop.timers": ResourceUsage(pending, TIMERS_PER_CONNECTION * connections),
+            "loop.dead-timers": ResourceUsage(self.cancelled_timers, max(MAX_CANCELLED_TIMERS, pending + 1)),
+        }
+
+    def watch(self, fd: int, mask: int, handler: Handler) -> None:
+        """Call the handler when one of the mask's events is there; replaces mask and handler set before."""
+        if fd in self.handlers:
+            self.epoll.modify(fd, mask)
+        else:
+            self.epoll.register(fd, mask)
+        self.handlers[fd] = handler
+
+    def unwatch(self, fd: int) -> None:
+        """Stop watching; without effect on a descriptor that is not watched."""
+        if self.handlers.pop(fd, None) is not None:
+            self.epoll.unregister(fd)
+
+    def run(self) -> None:
+        """Turn until `stopped`."""
+        while not self.stopped:
+            self.run_once()
+
+    def run_once(self) -> None:
+        """One turn; waits until there is something to do."""
+        for _ in range(len(self.ready_actors)):
+            self.ready_actors.popleft().process_mailbox()
+        while self.timers and self.timers[0][2].callback is None:  # no reason to wake up
+            heapq.heappop(self.timers)
+            self.cancelled_timers -= 1
+        wait_s = -1.0  # for as long as it takes
+        if self.ready_actors or self.stopped:
+            wait_s = 0.0
+        elif self.timers:
+            wait_s = max(0.0, (self.timers[0][0] - self.now()) / S)
+        before = self.now()
+        events = self.epoll.poll(wait_s)
+        after = self.now()
+        self.since = after if after - before > MS else before
+        # A handler may close the descriptor of a later event, and the number may be given to a new socket:
+        # the event is not that one's. So the handlers are looked up before any of them is called.
+        for fd, mask, handler in [(fd, mask, self.handlers.get(fd)) for fd, mask in events]:
+            if handler is not None and self.handlers.get(fd) is handler:
+                handler(mask)
+        # Only now: after a stall of this process, what arrived in time must not count as late.
+        self._fire_due_timers()
+
+    def _fire_due_timers(self) -> None:
+        now = self.now()
+        while self.timers and self.timers[0][0] <= now:
+            timer = heapq.heappop(self.timers)[2]
+            if timer.callback is None:
+                self.cancelled_timers -= 1
+            else:
+                timer.fire()
--- /dev/null
+++ b/linnetshift/frontends/channels/session.py
@@ -0,0 +1,279 @@
+"""One client connection of the channels frontend: identification, packets, keep-alives, its channels.
+
+A session ends when the client leaves or breaks the protocol, when it stops reading or answering, or when the
+proxy drains and the last channel has ended.
+"""
+
+from __future__ import annotations
+
+import select
+import socket
+from collections import deque
+from enum import Enum
+from itertools import count
+from typing import TYPE_CHECKING, NamedTuple
+
+from linnetshift.event_loop.actor import ActorCoroutine, Io
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.connection_limits import DRAIN_NS, REQUEST_LINE_TIMEOUT_NS, StallDetector
+from linnetshift.event_loop.outbound_connection import Steps, Stop, linger
+from linnetshift.event_loop.stream import End, Stream
+from linnetshift.event_loop.timers import S, Timeout, Timer
+from linnetshift.frontends.channels.channel import Channel, CloseTimeout
+from linnetshift.frontends.channels.message_handlers import handle_message
+from linnetshift.frontends.channels.messages import (
+    DisconnectReason,
+    encode_disconnect,
+    encode_global_request,
+)
+from linnetshift.frontends.channels.packets import (
+    BLOCK_BYTES,
+    IDENTIFICATION,
+    MAX_PACKET_BYTES,
+    PayloadReader,
+    ProtocolError,
+    encode_packet,
+    read_identification,
+    read_packet,
+)
+from linnetshift.observability import log
+from linnetshift.observability.log import Reason
+
+if TYPE_CHECKING:
+    from linnetshift.frontends.channels.frontend import ChannelsFrontend
+
+KEEPALIVE_REQUEST = b"keepalive@linnetshift"
+KEEPALIVE_NS = 15 * S
+# A session ends when nothing at all has come since this many keep-alives.
+MAX_UNANSWERED_KEEPALIVES = 3
+# With more than this unread by the client, nothing more is read from it.
+MAX_UNSENT_BYTES = 65_536
+
+
+class TimerTag(Enum):
+    """What a session's own timers are for."""
+
+    IDENTIFICATION = "identification"
+    PACKET = "packet"
+    KEEPALIVE = "keepalive"
+
+
+class DrainStarted(NamedTuple):
+    """Message of the frontend: the session ends once it has no channels."""
+
+
+class Session(StallDetector):
+    """One client's connection and its channels."""
+
+    def __init__(self, frontend: ChannelsFrontend, sock: socket.socket, peer: Address) -> None:
+        """A session on an accepted socket; `run` starts it."""
+        super().__init__(frontend.loop)
+        self.frontend = frontend
+        self.broker = frontend.broker
+        self.peer = peer
+        self.stream = Stream(self.loop, sock, self._post_io, size=MAX_PACKET_BYTES + BLOCK_BYTES)
+        self.channels: dict[int, Channel] = {}
+        self.channel_numbers = count()
+        self.channels_opened = 0
+        self.write_queue: deque[Channel] = deque()
+        self.packets_received = 0  # the last one's sequence number is one less
+        self.unanswered_keepalives = 0  # since anything was received
+        self.packet_timer: Timer | None = None  # armed while a packet has come in part
+        self.packet_timer_armed_at = 0
+        self.end_reason: Reason | None = None
+        self.began_at = self.loop.now()
+
+    def evict(self) -> None:
+        """Close the socket now, for want of descriptors."""
+        self.stream.close()
+        self.end_reason = self.end_reason or Reason.EVICTED
+        self.post(Stop())
+
+    def _post_io(self, mask: int) -> None:
+        self.post(Io(mask))
+
+    # ---- the coroutine ----------------------------------------------------------------------
+
+    def run(self) -> ActorCoroutine:
+        """The session from its first byte until the socket is closed."""
+        self.frontend.sessions.add(self)
+        self.stream.arm()
+        self.frontend.connection_limiter.add(self)
+        try:
+            yield from self._identify()
+            yield from self._serve()
+        except ProtocolError as error:
+            self.end_reason = Reason.PROTOCOL_ERROR
+            log.info("packet-malformed", peer=self.peer[0], error=log.error_text(error))
+            self._disconnect(error.reason, str(error))
+        self._end_channels(self.end_reason is Reason.CLIENT_RESET)
+        if not self.stream.broken and not self.stream.closed and self.end_reason is not Reason.STALLED:
+            self.stream.finish()
+            self.frontend.connection_limiter.add(self)
+            yield from linger(self, self.stream, self.began_at + DRAIN_NS)
+        self.stream.close()
+        self._report_end()
+
+    def faulted(self, error: Exception) -> None:
+        """End this session alone after a fault in its code: other sessions must not pay for it."""
+        log.exception(error)
+        self.end_reason = Reason.FAULT
+        self._end_channels(True)
+        self.stream.close(End.RESET)
+        self._report_end()
+
+    def _end_channels(self, reset: bool) -> None:
+        for channel in list(self.channels.values()):
+            if channel.closing_request is None and not channel.is_close_sent:
+                channel.end_reason = self.end_reason or Reason.CLIENT_LEFT
+            self.broker.handle_client_ended(channel.request, reset)
+            self.remove_channel(channel)
+        self.write_queue.clear()
+
+    def _report_end(self) -> None:
+        self.frontend.sessions.discard(self)
+        self.frontend.connection_limiter.remove(self)
+        log.connection_ended(
+            "session",
+            self.end_reason or Reason.CLIENT_LEFT,
+            peer=f"{self.peer[0]}:{self.peer[1]}",
+            channels=self.channels_opened,
+        )
+
+    def _identify(self) -> Steps:
+        """Send this side's identification and wait for the client's."""
+        self.stream.send(IDENTIFICATION)
+        timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, TimerTag.IDENTIFICATION)
+        while self.end_reason is None:
+            match (yield):
+                case Io(mask):
+                    self._handle_io(mask)
+                    if read_identification(self.stream):
+                        timer.cancel()
+                        return
+                case Timeout(tag=TimerTag.IDENTIFICATION):
+                    self.end_reason = Reason.REQUEST_TIMEOUT
+                case DrainStarted() if self.frontend.is_draining:
+                    self._shut_down()
+
+    def _serve(self) -> Steps:
+        """Exchange packets until the session ends."""
+        self.set_timer(KEEPALIVE_NS, TimerTag.KEEPALIVE)
+        self._read_packets()
+        while self.end_reason is None:
+            match (yield):
+                case Io(mask):
+                    self._handle_io(mask)
+                    self._read_packets()
+                case Timeout(tag=CloseTimeout(channel)):
+                    channel.finish_close()
+                case Timeout(tag=TimerTag.KEEPALIVE):
+                    self._send_keepalive()
+                case Timeout(tag=TimerTag.PACKET):
+                    self._handle_packet_timeout()
+                case Timeout(tag="stalled") if self.stalled():
+                    self.end_reason = Reason.STALLED
+            if self.frontend.is_draining and not self.channels and self.end_reason is None:
+                self._shut_down()
+
+    def _handle_io(self, mask: int) -> None:
+        """Write what the socket takes, channel by channel; then read once."""
+        if mask & select.EPOLLOUT:
+            self.stream.flush()
+            self.write_queued()
+        if mask & ~select.EPOLLOUT:
+            buffered = self.stream.stop - self.stream.start
+            end = self.stream.fill()
+            if self.stream.stop > buffered:
+                self.frontend.connection_limiter.handle_partial_line(self)
+            self.unanswered_keepalives = 0
+            if end is not None:
+                self.end_reason = Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
+        if self.stream.broken:
+            self.end_reason = Reason.CLIENT_RESET
+        self.stream.want(len(self.stream.unsent) < MAX_UNSENT_BYTES)
+
+    def _send_keepalive(self) -> None:
+        """Ask for any answer, even a refusal: a half-open connection gives none."""
+        self.unanswered_keepalives += 1
+        if self.unanswered_keepalives > MAX_UNANSWERED_KEEPALIVES:
+            self.end_reason = Reason.UNRESPONSIVE
+            return
+        self.write(encode_global_request(KEEPALIVE_REQUEST))
+        self.set_timer(KEEPALIVE_NS, TimerTag.KEEPALIVE)
+
+    def _shut_down(self) -> None:
+        self.end_reason = Reason.SHUT_DOWN
+        self._disconnect(DisconnectReason.BY_APPLICATION, "this proxy is leaving")
+
+    def _disconnect(self, reason: DisconnectReason, text: str) -> None:
+        self.write(encode_disconnect(reason, text))
+
+    # ---- channels ---------------------------------------------------------------------------
+
+    def add_channel(self, channel: Channel) -> None:
+        """Count a new channel; a session with a request is no longer evicted."""
+        self.channels[channel.sender_channel] = channel
+        self.frontend.open_channels += 1
+        self.frontend.connection_limiter.remove(self)
+        self.channels_opened += 1
+
+    def remove_channel(self, channel: Channel) -> None:
+        """Forget a channel and log its end; without any, the session may be evicted again."""
+        if self.channels.pop(channel.sender_channel, None) is None:
+            return
+        self.frontend.open_channels -= 1
+        channel.pending.clear()
+        if not self.channels and not self.stream.closed:
+            self.frontend.connection_limiter.add(self)
+        channel.report_end()
+
+    # ---- writing ----------------------------------------------------------------------------
+
+    def write(self, payload: bytes) -> None:
+        """Send one payload as a packet."""
+        self.stream.send(encode_packet(payload))
+        self.look_for_stall()
+
+    def enqueue_write(self, channel: Channel) -> None:
+        """Give a channel with pending data a place in the round of writing."""
+        if not channel.is_in_write_queue:
+            channel.is_in_write_queue = True
+            self.write_queue.append(channel)
+        self.write_queued()
+
+    def write_queued(self) -> None:
+        """Round robin, one packet a channel; a channel without window leaves until it is granted some."""
+        self.look_for_stall()
+        while self.write_queue and not self.stream.is_congested:
+            channel = self.write_queue.popleft()
+            channel.is_in_write_queue = False
+            channel.write_packet()
+            if channel.pending and channel.send_window and not channel.is_in_write_queue:
+                channel.is_in_write_queue = True
+                self.write_queue.append(channel)
+
+    # ---- reading ----------------------------------------------------------------------------
+
+    def _read_packets(self) -> None:
+        while self.end_reason is None and (payload := read_packet(self.stream)) is not None:
+            self.packets_received += 1
+            if self.packet_timer is not None:
+                self.packet_timer.cancel()
+                self.packet_timer = None
+            handle_message(self, PayloadReader(payload))
+        if self.packet_timer is None and self.stream.stop > self.stream.start and self.end_reason is None:
+            self._arm_packet_timer()
+
+    def _arm_packet_timer(self) -> None:
+        self.packet_timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, TimerTag.PACKET)
+        self.packet_timer_armed_at = self.loop.now()
+
+    def _handle_packet_timeout(self) -> None:
+        """End a session that stops inside a packet: it could never be seen to be idle."""
+        elapsed_ns = self.loop.now() - self.packet_timer_armed_at
+        if self.packet_timer is None or elapsed_ns < REQUEST_LINE_TIMEOUT_NS:
+            return  # this timer was for a packet that has been completed since
+        if self.stream.reading:
+            raise ProtocolError("a packet that does not end")
+        self._arm_packet_timer()  # nothing is read at the moment: the client waits for this side
--- /dev/null
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -0,0 +1,245 @@
+"""One client's connection, from accept to its end, and the client that the broker sees in it."""
+
+from __future__ import annotations
+
+import socket
+from typing import TYPE_CHECKING
+
+from linnetshift.broker.active_request import ActiveRequest
+from linnetshift.event_loop.actor import ActorCoroutine, Io
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.connection_limits import DRAIN_NS, StallDetector
+from linnetshift.event_loop.outbound_connection import Resume, Steps, Stop, linger
+from linnetshift.event_loop.stream import End, Stream
+from linnetshift.event_loop.timers import MS
+from linnetshift.frontends.line_protocol import protocol
+from linnetshift.frontends.line_protocol.message_relay import MessageRelay
+from linnetshift.frontends.line_protocol.messages import (
+    EndpointEnded,
+    Failed,
+    MigrationRequested,
+    Rejected,
+)
+from linnetshift.frontends.line_protocol.request_line import RequestLine, RequestLineError
+from linnetshift.frontends.line_protocol.request_reader import RequestReader
+from linnetshift.frontends.listener import ANSWER_RESERVE_NS
+from linnetshift.observability import log
+from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
+
+if TYPE_CHECKING:
+    from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
+
+EARLY_INPUT = "talks on before its answer"
+LINE_TOO_LONG = "too long"
+
+
+class ClientConnection(StallDetector):
+    """One client's connection: an actor with three states, and the broker's `Client`.
+
+    The states are awaiting the request line (`RequestReader`), awaiting the answer, and established
+    (`MessageRelay`). What the broker calls is posted to the mailbox, except for lines from the endpoint,
+    which are written at once.
+    """
+
+    stream: Stream
+
+    def __init__(self, frontend: LineProtocolFrontend, sock: socket.socket, peer: Address) -> None:
+        """Own an accepted socket; nothing is read before `run`."""
+        super().__init__(frontend.loop)
+        self.frontend = frontend
+        self.broker = frontend.broker
+        self.peer = peer
+        self.stream = Stream(self.loop, sock, self.ready)
+        self.began = self.loop.now()
+        self.request: ActiveRequest | None = None
+        self.endpoint = b""  # that accepted the request
+        self.id: int | None = None  # kept in the frontend's set while this is open
+        self.error = ""  # what was wrong with the client's input, for the log
+        self.retry_after_ms = 0
+
+    def ready(self, mask: int) -> None:
+        """Post the epoll mask of the socket; the loop's callback."""
+        self.post(Io(mask))
+
+    def evict(self) -> None:
+        """Answer and close at once, for want of descriptors; the connection has sent no request yet."""
+        self.stream.drain()  # a close over bytes unread would reset the answer away
+        self.stream.send(b"" if self.stream.ending else protocol.ERROR_LINE)
+        self.stream.close()
+        self.post(Stop())
+
+    # ---- the broker's `Client` --------------------------------------------------------------
+
+    @property
+    def is_congested(self) -> bool:
+        """Whether the client has left unread what it was sent."""
+        return self.stream.is_congested
+
+    @property
+    def is_present(self) -> bool:
+        """Whether the client still waits for its answer; input before the answer counts as leaving."""
+        return self.stream.has_nothing_unread
+
+    def handle_established(self, receipt: memoryview) -> None:
+        """Send the endpoint's acceptance, a whole line."""
+        if self.request is not None and self.request.attempt is not None:
+            self.endpoint = self.request.attempt.endpoint
+        self.stream.send(receipt)
+        self.post(Resume())
+
+    def deliver(self, message: memoryview) -> None:
+        """Send a line from the endpoint."""
+        self.stream.send(message)
+        self.look_for_stall()
+
+    def resume(self) -> None:
+        """Go on relaying, since the endpoint takes lines again."""
+        self.post(Resume())
+
+    def reject(self, retry_after_ns: int, breach: str) -> None:
+        """Answer that the request was not executed."""
+        self.post(Rejected(retry_after_ns, breach))
+
+    def fail(self) -> None:
+        """Answer that the request failed."""
+        self.post(Failed())
+
+    def migrate(self, reason: str) -> None:
+        """Send the client away, between two lines."""
+        self.post(MigrationRequested(reason))
+
+    def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
+        """End this side as the endpoint ended its own."""
+        self.post(EndpointEnded(outcome, reset))
+
+    # ---- the actor --------------------------------------------------------------------------
+
+    def run(self) -> ActorCoroutine:
+        """Go through the states in order; each ends with None or the reason to end the connection."""
+        self.frontend.clients.add(self)
+        self.stream.arm()
+        self.frontend.connection_limiter.add(self)
+        reason = yield from RequestReader(self).run()
+        self.frontend.connection_limiter.remove(self)
+        request = self.request
+        if reason is None:
+            assert request is not None
+            reason = yield from self._await_answer(request)
+        if reason is None:
+            assert request is not None
+            reason = yield from MessageRelay(self, request).run()
+        yield from self._close(reason)
+        self._report(reason)
+
+    def faulted(self, error: Exception) -> None:
+        """Contain a fault of this program: other clients must not pay for one met on this connection."""
+        log.exception(error)
+        if self.request is not None:
+            self.broker.handle_client_ended(self.request, True)
+        self.stream.close(End.RESET)
+        self._report(Reason.FAULT)
+
+    def submit(self, request_line: RequestLine, arrived_ns: int) -> None:
+        """Submit the request to the broker; raises `RequestLineError` where the protocol forbids it.
+
+        `arrived_ns` is when the loop saw the line.
+        """
+        if self.stream.stop > self.stream.start:
+            raise RequestLineError(EARLY_INPUT)
+        if request_line.id in self.frontend.ids:
+            # An endpoint takes it for a copy of the other request and answers ERR; so would each retry's.
+            raise RequestLineError("the id of an open invocation")
+        self.id = request_line.id
+        self.frontend.ids.add(request_line.id)
+        wait_ns = request_line.wait_ns or self.broker.settings.classes[request_line.klass].deadline_ns
+        self.request = ActiveRequest(
+            client=self,
+            klass=request_line.klass,
+            tenant=request_line.tenant,
+            key=request_line.key,
+            group=request_line.group,
+            flags=request_line.flags,
+            load_hint=request_line.load_hint,
+            deadline=arrived_ns + wait_ns - ANSWER_RESERVE_NS,
+            encode_request_line=request_line.encode,
+            adopted_endpoint=request_line.adopted_endpoint,
+        )
+        self.broker.submit(self.request)
+
+    def answer_bad_line(self, error: str) -> Reason:
+        """Answer input that breaks the protocol; an empty `error` stands for a line that is too long."""
+        self.error = error or LINE_TOO_LONG
+        self.stream.send(protocol.ERROR_LINE)
+        return Reason.BAD_LINE
+
+    def set_line_too_long(self) -> None:
+        """Keep for the log that a relayed line was too long; an established connection gets no answer."""
+        self.error = LINE_TOO_LONG
+
+    def _await_answer(self, request: ActiveRequest) -> Steps:
+        """Return None once the endpoint has accepted, else the reason why the connection ends."""
+        while True:
+            match (yield):
+                case Resume():
+                    return None
+                case Rejected(retry_after_ns):
+                    self.retry_after_ms = -(-retry_after_ns // MS)
+                    self.stream.send(protocol.encode_busy(self.retry_after_ms))
+                    return Reason.REJECTED
+                case Failed():
+                    self.stream.send(protocol.ERROR_LINE)
+                    return Reason.FAILED
+                case Io():
+                    reason = self._handle_early_input(request)
+                    if reason is not None:
+                        return reason
+
+    def _handle_early_input(self, request: ActiveRequest) -> Reason | None:
+        """Read before the answer was sent: a client that ends or sends on withdraws its request."""
+        end = self.stream.fill()
+        if end is not None and not request.is_answered:
+            is_retry_safe = self.broker.is_retry_safe(request)
+            self.broker.handle_client_ended(request, end is End.RESET)
+            # The client may have ended only its sending side, and still read.
+            self.stream.send(protocol.BUSY_LINE if is_retry_safe else protocol.ERROR_LINE)
+            return Reason.WITHDRAWN
+        if self.stream.stop > self.stream.start and not request.is_answered:
+            # Left unread, it would hide the end of the client's side; an endpoint could not use it.
+            self.broker.handle_client_ended(request, False)
+            return self.answer_bad_line(EARLY_INPUT)
+        self.stream.want(end is None)
+        return None
+
+    def _close(self, reason: Reason) -> Steps:
+        """Close as the other side ended; an orderly end waits until the client has read everything."""
+        end = End.FIN
+        if reason in (Reason.ENDPOINT_RESET, Reason.CLIENT_RESET):
+            end = End.RESET
+        elif reason is not Reason.STALLED and not self.stream.broken and not self.stream.closed:
+            self.stream.finish()
+            self.frontend.connection_limiter.add(self)
+            yield from linger(self, self.stream, self.began + DRAIN_NS)
+        self.stream.close(end)
+
+    def _report(self, reason: Reason) -> None:
+        """Remove this connection from the frontend's sets and log its end."""
+        self.frontend.clients.discard(self)
+        self.frontend.connection_limiter.remove(self)
+        if self.id is not None:
+            self.frontend.ids.discard(self.id)
+        fields: dict[str, object] = {}
+        if self.error:
+            fields["error"] = self.error[:MAX_LOGGED_CHARS]
+        fields["id"] = self.request.id if self.request is not None else 0
+        if self.id is not None:
+            fields["open"] = f"{self.id:x}"
+        if self.request is not None:
+            fields["key"] = f"{self.request.key:x}"
+            fields["class"] = self.broker.settings.classes[self.request.klass].name
+        fields["peer"] = f"{self.peer[0]}:{self.peer[1]}"
+        fields["endpoint"] = self.endpoint.decode("utf-8", "replace")
+        fields["attempts"] = self.request.attempts if self.request is not None else 0
+        if reason is Reason.REJECTED:
+            fields["wait_ms"] = self.retry_after_ms
+        fields["ms"] = (self.loop.now() - self.began) // MS
+        log.connection_ended("client", reason, **fields)
--- /dev/null
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -0,0 +1,148 @@
+"""Hot restart: one process of the proxy replaces another without a gap and without cutting connections.
+
+The new process connects to the takeover socket, sends a hello and receives the state and the listening
+sockets. Once it accepts connections it says so, and the old one stops accepting and confirms that. From then
+on each passes administrative drains to the other and reports what it holds. A process that is gone, or never
+was there, is a closed or refused socket, and the other one goes on alone.
+"""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+
+from linnetshift.event_loop.loop import Loop
+from linnetshift.lifecycle.peer_process import HELLO_TIMEOUT_NS, MAX_UNCONFIRMED_DRAINS, PeerProcess
+from linnetshift.lifecycle.restart_operations import RestartOperations
+from linnetshift.lifecycle.takeover_messages import PeerResources, Serving
+from linnetshift.lifecycle.takeover_socket import PredecessorState, TakeoverListener, TakeoverSocketPath
+from linnetshift.observability import log
+from linnetshift.observability.resource_usage import ResourceUsage
+
+# One predecessor and one successor: a third process has to wait for one of them to go.
+MAX_PEER_PROCESSES = 2
+
+
+class CompletionCounter:
+    """Calls `done` once a known number of steps is complete."""
+
+    __slots__ = ("done", "remaining")
+
+    def __init__(self, steps: int, done: Callable[[], None]) -> None:
+        """`steps` is at least one."""
+        self.remaining = steps
+        self.done = done
+
+    def complete_one(self) -> None:
+        """Count one step as complete."""
+        self.remaining -= 1
+        if not self.remaining:
+            self.done()
+
+
+class HotRestart:
+    """Which other processes of this proxy there are, and which one is to accept connections."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        operations: RestartOperations,
+        socket_path: TakeoverSocketPath | None,
+        predecessor: PredecessorState | None,
+    ) -> None:
+        """Without a `socket_path` no process can take over; `predecessor` is the one replaced by this one."""
+        self.loop = loop
+        self.operations = operations
+        self.socket_path = socket_path
+        self.peer_processes: list[PeerProcess] = []
+        self.successor: PeerProcess | None = None  # accepts connections in this one's place
+        self.is_joining = predecessor is not None  # the predecessor may still accept
+        self.takeover_listener: TakeoverListener | None = None
+        if predecessor is not None:
+            self._replace(predecessor)
+        self.listen_for_successor()
+
+    def _replace(self, predecessor: PredecessorState) -> None:
+        """Have the predecessor stop accepting; one that hangs accepts nothing either and is not awaited."""
+        peer_process = PeerProcess(self.loop, self.operations, self, predecessor.sock, predecessor)
+        self.peer_processes.append(peer_process)
+        peer_process.start(peer_process.run())
+        peer_process.send(Serving())
+        self.loop.call_later(HELLO_TIMEOUT_NS, self.handle_predecessor_stopped)
+
+    def listen_for_successor(self) -> None:
+        """Listen at the takeover socket, again where another process has put its own there since.
+
+        Where that fails the proxy serves all the same, and its successor starts without state.
+        """
+        if self.socket_path is None:
+            return
+        if self.takeover_listener is not None:
+            self.takeover_listener.close()
+        try:
+            self.takeover_listener = TakeoverListener(self.loop, self.socket_path, self.accept_successor)
+        except OSError as error:
+            log.info("takeover-socket-unavailable", error=error.strerror)
+
+    def accept_successor(self, sock: socket.socket) -> None:
+        """Serve one successor at a time: a second one asks again, and finds the first one at the socket."""
+        has_successor = any(not peer_process.is_predecessor for peer_process in self.peer_processes)
+        if self.successor is not None or has_successor:
+            sock.close()
+            return
+        peer_process = PeerProcess(self.loop, self.operations, self, sock)
+        self.peer_processes.append(peer_process)
+        peer_process.start(peer_process.run())
+
+    def resource_usage(self) -> dict[str, ResourceUsage]:
+        """Return the sizes and bounds of the containers here."""
+        unconfirmed = sum(len(peer_process.unconfirmed_drains) for peer_process in self.peer_processes)
+        return {
+            "besides": ResourceUsage(len(self.peer_processes), MAX_PEER_PROCESSES),
+            "besides.unanswered": ResourceUsage(unconfirmed, MAX_PEER_PROCESSES * MAX_UNCONFIRMED_DRAINS),
+        }
+
+    def handle_predecessor_stopped(self) -> None:
+        """Count this process as the only one that accepts."""
+        self.is_joining = False
+
+    def handle_successor_serving(self, peer_process: PeerProcess) -> None:
+        """Leave new connections to the successor."""
+        if self.successor is None:
+            self.successor = peer_process
+            log.info("process-replaced")
+            self.operations.yield_to_successor(True)
+
+    def handle_peer_gone(self, peer_process: PeerProcess) -> None:
+        """Go on alone; where the successor is gone, accept connections again."""
+        if peer_process in self.peer_processes:
+            self.peer_processes.remove(peer_process)
+        self.operations.update_peer_resources(PeerResources())
+        if peer_process.is_predecessor:
+            log.info("predecessor-gone")
+            self.handle_predecessor_stopped()
+        if peer_process is self.successor:
+            self.successor = None
+            log.info("successor-gone")
+            self.listen_for_successor()
+            self.operations.yield_to_successor(False)
+
+    def apply_administrative_drain(
+        self, endpoint: bytes, out: bool, done: Callable[[], None], source: PeerProcess | None = None
+    ) -> None:
+        """Take the endpoint out or restore it in every process but `source`, from which the drain came.
+
+        `done` is called once all processes that live have applied it.
+        """
+        peers = [peer_process for peer_process in self.peer_processes if peer_process is not source]
+        counter = CompletionCounter(1 + len(peers), done)
+        self.operations.apply_administrative_drain(endpoint, out, counter.complete_one)
+        for peer_process in peers:
+            peer_process.apply_administrative_drain(endpoint, out, counter.complete_one)
+
+    def end(self) -> None:
+        """Report the last migrations to the peers and leave the takeover socket."""
+        for peer_process in self.peer_processes:
+            peer_process.send_heartbeat()
+        if self.takeover_listener is not None:
+            self.takeover_listener.close()
--- a/linnetshift/net/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Sockets, fronts and peers around the broker."""
--- /dev/null
+++ b/linnetshift/proxy.py
@@ -0,0 +1,256 @@
+"""The composition root: which part of a proxy knows which."""
+
+from __future__ import annotations
+
+import os
+import select
+import signal
+import socket
+from collections.abc import Callable
+
+from linnetshift.admin.server import AdminServer
+from linnetshift.broker.administrative_drains import MAX_LISTED
+from linnetshift.broker.broker import Broker
+from linnetshift.config.broker_file import BrokerConfig
+from linnetshift.config.proxy_file import ProxyConfig
+from linnetshift.decision_loop import DecisionLoop
+from linnetshift.discovery.endpoint_list import EndpointListUpdate
+from linnetshift.discovery.watch import Discovery, WatchTimeouts
+from linnetshift.event_loop.connection_limits import ConnectionLimiter
+from linnetshift.event_loop.loop import Loop
+from linnetshift.frontends.channels.frontend import MAX_OPEN_CHANNELS, ChannelsFrontend
+from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
+from linnetshift.lifecycle.channels_activation import ChannelsActivation
+from linnetshift.lifecycle.hot_restart import HotRestart
+from linnetshift.lifecycle.imported_state import ImportedState
+from linnetshift.lifecycle.local_process import LocalProcess
+from linnetshift.lifecycle.log_summaries import describe_list, log_settings
+from linnetshift.lifecycle.reload import ConfigurationReloader
+from linnetshift.lifecycle.shutdown_coordinator import ShutdownCoordinator
+from linnetshift.lifecycle.takeover_socket import PredecessorState, TakeoverSocketPath
+from linnetshift.observability import log
+from linnetshift.observability.resource_usage import ResourceUsage
+from linnetshift.routing.events import ListForm
+from linnetshift.upstream.connector import EndpointConnector
+
+SIGNAL_READ_BYTES = 64  # of the wakeup pipe at once; each signal leaves one byte
+
+
+class Proxy:
+    """All parts of one proxy, wired; the `Operations` that the admin server offers.
+
+    `Proxy.start` is the way to make one: the constructor opens no socket and starts no actor.
+    """
+
+    hot_restart: HotRestart  # from the end of `start`, as it tells a predecessor that this process accepts
+
+    def __init__(
+        self,
+        config: ProxyConfig,
+        broker_config: BrokerConfig,
+        platform_listener: socket.socket | None,
+        imported: ImportedState,
+    ) -> None:
+        """Wire the parts."""
+        self.loop = Loop()
+        self.names = config.names
+        self.platform_listener = platform_listener
+        self._wire_decisions(config, broker_config, imported.list_update or config.cached_list)
+        self._wire_frontends(config, broker_config, imported)
+        self.admin_server = AdminServer(self.loop, self)
+        self._wire_lifecycle(config, broker_config, imported)
+
+    @classmethod
+    def start(
+        cls,
+        config: ProxyConfig,
+        broker_config: BrokerConfig,
+        platform_listener: socket.socket | None = None,
+        socket_path: TakeoverSocketPath | None = None,
+        predecessor: PredecessorState | None = None,
+    ) -> Proxy:
+        """A proxy that serves once its loop runs; raises OSError where an address cannot be used.
+
+        `platform_listener` is the socket that the platform holds for clients, `socket_path` where a successor
+        finds this process, `predecessor` what the process handed over that this one replaces.
+        """
+        imported = ImportedState(predecessor, config.names)
+        proxy = cls(config, broker_config, platform_listener, imported)
+        proxy._start_decisions(imported)
+        proxy._open_listeners(imported)
+        proxy.hot_restart = HotRestart(proxy.loop, proxy.local_process, socket_path, predecessor)
+        return proxy
+
+    @property
+    def config(self) -> ProxyConfig:
+        """The proxy file's contents, as last read without an error."""
+        return self.reloader.config
+
+    # ---- wiring -----------------------------------------------------------------------------
+
+    def _wire_decisions(
+        self, config: ProxyConfig, broker_config: BrokerConfig, known: EndpointListUpdate
+    ) -> None:
+        self.connector = EndpointConnector(self.loop)
+        # Where lists are pushed, the agent on this machine has the current one from the start: nothing is
+        # decided on the file's older one before the agent has answered or failed.
+        self.decision_loop = DecisionLoop(self.loop, waits_for_discovery=not config.settings.must_poll)
+        self.discovery = Discovery(
+            self.loop,
+            config.discovery,
+            self.names,
+            known,
+            self.handle_list_update,
+            WatchTimeouts.of(config.settings),
+            config.seed,
+            self.decision_loop.handle_discovery_ready,
+        )
+        self.broker = Broker(
+            config.settings,
+            config.seed,
+            self.loop.now,
+            self.decision_loop,
+            self.discovery,
+            self.connector,
+            broker_config.contracts,
+        )
+        self.decision_loop.broker = self.broker
+        self.connector.broker = self.broker
+
+    def _wire_frontends(
+        self, config: ProxyConfig, broker_config: BrokerConfig, imported: ImportedState
+    ) -> None:
+        self.connection_limiter = ConnectionLimiter(self.loop, config.max_sockets)
+        self.frontend = LineProtocolFrontend(self.loop, self.broker, self.names, self.connection_limiter)
+        self.channels = ChannelsFrontend(self.loop, self.broker, self.names, self.connection_limiter)
+        self.activation = ChannelsActivation(
+            self.loop, self.broker, self.channels, broker_config.channels, imported.sockets
+        )
+
+    def _wire_lifecycle(
+        self, config: ProxyConfig, broker_config: BrokerConfig, imported: ImportedState
+    ) -> None:
+        self.shutdown = ShutdownCoordinator(
+            self.loop, self.broker, self.frontend, self.activation, self.connection_limiter
+        )
+        self.local_process = LocalProcess(
+            loop=self.loop,
+            names=self.names,
+            broker=self.broker,
+            decision_loop=self.decision_loop,
+            discovery=self.discovery,
+            connector=self.connector,
+            connection_limiter=self.connection_limiter,
+            frontend=self.frontend,
+            activation=self.activation,
+            shutdown=self.shutdown,
+            migrated_by_peer=imported.peer_resources.moved,
+        )
+        self.reloader = ConfigurationReloader(
+            config=config,
+            broker_config=broker_config,
+            loop=self.loop,
+            names=self.names,
+            broker=self.broker,
+            discovery=self.discovery,
+            frontend=self.frontend,
+            activation=self.activation,
+            admin_server=self.admin_server,
+            handle_list_update=self.handle_list_update,
+            has_platform_listener=self.platform_listener is not None,
+        )
+
+    # ---- start ------------------------------------------------------------------------------
+
+    def _start_decisions(self, imported: ImportedState) -> None:
+        """Start the actors, and decide on the first list with what a predecessor knew."""
+        self.decision_loop.start(self.decision_loop.run())
+        self.discovery.start(self.discovery.run())
+        if not self.config.settings.must_poll:
+            # Pushed lists stop at the agent on this machine, and the balancer never asks for them.
+            self.discovery.watch(True)
+        imported.restore(self.broker)
+        self.local_process.update_peer_resources(imported.peer_resources)
+        self.handle_list_update(imported.list_update or self.config.cached_list)
+        imported.import_state(self.broker)
+
+    def _open_listeners(self, imported: ImportedState) -> None:
+        self.frontend.listen(self.config.listen, self.platform_listener)
+        self.activation.start(self.reloader.broker_config.vrrp, imported.active)
+        if self.config.admin is not None:
+            self.admin_server.follow(self.admin_server.open(self.config.admin))
+
+    def log_settings(self) -> None:
+        """Log how the settings in use were understood."""
+        log_settings(self.config.settings)
+
+    # ---- events -----------------------------------------------------------------------------
+
+    def handle_list_update(self, list_update: EndpointListUpdate) -> None:
+        """Pass an endpoint list, its changes or the failure to get one to the connector and the broker."""
+        event = self.broker.administrative_drains.limit_entries(list_update.event)
+        if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
+            log.info("endpoint-list-received", **describe_list(event, self.loop.now()))
+        excess = len(list_update.event.entries) - len(event.entries)
+        if excess:
+            log.info("endpoint-limit-exceeded", left_out=excess)
+        addresses = {entry.endpoint: list_update.addresses[entry.endpoint] for entry in event.entries}
+        self.connector.listed(event, addresses)
+        self.broker.handle_endpoint_list(event)
+
+    def watch_signals(self, wakeup_pipe: int) -> None:
+        """Act on the signals whose numbers arrive at this descriptor."""
+
+        def handle_ready(_mask: int) -> None:
+            self._handle_signals(set(os.read(wakeup_pipe, SIGNAL_READ_BYTES)))
+
+        self.loop.watch(wakeup_pipe, select.EPOLLIN, handle_ready)
+
+    def _handle_signals(self, caught: set[int]) -> None:
+        if signal.SIGHUP in caught:
+            self.reloader.reload()
+        if caught != {signal.SIGHUP}:
+            self.shutdown.terminate(is_replaced=self.hot_restart.successor is not None)
+
+    # ---- operations of the admin server -----------------------------------------------------
+
+    def readiness(self) -> str:
+        """Why no client is accepted at the moment; empty while they are."""
+        if self.shutdown.is_terminating:
+            return "leaving"
+        if self.hot_restart.successor is not None:
+            return "replaced by another process"
+        if self.hot_restart.is_joining:
+            return "taking over"
+        if not self.broker.administrative_drains.listed:
+            return "waiting for the list of providers"
+        return "" if self.frontend.address is not None else "not listening"
+
+    def resource_usage(self) -> dict[str, ResourceUsage]:
+        """Every container that lives as long as the process; docs/memory.md says the same bounds."""
+        connections = self.connection_limiter.descriptors + MAX_OPEN_CHANNELS
+        return {
+            **self.loop.resource_usage(connections),
+            **self.broker.resource_usage(connections),
+            **self.connector.resource_usage(MAX_LISTED),
+            **self.connection_limiter.resource_usage(connections),
+            **self.frontend.resource_usage(connections),
+            **self.channels.resource_usage(connections),
+            **self.admin_server.resource_usage(),
+            **self.hot_restart.resource_usage(),
+        }
+
+    def is_drain_limit_reached(self, endpoint: bytes) -> bool:
+        """Whether so many endpoints are drained that this one cannot be too."""
+        drains = self.broker.administrative_drains
+        return drains.is_full() and not drains.is_drained(endpoint)
+
+    def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
+        """Drain an endpoint or restore it, here and in every other process of this proxy.
+
+        `done` is called once that is acted on, with whether the endpoint is known.
+        """
+        if not self.broker.administrative_drains.is_known(endpoint):
+            done(False)
+            return
+        self.hot_restart.apply_administrative_drain(endpoint, out, lambda: done(True))
--- /dev/null
+++ b/linnetshift/simulation/adapter.py
@@ -0,0 +1,110 @@
+"""Adapter between the simulator's wire and the routing decisions.
+
+Reads batches of events from standard input and writes one reply of actions for each to standard output, until
+the input ends. Each instance is a `Balancer` of its own; nothing is shared between them. Time is the batch's
+clock and nothing else.
+"""
+
+from __future__ import annotations
+
+import json
+import sys
+from collections.abc import Iterable
+from typing import BinaryIO
+
+from linnetshift.routing.actions import Action
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import Event
+from linnetshift.routing.settings import Settings
+from linnetshift.routing.settings_reader import SettingsError
+from linnetshift.simulation.batch_decoder import decode_batch, frame_size
+from linnetshift.simulation.reply_encoder import encode_reply
+from linnetshift.simulation.wire import LENGTH_BYTES, Create, Halt, InstanceFault, WireError, WireEvent
+
+
+class InstanceTable:
+    """The instances of this process, by the number that the simulator gives them."""
+
+    def __init__(self) -> None:
+        """Start without instances; batches create them."""
+        self._instances: dict[int, Balancer] = {}
+
+    def run_batch(self, frame: bytes) -> bytes:
+        """Decide one batch and return the reply; what its events raise becomes a fault of their instance.
+
+        Raises WireError where the frame breaks the wire's rules.
+        """
+        now_ns, groups = decode_batch(frame)
+        replies: list[tuple[int, list[Action]]] = []
+        for number, events in groups:
+            try:
+                actions = self._run_instance(number, now_ns, events)
+            except Exception as error:  # noqa: BLE001
+                # The edge that contains an instance's fault: whatever its decisions raise, the simulator has
+                # to learn which instance failed and why, and one that dies silently tells neither.
+                fault = InstanceFault(number, f"{type(error).__name__}: {error}")
+                return encode_reply(replies, fault)
+            replies.append((number, actions))
+        return encode_reply(replies)
+
+    def _run_instance(self, number: int, now_ns: int, events: Iterable[WireEvent]) -> list[Action]:
+        """Hand an instance its events in one step; those for one that does not live are void."""
+        pending: list[Event] = []
+        for event in events:
+            if isinstance(event, Create | Halt):
+                self._stop(number, now_ns, pending)
+                pending = []
+                if isinstance(event, Create):
+                    self._instances[number] = create_balancer(event)
+            elif number in self._instances:
+                pending.append(event)
+        if pending:
+            return self._instances[number].step(now_ns, pending)
+        return []
+
+    def _stop(self, number: int, now_ns: int, pending: list[Event]) -> None:
+        """End an instance, if it lives, after its last events; the actions on these are lost with it."""
+        balancer = self._instances.get(number)
+        if balancer is not None:
+            balancer.step(now_ns, pending)
+            del self._instances[number]
+
+
+def create_balancer(event: Create) -> Balancer:
+    """Start an instance without state; raises SettingsError, whose text names the key, on bad settings."""
+    try:
+        raw = json.loads(event.settings)
+    except ValueError as error:
+        raise SettingsError(f"settings are not JSON: {error}") from None
+    if not isinstance(raw, dict):
+        raise SettingsError("settings are not a JSON object")
+    return Balancer(Settings.parse(raw), event.salt)
+
+
+def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer the batches from `source` on `sink`, flushed one by one, until `source` ends.
+
+    Raises WireError where the input ends inside a frame or breaks the wire's rules otherwise.
+    """
+    instances = InstanceTable()
+    while header := source.read(LENGTH_BYTES):
+        if len(header) < LENGTH_BYTES:
+            raise WireError("input ends inside a frame's length")
+        size = frame_size(header)
+        body = source.read(size - LENGTH_BYTES)
+        if len(body) < size - LENGTH_BYTES:
+            raise WireError("input ends inside a frame")
+        sink.write(instances.run_batch(header + body))
+        sink.flush()
+
+
+def main() -> int:
+    """Serve standard input and output; returns 1 as exit status after malformed input or a closed output."""
+    try:
+        serve(sys.stdin.buffer, sys.stdout.buffer)
+    except WireError as error:
+        print(f"linnetshift: {error}", file=sys.stderr)
+        return 1
+    except BrokenPipeError:
+        return 1
+    return 0
--- /dev/null
+++ b/linnetshift/vrrp/__init__.py
@@ -0,0 +1,1 @@
+"""VRRP version 3 (RFC 9568) over UDP: which of several proxies serves the channels frontend."""
--- /dev/null
+++ b/linnetshift/vrrp/instance.py
@@ -0,0 +1,142 @@
+"""A VRRP router on its UDP socket: decides which of several proxies listens for channels.
+
+Unlike in RFC 9568 there is no virtual MAC address to answer for and no TTL to check: advertisements go to
+named peers only, and those of anyone else are dropped.
+"""
+
+from __future__ import annotations
+
+import select
+import socket
+from collections.abc import Callable
+
+from linnetshift.event_loop.actor import Actor, ActorCoroutine, Io
+from linnetshift.event_loop.loop import Loop
+from linnetshift.event_loop.timers import MS, Timeout, Timer
+from linnetshift.observability import log
+from linnetshift.vrrp.protocol import PRIORITY_RELEASED, Advertisement, AdvertisementError
+from linnetshift.vrrp.router import Router, State, VrrpConfig
+
+CENTISECOND_NS = 10 * MS
+# More than the longest advertisement, 8 bytes and 4 for each of 255 addresses.
+MAX_DATAGRAM_BYTES = 2048
+# Read at one turn of the loop: a flood must not keep it from everything else.
+MAX_DATAGRAMS_PER_READ = 32
+
+
+class Vrrp(Actor):
+    """The router with socket and timer; `active_changed` is called with whether this proxy is active now."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        config: VrrpConfig,
+        active_changed: Callable[[bool], None],
+        inherited_socket: socket.socket | None = None,
+        starts_active: bool = False,
+    ) -> None:
+        """After a hot restart: with the predecessor's socket, and active at once if that was."""
+        super().__init__(loop)
+        self.config = config
+        self.active_changed = active_changed
+        self.starts_active = starts_active
+        self.is_paused = False
+        self.router = Router(config, self._send, self._set_router_timer)
+        self.reported_state = self.router.state
+        self.timer: Timer | None = None
+        self.timer_tag: object = None  # of `timer`; timeouts with another tag are of one that was replaced
+        self.sock = inherited_socket or socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.sock.setblocking(False)
+        if inherited_socket is None:
+            self.sock.bind(config.listen)
+        self._watch_socket()
+
+    def _watch_socket(self) -> None:
+        self.loop.watch(self.sock.fileno(), select.EPOLLIN, self._post_io)
+
+    def _post_io(self, mask: int) -> None:
+        self.post(Io(mask))
+
+    def run(self) -> ActorCoroutine:
+        """Pass timers and advertisements to the router until the actor is ended."""
+        if self.starts_active:
+            self.router.become_active()
+        else:
+            self.router.start()
+        while True:
+            self._report_state()
+            match (yield):
+                case Io():
+                    self._receive()
+                case Timeout(tag=tag) if tag is self.timer_tag:
+                    self.router.handle_timer()
+
+    def pause(self, is_paused: bool) -> None:
+        """Leave the part to the process that takes over, or resume it; the peers notice neither."""
+        self.is_paused = is_paused
+        if not is_paused:
+            self._watch_socket()
+            if self.router.state is State.ACTIVE:
+                self.router.advertise()
+            else:
+                self.router.become_backup(self.config.interval)
+            return
+        self.loop.unwatch(self.sock.fileno())
+        if self.timer is not None:
+            self.timer.cancel()
+
+    def stop(self) -> None:
+        """Shut down; an active router releases its part first."""
+        if not self.is_paused:
+            self.router.stop()
+            self.loop.unwatch(self.sock.fileno())
+        self.sock.close()
+        self.end()
+
+    def _report_state(self) -> None:
+        """Log a change of state, and report one to or from active."""
+        previous = self.reported_state
+        state = self.router.state
+        if state is previous:
+            return
+        self.reported_state = state
+        log.info("vrrp-state-changed", state=state, vrid=self.config.vrid)
+        if State.ACTIVE in (previous, state):
+            self.active_changed(state is State.ACTIVE)
+
+    def _send(self, priority: int) -> None:
+        if priority != PRIORITY_RELEASED:
+            # Before the peers learn of it: whoever is sent to the active proxy may connect at once.
+            self._report_state()
+        config = self.config
+        datagram = Advertisement(config.vrid, priority, config.interval, config.addresses).encode()
+        for peer in config.peers:
+            try:
+                self.sock.sendto(datagram, peer)
+            except OSError as error:  # a peer that is down must not keep the others from theirs
+                log.info("vrrp-send-failed", peer=f"{peer[0]}:{peer[1]}", error=error.strerror)
+
+    def _set_router_timer(self, centiseconds: float) -> None:
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer_tag = object()
+        self.timer = self.set_timer(int(centiseconds * CENTISECOND_NS), self.timer_tag)
+
+    def _receive(self) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_READ):
+            try:
+                data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES)
+            except BlockingIOError:
+                return
+            except OSError:  # ICMP: a peer did not take an earlier datagram
+                continue
+            self._handle_datagram(data, sender)
+
+    def _handle_datagram(self, data: bytes, sender: tuple[str, int]) -> None:
+        try:
+            advertisement = Advertisement.decode(data)
+        except AdvertisementError as error:
+            log.info("vrrp-advertisement-dropped", peer=sender[0], error=str(error))
+            return
+        if advertisement.vrid == self.config.vrid and sender in self.config.peers:
+            self.router.handle_advertisement(advertisement, sender[0])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and events for tests; figures are made up for the tests, not taken from any deployment."""
+"""Settings and events for unit tests; figures are made up, not taken from any deployment."""
 
 from __future__ import annotations
 
@@ -6,96 +6,70 @@
 
 from hypothesis import settings
 
-from linnetshift import interface as api
-from linnetshift.policy import Balancer
-
-settings.register_profile("same", derandomize=True, deadline=None)  # one verdict for one text, always
+from linnetshift.routing.actions import Action, Send
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointList,
+    EndpointState,
+    ListForm,
+    Request,
+)
+from linnetshift.routing.settings import Settings
+from rig.base_settings import MS as MS
+from rig.base_settings import S as S
+from rig.base_settings import changed_settings
+
+settings.register_profile("same", derandomize=True, deadline=None)  # the same examples in every run
 settings.load_profile("same")
 
-MS = 1_000_000
-S = 1_000_000_000
-
 
 def raw_settings(**changes: Any) -> dict[str, Any]:
-    raw: dict[str, Any] = {
-        "myNumber": 0,
-        "balancers": 4,
-        "zone": 0,
-        "discovery": "push",
-        "weightSource": "nominal",
-        "services": [
-            {
-                "name": "feed",
-                "aimNs": 400 * MS,
-                "hardLimitNs": 2 * S,
-                "effect": "repeatable",
-                "group": "all",
-                "windowNs": 3 * S,
-                "worth": 2.0,
-            }
-        ],
-        "familyInfo": {"messageAimNs": [60 * MS], "mode": "proxy"},
-        "rules": {
-            "answerSlackNs": 16 * MS,
-            "drainGraceNs": 500 * MS,
-            "coldFrom": 0.25,
-            "warmUpNs": 10 * S,
-            "fallMultiple": 3.0,
-            "tipAfterNs": 2 * S,
-            "mustAskInNs": 8 * S,
-        },
-        "allowed": {
-            "connectTimeoutNs": 200 * MS,
-            "maxAttempts": 4,
-            "parallelTries": False,
-            "probing": False,
-            "peerMessages": False,
-            "mayCancel": True,
-            "retryAfter": True,
-            "maxRetryAfterNs": 1 * S,
-        },
-        "stepNs": 4 * MS,
-    }
-    for key, value in changes.items():
-        raw[key] = {**raw[key], **value} if isinstance(value, dict) and key in raw else value
-    return raw
+    """The settings object of a proxy file, with changes to the base settings."""
+    return changed_settings(changes)
 
 
 def effect(word: str, group: str = "all", **more: Any) -> dict[str, Any]:
+    """Changes to the settings: one service with this effect, and other keys in `more`."""
     return {"services": [{**raw_settings()["services"][0], "effect": word, "group": group, **more}]}
 
 
-def host(number: int) -> bytes:
+def endpoint(number: int) -> bytes:
+    """Address of the endpoint with this number, as it is in events."""
     return bytes([10, 0, number >> 8, number & 255, 31, 144])
 
 
-def entry(number: int, **changes: Any) -> api.HostEntry:
-    return api.HostEntry(host(number), number % 3, 0, number % 5, api.HostState.READY, 1.0, 0)._replace(
+def entry(number: int, **changes: Any) -> EndpointEntry:
+    """An endpoint's entry in a list: ready, weight 1, started long ago."""
+    return EndpointEntry(endpoint(number), number % 3, 0, number % 5, EndpointState.READY, 1.0, 0)._replace(
         **changes
     )
 
 
-def listed(*entries: api.HostEntry, form: int = api.ListForm.FULL) -> api.HostList:
-    return api.HostList(form, 1, entries)
+def listed(*entries: EndpointEntry, form: int = ListForm.FULL) -> EndpointList:
+    """A list event."""
+    return EndpointList(form, 1, entries)
 
 
-def request(number: int, **changes: Any) -> api.Request:
-    return api.Request(number, 0, 0, number + 1000, 0, 0, 0, 2 * S)._replace(**changes)
+def request(number: int, **changes: Any) -> Request:
+    """A request event, with 2 s to its deadline."""
+    return Request(number, 0, 0, number + 1000, 0, 0, 0, 2 * S)._replace(**changes)
 
 
-def ended(
-    sent: api.Send, attempt: int, outcome: int, elapsed: int = 0, closed: bool = False
-) -> api.AttemptEnded:
-    return api.AttemptEnded(sent.request, attempt, sent.host, closed, elapsed, outcome, ())
+def ended(sent: Send, attempt: int, outcome: int, elapsed: int = 0, closed: bool = False) -> AttemptEnded:
+    """The end of an attempt that was sent, `elapsed` nanoseconds after that."""
+    return AttemptEnded(sent.request_id, attempt, sent.endpoint, closed, elapsed, outcome, ())
 
 
-def balancer(hosts: int = 8, seed: int = 1, window: float = 1e9, **changes: Any) -> Balancer:
-    """A node that knows `hosts` hosts; a wide window lets tests place many requests at one moment."""
-    made = Balancer(api.Settings.parse(raw_settings(**changes)), seed)
-    made.window.size = window
-    made.step(1 * S, [listed(*(entry(n) for n in range(hosts)))])
+def balancer(endpoints: int = 8, seed: int = 1, window: float = 1e9, **changes: Any) -> Balancer:
+    """A balancer that knows `endpoints` endpoints; the wide limit lets tests place many requests at once."""
+    made = Balancer(Settings.parse(raw_settings(**changes)), seed)
+    made.lifecycle.concurrency_limit.limit = window
+    made.step(1 * S, [listed(*(entry(n) for n in range(endpoints)))])
     return made
 
 
-def only(actions: list[api.Action], kind: type) -> list[Any]:
+def only(actions: list[Action], kind: type) -> list[Any]:
+    """The actions of one kind."""
     return [action for action in actions if isinstance(action, kind)]
--- /dev/null
+++ b/tests/test_hot_restart.py
@@ -0,0 +1,157 @@
+"""Hot restart with real processes: clients are connected and arrive while one replaces another."""
+
+from __future__ import annotations
+
+import json
+import signal
+from pathlib import Path
+
+import pytest
+from conftest import MS, S, balancer, ended, only, request
+from proxy import WAIT, launch, proxy, successor_of
+from test_line_protocol import ranked
+from test_ops import DOWN, UP, lands_on
+
+from linnetshift.broker.latency_estimator import EstablishedConnection, LatencyEstimator
+from linnetshift.broker.snapshot import export_state, import_state
+from linnetshift.routing.actions import Send
+from linnetshift.routing.events import Outcome
+
+
+def test_new_process_takes_over_and_the_old_one_migrates_its_clients(tmp_path: Path) -> None:
+    with proxy(tmp_path, admin_server=True, held=True) as old:
+        established, endpoint = old.standing()
+        silent = old.client()  # accepted by the old one, and no request so far
+        assert old.alive()
+        with successor_of(old) as new:
+            new.becomes_ready()
+            assert old.call("GET /ops/readiness") == 503
+            silent.send(b"OPEN 5 6 c=feed,t=acme,d=2000\r\n")
+            answered = old.listeners[0].serve()
+            assert silent.line() == b"UP r1\r\n"
+            later, its_endpoint = new.standing()
+            old.leave()
+            assert {established.line(), silent.line()} == {b"MOVE\r\n"}
+            for conn in (established, silent, endpoint, answered):
+                conn.close()
+            assert old.process.wait(WAIT) == 0
+            its_endpoint.send(b"on\r\n")
+            assert later.line() == b"on\r\n"
+            assert new.alive()
+
+
+def test_administrative_drains_apply_in_both_processes(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=2, admin_server=True, held=True, rules={"warmUpNs": 1}) as old:
+        first, second = ranked(old)
+        assert old.call(DOWN % first.uid) == 200
+        with successor_of(old) as new:
+            new.becomes_ready()
+            kept = [lands_on(new, second.uid)]
+            assert new.call(UP % first.uid) == 200
+            old.logged(f"administrative-drain-changed endpoint={first.uid} out=False")
+            kept.append(lands_on(new, first.uid))
+            assert old.call(DOWN % first.uid) == 200  # by way of either process
+            kept.append(lands_on(new, second.uid))
+            assert new.call(DOWN % "s-unknown") == 404
+
+
+@pytest.mark.parametrize("how", ["new-dies", "old-dies", "stale-socket", "third"])
+def test_process_that_goes_is_replaced_without_harm(tmp_path: Path, how: str) -> None:
+    with proxy(tmp_path, admin_server=True, held=True) as old:
+        if how == "stale-socket":
+            old.process.kill()
+            old.process.wait(WAIT)
+        with successor_of(old) as new:
+            new.becomes_ready()
+            if how == "new-dies":
+                new.process.kill()
+                old.logged("event=successor-gone")
+                assert old.call("GET /ops/readiness") == 200
+                old.standing()
+                with successor_of(old) as next_one:
+                    next_one.becomes_ready()
+            elif how == "old-dies":
+                old.process.kill()
+                new.logged("event=predecessor-gone")
+                new.becomes_ready()
+                new.standing()
+            elif how == "third":
+                with successor_of(new) as third:
+                    third.becomes_ready()
+                    assert new.call("GET /ops/readiness") == 503
+                    third.standing()
+            else:
+                new.standing()
+
+
+def test_channels_listener_and_vrrp_socket_are_handed_over(tmp_path: Path) -> None:
+    own = (
+        '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
+        '[vrrp]\nenabled = true\nvrid = 1\npriority = 255\nlisten = "127.0.0.1:PORT"\npeers = []\n'
+    )
+    with proxy(tmp_path, own=own, admin_server=True, held=True) as old:
+        assert old.client(b"SSH-2.0-t\r\n", old.extra_port).line().startswith(b"SSH-2.0-")
+        with successor_of(old) as new:
+            new.becomes_ready()
+            old.process.send_signal(signal.SIGKILL)
+            old.process.wait(WAIT)
+            assert new.client(b"SSH-2.0-t\r\n", old.extra_port).line().startswith(b"SSH-2.0-")
+
+
+@pytest.mark.parametrize("named", ["2", "99", "three"])
+def test_descriptor_that_does_not_listen_is_rejected_at_start(tmp_path: Path, named: str) -> None:
+    with proxy(tmp_path) as running:
+        process = launch(str(running.config), GW_LISTEN_FD=named)
+        assert process.stderr is not None
+        assert "GW_LISTEN_FD names no listening socket" in process.stderr.read()
+        assert process.wait(WAIT) == 2
+
+
+def test_listener_of_the_platform_is_never_bound_or_closed(tmp_path: Path) -> None:
+    with proxy(tmp_path, admin_server=True, held=True) as running:
+        running.reload("event=configuration-reloaded", listen="127.0.0.1:1")
+        assert running.alive()
+        running.leave()
+        assert running.process.wait(WAIT) == 0
+        waiting = running.client(b"PING\r\n")  # queued for the next process, not refused
+        with successor_of(running) as after:
+            assert waiting.line() == b"PONG\r\n"
+            after.becomes_ready()
+
+
+def test_snapshot_keeps_what_was_observed_of_endpoints() -> None:
+    # The new process sent clients back to what the old one had just moved them off.
+    old, new, latency_estimator = balancer(endpoints=3), balancer(endpoints=3, seed=2), LatencyEstimator()
+    (sent,) = only(old.step(2 * S, [request(1)]), Send)
+    old.step(2 * S, [ended(sent, 0, Outcome.FULL, closed=True)])
+    old.admission.load_shedding.admitted_share = 0.5
+    latency_estimator.reset_at_ns[sent.endpoint] = 2 * S
+    told = json.loads(json.dumps(export_state(old, latency_estimator)))
+    told["hosts"]["00"] = {}
+    told["node"]["window"] = "wide"  # of another version
+    later = LatencyEstimator()
+
+    import_state(new, later, told)
+    assert (
+        new.admission.load_shedding.admitted_share,
+        new.lifecycle.concurrency_limit.limit,
+        later.reset_at_ns,
+    ) == (
+        0.5,
+        1e9,
+        latency_estimator.reset_at_ns,
+    )
+    new.admission.load_shedding.admitted_share = 1.0
+    (again,) = only(new.step(2 * S + 1, [request(1)]), Send)
+    assert again.endpoint != sent.endpoint
+
+
+def test_connections_of_the_peer_process_count_as_load() -> None:
+    # Half of the connections were still in the old process: endpoints filled up unnoticed.
+    latency_estimator = LatencyEstimator()
+    latency_estimator.configure(50 * MS, 1)
+    latency_estimator.weights[b"s-1"] = 2.0
+    few = {b"s-1": [EstablishedConnection(80_000.0, 1, 0)] * 5}
+    assert not latency_estimator.review(few, 1 * S)
+    latency_estimator.peer_connections = {b"s-1": [EstablishedConnection(80_000.0, 2, 0)] * 15}
+    assert latency_estimator.review(few, 2 * S)
--- /dev/null
+++ b/tests/test_large_fleets.py
@@ -0,0 +1,146 @@
+"""Large fleets: many processes that start at once, a thousand endpoints, no descriptor free."""
+
+from __future__ import annotations
+
+import resource
+import signal
+from contextlib import ExitStack
+from pathlib import Path
+from typing import Any
+
+import pytest
+from conftest import S
+from proxy import OPEN, WAIT, Conn, DiscoveryServer, Listener, RunningProxy, free_port, launch, proxy, world
+
+PROCESSES = 30
+"""Processes that start together."""
+
+ENDPOINTS = 1024
+"""Length of a long list."""
+
+DESCRIPTORS = 60
+"""Limit of descriptors for a process that runs out of them."""
+
+
+class ListedEndpoint:
+    """An endpoint that is listed and never connected to."""
+
+    def __init__(self, number: int) -> None:
+        self.uid = f"p-{number}"
+        self.state = "SERVING"
+        self.address = f"127.1.{number >> 8}.{number & 255}:9000"
+
+    def entry(self) -> dict[str, Any]:
+        """The entry in discovery's list."""
+        return {
+            "uid": self.uid,
+            "endpoint": self.address,
+            "az": "a",
+            "model": "m",
+            "pod_group": 0,
+            "state": self.state,
+            "capacity_hint": 1e-6,  # so that the one that exists gets the attempts
+            "boot_ms": 0,
+        }
+
+
+@pytest.mark.parametrize("how", ["down", "failing", "silent", "slow", "full"])
+def test_processes_that_start_together_are_ready_without_discovery(tmp_path: Path, how: str) -> None:
+    # They all answer before discovery has answered any of them, and serve with the list of their file.
+    with ExitStack() as stack:
+        made = stack.enter_context(world(tmp_path, discovery="ask", rules={"mustAskInNs": 10 * S}))
+        discovery = made.discovery
+        if how == "down":
+            discovery.server.server_close()
+        elif how == "failing":
+            discovery.fail(True)
+        elif how == "full":
+            discovery.server.socket.listen(0)
+            discovery.silent = True
+        else:
+            discovery.silent = True
+        running = []
+        for number in range(PROCESSES):
+            port = free_port()
+            folder = tmp_path / str(number)
+            folder.mkdir()
+            config = folder / "config.json"
+            config.write_text(made.config.read_text().replace(f":{made.port}", f":{port}"))
+            process = launch(str(config), str(made.own))
+            stack.callback(process.wait, WAIT)
+            stack.callback(process.kill)
+            running.append(RunningProxy(process, port, 0))
+        for one in running:
+            one.logged("event=process-started")
+            assert one.alive()
+        if how == "slow":  # it answers now, one call after the other
+            discovery.silent = False
+            discovery.kept.get(timeout=WAIT).let_go.set()
+        for number, one in enumerate(running):
+            client = one.client(OPEN % (number + 1, 2000))
+            made.listeners[0].serve()
+            assert client.line() == b"UP r1\r\n"
+
+
+def limit_descriptors() -> None:
+    """Run in the child before the program."""
+    resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
+
+
+def test_idle_clients_that_use_all_descriptors_block_no_request(tmp_path: Path) -> None:
+    # Idle clients may fill them while discovery is down; its return, attempts and reloads need some.
+    with proxy(tmp_path, endpoints=2, before=limit_descriptors, rules={"mustAskInNs": S}) as running:
+        client = running.open()
+        served = running.asked()
+        endpoint = served.serve()
+        assert client.line() == b"UP r1\r\n"
+        running.discovery.fail(True)
+        running.logged("event=discovery-call-failed")
+        idle = [running.client() for _ in range(120)]
+        assert running.alive()
+        running.discovery.change()
+        running.discovery.fail(False)
+        running.logged("event=endpoint-list-received .*rev=2")
+        # An attempt has a descriptor, a reload reads its files, and what was served stays.
+        other = running.open()
+        _, another = running.serve_any()
+        assert other.line() == b"UP r1\r\n"
+        later = DiscoveryServer(running.listeners)
+        later.rev = 7
+        running.reload("event=configuration-reloaded", discovery=later.address)
+        running.logged("event=endpoint-list-received .*rev=7")
+        client.send(b"M 1\r\n")
+        assert endpoint.line() == b"M 1\r\n"
+        endpoint.send(b"R 1\r\n")
+        assert client.line() == b"R 1\r\n"
+        assert len(idle) == 120
+        assert another
+        running.process.send_signal(signal.SIGTERM)
+        assert {client.line(), other.line()} == {b"MOVE\r\n"}
+        running.logged("event=shutdown-finished")
+
+
+@pytest.mark.parametrize("discovery", ["ask", "push"])
+def test_list_of_a_thousand_endpoints_is_complete(tmp_path: Path, discovery: str) -> None:
+    with proxy(tmp_path, discovery=discovery, balancers=230) as running:
+        (there,) = running.listeners
+        later = DiscoveryServer([])
+        later.indent = 4
+        listed: list[Any] = [there, *map(ListedEndpoint, range(ENDPOINTS - 1))]
+        later.listeners = listed
+        later.rev = 5
+        running.reload("event=configuration-reloaded", discovery=later.address)
+        assert f"entries={ENDPOINTS} " in running.logged("event=endpoint-list-received .*rev=5")
+        client = running.open()
+        there.serve()
+        assert client.line() == b"UP r1\r\n"
+        listed[7].state = "DRAINING"
+        later.change()
+        assert f"entries={ENDPOINTS} draining=1 " in running.logged("event=endpoint-list-received .*rev=6")
+        assert not [
+            line
+            for line in running.seen
+            if "endpoint-limit-exceeded" in line or "endpoint-entries-invalid" in line
+        ]
+        assert isinstance(client, Conn)
+        assert isinstance(there, Listener)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,37 +6,65 @@
 import random
 from typing import Any
 
-from conftest import MS, S, effect, entry, host, raw_settings
+from conftest import MS, S, effect, endpoint, entry, raw_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetshift import interface as api
-from linnetshift.interface import HostState, ListForm, Outcome
-from linnetshift.policy import Balancer
+from linnetshift.routing.actions import (
+    Action,
+    Fail,
+    HealthCheck,
+    Migrate,
+    Reject,
+    Send,
+    SendPeerMessage,
+    SetTimer,
+)
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import (
+    MID_FLOW,
+    NEVER_RAN,
+    RETURNED,
+    SLOW_NOTE,
+    AttemptEnded,
+    ConnectionEstablished,
+    ConnectionNote,
+    EndpointList,
+    EndpointState,
+    Event,
+    HealthCheckResult,
+    ListForm,
+    Outcome,
+    PeerMessage,
+    Request,
+    RequestWithdrawn,
+    TimerFired,
+)
+from linnetshift.routing.settings import Effect, Scope, Settings
 
 FAILURES = [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
 class World:
-    """Hosts that fail at random; it answers every attempt and raises on any broken rule."""
+    """Endpoints that fail at random; it answers every attempt and raises on any broken rule."""
 
     def __init__(self, seed: int, failing: float, **changes: Any) -> None:
         self.random = random.Random(seed)
         self.failing = failing
-        self.settings = api.Settings.parse(raw_settings(**changes))
+        self.settings = Settings.parse(raw_settings(**changes))
         self.node = Balancer(self.settings, seed)
         self.now = S
-        self.due: list[tuple[int, int, api.Event]] = []
+        self.due: list[tuple[int, int, Event]] = []
         self.order = 0
         self.owed: dict[int, int] = {}  # open requests and their deadlines
-        self.out: dict[int, tuple[int, bytes, int]] = {}  # request: attempt, host, sent
+        self.out: dict[int, tuple[int, bytes, int]] = {}  # request: attempt, endpoint, sent
         self.attempts: dict[int, int] = {}
         self.standing: dict[int, bytes] = {}
         self.maybe: dict[int, tuple[bytes, int]] = {}  # first attempt that may have run
         self.told: dict[bytes, int] = {}
-        self.zone = {host(n): entry(n).zone for n in range(12)}
+        self.zone = {endpoint(n): entry(n).zone for n in range(12)}
         self.answered = 0
-        self.state: dict[bytes, int] = {host(n): HostState.READY for n in range(12)}
+        self.state: dict[bytes, int] = {endpoint(n): EndpointState.READY for n in range(12)}
         self.started: dict[bytes, int] = {}
         self.cold_sends: dict[bytes, list[int]] = {}
         self.first_stands = 0
@@ -45,39 +73,42 @@
 
     def warmth(self, where: bytes) -> float:
         age = (self.now - self.started.get(where, -(10**12))) / self.settings.warm_up_ns
-        return min(1.0, self.settings.cold_from + (1 - self.settings.cold_from) * age)
+        return min(
+            1.0, self.settings.initial_capacity_share + (1 - self.settings.initial_capacity_share) * age
+        )
 
     def check_cold(self, where: bytes) -> None:
         """Rule 4 as one node can keep it: its sends in any window, as if every node sent as many.
 
-        A warm host of this size takes at most what the node ever held or saw come to stand, shared over
+        A warm endpoint of this size takes at most what the node ever held or saw come to stand, shared over
         the weights listed; one token may be left from before.
         """
-        total = sum(int(self.warmth(h) * 8) / 8 for h, s in self.state.items() if s != HostState.GONE)
+        total = sum(int(self.warmth(h) * 8) / 8 for h, s in self.state.items() if s != EndpointState.REMOVED)
         self.least_total = min(self.least_total, total)
         if self.warmth(where) >= 1.0:
             return
-        window, warm_up = self.settings.tip_after_ns, self.settings.warm_up_ns
+        window, warm_up = self.settings.overload_window_ns, self.settings.warm_up_ns
         sends = self.cold_sends.setdefault(where, [])
         sends.append(self.now)
         recent = sum(self.now - at < window for at in sends)
         takes = max(self.most_standing / (warm_up / S), self.first_stands / 10) / self.least_total
-        assert recent <= 2 + self.settings.fall_multiple * takes * window / S
+        assert recent <= 2 + self.settings.overload_multiple * takes * window / S
 
-    def later(self, delay: int, event: api.Event) -> None:
+    def call_later(self, delay: int, event: Event) -> None:
         self.order += 1
         heapq.heappush(self.due, (self.now + delay, self.order, event))
 
-    def feed(self, events: list[api.Event]) -> None:
+    def feed(self, events: list[Event]) -> None:
         for action in self.node.step(self.now, events):
             self.check(action)
         for request, deadline in self.owed.items():
             assert self.now <= deadline + self.settings.answer_slack_ns, f"{request} is overdue"
 
-    def check(self, action: api.Action) -> None:
+    def check(self, action: Action) -> None:
         match action:
-            case api.Send(request, where, timeout):
-                assert request in self.owed and request not in self.out
+            case Send(request, where, timeout):
+                assert request in self.owed
+                assert request not in self.out
                 assert self.now - self.told.get(where, self.now) <= self.settings.drain_grace_ns
                 self.allow_repeat(request, where)
                 self.check_cold(where)
@@ -85,61 +116,63 @@
                 assert attempt < self.settings.classes[0].max_attempts
                 self.out[request] = (attempt, where, self.now)
                 self.answer(request, attempt, where, min(timeout, self.owed[request] - self.now))
-            case api.Refuse(request, _):
+            case Reject(request, _):
                 klass = self.settings.classes[0]
-                assert request in self.owed and request not in self.out
+                assert request in self.owed
+                assert request not in self.out
                 assert (
                     request not in self.maybe
-                    or klass.effect == api.Effect.REPEATABLE
-                    or (klass.effect == api.Effect.KEYED and klass.scope == api.Scope.ALL)
+                    or klass.effect == Effect.IDEMPOTENT
+                    or (klass.effect == Effect.IDEMPOTENT_BY_KEY and klass.scope == Scope.ALL)
                 )
                 del self.owed[request]
                 self.answered += 1
-            case api.Fail(request):
+            case Fail(request):
                 assert request in self.owed
                 del self.owed[request]
                 self.answered += 1
-            case api.SetTimer(delay, token):
-                self.later(max(delay, 1), api.TimerFired(token))
-            case api.Move(request):
+            case SetTimer(delay, token):
+                self.call_later(max(delay, 1), TimerFired(token))
+            case Migrate(request):
                 where = self.standing.pop(request)
                 attempt = self.attempts[request]
-                self.later(MS, api.AttemptEnded(request, attempt, where, True, S, Outcome.CANCELLED, ()))
-            case api.Probe() | api.Tell():
+                self.call_later(MS, AttemptEnded(request, attempt, where, True, S, Outcome.CANCELLED, ()))
+            case HealthCheck() | SendPeerMessage():
                 raise AssertionError("not permitted here")
 
     def allow_repeat(self, request: int, where: bytes) -> None:
         klass = self.settings.classes[0]
-        if request not in self.maybe or klass.effect == api.Effect.REPEATABLE:
+        if request not in self.maybe or klass.effect == Effect.IDEMPOTENT:
             return
         first, sent = self.maybe[request]
-        assert klass.effect == api.Effect.KEYED and self.now - sent <= klass.window_ns
-        assert klass.scope == api.Scope.ALL or self.zone[where] == self.zone[first]
+        assert klass.effect == Effect.IDEMPOTENT_BY_KEY
+        assert self.now - sent <= klass.idempotency_window_ns
+        assert klass.scope == Scope.ALL or self.zone[where] == self.zone[first]
 
     def answer(self, request: int, attempt: int, where: bytes, timeout: int) -> None:
         delay = self.random.randrange(1, 300) * MS
         if self.random.random() >= self.failing and delay < timeout:
-            self.later(delay, api.Established(request, attempt, where, delay))
+            self.call_later(delay, ConnectionEstablished(request, attempt, where, delay))
             return
         outcome = self.random.choice(FAILURES)
         delay = timeout if outcome == Outcome.TIMEOUT else min(delay, timeout)
-        self.later(delay, api.AttemptEnded(request, attempt, where, False, delay, outcome, ()))
+        self.call_later(delay, AttemptEnded(request, attempt, where, False, delay, outcome, ()))
 
     def advance(self, until: int) -> None:
         while self.due and self.due[0][0] <= until:
             at, _, event = heapq.heappop(self.due)
             self.now = max(self.now, -(-at // (4 * MS)) * 4 * MS)  # batches come in steps
             match event:
-                case api.Established(request, _, where, _):
+                case ConnectionEstablished(request, _, where, _):
                     del self.out[request]
                     del self.owed[request]
                     self.standing[request] = where
                     self.first_stands += 1
                     self.most_standing = max(self.most_standing, len(self.standing))
                     self.answered += 1
-                case api.AttemptEnded(request, _, where, closed, _, outcome, _) if not closed:
+                case AttemptEnded(request, _, where, closed, _, outcome, _) if not closed:
                     _, _, sent = self.out.pop(request)
-                    if outcome not in api.NEVER_RAN:
+                    if outcome not in NEVER_RAN:
                         self.maybe.setdefault(request, (where, sent))
             self.feed([event])
         self.now = max(self.now, until)
@@ -160,7 +193,7 @@
 
 
 def play(world: World, steps: list[tuple[Any, ...]]) -> None:
-    world.feed([api.HostList(ListForm.CACHED, 1, tuple(entry(n) for n in range(12)))])
+    world.feed([EndpointList(ListForm.CACHED, 1, tuple(entry(n) for n in range(12)))])
     number = 0
     for step in steps:
         match step:
@@ -169,54 +202,52 @@
                     number += 1
                     budget = world.random.choice([50, 400, 1000, 2000]) * MS
                     world.owed[number] = world.now + budget
-                    flags = world.random.choice([0, 0, api.MID_FLOW, api.RETURNED])
+                    flags = world.random.choice([0, 0, MID_FLOW, RETURNED])
                     group = world.random.randrange(8)
-                    world.feed([api.Request(number, 0, group, number, 0, flags, 0, budget)])
+                    world.feed([Request(number, 0, group, number, 0, flags, 0, budget)])
             case ("wait", ms):
                 world.advance(world.now + ms * 4 * MS)
             case ("state", n, state):
                 changed = entry(n, state=state)
-                world.state[changed.host] = state
-                world.started.pop(changed.host, None)
-                if state == HostState.READY:
-                    world.told.pop(changed.host, None)
+                world.state[changed.endpoint] = state
+                world.started.pop(changed.endpoint, None)
+                if state == EndpointState.READY:
+                    world.told.pop(changed.endpoint, None)
                 else:
-                    world.told.setdefault(changed.host, world.now)
-                world.feed([api.HostList(ListForm.DELTA, 2, (changed,))])
+                    world.told.setdefault(changed.endpoint, world.now)
+                world.feed([EndpointList(ListForm.DELTA, 2, (changed,))])
             case ("restart", n):
-                world.told.pop(host(n), None)
-                world.state[host(n)], world.started[host(n)] = HostState.READY, world.now
-                world.cold_sends.pop(host(n), None)
-                world.feed([api.HostList(ListForm.DELTA, 2, (entry(n, started_ns=world.now),))])
+                world.told.pop(endpoint(n), None)
+                world.state[endpoint(n)], world.started[endpoint(n)] = EndpointState.READY, world.now
+                world.cold_sends.pop(endpoint(n), None)
+                world.feed([EndpointList(ListForm.DELTA, 2, (entry(n, started_ns=world.now),))])
             case ("slow", value):
-                notes = [api.Note(r, 0, h, api.SLOW_NOTE, value) for r, h in world.standing.items()]
-                known = [n for n in notes if n.request in world.standing]
+                notes = [ConnectionNote(r, 0, h, SLOW_NOTE, value) for r, h in world.standing.items()]
+                known = [n for n in notes if n.request_id in world.standing]
                 for note in known:
-                    if note.request in world.standing:
+                    if note.request_id in world.standing:
                         world.feed([note])
             case ("noise", kind):
                 world.feed(
                     [
-                        [api.Withdrawn(10**6)],
-                        [api.TimerFired(4242)],
-                        [api.PeerMessage(60000, b"\xff\x00junk")],
-                        [api.ProbeResult(host(3), 1, 5, (float("nan"),))],
-                        [api.HostList(ListForm.FAILED, 0, ())],
-                        [api.AttemptEnded(10**6, 0, host(250), False, 1, Outcome.RESET, (1.0,))],
+                        [RequestWithdrawn(10**6)],
+                        [TimerFired(4242)],
+                        [PeerMessage(60000, b"\xff\x00junk")],
+                        [HealthCheckResult(endpoint(3), 1, 5, (float("nan"),))],
+                        [EndpointList(ListForm.FAILED, 0, ())],
+                        [AttemptEnded(10**6, 0, endpoint(250), False, 1, Outcome.RESET, (1.0,))],
                     ][kind]
                 )
             case ("break", count):
                 for request in list(world.standing)[:count]:
                     where = world.standing.pop(request)
-                    ended = api.AttemptEnded(
-                        request, world.attempts[request], where, True, S, Outcome.RESET, ()
-                    )
+                    ended = AttemptEnded(request, world.attempts[request], where, True, S, Outcome.RESET, ())
                     world.feed([ended])
     world.advance(world.now + 5 * S)
     assert not world.owed
-    assert set(world.node.pending) == set(world.standing)
-    assert sum(h.open for h in world.node.hosts.values()) == len(world.standing)
-    assert len(world.node.held) == 0
+    assert set(world.node.requests) == set(world.standing)
+    assert sum(h.in_flight for h in world.node.endpoints.values()) == len(world.standing)
+    assert len(world.node.requests.waiting) == 0
 
 
 def check_effect(seed: int, failing: float, steps: list[tuple[Any, ...]], changes: dict[str, Any]) -> None:
@@ -251,13 +282,11 @@
     logs = []
     for _ in range(2):
         world = World(seed, 0.4)
-        log: list[api.Action] = []
+        log: list[Action] = []
         step = world.node.step
 
-        def recorded(
-            now: int, events: Any, step: Any = step, log: list[api.Action] = log
-        ) -> list[api.Action]:
-            actions: list[api.Action] = step(now, events)
+        def recorded(now: int, events: Any, step: Any = step, log: list[Action] = log) -> list[Action]:
+            actions: list[Action] = step(now, events)
             log.extend(actions)
             return actions
 
