--- a/linnetshift/broker/snapshot.py
+++ b/linnetshift/broker/snapshot.py
@@ -29,7 +29,7 @@
     """
     first_error: Exception | None = None
     for import_section in (
-        partial(import_balancer_state, balancer),
+        partial(_import_balancer, balancer),
         latency_estimator.import_migrations,
         latency_estimator.import_resets,
     ):
@@ -39,3 +39,10 @@
             first_error = first_error or error
     if first_error is not None:
         raise first_error
+
+
+def _import_balancer(balancer: Balancer, state: Mapping[str, Any]) -> None:
+    """Raise ValueError with the keys whose values have another type, once all others are taken."""
+    rejected = import_balancer_state(balancer, state)
+    if rejected:
+        raise ValueError(f"values of another type: {', '.join(rejected)}")
--- a/linnetshift/lifecycle/takeover_messages.py
+++ b/linnetshift/lifecycle/takeover_messages.py
@@ -64,9 +64,8 @@
 
     streams: int = 0  # open descriptors
     moved: int = 0  # clients migrated since the process started
-    loads: Mapping[bytes, list[EstablishedConnection]] = MappingProxyType(
-        {}
-    )  # established connections by endpoint
+    # Established connections by endpoint.
+    loads: Mapping[bytes, list[EstablishedConnection]] = MappingProxyType({})
 
     def to_json(self) -> dict[str, object]:
         """Return the keys shared by the heartbeat and the exported state.
@@ -112,7 +111,7 @@
     return all(math.isfinite(load) and load >= 0.0 for load in loads)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True)
 class Hello:
     """The new process asks for the state of the one that it replaces."""
 
@@ -121,8 +120,7 @@
         return {KIND_KEY: HELLO_KIND}
 
 
-@dataclass(frozen=True, slots=True)
-class ExportedState:
+class ExportedState(NamedTuple):
     """The answer to `Hello`: everything that the new process needs to take over."""
 
     endpoint_list: dict[str, Any]  # in discovery's form
@@ -147,7 +145,7 @@
         }
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True)
 class Serving:
     """The new process accepts connections; the old one is to stop."""
 
@@ -156,7 +154,7 @@
         return {KIND_KEY: SERVING_KIND}
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True)
 class Stopped:
     """The old process no longer accepts connections."""
 
@@ -165,8 +163,7 @@
         return {KIND_KEY: STOPPED_KIND}
 
 
-@dataclass(frozen=True, slots=True)
-class AdministrativeDrain:
+class AdministrativeDrain(NamedTuple):
     """An operator took an endpoint out or restored it at the sender; the receiver is to do the same."""
 
     endpoint: bytes
@@ -183,8 +180,7 @@
         }
 
 
-@dataclass(frozen=True, slots=True)
-class AdministrativeDrainConfirmed:
+class AdministrativeDrainConfirmed(NamedTuple):
     """The sender applied the drain of this number, and so did every other process that it knows."""
 
     number: int
@@ -194,8 +190,7 @@
         return {KIND_KEY: DRAIN_CONFIRMED_KIND, NUMBER_KEY: self.number}
 
 
-@dataclass(frozen=True, slots=True)
-class Heartbeat:
+class Heartbeat(NamedTuple):
     """What the sender holds at the moment, sent regularly."""
 
     peer_resources: PeerResources
@@ -205,8 +200,7 @@
         return {KIND_KEY: HEARTBEAT_KIND, **self.peer_resources.to_json()}
 
 
-@dataclass(frozen=True, slots=True)
-class UnknownMessage:
+class UnknownMessage(NamedTuple):
     """A message of a kind that has no meaning at this point or in this version; it is ignored."""
 
     kind: str
--- a/linnetshift/routing/ranking.py
+++ b/linnetshift/routing/ranking.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Iterator
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import numpy as np
-import numpy.typing as npt
 
 from linnetshift.routing.context import RoutingContext
 from linnetshift.routing.endpoints import Endpoint, EndpointTable
@@ -19,6 +19,9 @@
 from linnetshift.routing.rendezvous_hashing import MASK, endpoint_hash, rank
 from linnetshift.routing.slow_start import SlowStart, token_rate
 
+if TYPE_CHECKING:
+    import numpy.typing as npt
+
 # Steps in which warm-up acts on weights: balancers a few milliseconds apart hold the same ranking.
 WARM_UP_STEPS = 8
 NEVER_NS = MASK
--- a/linnetshift/routing/rendezvous_hashing.py
+++ b/linnetshift/routing/rendezvous_hashing.py
@@ -3,9 +3,12 @@
 from __future__ import annotations
 
 from hashlib import blake2b
+from typing import TYPE_CHECKING
 
 import numpy as np
-import numpy.typing as npt
+
+if TYPE_CHECKING:
+    import numpy.typing as npt
 
 MASK = (1 << 64) - 1
 """Bits of a 64-bit hash."""
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -73,7 +73,7 @@
         """Log the end and notify who ordered the check."""
         elapsed_ns = self.loop.now() - self.started_at_ns
         own: dict[str, object] = {
-            "provider": self.endpoint.decode("utf-8", "replace"),
+            "endpoint": self.endpoint.decode("utf-8", "replace"),
             "ms": elapsed_ns // MS,
         }
         figures = dict(zip(self.columns, self.figures, strict=False))
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -38,16 +38,16 @@
 @pytest.mark.parametrize(
     ("more", "sent", "answer", "logged"),
     [
-        ({}, b"PING\r\n", b"PONG\r\n", r"reason=answered provider=s-0 ms=\d+$"),
+        ({}, b"PING\r\n", b"PONG\r\n", r"reason=answered endpoint=s-0 ms=\d+$"),
         (COLUMNS, b"STATS\r\n", b"PONG x0=0.5,zz=1,outstanding=7\r\n", r"answered .* outstanding=7.0 x0=0.5"),
-        (COLUMNS, b"STATS\r\n", b"PONG x0=0.5\r\n", r"reason=answered provider=s-0 ms=\d+$"),
-        (COLUMNS, b"STATS\r\n", b"PONG outstanding=1,x0=nan\r\n", r"reason=answered provider=s-0 ms=\d+$"),
+        (COLUMNS, b"STATS\r\n", b"PONG x0=0.5\r\n", r"reason=answered endpoint=s-0 ms=\d+$"),
+        (COLUMNS, b"STATS\r\n", b"PONG outstanding=1,x0=nan\r\n", r"reason=answered endpoint=s-0 ms=\d+$"),
         (COLUMNS, b"STATS\r\n", b"ERR\r\n", "side=health-check reason=error"),
         (
             ODD,
             b"STATS\r\n",
             b"PONG ms=7,side=8,event=9\r\n",
-            r"side=health-check reason=answered provider=s-0 ms=\d+",
+            r"side=health-check reason=answered endpoint=s-0 ms=\d+",
         ),
     ],
 )
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -276,3 +276,20 @@
 
     import_state(broker.balancer, broker.latency_estimator, memory)
     assert export_state(broker.balancer, broker.latency_estimator) == before
+
+
+def test_value_of_another_type_is_named_and_the_rest_is_taken(
+    successor: Proxy, recorded: dict[str, Any]
+) -> None:
+    broker = successor.broker
+    memory = recorded["memory"]
+    memory["window"]["size"] = "wide"
+    memory["window"]["failing"] = 0.5
+    memory["guests"][0] = 7.5
+
+    with pytest.raises(ValueError, match=r"values of another type: window\.size"):
+        import_state(broker.balancer, broker.latency_estimator, memory)
+
+    assert BALANCER_VALUES["window", "size"](broker.balancer) == 21.5
+    assert BALANCER_VALUES["window", "failing"](broker.balancer) == 0.5
+    assert broker.latency_estimator.migrations.net == 7.5
