--- /dev/null
+++ b/tests/simulated_balancers.py
@@ -0,0 +1,149 @@
+"""Many balancers in one process on one simulated clock; their actions are recorded for all of them together.
+
+Endpoints answer as the test configures them: whether connections are established, and how long a health check
+takes. A request goes to the balancer that the test names; a balancer receives only the events of its own.
+"""
+
+from __future__ import annotations
+
+import heapq
+from collections import Counter, deque
+from itertools import count
+
+from conftest import MS, S, listed, raw_settings
+
+from linnetshift.routing.actions import Action, Fail, HealthCheck, Migrate, Reject, Send, SetTimer, Watch
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import (
+    AttemptEnded,
+    ConnectionEstablished,
+    EndpointEntry,
+    Event,
+    HealthCheckResult,
+    Outcome,
+    Request,
+    TimerFired,
+)
+from linnetshift.routing.settings import Settings
+
+ANSWER_NS = 1 * MS  # response time of a healthy endpoint
+
+
+class SimulatedBalancers:
+    """The balancers, their simulated clock and all that they did."""
+
+    def __init__(
+        self, balancer_count: int, endpoints: tuple[EndpointEntry, ...], seed: int = 0, **changes: object
+    ) -> None:
+        zones = (
+            3 if changes.pop("perZone", False) else 1
+        )  # balancers spread over three zones, or all in the first
+        settings = [
+            raw_settings(**{**changes, "myNumber": n, "balancers": balancer_count, "zone": n % zones})
+            for n in range(balancer_count)
+        ]
+        self.balancers = [Balancer(Settings.parse(raw), seed + n + 1) for n, raw in enumerate(settings)]
+        self.restart_seeds = count(balancer_count + 1)
+        self.now = 1 * S
+        self.order = count()
+        self.request_ids = count(1)
+        self.due: list[tuple[int, int, int, Event]] = []
+        self.unreachable: set[bytes] = set()  # connects to these time out
+        self.failing: set[bytes] = set()  # these answer everything with an error
+        self.health_check_delays: dict[bytes, int] = {}  # of overloaded endpoints, in ns
+        self.sends: list[tuple[int, int, int, bytes]] = []  # time, balancer, request, endpoint
+        self.health_checks: list[tuple[int, int, bytes]] = []
+        self.watches: list[tuple[int, int]] = []
+        self.answers: dict[int, list[tuple[int, Action]]] = {}
+        self.migrations: list[tuple[int, int, int]] = []
+        self.attempts: Counter[int] = Counter()
+        self.send_to_all(listed(*endpoints))
+
+    def send_to_all(self, event: Event) -> None:
+        for balancer in range(len(self.balancers)):
+            self.send_event(balancer, event)
+
+    def restart(self, balancer: int, known: Event) -> None:
+        """Replace the balancer by a new process that knows only that list; drop its scheduled events."""
+        self.balancers[balancer] = Balancer(self.balancers[balancer].settings, next(self.restart_seeds))
+        self.due = [entry for entry in self.due if entry[2] != balancer]
+        heapq.heapify(self.due)
+        self.send_event(balancer, known)
+
+    def send_event(self, balancer: int, *events: Event) -> None:
+        for action in self.balancers[balancer].step(self.now, list(events)):
+            self.perform(balancer, action)
+
+    def call_later(self, delay: int, balancer: int, event: Event) -> None:
+        heapq.heappush(self.due, (self.now + delay, next(self.order), balancer, event))
+
+    def send_request(self, balancer: int, **changes: object) -> int:
+        request_id = next(self.request_ids)
+        # type: ignore[arg-type]
+        self.send_event(balancer, Request(request_id, 0, 0, request_id, 0, 0, 0, 2 * S)._replace(**changes))
+        return request_id
+
+    def run(self, until: int) -> None:
+        while self.due and self.due[0][0] <= until:
+            self.now, _, balancer, event = heapq.heappop(self.due)
+            self.send_event(balancer, event)
+        self.now = until
+
+    def perform(self, balancer: int, action: Action) -> None:
+        match action:
+            case Send():
+                self.answer_send(balancer, action)
+            case HealthCheck(endpoint):
+                self.answer_health_check(balancer, endpoint)
+            case SetTimer(delay, token):
+                self.call_later(delay, balancer, TimerFired(token))
+            case Watch(on=True):
+                self.watches.append((self.now, balancer))
+            case Migrate(request):
+                self.migrations.append((self.now, balancer, request))
+                closed = AttemptEnded(request, 0, b"", True, 0, Outcome.CANCELLED, ())
+                self.call_later(ANSWER_NS, balancer, closed)
+            case Reject(request) | Fail(request):
+                self.answers.setdefault(request, []).append((self.now, action))
+
+    def answer_send(self, balancer: int, send: Send) -> None:
+        """Schedule how the attempt ends: connected, refused with an error, or never connected."""
+        request, endpoint, timeout = send
+        attempt = self.attempts[request]
+        self.attempts[request] += 1
+        self.sends.append((self.now, balancer, request, endpoint))
+        if endpoint in self.unreachable:
+            limit = min(timeout, self.balancers[balancer].settings.connect_timeout_ns)
+            failed = AttemptEnded(request, attempt, endpoint, False, limit, Outcome.CONNECT_FAILED, ())
+            self.call_later(limit, balancer, failed)
+        elif endpoint in self.failing:
+            failed = AttemptEnded(request, attempt, endpoint, False, ANSWER_NS, Outcome.ERROR, ())
+            self.call_later(ANSWER_NS, balancer, failed)
+        else:
+            established = ConnectionEstablished(request, attempt, endpoint, ANSWER_NS)
+            self.call_later(ANSWER_NS, balancer, established)
+
+    def answer_health_check(self, balancer: int, endpoint: bytes) -> None:
+        """Schedule the result of a health check, at the latest when the connect timeout expires."""
+        self.health_checks.append((self.now, balancer, endpoint))
+        limit = self.balancers[balancer].settings.connect_timeout_ns
+        outcome, wait = Outcome.OK, self.health_check_delays.get(endpoint, ANSWER_NS)
+        if endpoint in self.unreachable:
+            outcome, wait = Outcome.CONNECT_FAILED, limit
+        elif endpoint in self.failing:
+            outcome = Outcome.ERROR
+        elif wait > limit:
+            outcome, wait = Outcome.TIMEOUT, limit
+        self.call_later(wait, balancer, HealthCheckResult(endpoint, outcome, wait, ()))
+
+
+def most_within(times: list[int], window: int) -> int:
+    """Return the largest number of these times within any window of that length."""
+    window_times: deque[int] = deque()
+    most = 0
+    for at in sorted(times):
+        window_times.append(at)
+        while window_times[0] <= at - window:
+            window_times.popleft()
+        most = max(most, len(window_times))
+    return most
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import MS, S, balancer, effect, endpoint, entry, listed, only, raw_settings, request
-from fleet import Fleet
+from simulated_balancers import SimulatedBalancers
 
 from linnetshift.broker.administrative_drains import LEAVE_NS
 from linnetshift.lifecycle.graceful_shutdown import kill_after
@@ -100,11 +100,11 @@
     # Each of 200 sent its next connection there: a cold endpoint bore two or three.
     met = 0
     for seed in range(0, 10 * nodes, nodes):
-        fleet = Fleet(nodes, tuple(entry(n) for n in range(8)), seed)
-        fleet.tell_all(listed(entry(3, state=EndpointState.DRAINING), form=ListForm.DELTA))
+        fleet = SimulatedBalancers(nodes, tuple(entry(n) for n in range(8)), seed)
+        fleet.send_to_all(listed(entry(3, state=EndpointState.DRAINING), form=ListForm.DELTA))
         fleet.run(2 * S)
-        fleet.tell_all(listed(entry(3, started_ns=2 * S), form=ListForm.DELTA))
+        fleet.send_to_all(listed(entry(3, started_ns=2 * S), form=ListForm.DELTA))
         for n in range(nodes):
-            fleet.ask(n)
+            fleet.send_request(n)
         met += sum(where == endpoint(3) for _, _, _, where in fleet.sends)
     assert 10 <= met <= 30  # over ten fleets
--- a/tests/test_groups.py
+++ b/tests/test_group_affinity.py
@@ -6,9 +6,9 @@
 
 import pytest
 from conftest import MS, S, entry, listed
-from fleet import Fleet
 from hypothesis import given
 from hypothesis import strategies as st
+from simulated_balancers import SimulatedBalancers
 
 from linnetshift.routing.group_affinity import PRIOR_EQUAL_PAIRS, PRIOR_PAIRS, SAMPLE_SIZE, GroupSizeEstimator
 
@@ -30,15 +30,18 @@
 def places(groups: int, nodes: int) -> float:
     """How many endpoints hold some of a group, on the mean: nodes in three zones, where crossing is dear."""
     endpoints = tuple(entry(n) for n in range(24))
-    fleet, draws = Fleet(nodes, endpoints, fees={"crossZone": 0.1}, perZone=True), random.Random(groups)
-    for node in fleet.nodes:  # what it met before
+    fleet, draws = (
+        SimulatedBalancers(nodes, endpoints, fees={"crossZone": 0.1}, perZone=True),
+        random.Random(groups),
+    )
+    for node in fleet.balancers:  # what it met before
         for _ in range(30):
             node.group_sizes.record_client(draws.randrange(groups) + 1)
         node.step(fleet.now, [listed(*endpoints)])
     stands: dict[int, set[bytes]] = {}
     for n in range(600):
         group = draws.randrange(groups) + 1
-        fleet.ask(n % nodes, key=n + 1, group=group)
+        fleet.send_request(n % nodes, key=n + 1, group=group)
         fleet.run(fleet.now + 2 * MS)
         stands.setdefault(group, set()).add(fleet.sends[-1][3])
     assert fleet.now < 10 * S
--- a/tests/test_fleet.py
+++ b/tests/test_many_balancers.py
@@ -6,7 +6,7 @@
 
 import pytest
 from conftest import MS, S, balancer, ended, endpoint, entry, listed, only, request
-from fleet import Fleet
+from simulated_balancers import SimulatedBalancers
 
 from linnetshift.routing.actions import Send
 from linnetshift.routing.events import (
@@ -26,17 +26,17 @@
 PROBING = {"probing": True}
 
 
-def standing_at(fleet: Fleet, where: bytes) -> int:
-    return sum(len(node.endpoints[where].established) for node in fleet.nodes)
+def standing_at(fleet: SimulatedBalancers, where: bytes) -> int:
+    return sum(len(node.endpoints[where].established) for node in fleet.balancers)
 
 
 @pytest.mark.parametrize("nodes", [2, 40])
 def test_a_node_that_meets_an_endpoint_seldom_asks_before_it_places_there(nodes: int) -> None:
     # 40 nodes with a connection or two each went on sending to an endpoint that no message left in time.
-    fleet = Fleet(nodes, ENDPOINTS, allowed=PROBING)
-    fleet.waits[endpoint(3)] = 150 * MS
+    fleet = SimulatedBalancers(nodes, ENDPOINTS, allowed=PROBING)
+    fleet.health_check_delays[endpoint(3)] = 150 * MS
     for n in range(80):
-        fleet.ask(n % nodes, key=n + 1)
+        fleet.send_request(n % nodes, key=n + 1)
         fleet.run(fleet.now + 20 * MS)
     fleet.run(fleet.now + 2 * S)
     jammed = [at for at, _, _, where in fleet.sends if where == endpoint(3)]
@@ -51,7 +51,7 @@
         assert len(fleet.health_checks) <= sum(at < 2 * S for at, _, _ in fleet.health_checks)
 
 
-def note(fleet: Fleet, node: int, number: int, where: bytes, ms: float) -> ConnectionNote:
+def note(fleet: SimulatedBalancers, node: int, number: int, where: bytes, ms: float) -> ConnectionNote:
     return ConnectionNote(number, 0, where, SLOW_NOTE, ms)
 
 
@@ -61,27 +61,27 @@
 def test_a_few_late_endpoints_are_not_the_fleet(nodes: int, late: int, served: bool) -> None:
     # A node that stood at two endpoints, both late, turned half of all away at once while most endpoints were
     # idle.
-    fleet = Fleet(nodes, ENDPOINTS)
-    node = fleet.nodes[0]
+    fleet = SimulatedBalancers(nodes, ENDPOINTS)
+    node = fleet.balancers[0]
     for n in range(late):
         numbers = [number for number in range(1, 400) if placed(fleet, number) == endpoint(n)]
-        fleet.ask(0, key=numbers[0])
+        fleet.send_request(0, key=numbers[0])
     fleet.run(fleet.now + 100 * MS)
     for _ in range(3):
         fleet.run(fleet.now + 1 * S)
         for where in [h for h in node.endpoints.values() if h.established]:
-            fleet.tell(0, note(fleet, 0, next(iter(where.established)), where.id, 90.0))
+            fleet.send_event(0, note(fleet, 0, next(iter(where.established)), where.id, 90.0))
     assert (node.admission.load_shedding.admitted_share == 1.0) is served
 
 
-def placed(fleet: Fleet, key: int, number: int = 0) -> bytes:
+def placed(fleet: SimulatedBalancers, key: int, number: int = 0) -> bytes:
     """Where the key's connection goes by that node's ranking alone."""
-    node = fleet.nodes[number]
+    node = fleet.balancers[number]
     return next(iter(node.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0))))).id
 
 
-def placed_in_order(fleet: Fleet, key: int) -> list[bytes]:
-    node = fleet.nodes[0]
+def placed_in_order(fleet: SimulatedBalancers, key: int) -> list[bytes]:
+    node = fleet.balancers[0]
     return [one.id for one in node.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))]
 
 
@@ -91,14 +91,14 @@
     # A draw decides on each, so the mean of ten fleets is looked at: 11.6 and 32 of 80 are meant.
     moved = 0
     for seed in range(0, 1000, 100):
-        fleet = Fleet(40, ENDPOINTS, seed)
+        fleet = SimulatedBalancers(40, ENDPOINTS, seed)
         key = next(key for key in range(1, 400) if placed(fleet, key) == endpoint(3))
-        numbers = [fleet.ask(n % 40, key=key) for n in range(80)]
+        numbers = [fleet.send_request(n % 40, key=key) for n in range(80)]
         fleet.run(fleet.now + 100 * MS)
         for n, number in enumerate(numbers):
             if n < 40:
-                fleet.tell(n, note(fleet, n, number, endpoint(3), ms))
-        moved += len(fleet.moves)
+                fleet.send_event(n, note(fleet, n, number, endpoint(3), ms))
+        moved += len(fleet.migrations)
     assert least <= moved / 10 <= most
 
 
@@ -106,16 +106,16 @@
 def test_an_endpoint_that_drains_is_left_over_the_time_its_place_needs(nodes: int) -> None:
     # Left within 2.5 s, 36 and 39 connections of two endpoints came to three of a third of their size, while
     # the new ones were not up yet and those two would have served for 6 s.
-    fleet = Fleet(nodes, ENDPOINTS)
+    fleet = SimulatedBalancers(nodes, ENDPOINTS)
     key = next(key for key in range(1, 400) if placed(fleet, key) == endpoint(3))
     for n in range(80):
-        fleet.ask(n % nodes, key=key)
+        fleet.send_request(n % nodes, key=key)
     fleet.run(fleet.now + 100 * MS)
-    fleet.tell_all(listed(entry(3, state=EndpointState.DRAINING), form=ListForm.DELTA))
+    fleet.send_to_all(listed(entry(3, state=EndpointState.DRAINING), form=ListForm.DELTA))
     fleet.run(fleet.now + 2500 * MS)
-    assert 25 <= len(fleet.moves) <= 55
+    assert 25 <= len(fleet.migrations) <= 55
     fleet.run(fleet.now + 3000 * MS)
-    assert len(fleet.moves) == 80
+    assert len(fleet.migrations) == 80
 
 
 @pytest.mark.parametrize("nodes", [2, 40])
@@ -124,14 +124,14 @@
     nodes: int, fee: float, least: float, most: float
 ) -> None:
     # Every second connection crossed data centres, a fifth of all that was lost. Here are three zones.
-    fleet = Fleet(nodes, ENDPOINTS, fees={"crossZone": fee})
+    fleet = SimulatedBalancers(nodes, ENDPOINTS, fees={"crossZone": fee})
     homes = {n: set[bytes]() for n in range(3)}
-    for n, node in enumerate(fleet.nodes):
+    for n, node in enumerate(fleet.balancers):
         node.configure(replace(node.settings, zone=n % 3))
         for _ in range(64):  # groups are large here: with small ones the places would cost more than crossing
             node.group_sizes.record_client(1)
     for n in range(240):
-        fleet.ask(n % nodes, key=n + 1, group=n // 6 + 1)
+        fleet.send_request(n % nodes, key=n + 1, group=n // 6 + 1)
         fleet.run(fleet.now + 5 * MS)
     crossing = sum(entry_of(where).zone != node % 3 for _, node, _, where in fleet.sends)
     assert least <= crossing / 240 <= most
@@ -155,14 +155,14 @@
     # proxies that knew nothing of it to the same dozen of servers, 200 a second, for twenty seconds. Where
     # nobody drops any, who comes back was moved, and its group's place is as good as it was.
     nodes = 40
-    fleet = Fleet(nodes, ENDPOINTS)
+    fleet = SimulatedBalancers(nodes, ENDPOINTS)
     key = next(key for key in range(1, 400) if placed(fleet, key) == endpoint(3))
     if dropped:
-        for node in fleet.nodes:
+        for node in fleet.balancers:
             for _ in range(8):
                 node.returning_clients.record_drop(fleet.now)
     for n in range(200):
-        fleet.ask(n % nodes, key=n + 1, group=key, flags=flags)
+        fleet.send_request(n % nodes, key=n + 1, group=key, flags=flags)
         fleet.run(fleet.now + 5 * MS)
     where = [where for _, _, _, where in fleet.sends]
     assert least <= where.count(endpoint(3)) / 200 <= most
@@ -201,8 +201,8 @@
     nodes: int, endpoints: tuple[EndpointEntry, ...], chance: bool
 ) -> None:
     # With nothing listed, or all draining, requests waited out their deadlines for a chance that none had.
-    fleet = Fleet(nodes, endpoints)
-    numbers = [fleet.ask(n % nodes) for n in range(nodes)]
+    fleet = SimulatedBalancers(nodes, endpoints)
+    numbers = [fleet.send_request(n % nodes) for n in range(nodes)]
     if not chance:
         assert {at for number in numbers for at, _ in fleet.answers[number]} == {fleet.now}
         assert all(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Random legal sequences of events, played against a small world that checks the rules on every action."""
+"""Random legal sequences of events, played against a simulation that checks the rules on every action."""
 
 from __future__ import annotations
 
@@ -45,53 +45,57 @@
 FAILURES = [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
-class World:
-    """Endpoints that fail at random; it answers every attempt and raises on any broken rule."""
+class Simulation:
+    """Endpoints that fail at random; answers every attempt and asserts that each action keeps the rules."""
 
     def __init__(self, seed: int, failing: float, **changes: Any) -> None:
         self.random = random.Random(seed)
         self.failing = failing
         self.settings = Settings.parse(raw_settings(**changes))
-        self.node = Balancer(self.settings, seed)
+        self.balancer = Balancer(self.settings, seed)
         self.now = S
         self.due: list[tuple[int, int, Event]] = []
         self.order = 0
-        self.owed: dict[int, int] = {}  # open requests and their deadlines
-        self.out: dict[int, tuple[int, bytes, int]] = {}  # request: attempt, endpoint, sent
+        self.deadlines: dict[int, int] = {}  # of open requests
+        self.in_flight: dict[int, tuple[int, bytes, int]] = {}  # request: attempt, endpoint, sent
         self.attempts: dict[int, int] = {}
-        self.standing: dict[int, bytes] = {}
-        self.maybe: dict[int, tuple[bytes, int]] = {}  # first attempt that may have run
-        self.told: dict[bytes, int] = {}
+        self.established: dict[int, bytes] = {}
+        self.maybe_executed: dict[int, tuple[bytes, int]] = {}  # first attempt that may have run
+        self.unavailable_since: dict[bytes, int] = {}
         self.zone = {endpoint(n): entry(n).zone for n in range(12)}
         self.answered = 0
         self.state: dict[bytes, int] = {endpoint(n): EndpointState.READY for n in range(12)}
         self.started: dict[bytes, int] = {}
         self.cold_sends: dict[bytes, list[int]] = {}
-        self.first_stands = 0
-        self.most_standing = 0
-        self.least_total = 12.0
+        self.established_total = 0
+        self.max_established = 0
+        self.min_total_capacity = 12.0
 
-    def warmth(self, where: bytes) -> float:
-        age = (self.now - self.started.get(where, -(10**12))) / self.settings.warm_up_ns
+    def warm_up_factor(self, endpoint_id: bytes) -> float:
+        age = (self.now - self.started.get(endpoint_id, -(10**12))) / self.settings.warm_up_ns
         return min(
             1.0, self.settings.initial_capacity_share + (1 - self.settings.initial_capacity_share) * age
         )
 
-    def check_cold(self, where: bytes) -> None:
-        """Rule 4 as one node can keep it: its sends in any window, as if every node sent as many.
+    def check_slow_start(self, endpoint_id: bytes) -> None:
+        """Rule 4 as far as one balancer can keep it: its sends in any window, if every balancer sent as many.
 
-        A warm endpoint of this size takes at most what the node ever held or saw come to stand, shared over
-        the weights listed; one token may be left from before.
+        A warm endpoint of this size receives at most what the balancer ever had or saw established, shared
+        over the listed weights; one token may be left from before.
         """
-        total = sum(int(self.warmth(h) * 8) / 8 for h, s in self.state.items() if s != EndpointState.REMOVED)
-        self.least_total = min(self.least_total, total)
-        if self.warmth(where) >= 1.0:
+        total = sum(
+            int(self.warm_up_factor(h) * 8) / 8 for h, s in self.state.items() if s != EndpointState.REMOVED
+        )
+        self.min_total_capacity = min(self.min_total_capacity, total)
+        if self.warm_up_factor(endpoint_id) >= 1.0:
             return
         window, warm_up = self.settings.overload_window_ns, self.settings.warm_up_ns
-        sends = self.cold_sends.setdefault(where, [])
+        sends = self.cold_sends.setdefault(endpoint_id, [])
         sends.append(self.now)
         recent = sum(self.now - at < window for at in sends)
-        takes = max(self.most_standing / (warm_up / S), self.first_stands / 10) / self.least_total
+        takes = (
+            max(self.max_established / (warm_up / S), self.established_total / 10) / self.min_total_capacity
+        )
         assert recent <= 2 + self.settings.overload_multiple * takes * window / S
 
     def call_later(self, delay: int, event: Event) -> None:
@@ -99,81 +103,86 @@
         heapq.heappush(self.due, (self.now + delay, self.order, event))
 
     def feed(self, events: list[Event]) -> None:
-        for action in self.node.step(self.now, events):
+        for action in self.balancer.step(self.now, events):
             self.check(action)
-        for request, deadline in self.owed.items():
+        for request, deadline in self.deadlines.items():
             assert self.now <= deadline + self.settings.answer_slack_ns, f"{request} is overdue"
 
     def check(self, action: Action) -> None:
         match action:
-            case Send(request, where, timeout):
-                assert request in self.owed
-                assert request not in self.out
-                assert self.now - self.told.get(where, self.now) <= self.settings.drain_grace_ns
-                self.allow_repeat(request, where)
-                self.check_cold(where)
+            case Send(request, endpoint_id, timeout):
+                assert request in self.deadlines
+                assert request not in self.in_flight
+                assert (
+                    self.now - self.unavailable_since.get(endpoint_id, self.now)
+                    <= self.settings.drain_grace_ns
+                )
+                self.check_retry_allowed(request, endpoint_id)
+                self.check_slow_start(endpoint_id)
                 attempt = self.attempts[request] = self.attempts.get(request, -1) + 1
                 assert attempt < self.settings.classes[0].max_attempts
-                self.out[request] = (attempt, where, self.now)
-                self.answer(request, attempt, where, min(timeout, self.owed[request] - self.now))
+                self.in_flight[request] = (attempt, endpoint_id, self.now)
+                self.answer(request, attempt, endpoint_id, min(timeout, self.deadlines[request] - self.now))
             case Reject(request, _):
                 klass = self.settings.classes[0]
-                assert request in self.owed
-                assert request not in self.out
+                assert request in self.deadlines
+                assert request not in self.in_flight
                 assert (
-                    request not in self.maybe
+                    request not in self.maybe_executed
                     or klass.effect == Effect.IDEMPOTENT
                     or (klass.effect == Effect.IDEMPOTENT_BY_KEY and klass.scope == Scope.ALL)
                 )
-                del self.owed[request]
+                del self.deadlines[request]
                 self.answered += 1
             case Fail(request):
-                assert request in self.owed
-                del self.owed[request]
+                assert request in self.deadlines
+                del self.deadlines[request]
                 self.answered += 1
             case SetTimer(delay, token):
                 self.call_later(max(delay, 1), TimerFired(token))
             case Migrate(request):
-                where = self.standing.pop(request)
+                endpoint_id = self.established.pop(request)
                 attempt = self.attempts[request]
-                self.call_later(MS, AttemptEnded(request, attempt, where, True, S, Outcome.CANCELLED, ()))
+                self.call_later(
+                    MS, AttemptEnded(request, attempt, endpoint_id, True, S, Outcome.CANCELLED, ())
+                )
             case HealthCheck() | SendPeerMessage():
                 raise AssertionError("not permitted here")
 
-    def allow_repeat(self, request: int, where: bytes) -> None:
+    def check_retry_allowed(self, request: int, endpoint_id: bytes) -> None:
         klass = self.settings.classes[0]
-        if request not in self.maybe or klass.effect == Effect.IDEMPOTENT:
+        if request not in self.maybe_executed or klass.effect == Effect.IDEMPOTENT:
             return
-        first, sent = self.maybe[request]
+        first, sent = self.maybe_executed[request]
         assert klass.effect == Effect.IDEMPOTENT_BY_KEY
         assert self.now - sent <= klass.idempotency_window_ns
-        assert klass.scope == Scope.ALL or self.zone[where] == self.zone[first]
+        assert klass.scope == Scope.ALL or self.zone[endpoint_id] == self.zone[first]
 
-    def answer(self, request: int, attempt: int, where: bytes, timeout: int) -> None:
+    def answer(self, request: int, attempt: int, endpoint_id: bytes, timeout: int) -> None:
         delay = self.random.randrange(1, 300) * MS
         if self.random.random() >= self.failing and delay < timeout:
-            self.call_later(delay, ConnectionEstablished(request, attempt, where, delay))
+            self.call_later(delay, ConnectionEstablished(request, attempt, endpoint_id, delay))
             return
         outcome = self.random.choice(FAILURES)
         delay = timeout if outcome == Outcome.TIMEOUT else min(delay, timeout)
-        self.call_later(delay, AttemptEnded(request, attempt, where, False, delay, outcome, ()))
+        self.call_later(delay, AttemptEnded(request, attempt, endpoint_id, False, delay, outcome, ()))
 
     def advance(self, until: int) -> None:
         while self.due and self.due[0][0] <= until:
             at, _, event = heapq.heappop(self.due)
             self.now = max(self.now, -(-at // (4 * MS)) * 4 * MS)  # batches come in steps
             match event:
-                case ConnectionEstablished(request, _, where, _):
-                    del self.out[request]
-                    del self.owed[request]
-                    self.standing[request] = where
-                    self.first_stands += 1
-                    self.most_standing = max(self.most_standing, len(self.standing))
+                case ConnectionEstablished(request, _, endpoint_id, _):
+                    del self.in_flight[request]
+                    del self.deadlines[request]
+                    self.established[request] = endpoint_id
+                    self.established_total += 1
+                    self.max_established = max(self.max_established, len(self.established))
                     self.answered += 1
-                case AttemptEnded(request, _, where, closed, _, outcome, _) if not closed:
-                    _, _, sent = self.out.pop(request)
+                case AttemptEnded(request, _, endpoint_id, closed, _, outcome, _) if not closed:
+                    _, _, sent = self.in_flight.pop(request)
                     if outcome not in NEVER_RAN:
-                        self.maybe.setdefault(request, (where, sent))
+                        self.maybe_executed.setdefault(request, (endpoint_id, sent))
             self.feed([event])
         self.now = max(self.now, until)
 
@@ -192,66 +201,103 @@
 )
 
 
-def play(world: World, steps: list[tuple[Any, ...]]) -> None:
-    world.feed([EndpointList(ListForm.CACHED, 1, tuple(entry(n) for n in range(12)))])
-    number = 0
-    for step in steps:
+INVALID_EVENTS: list[Event] = [
+    RequestWithdrawn(10**6),
+    TimerFired(4242),
+    PeerMessage(60000, b"\xff\x00junk"),
+    HealthCheckResult(endpoint(3), 1, 5, (float("nan"),)),
+    EndpointList(ListForm.FAILED, 0, ()),
+    AttemptEnded(10**6, 0, endpoint(250), False, 1, Outcome.RESET, (1.0,)),
+]
+
+
+class Player:
+    """Plays the drawn steps against a simulation."""
+
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.last_request_id = 0
+
+    def play(self, step: tuple[Any, ...]) -> None:
         match step:
             case ("requests", count):
                 for _ in range(count):
-                    number += 1
-                    budget = world.random.choice([50, 400, 1000, 2000]) * MS
-                    world.owed[number] = world.now + budget
-                    flags = world.random.choice([0, 0, MID_FLOW, RETURNED])
-                    group = world.random.randrange(8)
-                    world.feed([Request(number, 0, group, number, 0, flags, 0, budget)])
+                    self.send_request()
             case ("wait", ms):
-                world.advance(world.now + ms * 4 * MS)
+                self.simulation.advance(self.simulation.now + ms * 4 * MS)
             case ("state", n, state):
-                changed = entry(n, state=state)
-                world.state[changed.endpoint] = state
-                world.started.pop(changed.endpoint, None)
-                if state == EndpointState.READY:
-                    world.told.pop(changed.endpoint, None)
-                else:
-                    world.told.setdefault(changed.endpoint, world.now)
-                world.feed([EndpointList(ListForm.DELTA, 2, (changed,))])
+                self.change_state(n, state)
             case ("restart", n):
-                world.told.pop(endpoint(n), None)
-                world.state[endpoint(n)], world.started[endpoint(n)] = EndpointState.READY, world.now
-                world.cold_sends.pop(endpoint(n), None)
-                world.feed([EndpointList(ListForm.DELTA, 2, (entry(n, started_ns=world.now),))])
+                self.restart_endpoint(n)
             case ("slow", value):
-                notes = [ConnectionNote(r, 0, h, SLOW_NOTE, value) for r, h in world.standing.items()]
-                known = [n for n in notes if n.request_id in world.standing]
-                for note in known:
-                    if note.request_id in world.standing:
-                        world.feed([note])
+                self.report_latency(value)
             case ("noise", kind):
-                world.feed(
-                    [
-                        [RequestWithdrawn(10**6)],
-                        [TimerFired(4242)],
-                        [PeerMessage(60000, b"\xff\x00junk")],
-                        [HealthCheckResult(endpoint(3), 1, 5, (float("nan"),))],
-                        [EndpointList(ListForm.FAILED, 0, ())],
-                        [AttemptEnded(10**6, 0, endpoint(250), False, 1, Outcome.RESET, (1.0,))],
-                    ][kind]
-                )
+                self.simulation.feed([INVALID_EVENTS[kind]])
             case ("break", count):
-                for request in list(world.standing)[:count]:
-                    where = world.standing.pop(request)
-                    ended = AttemptEnded(request, world.attempts[request], where, True, S, Outcome.RESET, ())
-                    world.feed([ended])
-    world.advance(world.now + 5 * S)
-    assert not world.owed
-    assert set(world.node.requests) == set(world.standing)
-    assert sum(h.in_flight for h in world.node.endpoints.values()) == len(world.standing)
-    assert len(world.node.requests.waiting) == 0
+                self.break_connections(count)
+
+    def send_request(self) -> None:
+        simulation = self.simulation
+        self.last_request_id += 1
+        number = self.last_request_id
+        budget = simulation.random.choice([50, 400, 1000, 2000]) * MS
+        simulation.deadlines[number] = simulation.now + budget
+        flags = simulation.random.choice([0, 0, MID_FLOW, RETURNED])
+        group = simulation.random.randrange(8)
+        simulation.feed([Request(number, 0, group, number, 0, flags, 0, budget)])
+
+    def change_state(self, n: int, state: int) -> None:
+        simulation = self.simulation
+        changed = entry(n, state=state)
+        simulation.state[changed.endpoint] = state
+        simulation.started.pop(changed.endpoint, None)
+        if state == EndpointState.READY:
+            simulation.unavailable_since.pop(changed.endpoint, None)
+        else:
+            simulation.unavailable_since.setdefault(changed.endpoint, simulation.now)
+        simulation.feed([EndpointList(ListForm.DELTA, 2, (changed,))])
+
+    def restart_endpoint(self, n: int) -> None:
+        simulation = self.simulation
+        simulation.unavailable_since.pop(endpoint(n), None)
+        simulation.state[endpoint(n)] = EndpointState.READY
+        simulation.started[endpoint(n)] = simulation.now
+        simulation.cold_sends.pop(endpoint(n), None)
+        simulation.feed([EndpointList(ListForm.DELTA, 2, (entry(n, started_ns=simulation.now),))])
+
+    def report_latency(self, ms: float) -> None:
+        simulation = self.simulation
+        notes = [ConnectionNote(r, 0, h, SLOW_NOTE, ms) for r, h in simulation.established.items()]
+        for note in notes:
+            if (
+                note.request_id in simulation.established
+            ):  # a note before it may have migrated this connection
+                simulation.feed([note])
+
+    def break_connections(self, count: int) -> None:
+        simulation = self.simulation
+        for request in list(simulation.established)[:count]:
+            endpoint_id = simulation.established.pop(request)
+            ended = AttemptEnded(
+                request, simulation.attempts[request], endpoint_id, True, S, Outcome.RESET, ()
+            )
+            simulation.feed([ended])
+
+
+def play(simulation: Simulation, steps: list[tuple[Any, ...]]) -> None:
+    simulation.feed([EndpointList(ListForm.CACHED, 1, tuple(entry(n) for n in range(12)))])
+    player = Player(simulation)
+    for step in steps:
+        player.play(step)
+    simulation.advance(simulation.now + 5 * S)
+    assert not simulation.deadlines
+    assert set(simulation.balancer.requests) == set(simulation.established)
+    assert sum(h.in_flight for h in simulation.balancer.endpoints.values()) == len(simulation.established)
+    assert len(simulation.balancer.requests.waiting) == 0
 
 
 def check_effect(seed: int, failing: float, steps: list[tuple[Any, ...]], changes: dict[str, Any]) -> None:
-    play(World(seed, failing, **changes), steps)
+    play(Simulation(seed, failing, **changes), steps)
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
@@ -281,16 +327,16 @@
 def test_the_same_events_give_the_same_actions(seed: int, steps: list[tuple[Any, ...]]) -> None:
     logs = []
     for _ in range(2):
-        world = World(seed, 0.4)
+        simulation = Simulation(seed, 0.4)
         log: list[Action] = []
-        step = world.node.step
+        step = simulation.balancer.step
 
         def recorded(now: int, events: Any, step: Any = step, log: list[Action] = log) -> list[Action]:
             actions: list[Action] = step(now, events)
             log.extend(actions)
             return actions
 
-        world.node.step = recorded  # type: ignore[method-assign]
-        play(world, steps)
+        simulation.balancer.step = recorded  # type: ignore[method-assign]
+        play(simulation, steps)
         logs.append(log)
     assert logs[0] == logs[1]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,9 +7,9 @@
 
 import pytest
 from conftest import MS, S, balancer, endpoint, entry, listed, only, request
-from fleet import Fleet
 from hypothesis import given
 from hypothesis import strategies as st
+from simulated_balancers import SimulatedBalancers
 
 from linnetshift.routing.actions import Reject
 from linnetshift.routing.concurrency_limit import INITIAL_LIMIT, MIN_LIMIT, ConcurrencyLimit
@@ -79,14 +79,16 @@
     tip one over (1.0).
     """
     endpoints, warm, window, standing = 20, 10, 2, 400
-    fleet = Fleet(nodes, tuple(entry(n, zone=0) for n in range(endpoints)), rules={"warmUpNs": warm * S})
-    rules, draws = fleet.nodes[0].settings, random.Random(seed)
+    fleet = SimulatedBalancers(
+        nodes, tuple(entry(n, zone=0) for n in range(endpoints)), rules={"warmUpNs": warm * S}
+    )
+    rules, draws = fleet.balancers[0].settings, random.Random(seed)
     traffic = [1.0 / (1 + n % 10) if uneven else 1.0 for n in range(nodes)]
 
     def ask(node: int | None = None) -> None:
         group = int(1 / (draws.random() + 0.02))  # few of them hold most clients
         chosen = draws.choices(range(nodes), traffic)[0] if node is None else node
-        fleet.ask(chosen, key=draws.getrandbits(60) | 1, group=group)
+        fleet.send_request(chosen, key=draws.getrandbits(60) | 1, group=group)
 
     for _ in range(standing):
         ask()
@@ -94,7 +96,7 @@
     fleet.run(fleet.now + 300 * MS)
     began, before = fleet.now, len(fleet.sends)
     news = listed(*(entry(n, zone=0, started_ns=began if n < 8 else 0) for n in range(endpoints)))
-    fleet.tell_all(news)
+    fleet.send_to_all(news)
     for number in range(warm * 80):
         fleet.run(fleet.now + S // 80)
         if restarts and number % 40 == 0:
