--- a/tests/simulated_balancers.py
+++ b/tests/simulated_balancers.py
@@ -35,9 +35,8 @@
     def __init__(
         self, balancer_count: int, endpoints: tuple[EndpointEntry, ...], seed: int = 0, **changes: object
     ) -> None:
-        zones = (
-            3 if changes.pop("perZone", False) else 1
-        )  # balancers spread over three zones, or all in the first
+        # Balancers are spread over three zones, or all in the first.
+        zones = 3 if changes.pop("perZone", False) else 1
         settings = [
             raw_settings(**{**changes, "myNumber": n, "balancers": balancer_count, "zone": n % zones})
             for n in range(balancer_count)
--- a/tests/test_group_affinity.py
+++ b/tests/test_group_affinity.py
@@ -1,4 +1,4 @@
-"""How large groups are, by the clients that came to one of many nodes, and how many places that is worth."""
+"""Group sizes estimated from recent clients of one of many balancers, and how many endpoints a group uses."""
 
 from __future__ import annotations
 
@@ -14,42 +14,40 @@
 
 
 @given(st.lists(st.integers(0, 5), max_size=3 * SAMPLE_SIZE))
-def test_the_likeness_is_that_of_the_clients_that_came_last(groups: list[int]) -> None:
+def test_same_group_probability_counts_most_recent_clients(groups: list[int]) -> None:
     sizes = GroupSizeEstimator()
     for group in groups:
         sizes.record_client(group)
-    last = [group for group in groups if group][-SAMPLE_SIZE:]
-    alike = sum(a == b for n, a in enumerate(last) for b in last[:n])
-    pairs = len(last) * (len(last) - 1) / 2
+    recent = [group for group in groups if group][-SAMPLE_SIZE:]
+    equal_pairs = sum(a == b for n, a in enumerate(recent) for b in recent[:n])
+    pairs = len(recent) * (len(recent) - 1) / 2
     assert sizes.same_group_probability() == pytest.approx(
-        (alike + PRIOR_EQUAL_PAIRS) / (pairs + PRIOR_PAIRS)
+        (equal_pairs + PRIOR_EQUAL_PAIRS) / (pairs + PRIOR_PAIRS)
     )
-    assert sum(sizes.counts.values()) == len(last)
+    assert sum(sizes.counts.values()) == len(recent)
 
 
-def places(groups: int, nodes: int) -> float:
-    """How many endpoints hold some of a group, on the mean: nodes in three zones, where crossing is dear."""
+def mean_endpoints_per_group(groups: int, balancer_count: int) -> float:
+    """Return the mean number of endpoints per group; balancers in three zones, with a high cross-zone fee."""
     endpoints = tuple(entry(n) for n in range(24))
-    fleet, draws = (
-        SimulatedBalancers(nodes, endpoints, fees={"crossZone": 0.1}, perZone=True),
-        random.Random(groups),
-    )
-    for node in fleet.balancers:  # what it met before
+    fleet = SimulatedBalancers(balancer_count, endpoints, fees={"crossZone": 0.1}, perZone=True)
+    draws = random.Random(groups)
+    for balancer in fleet.balancers:  # clients seen before
         for _ in range(30):
-            node.group_sizes.record_client(draws.randrange(groups) + 1)
-        node.step(fleet.now, [listed(*endpoints)])
-    stands: dict[int, set[bytes]] = {}
+            balancer.group_sizes.record_client(draws.randrange(groups) + 1)
+        balancer.step(fleet.now, [listed(*endpoints)])
+    endpoints_by_group: dict[int, set[bytes]] = {}
     for n in range(600):
         group = draws.randrange(groups) + 1
-        fleet.send_request(n % nodes, key=n + 1, group=group)
+        fleet.send_request(n % balancer_count, key=n + 1, group=group)
         fleet.run(fleet.now + 2 * MS)
-        stands.setdefault(group, set()).add(fleet.sends[-1][3])
+        endpoints_by_group.setdefault(group, set()).add(fleet.sends[-1][3])
     assert fleet.now < 10 * S
-    return sum(map(len, stands.values())) / len(stands)
+    return sum(map(len, endpoints_by_group.values())) / len(endpoints_by_group)
 
 
-def test_a_group_has_a_place_in_each_zone_only_where_there_are_endpoints_for_all() -> None:
-    # 56 groups at some 150 places weighed more on 54 servers than all connections together.
-    few, many = places(4, 60), places(60, 60)
-    assert few >= 2.5  # three zones: large groups are spread over them
+def test_group_uses_every_zone_only_when_groups_are_few() -> None:
+    # 56 groups at some 150 endpoints in all loaded 54 servers more than all connections together.
+    few, many = mean_endpoints_per_group(4, 60), mean_endpoints_per_group(60, 60)
+    assert few >= 2.5  # large groups are spread over the three zones
     assert many <= 2.2
--- a/tests/test_many_balancers.py
+++ b/tests/test_many_balancers.py
@@ -1,11 +1,12 @@
-"""What many nodes do that is harmless alone: at 40 nodes, and at 2 so that the small fleet loses nothing."""
+"""Decisions harmless in one balancer but not in many: at 40, and at 2 so that few balancers lose nothing."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 import pytest
-from conftest import MS, S, balancer, ended, endpoint, entry, listed, only, request
+from conftest import MS, S, ended, endpoint, entry, listed, only, request
+from conftest import balancer as make_balancer
 from simulated_balancers import SimulatedBalancers
 
 from linnetshift.routing.actions import Send
@@ -26,90 +27,97 @@
 PROBING = {"probing": True}
 
 
-def standing_at(fleet: SimulatedBalancers, where: bytes) -> int:
-    return sum(len(node.endpoints[where].established) for node in fleet.balancers)
+def established_at(fleet: SimulatedBalancers, endpoint_id: bytes) -> int:
+    return sum(len(balancer.endpoints[endpoint_id].established) for balancer in fleet.balancers)
 
 
-@pytest.mark.parametrize("nodes", [2, 40])
-def test_a_node_that_meets_an_endpoint_seldom_asks_before_it_places_there(nodes: int) -> None:
-    # 40 nodes with a connection or two each went on sending to an endpoint that no message left in time.
-    fleet = SimulatedBalancers(nodes, ENDPOINTS, allowed=PROBING)
+@pytest.mark.parametrize("balancer_count", [2, 40])
+def test_balancer_with_few_connections_checks_health_before_placement(balancer_count: int) -> None:
+    # 40 balancers with a connection or two each went on sending to an endpoint that answered no message in
+    # time.
+    fleet = SimulatedBalancers(balancer_count, ENDPOINTS, allowed=PROBING)
     fleet.health_check_delays[endpoint(3)] = 150 * MS
     for n in range(80):
-        fleet.send_request(n % nodes, key=n + 1)
+        fleet.send_request(n % balancer_count, key=n + 1)
         fleet.run(fleet.now + 20 * MS)
     fleet.run(fleet.now + 2 * S)
-    jammed = [at for at, _, _, where in fleet.sends if where == endpoint(3)]
+    overloaded_sends = [at for at, _, _, endpoint_id in fleet.sends if endpoint_id == endpoint(3)]
     assert not fleet.answers
     assert len(fleet.sends) == 80
-    if nodes == 40:
-        assert not jammed
-        assert len({where for _, _, where in fleet.health_checks}) == 8
+    if balancer_count == 40:
+        assert not overloaded_sends
+        assert len({endpoint_id for _, _, endpoint_id in fleet.health_checks}) == 8
     else:
-        # Who has more connections than there are endpoints hears from most of them and asks no more.
+        # A balancer with more connections than endpoints hears from most of them and needs no checks.
         assert len(fleet.health_checks) < 40
         assert len(fleet.health_checks) <= sum(at < 2 * S for at, _, _ in fleet.health_checks)
 
 
-def note(fleet: SimulatedBalancers, node: int, number: int, where: bytes, ms: float) -> ConnectionNote:
-    return ConnectionNote(number, 0, where, SLOW_NOTE, ms)
+def slow_note(
+    fleet: SimulatedBalancers, balancer: int, number: int, endpoint_id: bytes, ms: float
+) -> ConnectionNote:
+    return ConnectionNote(number, 0, endpoint_id, SLOW_NOTE, ms)
 
 
 @pytest.mark.parametrize(
-    ("nodes", "late", "served"), [(40, 2, True), (40, 5, False), (2, 2, True), (2, 5, False)]
+    ("balancer_count", "late", "served"), [(40, 2, True), (40, 5, False), (2, 2, True), (2, 5, False)]
 )
-def test_a_few_late_endpoints_are_not_the_fleet(nodes: int, late: int, served: bool) -> None:
-    # A node that stood at two endpoints, both late, turned half of all away at once while most endpoints were
-    # idle.
-    fleet = SimulatedBalancers(nodes, ENDPOINTS)
-    node = fleet.balancers[0]
+def test_load_shedding_starts_only_when_most_endpoints_are_late(
+    balancer_count: int, late: int, served: bool
+) -> None:
+    # A balancer with connections at two endpoints, both late, rejected half of all requests at once while
+    # most endpoints were idle.
+    fleet = SimulatedBalancers(balancer_count, ENDPOINTS)
+    balancer = fleet.balancers[0]
     for n in range(late):
-        numbers = [number for number in range(1, 400) if placed(fleet, number) == endpoint(n)]
+        numbers = [number for number in range(1, 400) if first_ranked(fleet, number) == endpoint(n)]
         fleet.send_request(0, key=numbers[0])
     fleet.run(fleet.now + 100 * MS)
     for _ in range(3):
         fleet.run(fleet.now + 1 * S)
-        for where in [h for h in node.endpoints.values() if h.established]:
-            fleet.send_event(0, note(fleet, 0, next(iter(where.established)), where.id, 90.0))
-    assert (node.admission.load_shedding.admitted_share == 1.0) is served
+        for late_endpoint in [h for h in balancer.endpoints.values() if h.established]:
+            fleet.send_event(
+                0, slow_note(fleet, 0, next(iter(late_endpoint.established)), late_endpoint.id, 90.0)
+            )
+    assert (balancer.admission.load_shedding.admitted_share == 1.0) is served
 
 
-def placed(fleet: SimulatedBalancers, key: int, number: int = 0) -> bytes:
-    """Where the key's connection goes by that node's ranking alone."""
-    node = fleet.balancers[number]
-    return next(iter(node.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0))))).id
+def first_ranked(fleet: SimulatedBalancers, key: int, number: int = 0) -> bytes:
+    """Return the endpoint of the key by that balancer's ranking alone."""
+    balancer = fleet.balancers[number]
+    return next(iter(balancer.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0))))).id
 
 
-def placed_in_order(fleet: SimulatedBalancers, key: int) -> list[bytes]:
-    node = fleet.balancers[0]
-    return [one.id for one in node.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))]
+def ranked(fleet: SimulatedBalancers, key: int) -> list[bytes]:
+    balancer = fleet.balancers[0]
+    return [one.id for one in balancer.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))]
 
 
-@pytest.mark.parametrize(("ms", "least", "most"), [(90.0, 8, 15), (1500.0, 29, 35)])
-def test_the_more_work_is_piled_up_the_more_is_moved(ms: float, least: int, most: int) -> None:
-    # At 2 s of work piled up a tenth a second was moved: whoever stayed had no message in time for 7 s.
-    # A draw decides on each, so the mean of ten fleets is looked at: 11.6 and 32 of 80 are meant.
-    moved = 0
+@pytest.mark.parametrize(("ms", "minimum", "maximum"), [(90.0, 8, 15), (1500.0, 29, 35)])
+def test_longer_latency_migrates_more_connections(ms: float, minimum: int, maximum: int) -> None:
+    # With a backlog of 2 s a tenth per second was migrated: the others had no message in time for 7 s.
+    # Each migration is drawn at random, so the mean of ten runs is checked: 11.6 and 32 of 80 are expected.
+    migrated = 0
     for seed in range(0, 1000, 100):
         fleet = SimulatedBalancers(40, ENDPOINTS, seed)
-        key = next(key for key in range(1, 400) if placed(fleet, key) == endpoint(3))
+        key = next(key for key in range(1, 400) if first_ranked(fleet, key) == endpoint(3))
         numbers = [fleet.send_request(n % 40, key=key) for n in range(80)]
         fleet.run(fleet.now + 100 * MS)
         for n, number in enumerate(numbers):
             if n < 40:
-                fleet.send_event(n, note(fleet, n, number, endpoint(3), ms))
-        moved += len(fleet.migrations)
-    assert least <= moved / 10 <= most
+                fleet.send_event(n, slow_note(fleet, n, number, endpoint(3), ms))
+        migrated += len(fleet.migrations)
+    assert minimum <= migrated / 10 <= maximum
 
 
-@pytest.mark.parametrize("nodes", [2, 40])
-def test_an_endpoint_that_drains_is_left_over_the_time_its_place_needs(nodes: int) -> None:
-    # Left within 2.5 s, 36 and 39 connections of two endpoints came to three of a third of their size, while
-    # the new ones were not up yet and those two would have served for 6 s.
-    fleet = SimulatedBalancers(nodes, ENDPOINTS)
-    key = next(key for key in range(1, 400) if placed(fleet, key) == endpoint(3))
+@pytest.mark.parametrize("balancer_count", [2, 40])
+def test_draining_endpoint_is_emptied_gradually(balancer_count: int) -> None:
+    # Migrated within 2.5 s, 36 and 39 connections of two endpoints went to three of a third of their size,
+    # while the new ones were not up yet and those two would have served for 6 s.
+    fleet = SimulatedBalancers(balancer_count, ENDPOINTS)
+    key = next(key for key in range(1, 400) if first_ranked(fleet, key) == endpoint(3))
     for n in range(80):
-        fleet.send_request(n % nodes, key=key)
+        fleet.send_request(n % balancer_count, key=key)
     fleet.run(fleet.now + 100 * MS)
     fleet.send_to_all(listed(entry(3, state=EndpointState.DRAINING), form=ListForm.DELTA))
     fleet.run(fleet.now + 2500 * MS)
@@ -118,92 +126,95 @@
     assert len(fleet.migrations) == 80
 
 
-@pytest.mark.parametrize("nodes", [2, 40])
-@pytest.mark.parametrize(("fee", "least", "most"), [(0.0, 0.55, 0.8), (0.1, 0.0, 0.25)])
-def test_where_crossing_has_a_price_each_zone_has_its_own_place_for_a_key(
-    nodes: int, fee: float, least: float, most: float
+@pytest.mark.parametrize("balancer_count", [2, 40])
+@pytest.mark.parametrize(("fee", "minimum", "maximum"), [(0.0, 0.55, 0.8), (0.1, 0.0, 0.25)])
+def test_cross_zone_fee_gives_each_zone_its_own_endpoint_for_a_key(
+    balancer_count: int, fee: float, minimum: float, maximum: float
 ) -> None:
-    # Every second connection crossed data centres, a fifth of all that was lost. Here are three zones.
-    fleet = SimulatedBalancers(nodes, ENDPOINTS, fees={"crossZone": fee})
-    homes = {n: set[bytes]() for n in range(3)}
-    for n, node in enumerate(fleet.balancers):
-        node.configure(replace(node.settings, zone=n % 3))
-        for _ in range(64):  # groups are large here: with small ones the places would cost more than crossing
-            node.group_sizes.record_client(1)
+    # Every second connection crossed data centres, a fifth of all lost score. Here are three zones.
+    fleet = SimulatedBalancers(balancer_count, ENDPOINTS, fees={"crossZone": fee})
+    first_by_zone = {n: set[bytes]() for n in range(3)}
+    for n, balancer in enumerate(fleet.balancers):
+        balancer.configure(replace(balancer.settings, zone=n % 3))
+        # Large groups: with small ones, more endpoints per group would cost more than crossing.
+        for _ in range(64):
+            balancer.group_sizes.record_client(1)
     for n in range(240):
-        fleet.send_request(n % nodes, key=n + 1, group=n // 6 + 1)
+        fleet.send_request(n % balancer_count, key=n + 1, group=n // 6 + 1)
         fleet.run(fleet.now + 5 * MS)
-    crossing = sum(entry_of(where).zone != node % 3 for _, node, _, where in fleet.sends)
-    assert least <= crossing / 240 <= most
-    for n in range(nodes):
-        homes[n % 3].add(placed(fleet, 7, n))
-    assert all(len(places) <= 1 for places in homes.values())  # those of one zone agree
+    crossing = sum(
+        entry_of(endpoint_id).zone != balancer_index % 3 for _, balancer_index, _, endpoint_id in fleet.sends
+    )
+    assert minimum <= crossing / 240 <= maximum
+    for n in range(balancer_count):
+        first_by_zone[n % 3].add(first_ranked(fleet, 7, n))
+    assert all(len(endpoints) <= 1 for endpoints in first_by_zone.values())  # the balancers of one zone agree
 
 
-def entry_of(where: bytes) -> EndpointEntry:
-    return next(one for one in ENDPOINTS if one.endpoint == where)
+def entry_of(endpoint_id: bytes) -> EndpointEntry:
+    return next(one for one in ENDPOINTS if one.endpoint == endpoint_id)
 
 
 @pytest.mark.parametrize(
-    ("flags", "dropped", "least", "most"),
+    ("flags", "dropped", "minimum", "maximum"),
     [(0, True, 1.0, 1.0), (RETURNED, True, 0.55, 0.85), (RETURNED, False, 1.0, 1.0)],
 )
-def test_who_was_dropped_does_not_always_meet_the_endpoint_that_did_so(
-    flags: int, dropped: bool, least: float, most: float
+def test_returning_clients_are_spread_after_drops(
+    flags: int, dropped: bool, minimum: float, maximum: float
 ) -> None:
     # 4,259 of 5,319 connections of one release were dropped within a second or so, and all came back through
     # proxies that knew nothing of it to the same dozen of servers, 200 a second, for twenty seconds. Where
-    # nobody drops any, who comes back was moved, and its group's place is as good as it was.
-    nodes = 40
-    fleet = SimulatedBalancers(nodes, ENDPOINTS)
-    key = next(key for key in range(1, 400) if placed(fleet, key) == endpoint(3))
+    # nobody drops any, a returning client was migrated, and its group's endpoint is as good as before.
+    balancer_count = 40
+    fleet = SimulatedBalancers(balancer_count, ENDPOINTS)
+    key = next(key for key in range(1, 400) if first_ranked(fleet, key) == endpoint(3))
     if dropped:
-        for node in fleet.balancers:
+        for balancer in fleet.balancers:
             for _ in range(8):
-                node.returning_clients.record_drop(fleet.now)
+                balancer.returning_clients.record_drop(fleet.now)
     for n in range(200):
-        fleet.send_request(n % nodes, key=n + 1, group=key, flags=flags)
+        fleet.send_request(n % balancer_count, key=n + 1, group=key, flags=flags)
         fleet.run(fleet.now + 5 * MS)
-    where = [where for _, _, _, where in fleet.sends]
-    assert least <= where.count(endpoint(3)) / 200 <= most
-    # Those who go on meet the same next endpoints, wherever they come: a group has few places.
-    second = next(one for one in placed_in_order(fleet, key) if one != endpoint(3))
-    assert where.count(endpoint(3)) + where.count(second) >= 0.8 * 200
+    chosen = [endpoint_id for _, _, _, endpoint_id in fleet.sends]
+    assert minimum <= chosen.count(endpoint(3)) / 200 <= maximum
+    # Clients that are passed on get the same next endpoint at every balancer: a group has few endpoints.
+    second = next(one for one in ranked(fleet, key) if one != endpoint(3))
+    assert chosen.count(endpoint(3)) + chosen.count(second) >= 0.8 * 200
 
 
-def test_a_drop_that_a_node_sees_tells_of_those_that_come_back_to_it() -> None:
-    node = balancer(8)
-    (send,) = only(node.step(2 * S, [request(1)]), Send)
-    node.step(2 * S, [ConnectionEstablished(1, 0, send.endpoint, MS)])
-    node.step(2 * S, [ended(send, 0, Outcome.RESET, closed=True)])
-    assert node.returning_clients.record_return(2 * S) == pytest.approx(0.3)
-    # The other came for another reason.
-    assert node.returning_clients.record_return(2 * S) == pytest.approx(0.15)
-    assert node.returning_clients.record_return(30 * S) == 0.0
+def test_observed_drops_set_probability_of_returning_clients() -> None:
+    balancer = make_balancer(8)
+    (send,) = only(balancer.step(2 * S, [request(1)]), Send)
+    balancer.step(2 * S, [ConnectionEstablished(1, 0, send.endpoint, MS)])
+    balancer.step(2 * S, [ended(send, 0, Outcome.RESET, closed=True)])
+    assert balancer.returning_clients.record_return(2 * S) == pytest.approx(0.3)
+    # The second return has another cause.
+    assert balancer.returning_clients.record_return(2 * S) == pytest.approx(0.15)
+    assert balancer.returning_clients.record_return(30 * S) == 0.0
 
 
-COLD = tuple(one._replace(started_ns=900 * MS) for one in ENDPOINTS)
-LEAVING = tuple(one._replace(state=EndpointState.DRAINING) for one in ENDPOINTS)
+IN_SLOW_START = tuple(one._replace(started_ns=900 * MS) for one in ENDPOINTS)
+DRAINING_ENDPOINTS = tuple(one._replace(state=EndpointState.DRAINING) for one in ENDPOINTS)
 
 
-@pytest.mark.parametrize("nodes", [2, 40])
+@pytest.mark.parametrize("balancer_count", [2, 40])
 @pytest.mark.parametrize(
-    ("endpoints", "chance"),
+    ("endpoints", "may_serve"),
     [
         ((), False),
-        (LEAVING, False),
-        (COLD, True),
+        (DRAINING_ENDPOINTS, False),
+        (IN_SLOW_START, True),
         (tuple(one._replace(weight=0.0) for one in ENDPOINTS), True),
         (tuple(one._replace(weight=float("nan")) for one in ENDPOINTS), True),
     ],
 )
-def test_where_no_endpoint_may_serve_the_answer_comes_at_once(
-    nodes: int, endpoints: tuple[EndpointEntry, ...], chance: bool
+def test_request_is_rejected_at_once_when_no_endpoint_can_serve(
+    balancer_count: int, endpoints: tuple[EndpointEntry, ...], may_serve: bool
 ) -> None:
-    # With nothing listed, or all draining, requests waited out their deadlines for a chance that none had.
-    fleet = SimulatedBalancers(nodes, endpoints)
-    numbers = [fleet.send_request(n % nodes) for n in range(nodes)]
-    if not chance:
+    # With nothing listed, or all draining, requests waited until their deadlines in vain.
+    fleet = SimulatedBalancers(balancer_count, endpoints)
+    numbers = [fleet.send_request(n % balancer_count) for n in range(balancer_count)]
+    if not may_serve:
         assert {at for number in numbers for at, _ in fleet.answers[number]} == {fleet.now}
         assert all(
             action.retry_after_ns > 0
@@ -212,5 +223,5 @@
         )
     fleet.run(fleet.now + 2 * S)
     sent = {request for _, _, request, _ in fleet.sends}
-    assert all((number in sent) is chance or number in fleet.answers for number in numbers)
+    assert all((number in sent) is may_serve or number in fleet.answers for number in numbers)
     assert all(len(fleet.answers.get(number, [0])) == 1 for number in numbers)
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,10 +1,11 @@
-"""The ordinary path: weighted rendezvous hashing."""
+"""Ranking of endpoints by weighted rendezvous hashing."""
 
 from __future__ import annotations
 
 import numpy as np
 import pytest
-from conftest import S, balancer, endpoint, entry, listed, only, raw_settings, request
+from conftest import S, endpoint, entry, listed, only, raw_settings, request
+from conftest import balancer as make_balancer
 from routing_parts import Parts
 
 from linnetshift.routing.actions import Send
@@ -14,47 +15,47 @@
 from linnetshift.routing.settings import Settings
 
 
-def first_endpoints(node: Balancer, keys: range) -> dict[int, bytes]:
-    return {key: next(node.ranking.ranked(mix64(key))).id for key in keys}
+def first_endpoints(balancer: Balancer, keys: range) -> dict[int, bytes]:
+    return {key: next(balancer.ranking.ranked(mix64(key))).id for key in keys}
 
 
 def test_shares_follow_listed_weights() -> None:
-    node = balancer(0)
-    node.step(2 * S, [listed(entry(1, weight=1.0), entry(2, weight=2.0), entry(3, weight=5.0))])
+    balancer = make_balancer(0)
+    balancer.step(2 * S, [listed(entry(1, weight=1.0), entry(2, weight=2.0), entry(3, weight=5.0))])
     keys = range(1, 8001)
-    chosen = list(first_endpoints(node, keys).values())
+    chosen = list(first_endpoints(balancer, keys).values())
     for number, share in ((1, 1 / 8), (2, 2 / 8), (3, 5 / 8)):
         # five standard deviations of a binomial draw
         bound = 5 * (share * (1 - share) / len(keys)) ** 0.5
         assert abs(chosen.count(endpoint(number)) / len(keys) - share) < bound
 
 
-def test_sequential_addresses_share_evenly() -> None:
-    chosen = list(first_endpoints(balancer(16), range(1, 16001)).values())
+def test_sequential_keys_are_spread_evenly() -> None:
+    chosen = list(first_endpoints(make_balancer(16), range(1, 16001)).values())
     counts = [chosen.count(endpoint(n)) for n in range(16)]
     bound = 5 * (16000 * (1 / 16) * (15 / 16)) ** 0.5
     assert all(abs(count - 1000) < bound for count in counts)
 
 
-def test_a_leaving_endpoint_moves_only_its_own_keys() -> None:
-    node = balancer(10)
-    before = first_endpoints(node, range(1, 2001))
-    node.step(2 * S, [listed(entry(4, state=EndpointState.REMOVED), form=ListForm.DELTA)])
-    after = first_endpoints(node, range(1, 2001))
+def test_removed_endpoint_moves_only_its_own_keys() -> None:
+    balancer = make_balancer(10)
+    before = first_endpoints(balancer, range(1, 2001))
+    balancer.step(2 * S, [listed(entry(4, state=EndpointState.REMOVED), form=ListForm.DELTA)])
+    after = first_endpoints(balancer, range(1, 2001))
     assert all(after[key] == before[key] for key in before if before[key] != endpoint(4))
     assert endpoint(4) not in after.values()
 
 
-def test_a_joining_endpoint_takes_keys_and_moves_no_other() -> None:
-    node = balancer(10)
-    before = first_endpoints(node, range(1, 2001))
-    node.step(2 * S, [listed(entry(50), form=ListForm.DELTA)])
-    after = first_endpoints(node, range(1, 2001))
+def test_added_endpoint_takes_keys_and_moves_no_others() -> None:
+    balancer = make_balancer(10)
+    before = first_endpoints(balancer, range(1, 2001))
+    balancer.step(2 * S, [listed(entry(50), form=ListForm.DELTA)])
+    after = first_endpoints(balancer, range(1, 2001))
     assert {after[key] for key in before if after[key] != before[key]} == {endpoint(50)}
 
 
-def test_nodes_agree_whatever_the_order_of_their_lists() -> None:
-    one, other = balancer(0, seed=1), balancer(0, seed=2)
+def test_balancers_agree_whatever_the_order_of_their_lists() -> None:
+    one, other = make_balancer(0, seed=1), make_balancer(0, seed=2)
     entries = [entry(n) for n in range(12)]
     one.step(2 * S, [listed(*entries)])
     other.step(2 * S, [listed(*entries[:5], form=ListForm.CACHED)])
@@ -62,52 +63,52 @@
     assert first_endpoints(one, range(1, 500)) == first_endpoints(other, range(1, 500))
 
 
-def test_absurd_weights_count_as_one() -> None:
-    node = balancer(0)
-    bad = [
+def test_invalid_weights_count_as_one() -> None:
+    balancer = make_balancer(0)
+    invalid = [
         entry(1, weight=float("nan")),
         entry(2, weight=0.0),
         entry(3, weight=-4.0),
         entry(4, weight=float("inf")),
     ]
-    node.step(2 * S, [listed(*bad, entry(5))])
-    chosen = list(first_endpoints(node, range(1, 5001)).values())
+    balancer.step(2 * S, [listed(*invalid, entry(5))])
+    chosen = list(first_endpoints(balancer, range(1, 5001)).values())
     assert all(800 < chosen.count(endpoint(n)) < 1200 for n in range(1, 6))
 
 
-def test_the_hash_stays_strictly_inside_the_unit_interval() -> None:
+def test_hash_stays_strictly_inside_unit_interval() -> None:
     for key in (0, 1, MASK):
         found = costs(key, np.array([0, 1, MASK, (key * 3) & MASK], dtype=np.uint64))
         assert np.all(np.isfinite(found))
         assert np.all(found > 0.0)
 
 
-def test_group_members_share_an_endpoint_and_the_client_key_serves_without_a_group() -> None:
-    node = balancer(20)
-    sends = only(node.step(2 * S, [request(n, group=77) for n in range(5)]), Send)
+def test_group_members_share_an_endpoint_and_client_key_is_used_without_group() -> None:
+    balancer = make_balancer(20)
+    sends = only(balancer.step(2 * S, [request(n, group=77) for n in range(5)]), Send)
     assert len({send.endpoint for send in sends}) == 1
-    sends = only(node.step(3 * S, [request(10 + n, key=5) for n in range(5)]), Send)
+    sends = only(balancer.step(3 * S, [request(10 + n, key=5) for n in range(5)]), Send)
     assert len({send.endpoint for send in sends}) == 1
 
 
-def test_requests_without_any_key_spread() -> None:
-    node = balancer(20)
-    sends = only(node.step(2 * S, [request(n, key=0) for n in range(1, 60)]), Send)
+def test_requests_without_key_are_spread() -> None:
+    balancer = make_balancer(20)
+    sends = only(balancer.step(2 * S, [request(n, key=0) for n in range(1, 60)]), Send)
     assert len({send.endpoint for send in sends}) > 10
 
 
-def test_a_warming_endpoint_takes_a_growing_share() -> None:
-    node = Balancer(Settings.parse(raw_settings()), 1)
-    node.step(100 * S, [listed(*(entry(n) for n in range(9)), entry(9, started_ns=100 * S))])
+def test_endpoint_in_slow_start_takes_growing_share() -> None:
+    balancer = Balancer(Settings.parse(raw_settings()), 1)
+    balancer.step(100 * S, [listed(*(entry(n) for n in range(9)), entry(9, started_ns=100 * S))])
     shares = []
     for now in (100, 105, 111):
-        node.step(now * S, [])
-        shares.append(list(first_endpoints(node, range(1, 3001)).values()).count(endpoint(9)))
+        balancer.step(now * S, [])
+        shares.append(list(first_endpoints(balancer, range(1, 3001)).values()).count(endpoint(9)))
     assert shares[0] < 130 < shares[1] < shares[2]
     assert 230 < shares[2] < 370
 
 
-def test_candidates_are_made_anew_after_a_list_update_and_in_each_step_of_a_warm_up() -> None:
+def test_candidates_are_rebuilt_after_list_update_and_at_each_warm_up_step() -> None:
     parts = Parts(endpoints=2)
     made = parts.ranking.candidates()
     parts.at(500 * S)
@@ -124,7 +125,7 @@
     assert parts.ranking.candidates() is not made
 
 
-def test_slow_start_tokens_come_by_the_connections_of_both_processes() -> None:
+def test_slow_start_rate_counts_connections_of_both_processes() -> None:
     for predecessor, rate in ((0, 0.5 * 3.0 * 7 / 0.7 / 10), (7, 0.5 * 3.0 * 14 / 0.7 / 10)):
         parts = Parts(endpoints=1)
         for number in range(7):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -66,7 +66,7 @@
         self.answered = 0
         self.state: dict[bytes, int] = {endpoint(n): EndpointState.READY for n in range(12)}
         self.started: dict[bytes, int] = {}
-        self.cold_sends: dict[bytes, list[int]] = {}
+        self.slow_start_sends: dict[bytes, list[int]] = {}
         self.established_total = 0
         self.max_established = 0
         self.min_total_capacity = 12.0
@@ -90,13 +90,13 @@
         if self.warm_up_factor(endpoint_id) >= 1.0:
             return
         window, warm_up = self.settings.overload_window_ns, self.settings.warm_up_ns
-        sends = self.cold_sends.setdefault(endpoint_id, [])
+        sends = self.slow_start_sends.setdefault(endpoint_id, [])
         sends.append(self.now)
         recent = sum(self.now - at < window for at in sends)
-        takes = (
+        connections_per_s = (
             max(self.max_established / (warm_up / S), self.established_total / 10) / self.min_total_capacity
         )
-        assert recent <= 2 + self.settings.overload_multiple * takes * window / S
+        assert recent <= 2 + self.settings.overload_multiple * connections_per_s * window / S
 
     def call_later(self, delay: int, event: Event) -> None:
         self.order += 1
@@ -262,7 +262,7 @@
         simulation.unavailable_since.pop(endpoint(n), None)
         simulation.state[endpoint(n)] = EndpointState.READY
         simulation.started[endpoint(n)] = simulation.now
-        simulation.cold_sends.pop(endpoint(n), None)
+        simulation.slow_start_sends.pop(endpoint(n), None)
         simulation.feed([EndpointList(ListForm.DELTA, 2, (entry(n, started_ns=simulation.now),))])
 
     def report_latency(self, ms: float) -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start of cold endpoints and the window: what one node does, and what all of them come to together."""
+"""Slow start and the concurrency limit: decisions of one balancer, and the sum of those of many."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 import random
 
 import pytest
-from conftest import MS, S, balancer, endpoint, entry, listed, only, request
+from conftest import MS, S, endpoint, entry, listed, only, request
+from conftest import balancer as make_balancer
 from hypothesis import given
 from hypothesis import strategies as st
 from simulated_balancers import SimulatedBalancers
@@ -18,10 +19,10 @@
 
 
 @given(st.lists(st.integers(0, 20 * S), max_size=40), st.floats(0.0, 5.0), st.floats(0.0, 6.0))
-def test_no_window_holds_more_tokens_than_its_time_gives_and_what_was_saved(
+def test_tokens_taken_in_any_window_are_bounded_by_rate_and_capacity(
     gaps: list[int], rate: float, depth: float
 ) -> None:
-    # Fractions of a token count as the chance of one: the sum of chances is what many nodes spend together.
+    # Fractions of a token count as the probability of one: their sum is what many balancers spend together.
     bucket = TokenBucket(rate, depth, level=0.0)
     now, spent = 0, list[tuple[int, float]]()
     for gap in gaps:
@@ -38,7 +39,7 @@
             assert total <= rate * (until - since) / 1e9 + depth + 1e-6
 
 
-def test_bucket_starts_empty_and_less_than_a_token_is_a_chance() -> None:
+def test_bucket_starts_empty_and_gives_fraction_as_probability() -> None:
     # Levels drawn at the start gave every process that was killed and restarted half a token on the mean.
     bucket = SlowStart().token_bucket
     bucket.rate_per_s, bucket.capacity = 0.5, 4.0
@@ -60,127 +61,135 @@
         (1.0, 1.0, 3, 3 * S),
     ],
 )
-def test_how_long_until_one_has_a_token(level: float, rate: float, ahead: int, wait: float) -> None:
+def test_wait_follows_level_rate_and_requests_ahead(
+    level: float, rate: float, ahead: int, wait: float
+) -> None:
     made = SlowStart(TokenBucket(0.0, 0.0, level), 2.0 * rate, {b"a": 0.25, b"b": 0.25, b"c": 0.1})
     assert made.wait_ns([b"a", b"b", b"d"], ahead) == pytest.approx(wait)
 
 
-def test_a_draw_falls_on_an_endpoint_by_its_share_or_on_none() -> None:
+def test_draw_selects_endpoint_by_share_or_none() -> None:
     made = SlowStart(TokenBucket(0.0, 0.0, 9.0), 1.0, {b"a": 0.2, b"b": 0.3})
     draws = [made.draw(0, 9 * S, iter([0.0, at]).__next__) for at in (0.0, 0.19, 0.21, 0.49, 0.51, 0.99)]
     assert draws == [b"a", b"a", b"b", b"b", None, None]
     assert made.token_bucket.level == 3.0
 
 
-def replaced(nodes: int, uneven: bool, restarts: bool, seed: int) -> tuple[int, float, float]:
-    """Eight of twenty endpoints come back cold under 80 arrivals a second.
+def restart_eight_endpoints(
+    balancer_count: int, uneven: bool, restarts: bool, seed: int
+) -> tuple[int, float, float]:
+    """Restart eight of twenty endpoints under 80 arrivals per second.
 
-    How many connections these got, what they would have borne, and how near the worst window came to what may
-    tip one over (1.0).
+    Returns how many connections these got, their slow-start capacity in connections, and the fullest window
+    as a share of what may overload an endpoint (1.0).
     """
-    endpoints, warm, window, standing = 20, 10, 2, 400
+    endpoints, warm, window, established = 20, 10, 2, 400
     fleet = SimulatedBalancers(
-        nodes, tuple(entry(n, zone=0) for n in range(endpoints)), rules={"warmUpNs": warm * S}
+        balancer_count, tuple(entry(n, zone=0) for n in range(endpoints)), rules={"warmUpNs": warm * S}
     )
     rules, draws = fleet.balancers[0].settings, random.Random(seed)
-    traffic = [1.0 / (1 + n % 10) if uneven else 1.0 for n in range(nodes)]
+    arrival_weights = [1.0 / (1 + n % 10) if uneven else 1.0 for n in range(balancer_count)]
 
-    def ask(node: int | None = None) -> None:
-        group = int(1 / (draws.random() + 0.02))  # few of them hold most clients
-        chosen = draws.choices(range(nodes), traffic)[0] if node is None else node
+    def send_request(balancer: int | None = None) -> None:
+        group = int(1 / (draws.random() + 0.02))  # few groups have most clients
+        chosen = draws.choices(range(balancer_count), arrival_weights)[0] if balancer is None else balancer
         fleet.send_request(chosen, key=draws.getrandbits(60) | 1, group=group)
 
-    for _ in range(standing):
-        ask()
+    for _ in range(established):
+        send_request()
         fleet.run(fleet.now + 2 * MS)
     fleet.run(fleet.now + 300 * MS)
-    began, before = fleet.now, len(fleet.sends)
-    news = listed(*(entry(n, zone=0, started_ns=began if n < 8 else 0) for n in range(endpoints)))
-    fleet.send_to_all(news)
+    restarted_at, before = fleet.now, len(fleet.sends)
+    new_list = listed(*(entry(n, zone=0, started_ns=restarted_at if n < 8 else 0) for n in range(endpoints)))
+    fleet.send_to_all(new_list)
     for number in range(warm * 80):
         fleet.run(fleet.now + S // 80)
         if restarts and number % 40 == 0:
-            fleet.restart(draws.randrange(nodes), news)
-        ask()
+            fleet.restart(draws.randrange(balancer_count), new_list)
+        send_request()
     fleet.run(fleet.now + S)
 
     def allowed(age: float) -> float:
-        """Connections in a window; what stands over the endpoints is the least that fills a warm one."""
-        warmth = min(1.0, rules.initial_capacity_share + (1 - rules.initial_capacity_share) * age / warm)
-        return rules.overload_multiple * standing / endpoints / warm * warmth * window
+        """Return the connections allowed in a window; a warm endpoint takes at least the present mean."""
+        warm_up_factor = min(
+            1.0, rules.initial_capacity_share + (1 - rules.initial_capacity_share) * age / warm
+        )
+        return rules.overload_multiple * established / endpoints / warm * warm_up_factor * window
 
     worst = sent = 0.0
-    for cold in range(8):
-        times = [at for at, _, _, where in fleet.sends[before:] if where == endpoint(cold)]
+    for restarted in range(8):
+        times = [at for at, _, _, endpoint_id in fleet.sends[before:] if endpoint_id == endpoint(restarted)]
         sent += len(times)
         for at in times:
-            bears = allowed((at - began) / S)
+            capacity = allowed((at - restarted_at) / S)
             recent = sum(at - window * S < other <= at for other in times)
-            worst = max(worst, recent / (bears + 2 * math.sqrt(bears) + 2))
-    bears = 8 * sum(allowed(second + 0.5) / window for second in range(warm))
-    return int(sent), bears, worst
+            worst = max(worst, recent / (capacity + 2 * math.sqrt(capacity) + 2))
+    capacity = 8 * sum(allowed(second + 0.5) / window for second in range(warm))
+    return int(sent), capacity, worst
 
 
 @pytest.mark.parametrize(
-    ("nodes", "uneven", "restarts"),
+    ("balancer_count", "uneven", "restarts"),
     [
         (2, False, False),
         (2, True, False),
         *((n, *how) for n in (24, 32, 200) for how in ((False, False), (True, False), (True, True))),
     ],
 )
-def test_many_nodes_use_half_of_what_cold_endpoints_bear_and_never_more(
-    nodes: int, uneven: bool, restarts: bool
+def test_many_balancers_use_half_of_slow_start_capacity_and_never_exceed_it(
+    balancer_count: int, uneven: bool, restarts: bool
 ) -> None:
-    # Each node saved for a whole connection at each endpoint: 200 nodes sent 46 where cold endpoints bear
-    # 300. In a release of half the servers the warm ones dropped clients for the whole day beside idle cold
-    # ones.
-    sent, bears, worst = replaced(nodes, uneven, restarts, nodes)
+    # Each balancer saved for a whole connection at each endpoint: 200 balancers sent 46 where the endpoints
+    # in slow start have capacity for 300. In a release of half the servers the warm ones dropped clients for
+    # the whole day beside idle restarted ones.
+    sent, capacity, worst = restart_eight_endpoints(balancer_count, uneven, restarts, balancer_count)
     assert worst <= 1.0
-    assert sent >= bears * (0.4 if restarts else 0.45)
+    assert sent >= capacity * (0.4 if restarts else 0.45)
 
 
 @pytest.mark.parametrize(
-    ("nodes", "warm", "left_ns", "held"),
+    ("balancer_count", "warm", "left_ns", "is_queued"),
     [
-        (2, False, S, False),  # one in 2 s, half of it kept back: a turn in 4 s
+        (2, False, S, False),  # one in 2 s, half of it safety margin: a token in 4 s
         (2, False, 5 * S, True),
         (2, False, 9 * S, True),  # and a second in 8 s
-        (40, False, 5 * S, False),  # in 80 s, and are warm in 10 s
+        (40, False, 5 * S, False),  # a token in 80 s, but warm in 10 s
         (40, False, 11 * S, True),
-        (2, True, S, False),  # the warm one is bad for 50 s
+        (2, True, S, False),  # the warm one is ejected for 50 s
         (40, True, 5 * S, False),
         (40, True, 60 * S, True),
     ],
 )
-def test_who_has_no_token_before_its_deadline_is_told_at_once(
-    nodes: int, warm: bool, left_ns: int, held: bool
+def test_request_without_token_before_deadline_is_rejected_at_once(
+    balancer_count: int, warm: bool, left_ns: int, is_queued: bool
 ) -> None:
-    # 29 clients waited 2.9 s of 3 beside cold servers and were then turned away: too late to ask again.
-    node = balancer(0, balancers=nodes)
-    node.step(100 * S, [listed(entry(1, started_ns=100 * S), entry(2, started_ns=0 if warm else 100 * S))])
+    # 29 clients waited 2.9 s of 3 for servers in slow start and were then rejected: too late to retry.
+    balancer = make_balancer(0, balancers=balancer_count)
+    balancer.step(
+        100 * S, [listed(entry(1, started_ns=100 * S), entry(2, started_ns=0 if warm else 100 * S))]
+    )
     if warm:
-        node.endpoints[endpoint(2)].ejected_until = 150 * S
-        node.endpoints[endpoint(2)].is_overloaded = True
-    node.slow_start.token_bucket.refilled_at_ns = 100 * S
-    refusals = only(node.step(100 * S + MS, [request(1, budget_ns=left_ns)]), Reject)
-    assert bool(refusals) is not held
-    assert all(refusal.retry_after_ns > 0 for refusal in refusals)
-    # A crowd behind the first cannot all have a turn: who can't is told now, not at the end.
-    crowd = node.step(100 * S + 2 * MS, [request(n, budget_ns=left_ns) for n in range(2, 40)])
-    told = only(crowd, Reject)
-    assert len(told) == (0 if left_ns > 10 * S else 37 if left_ns > 8 * S else 38)
-
-
-def test_windows_of_nodes_that_share_a_store_come_together() -> None:
-    # One starts wide and one narrow; the store bears 20 at once, beyond that all set-ups are slow.
-    windows = [ConcurrencyLimit(), ConcurrencyLimit()]
-    windows[0].limit = 60.0
+        balancer.endpoints[endpoint(2)].ejected_until = 150 * S
+        balancer.endpoints[endpoint(2)].is_overloaded = True
+    balancer.slow_start.token_bucket.refilled_at_ns = 100 * S
+    rejections = only(balancer.step(100 * S + MS, [request(1, budget_ns=left_ns)]), Reject)
+    assert bool(rejections) is not is_queued
+    assert all(rejection.retry_after_ns > 0 for rejection in rejections)
+    # Not all requests behind the first can get a token: those are rejected now, not at their deadline.
+    actions = balancer.step(100 * S + 2 * MS, [request(n, budget_ns=left_ns) for n in range(2, 40)])
+    rejected = only(actions, Reject)
+    assert len(rejected) == (0 if left_ns > 10 * S else 37 if left_ns > 8 * S else 38)
+
+
+def test_concurrency_limits_of_balancers_sharing_a_store_converge() -> None:
+    # One limit starts high and one low; the store serves 20 at once, beyond that all set-ups are slow.
+    limits = [ConcurrencyLimit(), ConcurrencyLimit()]
+    limits[0].limit = 60.0
     for turn in range(400):
-        slow = sum(window.limit for window in windows) > 20.0
-        for window in windows:
+        slow = sum(one.limit for one in limits) > 20.0
+        for concurrency_limit in limits:
             for _ in range(8):
-                window.record_setup(turn * S, S, 2 * S if slow else S // 4, False, 1000.0)
-    assert all(MIN_LIMIT <= window.limit <= 30.0 for window in windows)
-    assert windows[0].limit < 2.5 * windows[1].limit
+                concurrency_limit.record_setup(turn * S, S, 2 * S if slow else S // 4, False, 1000.0)
+    assert all(MIN_LIMIT <= one.limit <= 30.0 for one in limits)
+    assert limits[0].limit < 2.5 * limits[1].limit
     assert ConcurrencyLimit().limit == INITIAL_LIMIT
