--- /dev/null
+++ b/tests/test_admin_interface.py
@@ -0,0 +1,144 @@
+"""The admin interface, and endpoints that operators drain and restore."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+from conftest import S, endpoint, entry, listed
+from proxy import Conn, RunningProxy, proxy, settings
+from test_connections_without_a_request import few
+from test_line_protocol import ranked
+
+from linnetshift.broker.administrative_drains import AdministrativeDrains
+from linnetshift.routing.events import EndpointState, ListForm
+
+DRAIN_CALL = "PUT /ops/servers/down?id=%s"
+"""Call that drains the endpoint with this id."""
+
+RESTORE_CALL = "PUT /ops/servers/up?id=%s"
+"""Call that ends the drain of the endpoint with this id."""
+
+
+@pytest.mark.parametrize(
+    ("call", "status"),
+    [
+        ("GET /ops/readiness", 200),
+        ("HEAD /ops/readiness", 200),
+        ("PUT /ops/readiness", 405),
+        ("GET /ops/servers/down?id=s-0", 405),
+        ("PUT /ops/servers/down", 400),
+        ("PUT /ops/servers/down?id=s-0&id=s-1", 400),
+        (DRAIN_CALL % "s-unknown", 404),
+        (RESTORE_CALL % "s-unknown", 404),
+        (RESTORE_CALL % "s-0", 200),
+        ("GET /", 404),
+        ("nonsense", 400),
+        ("GET /" + 20_000 * "x", 431),
+    ],
+)
+def test_admin_call_returns_http_status(tmp_path: Path, call: str, status: int) -> None:
+    with proxy(tmp_path, admin_server=True) as running:
+        assert running.call(call) == status
+        running.logged("side=admin reason=answered")
+        assert running.alive()
+
+
+def test_unfinished_admin_calls_do_not_block_others(tmp_path: Path) -> None:
+    with proxy(tmp_path, admin_server=True) as running:
+        unfinished_calls = [running.client(b"GET /ops/rea", running.admin_port) for _ in range(60)]
+        assert running.call("GET /ops/readiness") == 200
+        # Over the limit of connections, the call unfinished for longest is rejected.
+        assert unfinished_calls[0].line().startswith(b"HTTP/1.1 503 ")
+        assert unfinished_calls[-1].line().startswith(b"HTTP/1.1 408 ")  # and every call has a timeout
+        running.logged("side=admin reason=request-timeout")
+
+
+def test_admin_calls_succeed_when_clients_exhaust_descriptors(tmp_path: Path) -> None:
+    # Clients waiting for their answer are not closed under pressure, and could use every descriptor.
+    with proxy(tmp_path, admin_server=True, before=few) as running:
+        waiting_clients = [running.open(60_000) for _ in range(60)]
+        running.logged("event=accept-paused")
+        for _ in range(3):
+            assert running.call("GET /ops/readiness") == 200
+        assert waiting_clients
+
+
+def test_readiness_fails_without_endpoints_and_during_shutdown(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=0, admin_server=True) as running:
+        assert running.call("GET /ops/readiness") == 503
+    with proxy(tmp_path, admin_server=True) as running:
+        running.standing()
+        running.leave()
+        running.logged("event=shutdown-started")
+        assert running.call("GET /ops/readiness") == 503
+
+
+def establish_on(running: RunningProxy, uid: str) -> tuple[Conn, Conn]:
+    """Establish a connection with the common key on endpoint `uid`: the client's and the endpoint's end."""
+    client = running.open()
+    listener, endpoint = running.serve_any()
+    assert (listener.uid, client.line()) == (uid, b"UP r1\r\n")
+    return client, endpoint
+
+
+def test_drained_endpoint_gets_no_request_until_restored(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=2, admin_server=True, rules={"warmUpNs": 1}) as running:
+        best, other = ranked(running)
+        client, endpoint = establish_on(running, best.uid)
+        for _ in range(2):  # the drain call is idempotent
+            assert running.call(DRAIN_CALL % best.uid) == 200
+        assert client.line() == b"MOVE\r\n"  # before the endpoint is restarted
+        connections = [endpoint, establish_on(running, other.uid)]
+        running.discovery.change(**{other.uid: "SERVING"})  # a full list with the endpoint serving
+        running.discovery.calls.get(timeout=20)
+        running.reload("event=configuration-reloaded")
+        connections.append(establish_on(running, other.uid))
+        adopted = running.client(b"OPEN 1 2 c=feed,t=acme,d=2000,at=%s\r\n" % best.uid.encode())
+        assert adopted.line() == b"ERR\r\n"
+        assert running.call(RESTORE_CALL % best.uid) == 200  # one call restores it, however many drained it
+        assert running.call(DRAIN_CALL % other.uid) == 200
+        connections.append(establish_on(running, best.uid))
+
+
+def test_connecting_request_is_rerouted_when_its_endpoint_is_drained(tmp_path: Path) -> None:
+    services = [{**settings()["services"][0], "aimNs": 10 * S, "hardLimitNs": 20 * S}]
+    with proxy(
+        tmp_path, endpoints=2, admin_server=True, services=services, allowed={"connectTimeoutNs": 10 * S}
+    ) as running:
+        best, other = ranked(running)
+        best.sock.listen(0)  # its accept queue holds one connection, so the proxy's stays pending
+        queue_filler = running.client(port=best.port)
+        client = running.open(wait_ms=20_000)
+        assert running.alive()  # so the request line before it has been processed
+        assert running.call(DRAIN_CALL % best.uid) == 200
+        best.accept()
+        queue_filler.close()
+        # The connection is established after all, and nothing is sent on it.
+        assert best.accept().line() == b""
+        other.serve()
+        assert client.line() == b"UP r1\r\n"
+
+
+@pytest.mark.parametrize(
+    ("listed_starts_ns", "reported_start_ns"),
+    [
+        ([0], 9 * S),  # the list has no later start: the time of the restore call is used
+        ([6 * S], 6 * S),  # the list has the restart
+        ([0, 6 * S, 7 * S], 7 * S),
+    ],
+)
+def test_restored_endpoint_starts_cold(listed_starts_ns: list[int], reported_start_ns: int) -> None:
+    now_ns = 5 * S
+    administrative_drains = AdministrativeDrains(lambda: now_ns)
+    administrative_drains.overlay(listed(entry(1), entry(2)))
+    administrative_drains.drain_endpoint(endpoint(1))
+    for form in (ListForm.FULL, ListForm.CACHED, ListForm.DELTA):
+        entries = administrative_drains.overlay(listed(entry(1), entry(2), form=form)).entries
+        assert [each.state for each in entries] == [EndpointState.DRAINING, EndpointState.READY]
+    now_ns = 9 * S
+    administrative_drains.restore_endpoint(endpoint(1))
+    for started_ns in listed_starts_ns:
+        entries = administrative_drains.overlay(listed(entry(1, started_ns=started_ns))).entries
+    assert entries == (entry(1, started_ns=reported_start_ns),)
+    assert administrative_drains.is_known(endpoint(2))  # although no longer listed
--- /dev/null
+++ b/tests/test_discovery_watch.py
@@ -0,0 +1,307 @@
+"""Discovery watches that time out, answer late, are reset or recover, while list changes are still due."""
+
+from __future__ import annotations
+
+import signal
+import time
+from pathlib import Path
+
+import pytest
+from conftest import MS, S, raw_settings
+from proxy import WAIT, DiscoveryServer, Kept, Listener, RunningProxy, inside, launch, proxy, world
+from test_line_protocol import ranked
+
+from linnetshift.discovery.http_call import CONNECT_TIMEOUT_NS, CallEnded
+from linnetshift.discovery.watch import (
+    MAX_FULL_LIST_CALL_NS,
+    MAX_TIMEOUT_DOUBLINGS,
+    WAIT_AFTER_FAILURE_MS,
+    WatchTimeouts,
+)
+from linnetshift.routing.actions import SetTimer
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import EndpointList, ListForm
+from linnetshift.routing.settings import Settings
+
+LONG_BACKOFF = {"rules": {"mustAskInNs": 3600 * S}}
+"""The back-off after a failed call is minutes, so that no call after one happens within a test."""
+
+PUSHED_LISTS = {"discovery": "push"}
+"""Lists are pushed by an agent on the same machine."""
+
+
+def watch_timeouts(**changes: object) -> WatchTimeouts:
+    """Watch timeouts that follow from the platform settings with these changes."""
+    return WatchTimeouts.of(Settings.parse(raw_settings(**changes)))
+
+
+def test_silent_watch_times_out_before_its_changes_must_be_known() -> None:
+    # The timeout used to expire exactly at that deadline; the next call then backed off and queued.
+    timeouts = watch_timeouts(discovery="ask")
+    deadline_ns = max(6 * S, timeouts.wait_ms * MS + 2 * S)
+    assert timeouts.wait_ms * MS + timeouts.margin_ns + S <= deadline_ns
+
+
+@pytest.mark.parametrize("grace_ms", [250, 1000, 2500, 60_000])
+def test_pushed_list_watch_is_renewed_within_the_drain_grace_period(grace_ms: int) -> None:
+    timeouts = watch_timeouts(discovery="push", rules={"drainGraceNs": grace_ms * MS})
+    assert timeouts.wait_ms * MS + timeouts.margin_ns <= grace_ms * MS * 3 // 4
+    assert timeouts.full_list_ns <= grace_ms * MS
+    assert timeouts.wait_ms > 0
+    assert timeouts.margin_ns >= 25 * MS
+
+
+def assert_request_avoids_draining_endpoint(running: RunningProxy, best: Listener, other: Listener) -> None:
+    """Once `best` is known to drain, a request whose key ranks it first goes to `other`."""
+    running.logged("event=endpoint-list-received .*draining=1")
+    client = running.open()
+    assert running.asked() is other
+    other.serve()
+    assert client.line() == b"UP r1\r\n"
+    assert best.state == "DRAINING"
+
+
+def test_backoff_and_timeouts_after_failed_call_fit_within_notification_deadline() -> None:
+    # A change must be known 6 s after discovery has it and is reachable, whatever is allowed after a failed
+    # call. The next call used to wait up to 10 s for a change, 3 s more for its answer, 10 s to connect.
+    settings = raw_settings(discovery="ask", rules={"mustAskInNs": 3600 * S})
+    decisions = Balancer(Settings.parse(settings), 1)
+    longest_delay_ns = 0
+    for number in range(40):
+        for action in decisions.step((number + 1) * S, [EndpointList(ListForm.FAILED, 0, ())]):
+            longest_delay_ns = max(longest_delay_ns, action.delay_ns if isinstance(action, SetTimer) else 0)
+    timeouts = watch_timeouts(discovery="ask", rules={"mustAskInNs": 3600 * S})
+    call_limit_ns = max(
+        WAIT_AFTER_FAILURE_MS * MS + (timeouts.margin_ns << MAX_TIMEOUT_DOUBLINGS), MAX_FULL_LIST_CALL_NS
+    )
+    # One call that failed to connect just before, the back-off, and one call that has to be answered.
+    assert longest_delay_ns > 0
+    assert CONNECT_TIMEOUT_NS + longest_delay_ns + call_limit_ns <= 6 * S
+    # And one call that got no answer just before discovery became reachable, then one answered at once.
+    assert call_limit_ns + CONNECT_TIMEOUT_NS <= 6 * S
+
+
+@pytest.mark.parametrize("failure", ["failed", "reset", "silent"])
+def test_call_after_failed_watch_requests_short_long_poll(tmp_path: Path, failure: str) -> None:
+    with inside(tmp_path, rules={"mustAskInNs": S // 2}) as running:
+        discovery = running.discovery
+        discovery.change()
+        while not (path := discovery.calls.get(timeout=WAIT)).startswith("/catalog/members?since=2"):
+            pass
+        assert int(path.rpartition("=")[2]) >= 7000
+        if failure == "failed":
+            discovery.fail(True)
+            while not running.program.discovery.last_watch_failed:
+                time.sleep(0.002)
+            discovery.fail(False)
+        elif failure == "reset":
+            discovery.reset_watches()
+        else:
+            call = running.program.discovery.watch_call
+            assert call is not None
+            running.program.discovery.post(CallEnded(call, None, timed_out=True))
+        while not (path := discovery.calls.get(timeout=WAIT)).startswith("/catalog/members?since="):
+            pass
+        assert int(path.rpartition("=")[2]) <= 1000
+
+
+def test_unreachable_discovery_address_times_out_and_is_retried(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Connecting used to have the same limit as a watch, which is a minute here.
+    monkeypatch.setattr("linnetshift.discovery.http_call.CONNECT_TIMEOUT_NS", 50 * MS)
+    monkeypatch.setattr("linnetshift.discovery.watch.MAX_FULL_LIST_CALL_NS", 60 * S)
+    monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(False, 60_000, S, 60 * S)))
+    with inside(tmp_path, rules={"mustAskInNs": S // 2}) as running:
+        unreachable = Listener("discovery")
+        unreachable.stall()
+        running.program.discovery.relocate(
+            ("127.0.0.1", unreachable.port), WatchTimeouts.of(running.program.config.settings)
+        )
+        calls: list[object] = []  # kept alive, so that no two calls share an identity
+        while len(calls) < 4:  # each new call means that the previous one timed out
+            call = running.program.discovery.watch_call
+            if call is not None and call.address[1] == unreachable.port and call not in calls:
+                calls.append(call)
+            time.sleep(0.002)
+
+
+def unanswered_call(running: RunningProxy) -> Kept:
+    """Wait for the next call that the discovery server leaves unanswered."""
+    return running.discovery.kept.get(timeout=WAIT)
+
+
+def test_silent_watch_is_reopened_without_backoff(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    # A watch without any answer was followed 12 s later, after a back-off, by the next one: too late.
+    short_timeouts = classmethod(lambda cls, _: cls(False, 200, 100 * MS, 300 * MS))
+    monkeypatch.setattr(WatchTimeouts, "of", short_timeouts)
+    with inside(tmp_path, **LONG_BACKOFF) as running:
+        running.discovery.silent = True
+        running.discovery.change()  # completes the open watch; the next one is never answered
+        assert "since=" in unanswered_call(running).path
+        assert "since=" in unanswered_call(running).path
+
+
+@pytest.mark.parametrize(("pushed", "doublings"), [(False, 2), (True, 0)])
+def test_timeout_doubles_while_shared_discovery_stays_silent(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, pushed: bool, doublings: int
+) -> None:
+    # With a constant timeout, no call to an overloaded discovery server might ever be answered.
+    monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(pushed, 40, 10 * MS, 20 * MS)))
+    with inside(tmp_path, **LONG_BACKOFF) as running:
+        running.discovery.silent = True
+        running.discovery.change()
+        for _ in range(6):
+            last_call = unanswered_call(running)
+        while (call := running.program.discovery.watch_call) is None:
+            pass  # between two calls
+        assert "since=" in last_call.path
+        assert call.limit_ns - int(call.path.rpartition("=")[2]) * MS == 10 * MS << doublings
+
+
+def test_pushed_list_watch_recovers_after_timeouts_and_error_responses(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=2, **PUSHED_LISTS, **{"rules": LONG_BACKOFF["rules"]}) as running:
+        best, other = ranked(running)
+        running.discovery.silent = True
+        running.discovery.change()
+        for _ in range(3):  # repeated while there is no answer
+            unanswered_call(running)
+        running.discovery.fail(True)
+        running.discovery.silent = False
+        running.logged("event=discovery-call-failed .*503")
+        running.logged("event=discovery-call-failed .*503")
+        running.discovery.fail(False)
+        running.discovery.change(**{best.uid: "DRAINING"})
+        assert_request_avoids_draining_endpoint(running, best, other)
+
+
+def test_reset_watch_of_pushed_lists_is_reopened_at_once(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=2, **PUSHED_LISTS, **{"rules": LONG_BACKOFF["rules"]}) as running:
+        best, other = ranked(running)
+        running.discovery.reset_watches()
+        running.logged("event=discovery-call-failed .*[Rr]eset")
+        running.discovery.change(**{best.uid: "DRAINING"})
+        assert_request_avoids_draining_endpoint(running, best, other)
+
+
+def test_new_process_sends_no_request_before_first_pushed_list(tmp_path: Path) -> None:
+    # The list in the proxy's file is outdated; the agent's list is binding from the start.
+    with world(tmp_path, endpoints=2, **PUSHED_LISTS) as environment:
+        best, other = environment.listeners
+        best.state = "DRAINING"
+        environment.discovery.rev += 1
+        environment.discovery.silent = True
+        process = launch(str(environment.config), str(environment.own))
+        running = RunningProxy(process, environment.port, environment.extra)
+        running.listeners = environment.listeners
+        running.discovery = environment.discovery
+        running.config = environment.config
+        try:
+            running.logged("event=process-started")
+            first_call = environment.discovery.kept.get(timeout=WAIT)
+            # Some of these keys rank the draining endpoint first.
+            clients = [running.client(request_line(key)) for key in range(1, 9)]
+            assert running.alive()
+            environment.discovery.silent = False
+            first_call.let_go.set()
+            endpoints = []
+            for _ in clients:
+                assert running.asked() is other
+                endpoints.append(other.serve())
+            assert {each.line() for each in clients} == {b"UP r1\r\n"}
+        finally:
+            process.kill()
+            process.wait(WAIT)
+
+
+def request_line(key: int) -> bytes:
+    """Request line with this id and key."""
+    return b"OPEN %016x %016x c=feed,t=acme,d=2000\r\n" % (key, key)
+
+
+@pytest.mark.parametrize("discovery", ["push", "ask"])
+def test_new_process_serves_when_discovery_never_answers(tmp_path: Path, discovery: str) -> None:
+    with world(tmp_path, discovery=discovery) as environment:
+        environment.discovery.silent = True
+        process = launch(str(environment.config), str(environment.own))
+        running = RunningProxy(process, environment.port, environment.extra)
+        running.listeners = environment.listeners
+        running.discovery = environment.discovery
+        try:
+            running.logged("event=process-started")
+            assert running.alive()
+            client = running.open()
+            environment.listeners[0].serve()
+            assert client.line() == b"UP r1\r\n"
+        finally:
+            process.kill()
+            process.wait(WAIT)
+
+
+@pytest.mark.parametrize("discovery", ["push", "ask"])
+def test_reload_with_unchanged_address_reopens_silent_watch_at_once(tmp_path: Path, discovery: str) -> None:
+    # A reload with the same address used to leave a watch that got no answer as it was.
+    with proxy(tmp_path, endpoints=2, discovery=discovery, rules=LONG_BACKOFF["rules"]) as running:
+        best, other = ranked(running)
+        running.discovery.silent = True
+        running.discovery.change()
+        unanswered_call(running)
+        best.state = "DRAINING"
+        running.discovery.rev += 1
+        running.discovery.silent = False
+        running.process.send_signal(signal.SIGHUP)
+        running.logged("event=configuration-reloaded")
+        assert_request_avoids_draining_endpoint(running, best, other)
+
+
+def test_late_answer_from_former_address_is_ignored(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
+        best, other = ranked(running)
+        running.discovery.silent = True
+        running.discovery.change()
+        former_call = unanswered_call(running)  # its list has both endpoints serving, under the next revision
+        new_server = DiscoveryServer(running.listeners)
+        new_server.rev = running.discovery.rev
+        best.state = "DRAINING"
+        running.reload("event=configuration-reloaded", discovery=new_server.address)
+        running.logged("event=endpoint-list-received .*draining=1")
+        former_call.let_go.set()
+        client = running.open()
+        assert running.asked() is other
+        other.serve()
+        assert client.line() == b"UP r1\r\n"
+        running.discovery.silent = False
+        assert not [entry for entry in running.unread() if "event=endpoint-list-received" in entry]
+
+
+def test_silent_new_address_is_called_again(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
+        best, other = ranked(running)
+        new_server = DiscoveryServer(running.listeners)
+        new_server.silent = True
+        running.reload("event=configuration-reloaded", discovery=new_server.address)
+        assert new_server.kept.get(timeout=WAIT).path == "/catalog/members"
+        new_server.silent = False
+        best.state = "DRAINING"
+        new_server.rev += 1
+        assert_request_avoids_draining_endpoint(running, best, other)
+
+
+@pytest.mark.parametrize("indent", [None, 2])
+def test_indented_list_in_several_segments_is_parsed(tmp_path: Path, indent: int | None) -> None:
+    with proxy(tmp_path, endpoints=2) as running:
+        best, other = ranked(running)
+        new_server = DiscoveryServer(running.listeners, indent=indent)
+        best.state = "DRAINING"
+        new_server.rev += 1
+        running.reload("event=configuration-reloaded", discovery=new_server.address)
+        assert_request_avoids_draining_endpoint(running, best, other)
+
+
+def test_oversized_list_fails_the_call_and_watch_recovers(tmp_path: Path) -> None:
+    with proxy(tmp_path, endpoints=2, **PUSHED_LISTS) as running:
+        best, other = ranked(running)
+        running.discovery.says(b'{"rev":9,"all":true,"targets":[' + b" " * (1 << 21))
+        running.logged("event=discovery-call-failed .*too long")
+        running.discovery.change(**{best.uid: "DRAINING"})
+        assert_request_avoids_draining_endpoint(running, best, other)
--- /dev/null
+++ b/tests/test_draining.py
@@ -0,0 +1,113 @@
+"""Connections migrate off a draining endpoint at a limited rate, lower where the target is cold."""
+
+from __future__ import annotations
+
+import pytest
+from conftest import MS, S, balancer, effect, endpoint, entry, listed, only, raw_settings, request
+from fleet import Fleet
+
+from linnetshift.broker.administrative_drains import LEAVE_NS
+from linnetshift.lifecycle.graceful_shutdown import kill_after
+from linnetshift.routing.actions import Migrate, Send
+from linnetshift.routing.balancer import Balancer
+from linnetshift.routing.events import ConnectionEstablished, EndpointState, ListForm, TimerFired
+from linnetshift.routing.settings import Settings
+from linnetshift.routing.tick_timer import TICK_TOKEN
+
+CONNECTION_COUNT = 40
+"""Connections established on the first endpoint."""
+
+
+def balancer_with_loaded_endpoint(**second_entry: int) -> Balancer:
+    """Two endpoints with all connections on the first, as the second was listed later."""
+    decisions = balancer(endpoints=1)
+    for number in range(CONNECTION_COUNT):
+        (sent,) = only(decisions.step(1 * S, [request(number)]), Send)
+        decisions.step(1 * S, [ConnectionEstablished(number, 0, sent.endpoint, 5 * MS)])
+    decisions.step(1 * S, [listed(entry(0), entry(1, **second_entry))])
+    return decisions
+
+
+def migrations_per_tick(decisions: Balancer, ticks: int) -> list[int]:
+    """Number of migrations started at each of the ticks, 50 ms apart."""
+    return [
+        len(only(decisions.step(1 * S + tick * 50 * MS, [TimerFired(TICK_TOKEN)]), Migrate))
+        for tick in range(1, ticks + 1)
+    ]
+
+
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
+def test_connections_migrate_at_limited_rate_from_leaving_endpoint(state: EndpointState) -> None:
+    decisions = balancer_with_loaded_endpoint()
+    immediate_actions = decisions.step(1 * S, [listed(entry(0, state=state), form=ListForm.DELTA)])
+    assert not only(immediate_actions, Migrate)  # not all at once when the list arrives
+    per_tick = migrations_per_tick(decisions, 200)
+    assert sum(per_tick) == CONNECTION_COUNT
+    assert max(per_tick) <= CONNECTION_COUNT // 8
+
+
+def test_all_connections_migrate_before_drained_endpoint_stops() -> None:
+    # Migrating a share of the remaining ones at each tick left the last to be cut off two seconds later.
+    decisions = balancer_with_loaded_endpoint()
+    draining_entry = entry(0, state=EndpointState.DRAINING, drain_within_ns=LEAVE_NS)
+    decisions.step(1 * S, [listed(draining_entry, form=ListForm.DELTA)])
+    per_tick = migrations_per_tick(decisions, int(LEAVE_NS / (50 * MS)) + 1)
+    assert sum(per_tick) == CONNECTION_COUNT
+    assert max(per_tick) <= 4
+
+
+def test_restored_endpoint_gets_exactly_the_next_connection() -> None:
+    # With its slow-start share of the keys alone it could stay unused for long.
+    decisions = balancer(endpoints=8, window=1e9, balancers=2)
+    decisions.step(1 * S, [listed(entry(3, state=EndpointState.DRAINING), form=ListForm.DELTA)])
+    decisions.step(2 * S, [listed(entry(3, started_ns=2 * S), form=ListForm.DELTA)])
+    sends = [only(decisions.step(2 * S, [request(number)]), Send)[0].endpoint for number in range(6)]
+    assert sends[0] == endpoint(3)  # one only: the next are placed by key, and it is cold
+    assert endpoint(3) not in sends[1:]
+
+
+def test_migration_rate_is_lower_with_cold_target() -> None:
+    # A wave of migrated clients would overload an endpoint that has just started.
+    with_warm_target = balancer_with_loaded_endpoint()
+    with_cold_target = balancer_with_loaded_endpoint(started_ns=1 * S)
+    for decisions in (with_warm_target, with_cold_target):
+        decisions.step(1 * S, [listed(entry(0, state=EndpointState.DRAINING), form=ListForm.DELTA)])
+    assert sum(migrations_per_tick(with_cold_target, 20)) < sum(migrations_per_tick(with_warm_target, 20))
+
+
+def test_no_connection_migrates_without_ready_target() -> None:
+    decisions = balancer_with_loaded_endpoint(state=EndpointState.DRAINING)
+    decisions.step(1 * S, [listed(entry(0, state=EndpointState.DRAINING), form=ListForm.DELTA)])
+    assert sum(migrations_per_tick(decisions, 50)) == 0
+
+
+def test_connection_established_after_drain_migrates() -> None:
+    decisions = balancer(endpoints=2)
+    (sent,) = only(decisions.step(1 * S, [request(1)]), Send)
+    number = 0 if sent.endpoint == endpoint(0) else 1
+    draining = entry(number, state=EndpointState.DRAINING)
+    decisions.step(1 * S, [listed(draining, form=ListForm.DELTA)])
+    decisions.step(1 * S, [ConnectionEstablished(1, 0, sent.endpoint, 5 * MS)])
+    assert sum(migrations_per_tick(decisions, 200)) == 1
+
+
+@pytest.mark.parametrize(("hard_limit_ns", "kill_after_ns"), [(2 * S, 2700 * MS), (10 * S, 3700 * MS)])
+def test_expected_kill_time_follows_hard_limit_up_to_a_cap(hard_limit_ns: int, kill_after_ns: int) -> None:
+    # With a longer wait, the process was killed while connections were still to be migrated.
+    settings = Settings.parse(raw_settings(**effect("repeatable", hardLimitNs=hard_limit_ns)))
+    assert kill_after(settings) == kill_after_ns
+
+
+@pytest.mark.parametrize("nodes", [2, 40, 200])
+def test_few_proxies_of_a_fleet_send_to_restored_endpoint_at_once(nodes: int) -> None:
+    # Each of 200 sent its next connection there, where a cold endpoint could take two or three.
+    sent_to_restored = 0
+    for seed in range(0, 10 * nodes, nodes):
+        fleet = Fleet(nodes, tuple(entry(number) for number in range(8)), seed)
+        fleet.tell_all(listed(entry(3, state=EndpointState.DRAINING), form=ListForm.DELTA))
+        fleet.run(2 * S)
+        fleet.tell_all(listed(entry(3, started_ns=2 * S), form=ListForm.DELTA))
+        for number in range(nodes):
+            fleet.ask(number)
+        sent_to_restored += sum(target == endpoint(3) for _, _, _, target in fleet.sends)
+    assert 10 <= sent_to_restored <= 30  # over ten fleets
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -9,8 +9,8 @@
 import pytest
 from conftest import MS, S, balancer, ended, only, request
 from proxy import WAIT, launch, proxy, successor_of
+from test_admin_interface import DRAIN_CALL, RESTORE_CALL, establish_on
 from test_line_protocol import ranked
-from test_ops import DOWN, UP, lands_on
 
 from linnetshift.broker.latency_estimator import EstablishedConnection, LatencyEstimator
 from linnetshift.broker.snapshot import export_state, import_state
@@ -43,16 +43,16 @@
 def test_administrative_drains_apply_in_both_processes(tmp_path: Path) -> None:
     with proxy(tmp_path, endpoints=2, admin_server=True, held=True, rules={"warmUpNs": 1}) as old:
         first, second = ranked(old)
-        assert old.call(DOWN % first.uid) == 200
+        assert old.call(DRAIN_CALL % first.uid) == 200
         with successor_of(old) as new:
             new.becomes_ready()
-            kept = [lands_on(new, second.uid)]
-            assert new.call(UP % first.uid) == 200
+            kept = [establish_on(new, second.uid)]
+            assert new.call(RESTORE_CALL % first.uid) == 200
             old.logged(f"administrative-drain-changed endpoint={first.uid} out=False")
-            kept.append(lands_on(new, first.uid))
-            assert old.call(DOWN % first.uid) == 200  # by way of either process
-            kept.append(lands_on(new, second.uid))
-            assert new.call(DOWN % "s-unknown") == 404
+            kept.append(establish_on(new, first.uid))
+            assert old.call(DRAIN_CALL % first.uid) == 200  # by way of either process
+            kept.append(establish_on(new, second.uid))
+            assert new.call(DRAIN_CALL % "s-unknown") == 404
 
 
 @pytest.mark.parametrize("how", ["new-dies", "old-dies", "stale-socket", "third"])
