--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -1,7 +1,8 @@
 """The final answer of a request: each state of it against each event that ends a connection or the process.
 
-The unlucky order is forced: connections that come up late (a full queue at the endpoint), and a program that
-is stopped while both ends act, so that it finds what they did in one turn and in that order.
+The unfavourable order is forced: connections that are established late (a full accept queue at the
+endpoint), and a process that is stopped while both ends act, so that it finds both events in one turn and
+in that order.
 """
 
 from __future__ import annotations
@@ -19,256 +20,289 @@
 from proxy import WAIT, Conn, Listener, RunningProxy, Terminal, free_port, proxy, settings
 from test_line_protocol import ranked
 
-CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-ONCE = {"effect": "once"}
-LONG = 9000  # ms; shorter than twice the aim, so that all of it is one attempt's
-LINE = b"OPEN 77 7f3a9c21e0b4d655 c=feed,t=acme,d=%d\r\n"
+CHANNELS_CONFIG = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
+NOT_REPEATABLE = {"effect": "once"}
+"""Class settings of requests that must not be executed twice."""
+
+LONG_DEADLINE_MS = 9000
+"""Deadline below twice the latency objective, so that one attempt may use all of it."""
+
+REQUEST_LINE = b"OPEN 77 7f3a9c21e0b4d655 c=feed,t=acme,d=%d\r\n"
+"""Request line, for a deadline in milliseconds."""
 
 
 @contextmanager
-def patient(folder: Path, endpoints: int = 2, own: str = "", **klass: Any) -> Iterator[RunningProxy]:
-    """Waits long for a connection to come up; the class has other rules where some are given."""
-    base = settings()["services"][0]
-    service = {**base, "aimNs": 10 * S, "hardLimitNs": 20 * S, **klass}
+def proxy_with_long_timeouts(
+    directory: Path, endpoints: int = 2, own_config: str = "", **class_settings: Any
+) -> Iterator[RunningProxy]:
+    """A proxy with a connect timeout of 10 s; the class of the requests has these settings."""
+    default_class = settings()["services"][0]
+    service = {**default_class, "aimNs": 10 * S, "hardLimitNs": 20 * S, **class_settings}
     with proxy(
-        folder, endpoints, own, services=[service], allowed={"connectTimeoutNs": 10 * S, "maxAttempts": 4}
+        directory,
+        endpoints,
+        own_config,
+        services=[service],
+        allowed={"connectTimeoutNs": 10 * S, "maxAttempts": 4},
     ) as running:
         yield running
 
 
-def connecting(running: RunningProxy, first: Listener, wait_ms: int = LONG) -> Conn:
-    first.stall()
-    client = running.client(LINE % wait_ms)
-    first.dialled()
+def connecting_request(running: RunningProxy, best: Listener, wait_ms: int = LONG_DEADLINE_MS) -> Conn:
+    """A request whose connection to the endpoint stays pending: the client's end."""
+    best.stall()
+    client = running.client(REQUEST_LINE % wait_ms)
+    best.dialled()
     return client
 
 
-def held(running: RunningProxy, first: Listener, wait_ms: int = LONG) -> tuple[Conn, list[tuple[Conn, Conn]]]:
-    """As many attempts are out as may be; those, and the one that waits for one of them to end."""
-    out = []
-    for number in range(9):  # eight, and one more for the swift set-up that came before
-        client = running.client(LINE.replace(b"77", b"%d" % number) % LONG)
-        out.append((client, first.accept()))
-        assert out[-1][1].line().startswith(b"OPEN %d " % number)
-    client = running.client(LINE % wait_ms)
-    assert running.alive()  # its line was read before that of the one who asks
-    return client, out
+def queued_request(
+    running: RunningProxy, best: Listener, wait_ms: int = LONG_DEADLINE_MS
+) -> tuple[Conn, list[tuple[Conn, Conn]]]:
+    """A request queued behind as many attempts as are allowed: its client, and the ends of those attempts."""
+    in_flight = []
+    for number in range(9):  # eight, and one more, allowed after the fast first set-up
+        client = running.client(REQUEST_LINE.replace(b"77", b"%d" % number) % LONG_DEADLINE_MS)
+        in_flight.append((client, best.accept()))
+        assert in_flight[-1][1].line().startswith(b"OPEN %d " % number)
+    client = running.client(REQUEST_LINE % wait_ms)
+    assert running.alive()  # its line was read before this PING
+    return client, in_flight
 
 
-def in_state(
-    running: RunningProxy, first: Listener, state: str
+def request_in_state(
+    running: RunningProxy, best: Listener, state: str
 ) -> tuple[Conn, Conn | None, list[tuple[Conn, Conn]]]:
-    """A request that is held, dialled or sent: the client, the endpoint's end, and what keeps it held."""
+    """A queued, connecting or sent request: its client, its endpoint's end, and the attempts before it."""
     if state == "sent":
-        return *sent(running, first), []
-    if state == "held":
-        client, out = held(running, first)
-        return client, None, out
-    return connecting(running, first), None, []
+        return *sent_request(running, best), []
+    if state == "queued":
+        client, in_flight = queued_request(running, best)
+        return client, None, in_flight
+    return connecting_request(running, best), None, []
 
 
-def let_go(out: list[tuple[Conn, Conn]]) -> None:
-    for _, endpoint in out:
+def answer_all(in_flight: list[tuple[Conn, Conn]]) -> None:
+    """Let the endpoint answer all these attempts."""
+    for _, endpoint in in_flight:
         endpoint.send(b"UP r1\r\n")
 
 
-def sent(running: RunningProxy, first: Listener, wait_ms: int = LONG) -> tuple[Conn, Conn]:
-    client = running.client(LINE % wait_ms)
-    endpoint = first.accept()
+def sent_request(running: RunningProxy, best: Listener, wait_ms: int = LONG_DEADLINE_MS) -> tuple[Conn, Conn]:
+    """A request that the endpoint has received: the client's and the endpoint's end."""
+    client = running.client(REQUEST_LINE % wait_ms)
+    endpoint = best.accept()
     assert endpoint.line().startswith(b"OPEN 77 ")
     return client, endpoint
 
 
-# ---- a connection that comes up late ---------------------------------------------------------
+# ---- a connection that is established late ---------------------------------------------------
 
 
 def test_endpoint_drained_while_connecting_is_sent_nothing(tmp_path: Path) -> None:
-    # The list was looked at when the module decided, up to a connect's time before the line went out.
-    with patient(tmp_path) as running:
-        first, second = ranked(running)
-        client = connecting(running, first)
-        running.discovery.change(**{first.uid: "DRAINING"})
+    # The list used to be checked at the decision only, up to a connect timeout before the line was sent.
+    with proxy_with_long_timeouts(tmp_path) as running:
+        best, other = ranked(running)
+        client = connecting_request(running, best)
+        running.discovery.change(**{best.uid: "DRAINING"})
         running.logged("event=endpoint-list-received .*draining=1")
-        first.go_on()
-        assert first.accept().line() == b""
-        second.serve()
+        best.go_on()
+        assert best.accept().line() == b""
+        other.serve()
         assert client.line() == b"UP r1\r\n"
 
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
-@pytest.mark.parametrize("how", ["fin", "reset"])
-def test_nothing_is_sent_for_a_client_that_has_left(tmp_path: Path, frontend: str, how: str) -> None:
-    # The connection came up before the client's end was read, though after it had come.
-    with patient(tmp_path, own=CHANNELS) as running:
-        first, _ = ranked(running)
-        first.stall()
+@pytest.mark.parametrize("end", ["fin", "reset"])
+def test_request_of_departed_client_is_not_sent_when_connection_is_established(
+    tmp_path: Path, frontend: str, end: str
+) -> None:
+    # The connection used to be handled before the client's close was read, although the close came first.
+    with proxy_with_long_timeouts(tmp_path, own_config=CHANNELS_CONFIG) as running:
+        best, _ = ranked(running)
+        best.stall()
         if frontend == "channels":
             client: Conn = Terminal(running.extra_port)
             assert isinstance(client, Terminal)
-            client.open(5, key=0x7F3A9C21E0B4D655, wait_ms=LONG)
+            client.open(5, key=0x7F3A9C21E0B4D655, wait_ms=LONG_DEADLINE_MS)
         else:
-            client = running.client(LINE % LONG)
-        first.dialled()
+            client = running.client(REQUEST_LINE % LONG_DEADLINE_MS)
+        best.dialled()
         with running.stopped():
-            first.go_on()
-            endpoint = first.accept()
-            client.close(how)
+            best.go_on()
+            endpoint = best.accept()
+            client.close(end)
         assert endpoint.line() == b""
         running.logged("side=client reason=withdrawn" if frontend == "platform" else "side=channel")
-        again = running.client(LINE.replace(b"77", b"78") % LONG)
-        assert first.accept().line().startswith(b"OPEN 78 ")
-        assert again
+        next_client = running.client(REQUEST_LINE.replace(b"77", b"78") % LONG_DEADLINE_MS)
+        assert best.accept().line().startswith(b"OPEN 78 ")
+        assert next_client
 
 
-@pytest.mark.parametrize("unread", [1, 1000, 20_000_000])
-def test_nothing_is_sent_for_a_client_whose_end_lies_behind_unread_bytes(tmp_path: Path, unread: int) -> None:
-    # A look at the next byte says that there is one; over 64 KiB not even the kernel has heard of the end.
-    with patient(tmp_path) as running:
-        first, _ = ranked(running)
-        client = connecting(running, first)
+@pytest.mark.parametrize("unread_bytes", [1, 1000, 20_000_000])
+def test_request_is_not_sent_when_client_close_follows_unread_bytes(
+    tmp_path: Path, unread_bytes: int
+) -> None:
+    # Peeking at the next byte only finds data; over 64 KiB not even the kernel has received the close.
+    with proxy_with_long_timeouts(tmp_path) as running:
+        best, _ = ranked(running)
+        client = connecting_request(running, best)
         with running.stopped():
-            first.go_on()
-            endpoint = first.accept()
+            best.go_on()
+            endpoint = best.accept()
             client.sock.setblocking(False)
             with suppress(BlockingIOError):
-                client.send(b"x" * unread)
+                client.send(b"x" * unread_bytes)
             client.close()
         assert endpoint.line() == b""
         running.logged("side=client reason=(withdrawn|bad-line)")
 
 
-def test_nothing_is_sent_for_a_session_whose_end_lies_behind_unread_bytes(tmp_path: Path) -> None:
-    with patient(tmp_path, own=CHANNELS) as running:
-        first, _ = ranked(running)
-        first.stall()
+def test_request_is_not_sent_when_session_close_follows_unread_packet(tmp_path: Path) -> None:
+    with proxy_with_long_timeouts(tmp_path, own_config=CHANNELS_CONFIG) as running:
+        best, _ = ranked(running)
+        best.stall()
         terminal = Terminal(running.extra_port)
-        terminal.open(5, key=0x7F3A9C21E0B4D655, wait_ms=LONG)
-        first.dialled()
+        terminal.open(5, key=0x7F3A9C21E0B4D655, wait_ms=LONG_DEADLINE_MS)
+        best.dialled()
         with running.stopped():
-            first.go_on()
-            endpoint = first.accept()
-            terminal.packet(2, b"never mind")  # IGNORE, which tells nobody that it left
+            best.go_on()
+            endpoint = best.accept()
+            terminal.packet(2, b"never mind")  # IGNORE, which does not announce the close
             terminal.close()
         assert endpoint.line() == b""
         running.logged("side=channel")
 
 
-def test_burst_of_departed_clients_sends_nothing(tmp_path: Path) -> None:
-    # Eight are dialled, the others held; all leave while the program is busy, then the connections come up.
-    with patient(tmp_path) as running:
-        first, _ = ranked(running)
-        first.stall()
-        gone = [running.client(LINE.replace(b"77", b"%d" % n) % LONG) for n in range(100, 160)]
-        first.dialled()
+def test_requests_of_departed_clients_are_not_sent_after_a_burst(tmp_path: Path) -> None:
+    # Eight are connecting, the others queued; all clients close while the process is stopped, and then the
+    # connections are established.
+    with proxy_with_long_timeouts(tmp_path) as running:
+        best, _ = ranked(running)
+        best.stall()
+        departed_clients = [
+            running.client(REQUEST_LINE.replace(b"77", b"%d" % number) % LONG_DEADLINE_MS)
+            for number in range(100, 160)
+        ]
+        best.dialled()
         assert running.alive()
         with running.stopped():
-            for client in gone:
+            for client in departed_clients:
                 client.close()
-            first.go_on()
-        again = running.client(LINE % LONG)
-        heard = b""
-        while not heard:
-            heard = first.accept().line()
-        assert heard.startswith(b"OPEN 77 ")
-        assert again
-
-
-def test_client_that_left_before_accept_sends_nothing(tmp_path: Path) -> None:
-    with patient(tmp_path) as running:
-        first, _ = ranked(running)
+            best.go_on()
+        next_client = running.client(REQUEST_LINE % LONG_DEADLINE_MS)
+        first_line = b""
+        while not first_line:
+            first_line = best.accept().line()
+        assert first_line.startswith(b"OPEN 77 ")
+        assert next_client
+
+
+def test_request_of_client_that_closed_before_accept_is_not_sent(tmp_path: Path) -> None:
+    with proxy_with_long_timeouts(tmp_path) as running:
+        best, _ = ranked(running)
         with running.stopped():
-            gone = [running.client(LINE.replace(b"77", b"%d" % n) % LONG) for n in range(100, 108)]
-            for client in gone:
+            departed_clients = [
+                running.client(REQUEST_LINE.replace(b"77", b"%d" % number) % LONG_DEADLINE_MS)
+                for number in range(100, 108)
+            ]
+            for client in departed_clients:
                 client.close()
-        again = running.client(LINE % LONG)
-        assert first.accept().line().startswith(b"OPEN 77 ")
-        assert again
+        next_client = running.client(REQUEST_LINE % LONG_DEADLINE_MS)
+        assert best.accept().line().startswith(b"OPEN 77 ")
+        assert next_client
 
 
 def test_queued_request_of_departed_client_is_not_sent(tmp_path: Path) -> None:
-    with patient(tmp_path) as running:
-        first, _ = ranked(running)
-        client, out = held(running, first)
+    with proxy_with_long_timeouts(tmp_path) as running:
+        best, _ = ranked(running)
+        client, in_flight = queued_request(running, best)
         with running.stopped():
-            let_go(out)
+            answer_all(in_flight)
             client.close()
         running.logged("side=client reason=withdrawn .*attempts=0")
-        again = running.client(LINE.replace(b"77", b"78") % LONG)
-        assert first.accept().line().startswith(b"OPEN 78 ")
-        assert again
+        next_client = running.client(REQUEST_LINE.replace(b"77", b"78") % LONG_DEADLINE_MS)
+        assert best.accept().line().startswith(b"OPEN 78 ")
+        assert next_client
 
 
 def test_endpoint_that_closes_on_accept_proves_nothing_was_executed(tmp_path: Path) -> None:
-    # The line was written to a connection that was known to be over, and counted as what may have run.
-    with patient(tmp_path, **ONCE) as running:
-        first, second = ranked(running)
-        client = connecting(running, first)
+    # The line used to be written to a connection known to be closed, and counted as possibly executed.
+    with proxy_with_long_timeouts(tmp_path, **NOT_REPEATABLE) as running:
+        best, other = ranked(running)
+        client = connecting_request(running, best)
         with running.stopped():
-            first.go_on()
-            first.accept().close()
-        second.serve()
+            best.go_on()
+            best.accept().close()
+        other.serve()
         assert client.line() == b"UP r1\r\n"
 
 
 def test_retry_is_not_sent_after_its_idempotency_window(tmp_path: Path) -> None:
-    # Looked at when the module decided, and not when the connection was up and the line went out.
-    window = {"effect": "by_key", "group": "all", "windowNs": 2 * S}
-    base = {**settings()["services"][0], "aimNs": 10 * S, "hardLimitNs": 20 * S, **window}
-    with proxy(tmp_path, 2, services=[base], allowed={"connectTimeoutNs": 1500 * MS}) as running:
-        first, second = ranked(running)
-        second.stall()
-        client, endpoint = sent(running, first)
+    # The window used to be checked at the decision only, not when the line was sent on the connection.
+    idempotency = {"effect": "by_key", "group": "all", "windowNs": 2 * S}
+    service = {**settings()["services"][0], "aimNs": 10 * S, "hardLimitNs": 20 * S, **idempotency}
+    with proxy(tmp_path, 2, services=[service], allowed={"connectTimeoutNs": 1500 * MS}) as running:
+        best, other = ranked(running)
+        other.stall()
+        client, endpoint = sent_request(running, best)
         endpoint.send(b"ERR\r\n")
-        second.dialled()
+        other.dialled()
         with running.stopped():
-            second.go_on()
-            repeat = second.accept()
+            other.go_on()
+            retry = other.accept()
             time.sleep(2.0)
-        assert repeat.line() == b""
-        assert client.line() == b"ERR\r\n"  # "come again" would say that coming again is harmless
+        assert retry.line() == b""
+        assert client.line() == b"ERR\r\n"  # BUSY would claim that a retry is safe
 
 
 def test_retry_that_could_miss_its_idempotency_window_is_not_started(tmp_path: Path) -> None:
-    with patient(
-        tmp_path, effect="by_key", group="all", windowNs=5 * S
-    ) as running:  # a connect may take 10 s
-        first, _ = ranked(running)
-        client, endpoint = sent(running, first)
+    # The connect timeout is 10 s.
+    with proxy_with_long_timeouts(tmp_path, effect="by_key", group="all", windowNs=5 * S) as running:
+        best, _ = ranked(running)
+        client, endpoint = sent_request(running, best)
         endpoint.send(b"ERR\r\n")
-        assert client.line() == b"BUSY 1000\r\n"  # by when the client's own is in time
+        assert client.line() == b"BUSY 1000\r\n"  # after which the client's own retry is within the window
         running.logged("side=client reason=rejected .*attempts=1")
 
 
-# ---- the table -------------------------------------------------------------------------------
+# ---- each state against each event -----------------------------------------------------------
 
 
-def fin(conn: Conn) -> None:
+def close_with_fin(conn: Conn) -> None:
+    """Close the connection in order."""
     conn.close()
 
 
-def reset(conn: Conn) -> None:
+def close_with_reset(conn: Conn) -> None:
+    """Reset the connection."""
     conn.close("reset")
 
 
-def cut(conn: Conn) -> None:
+def close_after_partial_line(conn: Conn) -> None:
+    """Close within an answer line."""
     conn.send(b"UP r")
     conn.close()
 
 
-def garbage(conn: Conn) -> None:
+def send_invalid_bytes(conn: Conn) -> None:
+    """Send a line that is not text."""
     conn.send(b"\xff\x00\r\n")
 
 
-def endless(conn: Conn) -> None:
+def send_oversized_line(conn: Conn) -> None:
+    """Send more than the longest line, without an end of line."""
     conn.send(b"x" * 6000)
 
 
-def twice(conn: Conn) -> None:
+def send_two_answers_and_close(conn: Conn) -> None:
+    """Send an error and then an acceptance, and close."""
     conn.send(b"ERR\r\nUP r1\r\n")
     conn.close()
 
 
-def of_client(running: RunningProxy) -> list[str]:
+def connection_end_events(running: RunningProxy) -> list[str]:
+    """Log lines that report the end of the client's connection of request 77."""
     return [
         line
         for line in running.seen + running.unread()
@@ -276,89 +310,101 @@
     ]
 
 
-@pytest.mark.parametrize("state", ["held", "connecting", "sent"])
-@pytest.mark.parametrize("leave", [fin, reset])
+@pytest.mark.parametrize("state", ["queued", "connecting", "sent"])
+@pytest.mark.parametrize("end_connection", [close_with_fin, close_with_reset])
 def test_departed_client_ends_its_request_in_each_state(
-    tmp_path: Path, state: str, leave: Callable[[Conn], None]
+    tmp_path: Path, state: str, end_connection: Callable[[Conn], None]
 ) -> None:
-    with patient(tmp_path) as running:
-        first, _ = ranked(running)
+    with proxy_with_long_timeouts(tmp_path) as running:
+        best, _ = ranked(running)
         running.seen.clear()
-        client, endpoint, out = in_state(running, first, state)
-        leave(client)
+        client, endpoint, in_flight = request_in_state(running, best, state)
+        end_connection(client)
         running.logged("side=client reason=withdrawn")
         if endpoint is not None:
             assert endpoint.ended() in ("fin", "reset")
         elif state == "connecting":
-            first.go_on()
-        let_go(out)
-        again = running.client(LINE.replace(b"77", b"78") % LONG)
+            best.go_on()
+        answer_all(in_flight)
+        next_client = running.client(REQUEST_LINE.replace(b"77", b"78") % LONG_DEADLINE_MS)
         attempt = running.asked().accept()
         assert attempt.line().startswith(b"OPEN 78 ")
-        assert again
-        assert len(of_client(running)) == 1
+        assert next_client
+        assert len(connection_end_events(running)) == 1
 
 
 @pytest.mark.parametrize(
-    ("state", "rules", "answer"),
+    ("state", "class_settings", "answer"),
     [
-        ("held", ONCE, b"BUSY\r\n"),
-        ("connecting", ONCE, b"BUSY\r\n"),
-        ("sent", ONCE, b"ERR\r\n"),
+        ("queued", NOT_REPEATABLE, b"BUSY\r\n"),
+        ("connecting", NOT_REPEATABLE, b"BUSY\r\n"),
+        ("sent", NOT_REPEATABLE, b"ERR\r\n"),
         ("sent", {"effect": "by_key", "group": "zone", "windowNs": 60 * S}, b"ERR\r\n"),
         ("sent", {"effect": "by_key", "group": "all", "windowNs": 60 * S}, b"BUSY\r\n"),
         ("sent", {"effect": "by_key", "group": "all", "windowNs": 1}, b"ERR\r\n"),
         ("sent", {}, b"BUSY\r\n"),
     ],
 )
-@pytest.mark.parametrize("end", ["leaves", "stops"])
+@pytest.mark.parametrize("end", ["half-close", "shutdown"])
 def test_possibly_executed_request_is_never_rejected_as_retry_safe(
-    tmp_path: Path, state: str, rules: dict[str, Any], answer: bytes, end: str
+    tmp_path: Path, state: str, class_settings: dict[str, Any], answer: bytes, end: str
 ) -> None:
-    # At a planned stop, and to a client that had ended its sending, all were told to come again.
-    with patient(tmp_path, **rules) as running:
-        first, _ = ranked(running)
-        client, _endpoint, _out = in_state(running, first, state)
-        if end == "leaves":
+    # At a graceful shutdown, and after a client's half-close, all used to be answered with BUSY.
+    with proxy_with_long_timeouts(tmp_path, **class_settings) as running:
+        best, _ = ranked(running)
+        client, _endpoint, _in_flight = request_in_state(running, best, state)
+        if end == "half-close":
             client.sock.shutdown(1)
         else:
             running.leave()
         assert client.line() == answer
         assert client.ended() == "fin"
         client.close()
-        if end == "stops":
+        if end == "shutdown":
             assert running.process.wait(WAIT) == 0
 
 
-@pytest.mark.parametrize("act", [fin, reset, cut, garbage, endless, twice])
-def test_endpoint_end_fails_possibly_executed_request(tmp_path: Path, act: Callable[[Conn], None]) -> None:
-    with patient(tmp_path, **ONCE) as running:
-        first, _ = ranked(running)
+@pytest.mark.parametrize(
+    "end_connection",
+    [
+        close_with_fin,
+        close_with_reset,
+        close_after_partial_line,
+        send_invalid_bytes,
+        send_oversized_line,
+        send_two_answers_and_close,
+    ],
+)
+def test_possibly_executed_request_fails_when_endpoint_connection_ends(
+    tmp_path: Path, end_connection: Callable[[Conn], None]
+) -> None:
+    with proxy_with_long_timeouts(tmp_path, **NOT_REPEATABLE) as running:
+        best, _ = ranked(running)
         running.seen.clear()
-        client, endpoint = sent(running, first)
-        act(endpoint)
+        client, endpoint = sent_request(running, best)
+        end_connection(endpoint)
         assert client.line() == b"ERR\r\n"
         assert client.ended() == "fin"
         client.close()
         running.logged("side=client reason=failed .*attempts=1")
-        assert len(of_client(running)) == 1
+        assert len(connection_end_events(running)) == 1
 
 
-@pytest.mark.parametrize("later", [b"ERR\r\n", b"BUSY\r\n", b"UP r2\r\n"])
-def test_second_answer_is_not_relayed(tmp_path: Path, later: bytes) -> None:
-    with patient(tmp_path) as running:
-        first, second = ranked(running)
-        client, endpoint = sent(running, first)
+@pytest.mark.parametrize("second_answer", [b"ERR\r\n", b"BUSY\r\n", b"UP r2\r\n"])
+def test_second_answer_of_rejecting_endpoint_is_not_relayed(tmp_path: Path, second_answer: bytes) -> None:
+    with proxy_with_long_timeouts(tmp_path) as running:
+        best, other = ranked(running)
+        client, endpoint = sent_request(running, best)
         with running.stopped():
             endpoint.send(b"BUSY\r\n")
-            endpoint.send(later)
-        served = second.serve()
+            endpoint.send(second_answer)
+        served = other.serve()
         assert client.line() == b"UP r1\r\n"
         served.send(b"x\r\n")
         assert client.line() == b"x\r\n"
 
 
-def test_partial_line_and_end_are_relayed(tmp_path: Path) -> None:
+def test_partial_line_and_close_are_relayed(tmp_path: Path) -> None:
     with proxy(tmp_path) as running:
         client, endpoint = running.standing()
         with running.stopped():
@@ -371,20 +417,20 @@
 
 
 def test_slow_reader_receives_everything_before_its_migration(tmp_path: Path) -> None:
-    # Half a second after that word it was closed, whatever it had not taken yet, that word too.
+    # It used to be closed half a second after MOVE, and lost what it had not read yet, MOVE included.
     with proxy(tmp_path, 2) as running:
-        first, _ = ranked(running)
+        best, _ = ranked(running)
         client = running.open()
-        endpoint = first.serve()
+        endpoint = best.serve()
         assert client.line() == b"UP r1\r\n"
         endpoint.sock.settimeout(0.5)
         with suppress(TimeoutError):
-            while True:  # until all on the way is full
+            while True:  # until all buffers on the way are full
                 endpoint.send(b"y" * 3998 + b"\r\n")
         endpoint.sock.settimeout(WAIT)
-        running.discovery.change(**{first.uid: "DRAINING"})
+        running.discovery.change(**{best.uid: "DRAINING"})
         with suppress(ConnectionError):
-            assert endpoint.sock.recv(1) == b""  # the client was told to move
+            assert endpoint.sock.recv(1) == b""  # MOVE was sent to the client
         time.sleep(1.2)
         lines = list(iter(client.line, b""))
         assert lines.pop() == b"MOVE\r\n"
@@ -395,48 +441,53 @@
 
 
 def test_graceful_shutdown_answers_the_accept_queue(tmp_path: Path) -> None:
-    # 64 are accepted in a turn; those behind them were reset when the listener closed.
+    # 64 are accepted per turn; those behind them used to be reset when the listener closed.
     with proxy(tmp_path) as running:
         running.leave()
         running.logged("event=shutdown-started")
         with running.stopped():
-            crowd = [running.open(1000) for _ in range(200)]
-            time.sleep(0.7)  # past the time in which new ones still come
-        for client in crowd:
+            clients = [running.open(1000) for _ in range(200)]
+            time.sleep(0.7)  # past the time in which new connections are still accepted
+        for client in clients:
             assert client.line()[:4] in (b"BUSY", b"ERR\r")
             client.close()
         assert running.process.wait(WAIT) == 0
 
 
 def test_reload_serves_the_accept_queue_of_the_former_address(tmp_path: Path) -> None:
-    with patient(tmp_path, endpoints=1) as running:
+    with proxy_with_long_timeouts(tmp_path, endpoints=1) as running:
         port = free_port()
-        text = running.config.read_text().replace(f"127.0.0.1:{running.port}", f"127.0.0.1:{port}")
-        running.config.write_text(text)
+        config_text = running.config.read_text().replace(f"127.0.0.1:{running.port}", f"127.0.0.1:{port}")
+        running.config.write_text(config_text)
         with running.stopped():
             running.process.send_signal(1)
-            crowd = [running.client(LINE.replace(b"77", b"%x" % n) % LONG) for n in range(100, 300)]
+            clients = [
+                running.client(REQUEST_LINE.replace(b"77", b"%x" % number) % LONG_DEADLINE_MS)
+                for number in range(100, 300)
+            ]
         endpoint = running.listeners[0]
-        kept = [endpoint.serve() for _ in crowd]
-        for client in crowd:
+        served = [endpoint.serve() for _ in clients]
+        for client in clients:
             assert client.line() == b"UP r1\r\n"
-        assert len(kept) == len(crowd)
+        assert len(served) == len(clients)
 
 
-@pytest.mark.parametrize("said", [b"", b"OPEN 1 2 c=fe", b"PING\r\n"])
-def test_idle_client_is_notified_and_crossing_request_is_not_sent(tmp_path: Path, said: bytes) -> None:
-    # It was reset by the exit, and a line that came in that moment was lost.
+@pytest.mark.parametrize("sent_before", [b"", b"OPEN 1 2 c=fe", b"PING\r\n"])
+def test_idle_client_gets_busy_at_shutdown_and_its_later_request_is_not_sent(
+    tmp_path: Path, sent_before: bytes
+) -> None:
+    # It used to be reset at the exit, and a line that arrived at that moment was lost.
     with proxy(tmp_path) as running:
-        resting = running.client(said)
-        if said.endswith(b"\n"):
-            assert resting.line() == b"PONG\r\n"
+        idle_client = running.client(sent_before)
+        if sent_before.endswith(b"\n"):
+            assert idle_client.line() == b"PONG\r\n"
         else:
             assert running.alive()
         running.leave()
-        assert resting.line() == b"BUSY\r\n"
-        assert resting.ended() == "fin"
-        resting.send(LINE % 2000)  # it had not seen the end when it asked
-        resting.close()
+        assert idle_client.line() == b"BUSY\r\n"
+        assert idle_client.ended() == "fin"
+        idle_client.send(REQUEST_LINE % 2000)  # as a client would that has not seen the close yet
+        idle_client.close()
         assert running.process.wait(WAIT) == 0
         running.logged("event=shutdown-finished")
         assert not [line for line in running.seen if "event=attempt-started" in line]
@@ -444,31 +495,31 @@
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 def test_late_request_on_idle_connection_is_answered_until_exit(tmp_path: Path, frontend: str) -> None:
-    with proxy(tmp_path, own=CHANNELS) as running:
-        standing = running.standing()  # keeps the program until its turn to be moved
-        resting: Conn = Terminal(running.extra_port) if frontend == "channels" else running.client()
+    with proxy(tmp_path, own=CHANNELS_CONFIG) as running:
+        established = running.standing()  # keeps the process running until this connection is migrated
+        idle_client: Conn = Terminal(running.extra_port) if frontend == "channels" else running.client()
         assert running.alive()
         running.leave()
         running.logged("event=shutdown-started")
-        if isinstance(resting, Terminal):
-            resting.open(5)  # served, or refused once no more is taken: either is its answer
-            ends = [running.listeners[0].sock, resting.sock]
-            if running.listeners[0].sock in select.select(ends, [], [], WAIT)[0]:
-                kept = running.listeners[0].serve()
-                assert resting.confirmed(5) >= 0
-                assert kept
-                assert b"move@linnetshift" in resting.expect(98, 5)
-                resting.expect(97, 5)
+        if isinstance(idle_client, Terminal):
+            idle_client.open(5)  # served, or refused once no more are accepted: either is an answer
+            sockets = [running.listeners[0].sock, idle_client.sock]
+            if running.listeners[0].sock in select.select(sockets, [], [], WAIT)[0]:
+                served = running.listeners[0].serve()
+                assert idle_client.confirmed(5) >= 0
+                assert served
+                assert b"move@linnetshift" in idle_client.expect(98, 5)
+                idle_client.expect(97, 5)
             else:
-                assert resting.read()[0] in (92, 1)
+                assert idle_client.read()[0] in (92, 1)
         else:
-            resting.send(LINE % 2000)
-            kept = running.listeners[0].serve()
-            assert resting.line() == b"UP r1\r\n"
-            assert kept
-            assert resting.line() == b"MOVE\r\n"
-        assert standing[0].line() == b"MOVE\r\n"
-        for client in (standing[0], resting):
+            idle_client.send(REQUEST_LINE % 2000)
+            served = running.listeners[0].serve()
+            assert idle_client.line() == b"UP r1\r\n"
+            assert served
+            assert idle_client.line() == b"MOVE\r\n"
+        assert established[0].line() == b"MOVE\r\n"
+        for client in (established[0], idle_client):
             client.close()
         assert running.process.wait(WAIT) == 0
 
@@ -481,18 +532,18 @@
         with running.stopped():
             client.send(b"half a line")
             endpoint.send(b"so is this")
-            time.sleep(3.5)  # at once the time to be moved and that to be gone are over
+            time.sleep(3.5)  # both the migration time and the exit deadline are over at once
         assert client.line() == b"MOVE\r\n"
         assert client.ended() == "fin"
         client.close()
         assert running.process.wait(WAIT) == 0
 
 
-def test_answer_under_way_at_shutdown_is_relayed(tmp_path: Path) -> None:
-    # Both are there in one turn: the client is served, and then moved like any other.
-    with patient(tmp_path) as running:
-        first, _ = ranked(running)
-        client, endpoint = sent(running, first)
+def test_answer_that_arrives_with_shutdown_signal_is_relayed(tmp_path: Path) -> None:
+    # Both are handled in one turn: the client is served, and then migrated like any other.
+    with proxy_with_long_timeouts(tmp_path) as running:
+        best, _ = ranked(running)
+        client, endpoint = sent_request(running, best)
         with running.stopped():
             endpoint.send(b"UP r1\r\n")
             running.leave()
@@ -503,44 +554,47 @@
         assert running.process.wait(WAIT) == 0
 
 
-def test_flood_during_shutdown_costs_no_client_its_answer(tmp_path: Path) -> None:
-    with patient(tmp_path) as running:
-        first, _ = ranked(running)
-        client = running.client(LINE.replace(b"77", b"76") % LONG)
-        kept = first.serve()
+def test_each_client_is_answered_when_connections_flood_in_during_shutdown(tmp_path: Path) -> None:
+    with proxy_with_long_timeouts(tmp_path) as running:
+        best, _ = ranked(running)
+        client = running.client(REQUEST_LINE.replace(b"77", b"76") % LONG_DEADLINE_MS)
+        served = best.serve()
         assert client.line() == b"UP r1\r\n"
-        waiting, endpoint = sent(running, first)
+        waiting_client, endpoint = sent_request(running, best)
         running.leave()
         running.logged("event=shutdown-started")
-        crowd = [running.client() for _ in range(60)]
-        leavers = [running.client(LINE.replace(b"77", b"%d" % n) % LONG) for n in range(100, 140)]
-        for leaver in leavers:
-            leaver.close("reset")
+        clients = [running.client() for _ in range(60)]
+        departed_clients = [
+            running.client(REQUEST_LINE.replace(b"77", b"%d" % number) % LONG_DEADLINE_MS)
+            for number in range(100, 140)
+        ]
+        for departed in departed_clients:
+            departed.close("reset")
         endpoint.send(b"ERR\r\n")
-        # Tried again, or told so: one answer, and no reset.
+        # Retried, or rejected: one answer, and no reset.
         with suppress(BlockingIOError):
-            first.sock.setblocking(False)
-            first.accept().send(b"UP r1\r\n")
-        assert waiting.line() in (b"UP r1\r\n", b"BUSY 1000\r\n", b"BUSY\r\n", b"ERR\r\n")
+            best.sock.setblocking(False)
+            best.accept().send(b"UP r1\r\n")
+        assert waiting_client.line() in (b"UP r1\r\n", b"BUSY 1000\r\n", b"BUSY\r\n", b"ERR\r\n")
         assert client.line() == b"MOVE\r\n"
-        assert len(crowd) == 60
-        assert kept
-        for one in (client, waiting, *crowd):
-            one.close()
+        assert len(clients) == 60
+        assert served
+        for each in (client, waiting_client, *clients):
+            each.close()
         assert running.process.wait(WAIT) == 0
 
 
-def test_late_reset_counts_as_possibly_executed(tmp_path: Path) -> None:
-    with patient(tmp_path, **ONCE) as running:
-        first, second = ranked(running)
-        client, endpoint = sent(running, first)
-        others = []
-        for n in range(100, 107):  # so long that others are served meanwhile
-            other = running.client(LINE.replace(b"77", b"%d" % n) % LONG)
-            others.append((other, first.serve()))
-            assert other.line() == b"UP r1\r\n"
+def test_request_fails_as_possibly_executed_after_late_reset(tmp_path: Path) -> None:
+    with proxy_with_long_timeouts(tmp_path, **NOT_REPEATABLE) as running:
+        best, other = ranked(running)
+        client, endpoint = sent_request(running, best)
+        established = []
+        for number in range(100, 107):  # the reset comes after other requests were served
+            client_on_best = running.client(REQUEST_LINE.replace(b"77", b"%d" % number) % LONG_DEADLINE_MS)
+            established.append((client_on_best, best.serve()))
+            assert client_on_best.line() == b"UP r1\r\n"
         endpoint.close("reset")
         assert client.line() == b"ERR\r\n"
-        second.sock.setblocking(False)
+        other.sock.setblocking(False)
         with pytest.raises(BlockingIOError):
-            second.accept()
+            other.accept()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,7 +10,7 @@
 import pytest
 from conftest import MS, S, raw_settings
 from proxy import WAIT, DiscoveryServer, free_port, proxy, settings, world
-from test_final_answers import LINE, LONG, in_state, let_go
+from test_final_answers import LONG_DEADLINE_MS, REQUEST_LINE, answer_all, request_in_state
 from test_line_protocol import ranked
 
 from linnetshift.config.proxy_file import read_config
@@ -214,7 +214,7 @@
     assert later.names.zones == {"a": 0, "b": 1, "c": 2}
 
 
-@pytest.mark.parametrize("state", ["held", "connecting", "sent"])
+@pytest.mark.parametrize("state", ["queued", "connecting", "sent"])
 @pytest.mark.parametrize(("before", "after"), [("once", "repeatable"), ("repeatable", "once")])
 def test_request_in_flight_is_retried_by_the_effect_it_began_with(
     tmp_path: Path, state: str, before: str, after: str
@@ -227,7 +227,7 @@
 
     with proxy(tmp_path, 2, services=with_effect(before), allowed=allowed) as running:
         first, second = ranked(running)
-        client, endpoint, out = in_state(running, first, state)
+        client, endpoint, out = request_in_state(running, first, state)
         others = [{**base, "name": "extra", "effect": after}]  # and in another order
         running.reload(
             "event=configuration-reloaded",
@@ -236,7 +236,7 @@
         if state == "connecting":
             first.go_on()
         if endpoint is None:
-            let_go(out)
+            answer_all(out)
             endpoint = first.accept()
             assert endpoint.line().startswith(b"OPEN 77 ")
         endpoint.close("reset")
@@ -246,7 +246,7 @@
             again = second.serve()
             assert client.line() == b"UP r1\r\n"
             assert again
-        fresh = running.client(LINE.replace(b"77", b"78") % LONG)
+        fresh = running.client(REQUEST_LINE.replace(b"77", b"78") % LONG_DEADLINE_MS)
         attempt = running.asked().accept()
         assert attempt.line().startswith(b"OPEN 78 ")
         attempt.close("reset")
--- /dev/null
+++ b/tests/test_resource_bounds.py
@@ -0,0 +1,212 @@
+"""Every container that lives as long as the process has a bound on its size, and stays within it."""
+
+from __future__ import annotations
+
+import re
+import socket
+import time
+from pathlib import Path
+
+import pytest
+from conftest import MS, endpoint, entry, listed, raw_settings
+from proxy import ROOT, WAIT, Terminal, inside, proxy
+from test_broker import FakeSurroundings
+
+from linnetshift.admin import server
+from linnetshift.broker import administrative_drains
+from linnetshift.broker.administrative_drains import AdministrativeDrains
+from linnetshift.event_loop import connection_limits
+from linnetshift.event_loop.loop import Loop
+from linnetshift.frontends.channels import frontend
+from linnetshift.lifecycle import peer_process
+from linnetshift.lifecycle.peer_process import PeerProcess
+from linnetshift.lifecycle.takeover_messages import PeerResources
+from linnetshift.observability.resource_usage import ResourceUsage, over_bound
+from linnetshift.routing.events import EndpointEntry, EndpointState, ListForm
+from linnetshift.routing.settings import Settings
+
+
+def entries(*numbers: int, state: EndpointState = EndpointState.READY) -> list[EndpointEntry]:
+    """List entries of the endpoints with these numbers, all in one state."""
+    return [entry(number, state=state) for number in numbers]
+
+
+@pytest.fixture
+def small_bounds(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Bounds of a few endpoints for the administrative drains."""
+    monkeypatch.setattr(administrative_drains, "MAX_LISTED", 8)
+    monkeypatch.setattr(administrative_drains, "MAX_KNOWN", 16)
+    monkeypatch.setattr(administrative_drains, "MAX_DRAINED", 4)
+
+
+def test_removed_endpoints_are_forgotten_everywhere(small_bounds: None) -> None:
+    # Machines are replaced under new ids: each id used to stay in four maps, and in a fifth if it was slow.
+    surroundings = FakeSurroundings()
+    for number in range(100):
+        surroundings.broker.handle_endpoint_list(listed(*entries(number), form=ListForm.DELTA))
+        surroundings.broker.latency_estimator.record_reset(endpoint(number), surroundings.now)
+        surroundings.broker.latency_estimator.record_response_time(
+            endpoint(number), None, 5, surroundings.now
+        )
+        surroundings.broker.handle_endpoint_list(
+            listed(*entries(number, state=EndpointState.REMOVED), form=ListForm.DELTA)
+        )
+        surroundings.broker.process_events()
+        assert over_bound(surroundings.broker.resource_usage(16)) == []
+    listed_endpoints = surroundings.broker.administrative_drains.listed
+    assert list(listed_endpoints)[-1] == endpoint(99)
+    assert len(listed_endpoints) == 16
+    assert set(surroundings.broker.endpoint_views.zones) <= set(listed_endpoints)
+    assert set(surroundings.broker.latency_estimator.reset_at_ns) <= set(listed_endpoints)
+    assert set(surroundings.broker.endpoint_views.started_ns) <= set(listed_endpoints)
+    assert set(surroundings.broker.latency_estimator.weights) <= set(listed_endpoints)
+
+
+def test_too_long_list_is_cut_while_known_endpoints_are_still_updated(small_bounds: None) -> None:
+    drains = AdministrativeDrains(lambda: 1)
+    event = drains.limit_entries(listed(*entries(*range(20))))
+    assert [each.endpoint for each in event.entries] == [endpoint(number) for number in range(8)]
+    drains.overlay(event)
+    # Known endpoints are still updated; only new ones are dropped.
+    change = listed(*entries(3, 4, state=EndpointState.DRAINING), *entries(50), form=ListForm.DELTA)
+    assert [each.endpoint for each in drains.limit_entries(change).entries] == [endpoint(3), endpoint(4)]
+    drains.overlay(listed(*entries(5, state=EndpointState.REMOVED), form=ListForm.DELTA))
+    assert len(drains.limit_entries(listed(*entries(51, 52), form=ListForm.DELTA)).entries) == 1
+    # A full list frees the places of endpoints that it does not contain.
+    assert len(drains.limit_entries(listed(*entries(*range(60, 68)))).entries) == 8
+
+
+def test_drains_survive_list_removal_and_are_refused_over_the_limit(small_bounds: None) -> None:
+    surroundings = FakeSurroundings()
+    surroundings.broker.handle_endpoint_list(listed(*entries(*range(8))))
+    for number in range(4):
+        assert surroundings.broker.drain_endpoint(endpoint(number))
+    assert not surroundings.broker.drain_endpoint(endpoint(4))
+    assert surroundings.broker.drain_endpoint(endpoint(0))
+    for number in range(100, 200):
+        surroundings.broker.handle_endpoint_list(listed(*entries(number)))
+    assert all(
+        surroundings.broker.administrative_drains.is_drained(endpoint(number))
+        and surroundings.broker.administrative_drains.is_known(endpoint(number))
+        for number in range(4)
+    )
+    assert surroundings.broker.restore_endpoint(endpoint(0))
+    assert surroundings.broker.administrative_drains.restored
+    assert over_bound(surroundings.broker.resource_usage(16)) == []
+
+
+def settings_with_objectives(*objectives_ns: int) -> Settings:
+    """Settings with one class of requests for each latency objective, in nanoseconds."""
+    service = raw_settings()["services"][0]
+    return Settings.parse(
+        raw_settings(
+            services=[
+                {**service, "name": f"s{number}", "aimNs": objective_ns}
+                for number, objective_ns in enumerate(objectives_ns)
+            ],
+            familyInfo={"messageAimNs": [1_000_000] * len(objectives_ns), "mode": "proxy"},
+        )
+    )
+
+
+def test_reload_reuses_class_numbers_without_references() -> None:
+    # Each reload used to leave a class behind forever; one in use must keep its number and its settings.
+    settings = settings_with_objectives(1000, 2000)
+    class_in_use = settings.classes[1]
+    for objective_ns in range(3000, 3050):
+        settings = settings_with_objectives(1000, objective_ns).numbered_after(
+            settings, {1, *settings.offered_numbers}
+        )
+        assert settings.offered[1].latency_objective_ns == objective_ns
+        assert settings.offered_numbers[0] == 0
+        assert settings.classes[1] == class_in_use
+    assert len(settings.classes) <= 4
+
+
+def test_resource_usage_is_reported_and_within_its_bounds(tmp_path: Path) -> None:
+    with proxy(tmp_path, admin_server=True) as running:
+        established = running.standing()
+        usage = {name: ResourceUsage(**figures) for name, figures in running.resource_usage().items()}
+    assert established
+    assert over_bound(usage) == []
+    assert usage["platform.consumers"].size == usage["broker.invocations"].size == 1
+    table = (ROOT / "docs" / "memory.md").read_text()
+    assert set(re.findall(r"^\| `([a-z._-]+)` \|", table, re.M)) == set(usage)
+
+
+def test_admin_connections_that_linger_are_closed_for_new_ones(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Answered callers that kept sending used a descriptor each for up to 3 s, without a limit.
+    monkeypatch.setattr(server, "MAX_CONNECTIONS", 3)
+    with inside(tmp_path, admin_server=True) as running:
+        connections = []
+        for _ in range(9):
+            connection = running.client(b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n", running.admin_port)
+            while connection.line().strip():
+                pass
+            assert connection.line()
+            connections.append(connection)
+            assert over_bound(running.program.admin_server.resource_usage()) == []
+
+
+def test_waiting_channels_are_bounded_across_all_sessions(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Opening a channel is cheap, and a waiting one needs no descriptor: 256 would fit in each session.
+    monkeypatch.setattr(frontend, "MAX_OPEN_CHANNELS", 2)
+    own_config = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
+    with inside(tmp_path, own=own_config) as running:
+        first, second = Terminal(running.extra_port), Terminal(running.extra_port)
+        first.open(1, wait_ms=60_000)
+        second.open(2, wait_ms=60_000)
+        attempts = [running.listeners[0].accept() for _ in range(2)]
+        second.open(3)
+        assert b"come again after 1000 ms" in second.expect(92, 3, 4)
+        first.close()
+        assert attempts[0].line()
+        assert attempts[1].line()
+        while running.program.channels.open_channels > 1:
+            time.sleep(0.01)
+        second.open(4)
+        running.listeners[0].serve()
+        second.confirmed(4)
+
+
+def test_hanging_peer_process_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The messages sent to it twice a second used to accumulate for as long as it hung.
+    monkeypatch.setattr(peer_process, "HEARTBEAT_INTERVAL_NS", MS)
+    monkeypatch.setattr(connection_limits, "STALL_NS", 100 * MS)
+    heartbeat_bytes = 1 << 20
+
+    class FakeHotRestart:
+        """Hot restart and proxy of a process that has a peer."""
+
+        loop = Loop()
+        gone_peer: PeerProcess | None = None
+
+        def peer_resources(self) -> PeerResources:
+            """Loads large enough to fill the stream of a peer that does not read."""
+            return PeerResources(loads={b"x" * heartbeat_bytes: []})
+
+        def handle_peer_gone(self, peer: PeerProcess) -> None:
+            """Record the peer that was disconnected."""
+            self.gone_peer = peer
+
+    surroundings = FakeHotRestart()
+    own_end, peer_end = socket.socketpair()
+    peer = PeerProcess(surroundings.loop, surroundings, surroundings, own_end)  # type: ignore[arg-type]
+    peer.has_exchanged_state = True
+    peer.start(peer.run())
+    give_up_at_s = time.monotonic() + WAIT
+    max_unsent_bytes = 0
+    while surroundings.gone_peer is None:
+        assert time.monotonic() < give_up_at_s
+        # Without a timer the last turn would wait for an event that never comes.
+        surroundings.loop.call_later(MS, lambda: None)
+        surroundings.loop.run_once()
+        max_unsent_bytes = max(max_unsent_bytes, len(peer.stream.unsent))
+    assert 0 < max_unsent_bytes < 2 * heartbeat_bytes
+    assert peer.stream.closed
+    assert not peer.timers
+    peer_end.close()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Signals that arrive before the process serves."""
+"""Signals that arrive before the process accepts connections."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 from proxy import ROOT, WAIT, RunningProxy, launch, world
 
 
-def read_by(process_id: int, fifo: Path) -> int:
+def open_when_process_reads(process_id: int, fifo: Path) -> int:
     """Open the pipe for writing, which waits until the process opens it for reading."""
     assert process_id
     return os.open(fifo, os.O_WRONLY)
 
 
-@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_signal_before_the_files_are_read_is_acted_on_after_the_start(
-    tmp_path: Path, number: signal.Signals
+@pytest.mark.parametrize("signal_number", [signal.SIGHUP, signal.SIGTERM])
+def test_signal_before_configuration_is_read_takes_effect_after_start(
+    tmp_path: Path, signal_number: signal.Signals
 ) -> None:
-    # It ended the process: it was not caught before all parts were wired and the address was open.
-    with world(tmp_path) as made:
-        text = made.config.read_text()
-        made.config.unlink()
-        os.mkfifo(made.config)
-        process = launch(str(made.config), str(made.own))
-        running = RunningProxy(process, made.port, made.extra)
+    # It used to end the process, as handlers were installed only once all parts were ready and listening.
+    with world(tmp_path) as environment:
+        config_text = environment.config.read_text()
+        environment.config.unlink()
+        os.mkfifo(environment.config)
+        process = launch(str(environment.config), str(environment.own))
+        running = RunningProxy(process, environment.port, environment.extra)
         try:
-            writer = read_by(process.pid, made.config)  # it reads from now on, and has nothing yet
-            process.send_signal(number)
-            os.write(writer, text.encode())
+            # From here on the process waits in its read of the file.
+            writer = open_when_process_reads(process.pid, environment.config)
+            process.send_signal(signal_number)
+            os.write(writer, config_text.encode())
             os.close(writer)
             running.logged("event=process-started")
-            if number == signal.SIGHUP:
-                writer = read_by(process.pid, made.config)
-                os.write(writer, json.dumps(json.loads(text)).encode())
+            if signal_number == signal.SIGHUP:
+                writer = open_when_process_reads(process.pid, environment.config)
+                os.write(writer, json.dumps(json.loads(config_text)).encode())
                 os.close(writer)
                 running.logged("event=configuration-reloaded")
                 assert running.alive()
@@ -50,14 +51,14 @@
             process.wait(WAIT)
 
 
-def test_hang_up_while_python_starts_is_ignored(tmp_path: Path) -> None:
-    # A reload that is sent to every proxy also reaches those that were restarted a moment ago.
-    run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    command = run.replace(".venv/bin/python -m linnetshift", f"cat {tmp_path}/word")
-    assert command != run
-    os.mkfifo(tmp_path / "word")
+def test_hangup_during_interpreter_start_is_ignored(tmp_path: Path) -> None:
+    # A reload signal sent to every proxy also reaches those that were just restarted.
+    run_command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+    command = run_command.replace(".venv/bin/python -m linnetshift", f"cat {tmp_path}/fifo")
+    assert command != run_command
+    os.mkfifo(tmp_path / "fifo")
     process = launch("", command=("/bin/sh", "-c", command))
-    writer = read_by(process.pid, tmp_path / "word")
+    writer = open_when_process_reads(process.pid, tmp_path / "fifo")
     process.send_signal(signal.SIGHUP)
     os.close(writer)
     assert process.wait(WAIT) == 0
