--- a/bench/hostile_memory.py
+++ b/bench/hostile_memory.py
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from proxy import proxy, uncollected  # noqa: E402
+from proxy_harness import command_without_collector, started_proxy  # noqa: E402
 
 from rig.connection_load import ConnectionEnd, Ending, PeerInput, run_connections  # noqa: E402
 
@@ -65,9 +65,9 @@
     total = 0
     with (
         tempfile.TemporaryDirectory() as folder,
-        proxy(Path(folder), own=BROKER_FILE, **how) as running,  # type: ignore[arg-type]
+        started_proxy(Path(folder), broker_toml=BROKER_FILE, **how) as running,  # type: ignore[arg-type]
     ):
-        port = running.extra_port if frontend == "channels" else running.port
+        port = running.channels_port if frontend == "channels" else running.port
         yield Measurement(0, running.resident_mib(), running.descriptors())
         for step in steps:
             inputs = (random_input(rng, port, frontend) for _ in range(step - total))
@@ -90,7 +90,7 @@
     options = parser.parse_args()
     how: dict[str, object] = {"program": options.program}
     if options.collector == "off":
-        how["command"] = uncollected()
+        how["command"] = command_without_collector()
     print(f"| front (collector {options.collector}) | connections | MiB | descriptors |")
     print("| --- | --- | --- | --- |")
     for frontend in ("platform", "channels"):
--- a/bench/open_cost.py
+++ b/bench/open_cost.py
@@ -21,8 +21,10 @@
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
+from emulated_peers import EmulatedEndpoint  # noqa: E402
 from program_states import processor_time_ns, unpack_commit  # noqa: E402
-from proxy import Listener, RunningProxy, proxy  # noqa: E402
+from proxy_harness import started_proxy  # noqa: E402
+from running_proxy import RunningProxy  # noqa: E402
 
 from rig.connection_load import PeerInput, run_connections  # noqa: E402
 
@@ -33,7 +35,7 @@
 """Connections that are open at once."""
 
 
-def accept_and_end(listener: Listener) -> None:
+def accept_and_end(listener: EmulatedEndpoint) -> None:
     """Accept and end every connection at once, until the listener is closed."""
     listener.sock.settimeout(None)
     with suppress(OSError):
@@ -46,7 +48,7 @@
 
 def serve_endpoints(running: RunningProxy) -> None:
     """Serve each endpoint of the program in a thread."""
-    for listener in running.listeners:
+    for listener in running.endpoints:
         threading.Thread(target=accept_and_end, args=(listener,), daemon=True).start()
 
 
@@ -75,7 +77,7 @@
         programs = {}
         for name, program in (("before", before), ("after", ROOT)):
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-            programs[name] = stack.enter_context(proxy(folder, endpoints=ENDPOINTS, program=program))
+            programs[name] = stack.enter_context(started_proxy(folder, endpoints=ENDPOINTS, program=program))
             serve_endpoints(programs[name])
         rng = random.Random(1)
         costs: dict[str, list[float]] = {name: [] for name in programs}
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -25,7 +25,8 @@
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from proxy import RunningProxy, proxy  # noqa: E402
+from proxy_harness import started_proxy  # noqa: E402
+from running_proxy import RunningProxy  # noqa: E402
 
 from rig.connection_load import LINGER_RESET, PeerInput, run_connections  # noqa: E402
 
@@ -103,7 +104,7 @@
     def __init__(self, running: RunningProxy) -> None:
         super().__init__(daemon=True)
         self.selector = selectors.DefaultSelector()
-        for listener in running.listeners:
+        for listener in running.endpoints:
             listener.sock.setblocking(False)
             self.selector.register(listener.sock, selectors.EVENT_READ, True)
 
@@ -165,7 +166,7 @@
             request_id = rng.getrandbits(64)
             yield line_protocol_input(running.port, case, request_id, key, deadline_ms)
         else:
-            yield channels_input(running.extra_port, case, key, deadline_ms)
+            yield channels_input(running.channels_port, case, key, deadline_ms)
 
 
 def answers_to_leave_at(case: str) -> tuple[bytes, ...]:
@@ -190,7 +191,7 @@
 
 def drain_in_turns(running: RunningProxy, stop: threading.Event) -> None:
     """Drain one endpoint after the other, so that their connections are migrated."""
-    uids = [listener.uid for listener in running.listeners]
+    uids = [listener.uid for listener in running.endpoints]
     turn = 0
     while not stop.wait(DRAIN_INTERVAL_S):
         turn += 1
@@ -226,7 +227,9 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         os.mkfifo(folder / "objects")
-        with proxy(folder, ENDPOINTS, own=BROKER_FILE, admin_server=True, command=start) as running:
+        with started_proxy(
+            folder, ENDPOINTS, broker_toml=BROKER_FILE, admin_server=True, command=start
+        ) as running:
             threading.Thread(target=discard_log, args=(running,), daemon=True).start()
             EndpointThread(running).start()
             stop = threading.Event()
--- a/rig/hostile_run.py
+++ b/rig/hostile_run.py
@@ -47,13 +47,13 @@
     """The tests' running program, as far as this module needs it."""
 
     port: int
-    extra_port: int
+    channels_port: int
     admin_port: int
-    listeners: Any
+    endpoints: Any
     discovery: Any
     process: Any
     config: Path
-    seen: list[str]
+    passed_lines: list[str]
 
     def alive(self) -> bool:
         """Whether it answers."""
@@ -75,7 +75,7 @@
         """Number of open descriptors."""
         ...
 
-    def unread(self) -> list[str]:
+    def unread_lines(self) -> list[str]:
         """Log lines since the last call."""
         ...
 
@@ -141,7 +141,7 @@
         """Send so many generated inputs to a frontend, a key of `CLIENT_INPUTS`."""
         ports = {
             "line-protocol": self.running.port,
-            "channels": self.running.extra_port,
+            "channels": self.running.channels_port,
             "admin": self.running.admin_port,
         }
         generate = CLIENT_INPUTS[frontend]
@@ -161,7 +161,7 @@
     def send_datagrams(self, datagrams: Sequence[bytes], sender: socket.socket) -> None:
         """Send datagrams to the extra port from a socket that the program knows."""
         for datagram in datagrams:
-            sender.sendto(datagram, ("127.0.0.1", self.running.extra_port))
+            sender.sendto(datagram, ("127.0.0.1", self.running.channels_port))
         self._finish_round(datagrams)
 
     def send_takeovers(self, path: str, texts: Sequence[bytes]) -> None:
@@ -178,7 +178,7 @@
     def send_lists(self, answers: Sequence[bytes], wait_for_call: Callable[[], None]) -> None:
         """Give answers of discovery; `wait_for_call` returns once the program has called again."""
         for answer in answers:
-            self.running.discovery.says(answer)
+            self.running.discovery.answer_once(answer)
             wait_for_call()
         self._finish_round(answers)
 
@@ -189,7 +189,7 @@
     def check(self, inputs: Sequence[PeerInput | bytes]) -> None:
         """The program lives, answers, logged no fault, and holds no more than before and than its bounds."""
         self._check_alive(inputs)
-        faults = [line for line in self.running.unread() if "event=fault" in line]
+        faults = [line for line in self.running.unread_lines() if "event=fault" in line]
         if faults:
             raise InvariantViolationError(faults[0][:2000], inputs)
         self._check_descriptors(inputs)
--- a/tests/connections.py
+++ b/tests/connections.py
@@ -5,7 +5,7 @@
 import socket
 import struct
 
-WAIT = 20.0
+WAIT_S = 20.0
 """Longest wait of a test, in seconds; all of them end with the event that is waited for."""
 
 RESET = struct.pack("ii", 1, 0)
@@ -23,19 +23,21 @@
     return struct.pack(">I", len(text)) + text
 
 
-class Conn:
+class PeerConnection:
     """One end of a connection, read line by line."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        sock.settimeout(WAIT)
+        sock.settimeout(WAIT_S)
         self._unread = b""
+        self.first_line = b""
+        """What `EmulatedEndpoint.serve` has read."""
 
     def send(self, data: bytes) -> None:
         """Send all of the data."""
         self.sock.sendall(data)
 
-    def exactly(self, size: int) -> bytes:
+    def read_exactly(self, size: int) -> bytes:
         """So many bytes; fewer at the end of the connection."""
         while len(self._unread) < size and (data := self.sock.recv(READ_BYTES)):
             self._unread += data
@@ -66,42 +68,42 @@
         self.sock.close()
 
 
-class Terminal(Conn):
+class ChannelsClient(PeerConnection):
     """An emulated terminal: SSH's framing and channels, written independently of the program."""
 
     def __init__(self, port: int, sock: socket.socket | None = None) -> None:
-        super().__init__(sock or socket.create_connection(("127.0.0.1", port), WAIT))
+        super().__init__(sock or socket.create_connection(("127.0.0.1", port), WAIT_S))
         if sock is None:
             self.send(b"SSH-2.0-terminal\r\n")
         assert self.line().startswith(b"SSH-2.0-")
 
     @classmethod
-    def over(cls, conn: Conn) -> Terminal:
+    def on_connection(cls, conn: PeerConnection) -> ChannelsClient:
         """A terminal on a connection that has sent its identification already."""
         return cls(0, conn.sock)
 
-    def packet(self, *fields: int | bytes) -> None:
+    def send_message(self, *fields: int | bytes) -> None:
         """Send a message of this number; integers are sent as uint32, bytes as strings."""
         kind, *rest = fields
         assert isinstance(kind, int)
         payload = bytes([kind]) + b"".join(
             struct.pack(">I", each) if isinstance(each, int) else ssh_string(each) for each in rest
         )
-        self.raw(payload)
+        self.send_payload(payload)
 
-    def raw(self, payload: bytes) -> None:
+    def send_payload(self, payload: bytes) -> None:
         """Send a payload in a packet without cipher and MAC."""
         padding = 4 + -(len(payload) + 9) % 8
         self.send(struct.pack(">IB", len(payload) + padding + 1, padding) + payload + bytes(padding))
 
     def read(self) -> tuple[int, bytes]:
         """The next message's number, and the rest of its payload."""
-        head = self.exactly(5)
+        head = self.read_exactly(5)
         assert len(head) == 5, "the connection ended"
         length, padding = struct.unpack(">IB", head)
         assert (length + 4) % 8 == 0
         assert padding >= 4
-        payload = self.exactly(length - 1)[: length - 1 - padding]
+        payload = self.read_exactly(length - 1)[: length - 1 - padding]
         return payload[0], payload[1:]
 
     def expect(self, kind: int, *numbers: int) -> bytes:
@@ -127,8 +129,8 @@
         """Open a channel of this number with a request; `wait_ms` is its deadline."""
         head = b"\x5a" + ssh_string(kind) + struct.pack(">III", number, window, MAX_PACKET_BYTES)
         names = ssh_string(klass) + ssh_string(tenant)
-        self.raw(head + names + struct.pack(">QQI", key, 0, wait_ms))
+        self.send_payload(head + names + struct.pack(">QQI", key, 0, wait_ms))
 
-    def confirmed(self, number: int) -> int:
+    def expect_confirmation(self, number: int) -> int:
         """The proxy's number for a channel, whose confirmation is the next message."""
         return int.from_bytes(self.expect(91, number)[:4], "big")
--- a/tests/emulated_peers.py
+++ b/tests/emulated_peers.py
@@ -14,10 +14,10 @@
 from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
-from connections import RESET, WAIT, Conn
+from connections import RESET, WAIT_S, PeerConnection
 
 
-class Listener:
+class EmulatedEndpoint:
     """An emulated endpoint: the test itself accepts and answers."""
 
     def __init__(self, uid: str) -> None:
@@ -25,36 +25,36 @@
         self.state = "SERVING"
         self.boot_ms = 0
         self.sock = socket.create_server(("127.0.0.1", 0))
-        self.sock.settimeout(WAIT)
+        self.sock.settimeout(WAIT_S)
         self.port = self.sock.getsockname()[1]
 
-    def accept(self) -> Conn:
+    def accept(self) -> PeerConnection:
         """Accept the next connection."""
-        return Conn(self.sock.accept()[0])
+        return PeerConnection(self.sock.accept()[0])
 
-    def stall(self) -> None:
+    def fill_accept_queue(self) -> None:
         """Leave new connections connecting: the queue of those to accept is full from now on."""
         self.sock.listen(0)
-        self.filler = socket.create_connection(("127.0.0.1", self.port), WAIT)
+        self.queue_filler = socket.create_connection(("127.0.0.1", self.port), WAIT_S)
 
-    def dialled(self) -> None:
+    def wait_until_connecting(self) -> None:
         """Wait until a connection to this endpoint is connecting: the kernel lists it as SYN_SENT."""
-        until_s = time.monotonic() + WAIT
+        until_s = time.monotonic() + WAIT_S
         pattern = re.compile(rf":{self.port:04X} 02 ")
         while not pattern.search(Path("/proc/net/tcp").read_text()):
             assert time.monotonic() < until_s
             time.sleep(0.002)
 
-    def go_on(self) -> None:
+    def empty_accept_queue(self) -> None:
         """Let new connections connect again, late, when the kernel retries."""
         self.sock.listen(128)
         self.accept().close()
-        self.filler.close()
+        self.queue_filler.close()
 
-    def serve(self) -> Conn:
+    def serve(self) -> PeerConnection:
         """Accept one connection, read its first line and answer UP."""
         conn = self.accept()
-        conn.first = conn.line()  # type: ignore[attr-defined]
+        conn.first_line = conn.line()
         conn.send(b"UP r1\r\n")
         return conn
 
@@ -72,12 +72,12 @@
         }
 
 
-class Kept(NamedTuple):
-    """A call that is answered once `let_go` is set, with the list as it was when the call came."""
+class HeldCall(NamedTuple):
+    """A call that is answered once `release` is set, with the list as it was when the call came."""
 
     path: str
     body: bytes
-    let_go: threading.Event
+    release: threading.Event
 
 
 class DiscoveryServer:
@@ -86,58 +86,58 @@
     `failing` answers every call with a 503, `silent` keeps it, `resets` resets one watch that waits.
     """
 
-    def __init__(self, listeners: list[Listener], indent: int | None = None) -> None:
-        self.listeners = listeners
+    def __init__(self, listeners: list[EmulatedEndpoint], indent: int | None = None) -> None:
+        self.endpoints = listeners
         self.indent = indent
         self.rev = 1
         self.failing = False
         self.silent = False
         self.resets = False
-        self.kept: queue.Queue[Kept] = queue.Queue()
-        self.instead: list[object] = []
+        self.held_calls: queue.Queue[HeldCall] = queue.Queue()
+        self.replacement_answers: list[object] = []
         """Answers to give once each in place of the list, the last one first."""
 
-        self.news = threading.Condition()
+        self.list_changed = threading.Condition()
         self.calls: queue.Queue[str] = queue.Queue()
         self.server = DiscoveryHttpServer(self)
         threading.Thread(target=self.server.serve_forever, args=(0.05,), daemon=True).start()
 
     def listing(self) -> dict[str, Any]:
         """The whole list as JSON."""
-        return {"rev": self.rev, "all": True, "targets": [each.entry() for each in self.listeners]}
+        return {"rev": self.rev, "all": True, "targets": [each.entry() for each in self.endpoints]}
 
     def next_answer(self) -> bytes:
         """The body of the next answer."""
-        answer = self.instead.pop() if self.instead else self.listing()
+        answer = self.replacement_answers.pop() if self.replacement_answers else self.listing()
         return answer if isinstance(answer, bytes) else json.dumps(answer, indent=self.indent).encode()
 
     def wait_for_change(self, revision: int, timeout_s: float) -> bool:
-        """Wait until the list is newer, with `news` held; False where the watch is to be reset."""
-        self.news.wait_for(lambda: self.rev > revision or self.failing or self.resets, timeout_s)
+        """Wait until the list is newer, with `list_changed` held; False where the watch is to be reset."""
+        self.list_changed.wait_for(lambda: self.rev > revision or self.failing or self.resets, timeout_s)
         is_reset = self.resets
         self.resets = False
         return not is_reset
 
     def change(self, **changes: str) -> None:
         """Set new states by uid, and notify all watches."""
-        with self.news:
-            for listener in self.listeners:
+        with self.list_changed:
+            for listener in self.endpoints:
                 listener.state = changes.get(listener.uid, listener.state)
             self.rev += 1
-            self.news.notify_all()
+            self.list_changed.notify_all()
 
     def reset_watches(self) -> None:
         """Reset the watch that waits now; later calls are answered."""
-        with self.news:
+        with self.list_changed:
             self.resets = True
-            self.news.notify_all()
+            self.list_changed.notify_all()
 
-    def says(self, answer: object) -> None:
+    def answer_once(self, answer: object) -> None:
         """Give this answer once in place of the list; bytes are sent as they are."""
-        with self.news:
-            self.instead.append(answer)
+        with self.list_changed:
+            self.replacement_answers.append(answer)
             self.rev += 1
-            self.news.notify_all()
+            self.list_changed.notify_all()
 
     @property
     def address(self) -> str:
@@ -146,9 +146,9 @@
 
     def fail(self, failing: bool) -> None:
         """Begin or end to answer every call with a 503."""
-        with self.news:
+        with self.list_changed:
             self.failing = failing
-            self.news.notify_all()
+            self.list_changed.notify_all()
 
 
 class DiscoveryHttpServer(ThreadingHTTPServer):
@@ -175,13 +175,13 @@
         discovery = self.server.discovery
         discovery.calls.put(self.path)
         if discovery.silent:
-            kept = Kept(self.path, json.dumps(discovery.listing()).encode(), threading.Event())
-            discovery.kept.put(kept)
-            kept.let_go.wait()
+            kept = HeldCall(self.path, json.dumps(discovery.listing()).encode(), threading.Event())
+            discovery.held_calls.put(kept)
+            kept.release.wait()
             self.answer(200, kept.body)
             return
         query = parse_qs(urlsplit(self.path).query)
-        with discovery.news:
+        with discovery.list_changed:
             if "since" in query and not discovery.failing:
                 timeout_s = int(query["timeout_ms"][0]) / 1000
                 if not discovery.wait_for_change(int(query["since"][0]), timeout_s):
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -14,20 +14,14 @@
 from typing import Any, NamedTuple
 
 from conftest import MS, S, raw_settings
-from connections import RESET as RESET
-from connections import WAIT as WAIT
-from connections import Conn as Conn
-from connections import Terminal as Terminal
-from emulated_peers import DiscoveryServer as DiscoveryServer
-from emulated_peers import Kept as Kept
-from emulated_peers import Listener as Listener
-from running_proxy import OPEN as OPEN
-from running_proxy import RunningProxy as RunningProxy
+from connections import WAIT_S
+from emulated_peers import DiscoveryServer, EmulatedEndpoint
+from running_proxy import RunningProxy
 
 from linnetshift.config.broker_file import read_broker_file
 from linnetshift.config.proxy_file import read_config
 from linnetshift.proxy import Proxy
-from rig.free_port import free_port as free_port
+from rig.free_port import free_port
 
 ROOT = Path(__file__).parent.parent
 """Root of the repository, where the program is started."""
@@ -46,83 +40,83 @@
     return base
 
 
-def uncollected() -> Sequence[str]:
+def command_without_collector() -> Sequence[str]:
     """Command of the program with its garbage collector off, so that only reference counting frees."""
     start = "import gc, runpy; gc.disable(); runpy.run_module('linnetshift', run_name='__main__')"
     return sys.executable, "-c", start
 
 
-def launch(
+def launch_process(
     config: str,
-    own: str = "/dev/null",
+    broker_file: str = "/dev/null",
     before: Callable[[], None] | None = None,
     stderr: int = subprocess.PIPE,
-    held: socket.socket | None = None,
+    listener: socket.socket | None = None,
     command: Sequence[str] = (sys.executable, "-m", "linnetshift"),
     program: Path = ROOT,
     **env: str,
 ) -> subprocess.Popen[str]:
-    """Start the program of the checkout `program`; `own` is the broker file.
+    """Start the program of the checkout `program`.
 
-    `held` is a listening socket that it inherits, `before` runs in the child before the program.
+    `listener` is a listening socket that it inherits; `before` runs in the child before the program.
     """
-    if held is not None:
-        env = {"GW_LISTEN_FD": str(held.fileno()), **env}
+    if listener is not None:
+        env = {"GW_LISTEN_FD": str(listener.fileno()), **env}
     return subprocess.Popen(
         [*command],
         cwd=program,
         env={
             **os.environ,
             "GW_CONFIG": config,
-            "LINNETSHIFT_BROKER": own,
+            "LINNETSHIFT_BROKER": broker_file,
             "TMPDIR": str(Path(config).parent),
             **env,
         },
         stderr=stderr,
         text=True,
         preexec_fn=before,
-        pass_fds=[held.fileno()] if held is not None else [],
+        pass_fds=[listener.fileno()] if listener is not None else [],
     )
 
 
 @contextmanager
 def successor_of(old: RunningProxy) -> Iterator[RunningProxy]:
     """The program started again beside the old one, with an admin address of its own."""
-    admin = free_port()
-    process = launch(
+    admin_port = free_port()
+    process = launch_process(
         str(old.config),
         str(old.config.parent / "broker.toml"),
-        held=old.held,
-        GW_ADMIN_ADDR=f"127.0.0.1:{admin}",
+        listener=old.inherited_listener,
+        GW_ADMIN_ADDR=f"127.0.0.1:{admin_port}",
     )
-    new = RunningProxy(process, old.port, old.extra_port)
-    new.listeners = old.listeners
+    new = RunningProxy(process, old.port, old.channels_port)
+    new.endpoints = old.endpoints
     new.discovery = old.discovery
     new.config = old.config
-    new.held = old.held
-    new.admin_port = admin
+    new.inherited_listener = old.inherited_listener
+    new.admin_port = admin_port
     try:
         new.logged(STARTED)
         yield new
     finally:
         process.kill()
-        process.wait(WAIT)
+        process.wait(WAIT_S)
 
 
-class Inside(RunningProxy):
+class ProxyInThread(RunningProxy):
     """The program in a thread of this process, where its objects can be inspected."""
 
-    def __init__(self, program: Proxy, port: int, extra_port: int) -> None:
+    def __init__(self, program: Proxy, port: int, channels_port: int) -> None:
         self.program = program
         self.port = port
-        self.extra_port = extra_port
+        self.channels_port = channels_port
         self.thread = threading.Thread(target=program.loop.run, daemon=True)
         self.thread.start()
 
     def stop(self) -> None:
         """End the loop, which sees it at its next review, and close the listening sockets."""
         self.program.loop.stopped = True
-        self.thread.join(WAIT)
+        self.thread.join(WAIT_S)
         assert not self.thread.is_alive()
         for sock in (self.program.frontend, self.program.channels, self.program.admin_server.acceptor):
             if sock is not None:
@@ -130,54 +124,54 @@
 
 
 @contextmanager
-def inside(folder: Path, own: str = "", **how: Any) -> Iterator[Inside]:
-    """Like `proxy`, in a thread of this process; signals do not reach it."""
-    with world(folder, own=own, **how) as made:
-        config = read_config(str(made.config))
-        broker_file = read_broker_file(str(made.own), config.names, config.settings)
-        running = Inside(Proxy.start(config, broker_file), made.port, made.extra)
-        made.attach(running)
+def proxy_in_thread(folder: Path, broker_toml: str = "", **changes: Any) -> Iterator[ProxyInThread]:
+    """Like `started_proxy`, in a thread of this process; signals do not reach it."""
+    with proxy_environment(folder, broker_toml=broker_toml, **changes) as environment:
+        config = read_config(str(environment.config))
+        broker_file = read_broker_file(str(environment.broker_file), config.names, config.settings)
+        running = ProxyInThread(Proxy.start(config, broker_file), environment.port, environment.channels_port)
+        environment.attach_to(running)
         try:
             yield running
         finally:
             running.stop()
 
 
-class World(NamedTuple):
+class ProxyEnvironment(NamedTuple):
     """The emulated peers of a proxy, its ports and its files."""
 
-    listeners: list[Listener]
+    endpoints: list[EmulatedEndpoint]
     discovery: DiscoveryServer
     port: int
-    extra: int
-    admin: int
+    channels_port: int
+    admin_port: int
     config: Path
-    own: Path
+    broker_file: Path
 
-    def attach(self, running: RunningProxy) -> None:
+    def attach_to(self, running: RunningProxy) -> None:
         """Make these the peers of a running proxy."""
-        running.listeners = self.listeners
+        running.endpoints = self.endpoints
         running.discovery = self.discovery
         running.config = self.config
-        running.admin_port = self.admin
+        running.admin_port = self.admin_port
 
 
 @contextmanager
-def world(
-    folder: Path, endpoints: int = 1, own: str = "", admin_server: bool = False, **changes: Any
-) -> Iterator[World]:
+def proxy_environment(
+    folder: Path, endpoints: int = 1, broker_toml: str = "", admin_server: bool = False, **changes: Any
+) -> Iterator[ProxyEnvironment]:
     """Emulated peers and files of a proxy that is not started yet.
 
-    `own` is the text of the broker file, PORT in it the proxy's `extra_port`; `admin_server` opens the
+    `broker_toml` is the text of the broker file, PORT in it the port for channels; `admin_server` opens the
     operators' address; `changes` are those to the settings.
     """
-    listeners = [Listener(f"s-{n}") for n in range(endpoints)]
-    discovery = DiscoveryServer(listeners)
+    emulated_endpoints = [EmulatedEndpoint(f"s-{n}") for n in range(endpoints)]
+    discovery = DiscoveryServer(emulated_endpoints)
     port = free_port()
-    extra = free_port()
-    admin = free_port()
+    channels_port = free_port()
+    admin_port = free_port()
     config = folder / "config.json"
-    own_file = folder / "broker.toml"
+    broker_file = folder / "broker.toml"
     config.write_text(
         json.dumps(
             {
@@ -187,47 +181,56 @@
                 "seed": "8c1f30d27a5be964",
                 "known": discovery.listing(),
                 "settings": settings(**changes),
-                **({"admin_addr": f"127.0.0.1:{admin}"} if admin_server else {}),
+                **({"admin_addr": f"127.0.0.1:{admin_port}"} if admin_server else {}),
             }
         )
     )
-    own_file.write_text(own.replace("PORT", str(extra)))
+    broker_file.write_text(broker_toml.replace("PORT", str(channels_port)))
     try:
-        yield World(listeners, discovery, port, extra, admin, config, own_file)
+        yield ProxyEnvironment(
+            emulated_endpoints, discovery, port, channels_port, admin_port, config, broker_file
+        )
     finally:
         discovery.server.shutdown()
-        for listener in listeners:
-            listener.sock.close()
+        for endpoint in emulated_endpoints:
+            endpoint.sock.close()
 
 
 @contextmanager
-def proxy(
+def started_proxy(
     folder: Path,
     endpoints: int = 1,
-    own: str = "",
+    broker_toml: str = "",
     before: Callable[[], None] | None = None,
     admin_server: bool = False,
-    held: bool = False,
+    inherits_listener: bool = False,
     command: Sequence[str] = (sys.executable, "-m", "linnetshift"),
     program: Path = ROOT,
     **changes: Any,
 ) -> Iterator[RunningProxy]:
-    """The program, running among the emulated peers of `world`.
+    """The program, running among the emulated peers of `proxy_environment`.
 
-    With `held` it inherits the listening socket of the line protocol; `command` starts the program of the
-    checkout `program`.
+    With `inherits_listener` it inherits the listening socket of the line protocol; `command` starts the
+    program of the checkout `program`.
     """
-    with world(folder, endpoints, own, admin_server, **changes) as made:
-        listener = socket.create_server(("127.0.0.1", made.port), backlog=1024) if held else None
-        process = launch(
-            str(made.config), str(made.own), before, held=listener, command=command, program=program
+    with proxy_environment(folder, endpoints, broker_toml, admin_server, **changes) as environment:
+        listener = (
+            socket.create_server(("127.0.0.1", environment.port), backlog=1024) if inherits_listener else None
+        )
+        process = launch_process(
+            str(environment.config),
+            str(environment.broker_file),
+            before,
+            listener=listener,
+            command=command,
+            program=program,
         )
-        running = RunningProxy(process, made.port, made.extra)
-        running.held = listener
-        made.attach(running)
+        running = RunningProxy(process, environment.port, environment.channels_port)
+        running.inherited_listener = listener
+        environment.attach_to(running)
         try:
             running.logged(STARTED)
             yield running
         finally:
             running.process.kill()
-            running.process.wait(WAIT)
+            running.process.wait(WAIT_S)
--- a/tests/running_proxy.py
+++ b/tests/running_proxy.py
@@ -18,10 +18,10 @@
 from pathlib import Path
 from typing import Any
 
-from connections import WAIT, Conn
-from emulated_peers import DiscoveryServer, Listener
+from connections import WAIT_S, PeerConnection
+from emulated_peers import DiscoveryServer, EmulatedEndpoint
 
-OPEN = b"OPEN %016x 7f3a9c21e0b4d655 c=feed,t=acme,d=%d\r\n"
+OPEN_LINE = b"OPEN %016x 7f3a9c21e0b4d655 c=feed,t=acme,d=%d\r\n"
 """Request line, for an id and a deadline in milliseconds."""
 
 IDS = count(0x9B1F03AA5C7E2D41)
@@ -31,21 +31,21 @@
 class RunningProxy:
     """The real program, running."""
 
-    def __init__(self, process: subprocess.Popen[str], port: int, extra_port: int) -> None:
+    def __init__(self, process: subprocess.Popen[str], port: int, channels_port: int) -> None:
         self.process = process
         self.port = port
-        self.extra_port = extra_port
+        self.channels_port = channels_port
         self.admin_port = 0
-        self.held: socket.socket | None = None
+        self.inherited_listener: socket.socket | None = None
         """The platform's listening socket, where the program inherited one."""
 
-        self.listeners: list[Listener] = []
+        self.endpoints: list[EmulatedEndpoint] = []
         self.discovery: DiscoveryServer
         self.config: Path
         self.lines: queue.Queue[str] = queue.Queue()
         """Log lines that were not looked at yet."""
 
-        self.seen: list[str] = []
+        self.passed_lines: list[str] = []
         """Log lines that `logged` has passed."""
 
         threading.Thread(target=self.read, daemon=True).start()
@@ -59,37 +59,37 @@
     def logged(self, pattern: str) -> str:
         """Wait for the next log line with the pattern."""
         while True:
-            line = self.lines.get(timeout=WAIT)
-            self.seen.append(line)
+            line = self.lines.get(timeout=WAIT_S)
+            self.passed_lines.append(line)
             if re.search(pattern, line):
                 return line
 
-    def client(self, line: bytes = b"", port: int = 0) -> Conn:
+    def client(self, line: bytes = b"", port: int = 0) -> PeerConnection:
         """Connect, and send a request line if there is one."""
-        conn = Conn(socket.create_connection(("127.0.0.1", port or self.port), WAIT))
+        conn = PeerConnection(socket.create_connection(("127.0.0.1", port or self.port), WAIT_S))
         if line:
             conn.send(line)
         return conn
 
-    def open(self, wait_ms: int = 2000) -> Conn:
+    def open(self, wait_ms: int = 2000) -> PeerConnection:
         """Connect and send a request with a new id and this deadline."""
-        return self.client(OPEN % (next(IDS), wait_ms))
+        return self.client(OPEN_LINE % (next(IDS), wait_ms))
 
-    def standing(self, listener: int = 0) -> tuple[Conn, Conn]:
+    def establish(self, listener: int = 0) -> tuple[PeerConnection, PeerConnection]:
         """An established connection: the client's end and the endpoint's."""
         client = self.open()
-        endpoint = self.listeners[listener].serve()
+        endpoint = self.endpoints[listener].serve()
         assert client.line() == b"UP r1\r\n"
         return client, endpoint
 
-    def asked(self) -> Listener:
+    def next_attempted(self) -> EmulatedEndpoint:
         """The endpoint that the key's ranking sends the next attempt to."""
-        ready, _, _ = select.select([each.sock for each in self.listeners], [], [], WAIT)
-        return next(each for each in self.listeners if each.sock in ready)
+        ready, _, _ = select.select([each.sock for each in self.endpoints], [], [], WAIT_S)
+        return next(each for each in self.endpoints if each.sock in ready)
 
-    def serve_any(self) -> tuple[Listener, Conn]:
+    def serve_any(self) -> tuple[EmulatedEndpoint, PeerConnection]:
         """Serve the next attempt at whichever endpoint gets it."""
-        listener = self.asked()
+        listener = self.next_attempted()
         return listener, listener.serve()
 
     def call(self, call: str) -> int:
@@ -108,16 +108,16 @@
         usage: dict[str, Any] = json.loads(text)
         return usage
 
-    def unread(self) -> list[str]:
+    def unread_lines(self) -> list[str]:
         """Log lines since the last call of this or of `logged`."""
         lines = []
         while not self.lines.empty():
             lines.append(self.lines.get())
         return lines
 
-    def becomes_ready(self) -> None:
+    def wait_until_ready(self) -> None:
         """Wait until the program is ready; one that takes over is once it alone accepts."""
-        until_s = time.monotonic() + WAIT
+        until_s = time.monotonic() + WAIT_S
         while self.call("GET /ops/readiness") != 200:
             assert time.monotonic() < until_s
             time.sleep(0.01)
@@ -126,11 +126,11 @@
         """Whether the program answers a PING."""
         return self.client(b"PING\r\n").line() == b"PONG\r\n"
 
-    def reload(self, says: str, **changes: Any) -> None:
-        """Change keys of the proxy file, reload, and wait for a log line with the pattern `says`."""
+    def reload(self, expected_log: str, **changes: Any) -> None:
+        """Change keys of the proxy file, reload, and wait for a log line with this pattern."""
         self.config.write_text(json.dumps({**json.loads(self.config.read_text()), **changes}))
         self.process.send_signal(signal.SIGHUP)
-        self.logged(says)
+        self.logged(expected_log)
 
     @contextmanager
     def stopped(self) -> Iterator[None]:
@@ -142,7 +142,7 @@
         finally:
             self.process.send_signal(signal.SIGCONT)
 
-    def leave(self) -> None:
+    def terminate(self) -> None:
         """Begin the graceful shutdown."""
         self.process.send_signal(signal.SIGTERM)
 
--- a/tests/test_admin_interface.py
+++ b/tests/test_admin_interface.py
@@ -6,7 +6,9 @@
 
 import pytest
 from conftest import S, endpoint, entry, listed
-from proxy import Conn, RunningProxy, proxy, settings
+from connections import PeerConnection
+from proxy_harness import settings, started_proxy
+from running_proxy import RunningProxy
 from test_connections_without_a_request import few
 from test_line_protocol import ranked
 
@@ -38,14 +40,14 @@
     ],
 )
 def test_admin_call_returns_http_status(tmp_path: Path, call: str, status: int) -> None:
-    with proxy(tmp_path, admin_server=True) as running:
+    with started_proxy(tmp_path, admin_server=True) as running:
         assert running.call(call) == status
         running.logged("side=admin reason=answered")
         assert running.alive()
 
 
 def test_unfinished_admin_calls_do_not_block_others(tmp_path: Path) -> None:
-    with proxy(tmp_path, admin_server=True) as running:
+    with started_proxy(tmp_path, admin_server=True) as running:
         unfinished_calls = [running.client(b"GET /ops/rea", running.admin_port) for _ in range(60)]
         assert running.call("GET /ops/readiness") == 200
         # Over the limit of connections, the call unfinished for longest is rejected.
@@ -56,7 +58,7 @@
 
 def test_admin_calls_succeed_when_clients_exhaust_descriptors(tmp_path: Path) -> None:
     # Clients waiting for their answer are not closed under pressure, and could use every descriptor.
-    with proxy(tmp_path, admin_server=True, before=few) as running:
+    with started_proxy(tmp_path, admin_server=True, before=few) as running:
         waiting_clients = [running.open(60_000) for _ in range(60)]
         running.logged("event=accept-paused")
         for _ in range(3):
@@ -65,16 +67,16 @@
 
 
 def test_readiness_fails_without_endpoints_and_during_shutdown(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=0, admin_server=True) as running:
+    with started_proxy(tmp_path, endpoints=0, admin_server=True) as running:
         assert running.call("GET /ops/readiness") == 503
-    with proxy(tmp_path, admin_server=True) as running:
-        running.standing()
-        running.leave()
+    with started_proxy(tmp_path, admin_server=True) as running:
+        running.establish()
+        running.terminate()
         running.logged("event=shutdown-started")
         assert running.call("GET /ops/readiness") == 503
 
 
-def establish_on(running: RunningProxy, uid: str) -> tuple[Conn, Conn]:
+def establish_on(running: RunningProxy, uid: str) -> tuple[PeerConnection, PeerConnection]:
     """Establish a connection with the common key on endpoint `uid`: the client's and the endpoint's end."""
     client = running.open()
     listener, endpoint = running.serve_any()
@@ -83,7 +85,7 @@
 
 
 def test_drained_endpoint_gets_no_request_until_restored(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=2, admin_server=True, rules={"warmUpNs": 1}) as running:
+    with started_proxy(tmp_path, endpoints=2, admin_server=True, rules={"warmUpNs": 1}) as running:
         best, other = ranked(running)
         client, endpoint = establish_on(running, best.uid)
         for _ in range(2):  # the drain call is idempotent
@@ -103,7 +105,7 @@
 
 def test_connecting_request_is_rerouted_when_its_endpoint_is_drained(tmp_path: Path) -> None:
     services = [{**settings()["services"][0], "aimNs": 10 * S, "hardLimitNs": 20 * S}]
-    with proxy(
+    with started_proxy(
         tmp_path, endpoints=2, admin_server=True, services=services, allowed={"connectTimeoutNs": 10 * S}
     ) as running:
         best, other = ranked(running)
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -7,7 +7,10 @@
 from pathlib import Path
 
 import pytest
-from proxy import Conn, Listener, RunningProxy, Terminal, proxy
+from connections import ChannelsClient, PeerConnection
+from emulated_peers import EmulatedEndpoint
+from proxy_harness import started_proxy
+from running_proxy import RunningProxy
 
 CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 DATA, WINDOW_ADJUST, EOF, CLOSE, CHANNEL_REQUEST = 94, 93, 96, 97, 98
@@ -15,28 +18,30 @@
 
 @pytest.fixture
 def one(tmp_path: Path) -> Iterator[RunningProxy]:
-    with proxy(tmp_path, own=CHANNELS_ENABLED) as running:
+    with started_proxy(tmp_path, broker_toml=CHANNELS_ENABLED) as running:
         yield running
 
 
-def served(running: RunningProxy, terminal: Terminal, number: int, **how: int) -> tuple[int, Listener, Conn]:
+def served(
+    running: RunningProxy, terminal: ChannelsClient, number: int, **how: int
+) -> tuple[int, EmulatedEndpoint, PeerConnection]:
     """The proxy's number for a new channel, its endpoint and the endpoint's end."""
     terminal.open(number, **how)  # type: ignore[arg-type]
     listener, endpoint = running.serve_any()
-    return terminal.confirmed(number), listener, endpoint
+    return terminal.expect_confirmation(number), listener, endpoint
 
 
-def data(terminal: Terminal, number: int) -> bytes:
+def data(terminal: ChannelsClient, number: int) -> bytes:
     rest = terminal.expect(DATA, number)
     assert int.from_bytes(rest[:4], "big") == len(rest) - 4
     return rest[4:]
 
 
 def test_channel_is_served_to_its_end(one: RunningProxy) -> None:
-    terminal = Terminal(one.extra_port)
+    terminal = ChannelsClient(one.channels_port)
     channel, _, endpoint = served(one, terminal, 5)
-    assert b" c=feed,t=acme,d=" in endpoint.first  # type: ignore[attr-defined]
-    terminal.packet(DATA, channel, b"M 1 x\r\n")
+    assert b" c=feed,t=acme,d=" in endpoint.first_line
+    terminal.send_message(DATA, channel, b"M 1 x\r\n")
     assert endpoint.line() == b"M 1 x\r\n"
     endpoint.send(b"M 1 x\r\nBYE\r\n")
     assert data(terminal, 5) == b"M 1 x\r\n"
@@ -44,19 +49,19 @@
     endpoint.close()
     terminal.expect(EOF, 5)
     terminal.expect(CLOSE, 5)
-    terminal.packet(CLOSE, channel)
+    terminal.send_message(CLOSE, channel)
     one.logged("side=channel reason=served")
 
 
 def test_endpoint_reset_sends_a_reset_request(one: RunningProxy) -> None:
-    terminal = Terminal(one.extra_port)
+    terminal = ChannelsClient(one.channels_port)
     _, _, endpoint = served(one, terminal, 5)
     endpoint.close("reset")
     assert b"reset@linnetshift" in terminal.expect(CHANNEL_REQUEST, 5)
     terminal.expect(CLOSE, 5)
 
 
-def reject_all_attempts(listener: Listener) -> None:
+def reject_all_attempts(listener: EmulatedEndpoint) -> None:
     for _ in range(4):  # as many attempts as are allowed
         conn = listener.accept()
         conn.line()
@@ -64,11 +69,11 @@
         conn.close()
 
 
-def accept_without_answer(listener: Listener) -> None:
+def accept_without_answer(listener: EmulatedEndpoint) -> None:
     listener.accept()
 
 
-def do_nothing(listener: Listener) -> None:
+def do_nothing(listener: EmulatedEndpoint) -> None:
     pass
 
 
@@ -83,12 +88,16 @@
     ],
 )
 def test_failure_to_open_has_its_reason_code(
-    one: RunningProxy, how: dict[str, int], gateway: Callable[[Listener], None], code: int | None, text: bytes
+    one: RunningProxy,
+    how: dict[str, int],
+    gateway: Callable[[EmulatedEndpoint], None],
+    code: int | None,
+    text: bytes,
 ) -> None:
     # Each way of not being served has its own code, and a deadline is kept whatever the gateway does.
-    terminal = Terminal(one.extra_port)
+    terminal = ChannelsClient(one.channels_port)
     terminal.open(3, **how)  # type: ignore[arg-type]
-    gateway(one.listeners[0])
+    gateway(one.endpoints[0])
     rest = terminal.expect(92, 3)
     assert int.from_bytes(rest[:4], "big") in ((2, 4) if code is None else (code,))
     assert text in rest
@@ -96,14 +105,14 @@
 
 def test_endpoint_that_stalls_one_channel_does_not_delay_others(one: RunningProxy) -> None:
     # What one gateway does not read may fill that channel's window and nothing else.
-    terminal = Terminal(one.extra_port)
+    terminal = ChannelsClient(one.channels_port)
     slow, _, stalled = served(one, terminal, 1)
     quick, _, endpoint = served(one, terminal, 2)
     line = b"z" * 1022 + b"\r\n"
     for _ in range(32):
-        terminal.packet(DATA, slow, line)
+        terminal.send_message(DATA, slow, line)
     for _ in range(100):
-        terminal.packet(DATA, quick, b"M 1 x\r\n")
+        terminal.send_message(DATA, quick, b"M 1 x\r\n")
         assert endpoint.line() == b"M 1 x\r\n"
         endpoint.send(b"M 1 x\r\n")
         while (got := terminal.read())[0] == WINDOW_ADJUST:
@@ -116,7 +125,7 @@
 
 def test_client_that_stalls_one_channel_does_not_delay_others(one: RunningProxy) -> None:
     # Lines without window wait on their own channel; the endpoint is read no further meanwhile.
-    terminal = Terminal(one.extra_port)
+    terminal = ChannelsClient(one.channels_port)
     stalled, _, flood = served(one, terminal, 1, window=10)
     _, _, endpoint = served(one, terminal, 2)
     flood.send(b"0123456789ab\r\n" * 3)
@@ -124,7 +133,7 @@
     for _ in range(50):
         endpoint.send(b"quick\r\n")
         assert data(terminal, 2) == b"quick\r\n"
-    terminal.packet(WINDOW_ADJUST, stalled, 32)
+    terminal.send_message(WINDOW_ADJUST, stalled, 32)
     got = b""
     while len(got) < 32:
         got += data(terminal, 1)
@@ -132,9 +141,9 @@
 
 
 def test_draining_endpoint_migrates_only_its_channels(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=2, own=CHANNELS_ENABLED) as running:
-        terminal = Terminal(running.extra_port)
-        established: dict[str, list[tuple[int, int, Conn]]] = {"s-0": [], "s-1": []}
+    with started_proxy(tmp_path, endpoints=2, broker_toml=CHANNELS_ENABLED) as running:
+        terminal = ChannelsClient(running.channels_port)
+        established: dict[str, list[tuple[int, int, PeerConnection]]] = {"s-0": [], "s-1": []}
         for number in range(12):
             channel, listener, endpoint = served(running, terminal, number, key=number + 1)
             established[listener.uid].append((number, channel, endpoint))
@@ -151,7 +160,7 @@
             moved.add(number)
         assert moved == {number for number, _, _ in established["s-0"]}
         for number, channel, endpoint in established["s-1"]:
-            terminal.packet(DATA, channel, b"still here\r\n")
+            terminal.send_message(DATA, channel, b"still here\r\n")
             assert endpoint.line() == b"still here\r\n"
             endpoint.send(b"yes\r\n")
             assert data(terminal, number) == b"yes\r\n"
@@ -159,13 +168,13 @@
 
 @pytest.mark.parametrize("how", ["close", "disconnect", "fin", "reset"])
 def test_client_end_is_passed_on_to_its_endpoints(one: RunningProxy, how: str) -> None:
-    terminal = Terminal(one.extra_port)
+    terminal = ChannelsClient(one.channels_port)
     channel, _, endpoint = served(one, terminal, 1)
     if how == "close":
-        terminal.packet(CLOSE, channel)
+        terminal.send_message(CLOSE, channel)
         terminal.expect(CLOSE, 1)
     elif how == "disconnect":
-        terminal.packet(1, 11, b"done", b"")
+        terminal.send_message(1, 11, b"done", b"")
     else:
         terminal.close(how)
     assert endpoint.ended() == ("reset" if how == "reset" else "fin")
@@ -184,8 +193,8 @@
     ],
 )
 def test_malformed_packet_ends_only_its_session(one: RunningProxy, sent: bytes) -> None:
-    other = Terminal(one.extra_port)
-    terminal = Terminal(one.extra_port)
+    other = ChannelsClient(one.channels_port)
+    terminal = ChannelsClient(one.channels_port)
     terminal.send(sent)
     assert terminal.expect(1, 2)
     assert terminal.ended() == "fin"
@@ -194,42 +203,44 @@
 
 
 def test_data_beyond_the_window_ends_the_session(one: RunningProxy) -> None:
-    terminal = Terminal(one.extra_port)
+    terminal = ChannelsClient(one.channels_port)
     channel, _, _ = served(one, terminal, 1)
-    terminal.packet(DATA, channel, bytes(32768 + 1))
+    terminal.send_message(DATA, channel, bytes(32768 + 1))
     assert b"window" in terminal.expect(1, 2)
 
 
 @pytest.mark.parametrize("line", [b"SSH-1.5-old\r\n", b"x" * 6000])
 def test_other_protocol_version_is_disconnected(one: RunningProxy, line: bytes) -> None:
-    conn = one.client(line, one.extra_port)
+    conn = one.client(line, one.channels_port)
     assert conn.line().startswith(b"SSH-2.0-")
-    conn.exactly(5)
-    assert conn.exactly(1) == b"\x01"
+    conn.read_exactly(5)
+    assert conn.read_exactly(1) == b"\x01"
 
 
 def test_unknown_messages_are_answered_as_rfc_4254_requires(one: RunningProxy) -> None:
-    terminal = Terminal(one.extra_port)
+    terminal = ChannelsClient(one.channels_port)
     channel, _, endpoint = served(one, terminal, 1)
-    terminal.packet(80, b"keepalive@example", 1 << 24)  # a want-reply of 1 and three bytes that are ignored
+    terminal.send_message(
+        80, b"keepalive@example", 1 << 24
+    )  # a want-reply of 1 and three bytes that are ignored
     terminal.expect(82)
-    terminal.raw(bytes([98]) + struct.pack(">II", channel, 3) + b"env\x01")
+    terminal.send_payload(bytes([98]) + struct.pack(">II", channel, 3) + b"env\x01")
     terminal.expect(100, 1)
-    terminal.packet(2, b"ignored")
-    terminal.packet(EOF, channel)
-    terminal.packet(200)
+    terminal.send_message(2, b"ignored")
+    terminal.send_message(EOF, channel)
+    terminal.send_message(200)
     terminal.expect(3, 5)  # the sixth packet, counted from 0
     endpoint.send(b"still served\r\n")
     assert data(terminal, 1) == b"still served\r\n"
 
 
 def test_channels_migrate_before_a_planned_stop(one: RunningProxy) -> None:
-    terminal = Terminal(one.extra_port)
+    terminal = ChannelsClient(one.channels_port)
     channel, _, _ = served(one, terminal, 1)
-    one.leave()
+    one.terminate()
     assert b"move@linnetshift" in terminal.expect(CHANNEL_REQUEST, 1)
     terminal.expect(CLOSE, 1)
-    terminal.packet(CLOSE, channel)
+    terminal.send_message(CLOSE, channel)
     terminal.expect(1, 11)
     assert one.process.wait(20) == 0
 
@@ -249,8 +260,8 @@
 def test_contract_limit_reports_retry_after(
     tmp_path: Path, contract: str, tenant: bytes, limit: bytes
 ) -> None:
-    with proxy(tmp_path, own=CHANNELS_ENABLED + contract) as running:
-        terminal = Terminal(running.extra_port)
+    with started_proxy(tmp_path, broker_toml=CHANNELS_ENABLED + contract) as running:
+        terminal = ChannelsClient(running.channels_port)
         established = served(running, terminal, 1) if b"concurrency" in limit or b"rate" in limit else None
         terminal.open(2, tenant=tenant)
         assert limit in terminal.expect(92, 2, 1)
--- a/tests/test_connections_without_a_request.py
+++ b/tests/test_connections_without_a_request.py
@@ -9,7 +9,9 @@
 from pathlib import Path
 
 import pytest
-from proxy import OPEN, WAIT, RunningProxy, Terminal, launch, proxy
+from connections import WAIT_S, ChannelsClient
+from proxy_harness import launch_process, started_proxy
+from running_proxy import OPEN_LINE, RunningProxy
 from test_line_protocol import answer
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
@@ -17,7 +19,7 @@
 
 @pytest.fixture
 def one(tmp_path: Path) -> Iterator[RunningProxy]:
-    with proxy(tmp_path) as running:
+    with started_proxy(tmp_path) as running:
         yield running
 
 
@@ -61,24 +63,24 @@
 
 def test_second_request_with_an_open_id_fails(one: RunningProxy) -> None:
     # Sent on, one endpoint after the other took it for a copy: six attempts for each.
-    line = OPEN % (7, 2000)
+    line = OPEN_LINE % (7, 2000)
     client = one.client(line)
-    endpoint = one.listeners[0].serve()
+    endpoint = one.endpoints[0].serve()
     assert client.line() == b"UP r1\r\n"
     assert one.client(line).line() == b"ERR\r\n"
     client.close()
     assert endpoint.ended() in ("fin", "reset")
     one.logged("side=client reason=client-left")
     again = one.client(line)
-    one.listeners[0].serve()
+    one.endpoints[0].serve()
     assert again.line() == b"UP r1\r\n"
 
 
 def test_error_of_two_endpoints_fails_the_request(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=3) as running:
+    with started_proxy(tmp_path, endpoints=3) as running:
         client = running.open()
         for _ in range(2):
-            answer(running.asked(), b"ERR\r\n", "fin")
+            answer(running.next_attempted(), b"ERR\r\n", "fin")
         assert client.line() == b"ERR\r\n"
         running.logged("side=client reason=failed .*attempts=2")
 
@@ -86,7 +88,7 @@
 def test_client_that_sends_before_its_answer_is_closed(one: RunningProxy) -> None:
     # Its lines filled the buffer, and that it ended was not seen any more.
     client = one.open()
-    endpoint = one.listeners[0].accept()
+    endpoint = one.endpoints[0].accept()
     endpoint.line()
     client.send(b"M 1\r\n" * 4000)
     assert client.line() == b"ERR\r\n"
@@ -94,7 +96,7 @@
 
 
 def test_overlong_line_ends_an_established_connection(one: RunningProxy) -> None:
-    client, endpoint = one.standing()
+    client, endpoint = one.establish()
     client.send(b"x" * 5000)
     assert endpoint.ended() == "fin"
     assert client.ended() == "fin"
@@ -113,7 +115,7 @@
         sent.set()
 
     threading.Thread(target=send, daemon=True).start()
-    assert sent.wait(WAIT)
+    assert sent.wait(WAIT_S)
     assert client.line() == b"ERR\r\n"
     assert client.ended() == "fin"
 
@@ -129,12 +131,12 @@
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 def test_idle_connections_are_evicted_for_others(tmp_path: Path, frontend: str) -> None:
     # Hundreds of idle connections used to take every descriptor, those to endpoints included.
-    with proxy(tmp_path, own=CHANNELS, before=few) as running:
-        standing, endpoint = running.standing()
-        port = running.extra_port if frontend == "channels" else running.port
+    with started_proxy(tmp_path, broker_toml=CHANNELS, before=few) as running:
+        standing, endpoint = running.establish()
+        port = running.channels_port if frontend == "channels" else running.port
         crowd = [running.client(port=port) for _ in range(60)]
         running.logged("reason=evicted")
-        running.standing()
+        running.establish()
         crowd[0].line()  # the longest idle one gets an answer, or a greeting
         assert crowd[0].ended() == "fin"
         endpoint.send(b"on\r\n")
@@ -153,8 +155,8 @@
     tmp_path: Path, frontend: str, crowd: bytes, pieces: list[bytes]
 ) -> None:
     # The oldest was evicted first, which in a flood is the client whose line takes long.
-    with proxy(tmp_path, own=CHANNELS, before=few) as running:
-        slow = running.client(port=running.extra_port if frontend == "channels" else running.port)
+    with started_proxy(tmp_path, broker_toml=CHANNELS, before=few) as running:
+        slow = running.client(port=running.channels_port if frontend == "channels" else running.port)
         for piece in pieces[:-1]:
             slow.send(piece)
             assert running.alive()
@@ -163,19 +165,19 @@
         running.logged("reason=evicted")
         slow.send(pieces[-1])
         if frontend == "channels":
-            terminal = Terminal.over(slow)
+            terminal = ChannelsClient.on_connection(slow)
             terminal.open(0)
-            running.listeners[0].serve()
-            terminal.confirmed(0)
+            running.endpoints[0].serve()
+            terminal.expect_confirmation(0)
         else:
-            running.listeners[0].serve()
+            running.endpoints[0].serve()
             assert slow.line() == b"UP r1\r\n"
         assert kept
 
 
 def test_evicted_connection_with_unread_bytes_gets_its_answer_and_a_plain_end(tmp_path: Path) -> None:
     # The close over them reset the answer away.
-    with proxy(tmp_path, before=few) as running:
+    with started_proxy(tmp_path, before=few) as running:
         quiet = [running.client() for _ in range(8)]
         assert running.alive()
         with running.stopped():
@@ -190,19 +192,19 @@
 
 def test_accepting_pauses_without_descriptors(tmp_path: Path) -> None:
     # Accepting again at once would spin; ending would lose every established connection.
-    with proxy(tmp_path, before=few) as running:
+    with started_proxy(tmp_path, before=few) as running:
         crowd = [running.open(60000) for _ in range(60)]
         running.logged("event=accept-paused")
         for conn in crowd:
             conn.close()
         # Attempts under way may have been sent; none is made for clients that had left before.
         last = running.client(b"OPEN 77 2 c=feed,t=acme,d=20000\r\n")
-        attempt = running.listeners[0].accept()
+        attempt = running.endpoints[0].accept()
         while not attempt.line().startswith(b"OPEN 77 "):
-            attempt = running.listeners[0].accept()
+            attempt = running.endpoints[0].accept()
         attempt.send(b"UP r1\r\n")
         assert last.line() == b"UP r1\r\n"
-        running.standing()
+        running.establish()
 
 
 def test_unread_log_blocks_nothing(one: RunningProxy, tmp_path: Path) -> None:
@@ -215,8 +217,8 @@
             break
     os.set_blocking(writer, True)
     one.process.kill()
-    one.process.wait(WAIT)
-    process = launch(str(tmp_path / "config.json"), stderr=writer)
+    one.process.wait(WAIT_S)
+    process = launch_process(str(tmp_path / "config.json"), stderr=writer)
     try:
         while True:
             try:
@@ -226,6 +228,6 @@
                 assert process.poll() is None
     finally:
         process.kill()
-        process.wait(WAIT)
+        process.wait(WAIT_S)
         os.close(reader)
         os.close(writer)
--- a/tests/test_deployment_facts.py
+++ b/tests/test_deployment_facts.py
@@ -7,7 +7,7 @@
 
 import pytest
 from conftest import S, endpoint, entry
-from proxy import proxy
+from proxy_harness import started_proxy
 
 from linnetshift.broker.deployment_facts import DeploymentFacts, DrainBehaviour, Fact
 from linnetshift.routing.events import EndpointState
@@ -58,16 +58,16 @@
 def test_log_shows_the_applied_settings_and_the_observed_facts(tmp_path: Path) -> None:
     settings = {"allowed": {"probing": True}, "fees": {"crossZone": 0.056}, "weightSource": "live"}
     report = {"columns": ["outstanding", "x0"], "how": "pull"}
-    with proxy(tmp_path, 1, discovery="push", report=report, **settings) as running:
+    with started_proxy(tmp_path, 1, discovery="push", report=report, **settings) as running:
         running.logged(
             "event=settings-applied .*cross_zone_weight=0.368 weights=no-sizes lists=pushed "
             "health_checks=outstanding,x0"
         )
         client = running.open()
-        check_health = running.listeners[0].accept()
+        check_health = running.endpoints[0].accept()
         check_health.line()
         check_health.send(b"PONG\r\n")
-        endpoint = running.listeners[0].serve()
+        endpoint = running.endpoints[0].serve()
         assert client.line() == b"UP r1\r\n"
         running.logged("event=deployment-fact-observed what=reports value=none")
         endpoint.send(b"MOVE\r\n")
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -5,25 +5,25 @@
 from pathlib import Path
 
 import pytest
-from proxy import proxy
+from proxy_harness import started_proxy
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 def test_list_change_arrives_whether_lists_are_pushed_or_polled(tmp_path: Path, mode: str) -> None:
     # With pushed lists the agent used not to be polled, and the list never changed after the start.
-    with proxy(tmp_path, 2, discovery=mode) as running:
+    with started_proxy(tmp_path, 2, discovery=mode) as running:
         running.discovery.change(**{"s-0": "DRAINING"})
         running.logged("event=endpoint-list-received form=full rev=2")
         for _ in range(8):
             client = running.open()
-            endpoint = running.listeners[1].serve()
+            endpoint = running.endpoints[1].serve()
             assert client.line() == b"UP r1\r\n"
             client.close()
             endpoint.close()
 
 
 def test_pushed_list_is_polled_again_after_failed_call(tmp_path: Path) -> None:
-    with proxy(tmp_path, 1, discovery="push") as running:
+    with started_proxy(tmp_path, 1, discovery="push") as running:
         running.discovery.fail(True)
         running.logged("event=discovery-call-failed")
         running.discovery.fail(False)
@@ -64,12 +64,12 @@
 def test_health_check_requests_the_configured_report(
     tmp_path: Path, report_settings: dict[str, object], probe_line: bytes, answer: bytes, log_pattern: str
 ) -> None:
-    with proxy(tmp_path, 1, allowed={"probing": True}, **report_settings) as running:
+    with started_proxy(tmp_path, 1, allowed={"probing": True}, **report_settings) as running:
         client = running.open()
-        connection = running.listeners[0].accept()
+        connection = running.endpoints[0].accept()
         assert connection.line() == probe_line
         connection.send(answer)
         running.logged(log_pattern)
         if answer != b"ERR\r\n":
-            running.listeners[0].serve()
+            running.endpoints[0].serve()
             assert client.line() == b"UP r1\r\n"
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -8,7 +8,10 @@
 
 import pytest
 from conftest import MS, S, raw_settings
-from proxy import WAIT, DiscoveryServer, Kept, Listener, RunningProxy, inside, launch, proxy, world
+from connections import WAIT_S
+from emulated_peers import DiscoveryServer, EmulatedEndpoint, HeldCall
+from proxy_harness import launch_process, proxy_environment, proxy_in_thread, started_proxy
+from running_proxy import RunningProxy
 from test_line_protocol import ranked
 
 from linnetshift.discovery.http_call import CONNECT_TIMEOUT_NS, CallEnded
@@ -51,11 +54,13 @@
     assert timeouts.margin_ns >= 25 * MS
 
 
-def assert_request_avoids_draining_endpoint(running: RunningProxy, best: Listener, other: Listener) -> None:
+def assert_request_avoids_draining_endpoint(
+    running: RunningProxy, best: EmulatedEndpoint, other: EmulatedEndpoint
+) -> None:
     """Once `best` is known to drain, a request whose key ranks it first goes to `other`."""
     running.logged("event=endpoint-list-received .*draining=1")
     client = running.open()
-    assert running.asked() is other
+    assert running.next_attempted() is other
     other.serve()
     assert client.line() == b"UP r1\r\n"
     assert best.state == "DRAINING"
@@ -83,10 +88,10 @@
 
 @pytest.mark.parametrize("failure", ["failed", "reset", "silent"])
 def test_call_after_failed_watch_requests_short_long_poll(tmp_path: Path, failure: str) -> None:
-    with inside(tmp_path, rules={"mustAskInNs": S // 2}) as running:
+    with proxy_in_thread(tmp_path, rules={"mustAskInNs": S // 2}) as running:
         discovery = running.discovery
         discovery.change()
-        while not (path := discovery.calls.get(timeout=WAIT)).startswith("/catalog/members?since=2"):
+        while not (path := discovery.calls.get(timeout=WAIT_S)).startswith("/catalog/members?since=2"):
             pass
         assert int(path.rpartition("=")[2]) >= 7000
         if failure == "failed":
@@ -100,7 +105,7 @@
             call = running.program.discovery.watch_call
             assert call is not None
             running.program.discovery.post(CallEnded(call, None, timed_out=True))
-        while not (path := discovery.calls.get(timeout=WAIT)).startswith("/catalog/members?since="):
+        while not (path := discovery.calls.get(timeout=WAIT_S)).startswith("/catalog/members?since="):
             pass
         assert int(path.rpartition("=")[2]) <= 1000
 
@@ -112,9 +117,9 @@
     monkeypatch.setattr("linnetshift.discovery.http_call.CONNECT_TIMEOUT_NS", 50 * MS)
     monkeypatch.setattr("linnetshift.discovery.watch.MAX_FULL_LIST_CALL_NS", 60 * S)
     monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(False, 60_000, S, 60 * S)))
-    with inside(tmp_path, rules={"mustAskInNs": S // 2}) as running:
-        unreachable = Listener("discovery")
-        unreachable.stall()
+    with proxy_in_thread(tmp_path, rules={"mustAskInNs": S // 2}) as running:
+        unreachable = EmulatedEndpoint("discovery")
+        unreachable.fill_accept_queue()
         running.program.discovery.relocate(
             ("127.0.0.1", unreachable.port), WatchTimeouts.of(running.program.config.settings)
         )
@@ -126,16 +131,16 @@
             time.sleep(0.002)
 
 
-def unanswered_call(running: RunningProxy) -> Kept:
+def unanswered_call(running: RunningProxy) -> HeldCall:
     """Wait for the next call that the discovery server leaves unanswered."""
-    return running.discovery.kept.get(timeout=WAIT)
+    return running.discovery.held_calls.get(timeout=WAIT_S)
 
 
 def test_silent_watch_is_reopened_without_backoff(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # A watch without any answer was followed 12 s later, after a back-off, by the next one: too late.
     short_timeouts = classmethod(lambda cls, _: cls(False, 200, 100 * MS, 300 * MS))
     monkeypatch.setattr(WatchTimeouts, "of", short_timeouts)
-    with inside(tmp_path, **LONG_BACKOFF) as running:
+    with proxy_in_thread(tmp_path, **LONG_BACKOFF) as running:
         running.discovery.silent = True
         running.discovery.change()  # completes the open watch; the next one is never answered
         assert "since=" in unanswered_call(running).path
@@ -148,7 +153,7 @@
 ) -> None:
     # With a constant timeout, no call to an overloaded discovery server might ever be answered.
     monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(pushed, 40, 10 * MS, 20 * MS)))
-    with inside(tmp_path, **LONG_BACKOFF) as running:
+    with proxy_in_thread(tmp_path, **LONG_BACKOFF) as running:
         running.discovery.silent = True
         running.discovery.change()
         for _ in range(6):
@@ -160,7 +165,7 @@
 
 
 def test_pushed_list_watch_recovers_after_timeouts_and_error_responses(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=2, **PUSHED_LISTS, **{"rules": LONG_BACKOFF["rules"]}) as running:
+    with started_proxy(tmp_path, endpoints=2, **PUSHED_LISTS, **{"rules": LONG_BACKOFF["rules"]}) as running:
         best, other = ranked(running)
         running.discovery.silent = True
         running.discovery.change()
@@ -176,7 +181,7 @@
 
 
 def test_reset_watch_of_pushed_lists_is_reopened_at_once(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=2, **PUSHED_LISTS, **{"rules": LONG_BACKOFF["rules"]}) as running:
+    with started_proxy(tmp_path, endpoints=2, **PUSHED_LISTS, **{"rules": LONG_BACKOFF["rules"]}) as running:
         best, other = ranked(running)
         running.discovery.reset_watches()
         running.logged("event=discovery-call-failed .*[Rr]eset")
@@ -186,32 +191,32 @@
 
 def test_new_process_sends_no_request_before_first_pushed_list(tmp_path: Path) -> None:
     # The list in the proxy's file is outdated; the agent's list is binding from the start.
-    with world(tmp_path, endpoints=2, **PUSHED_LISTS) as environment:
-        best, other = environment.listeners
+    with proxy_environment(tmp_path, endpoints=2, **PUSHED_LISTS) as environment:
+        best, other = environment.endpoints
         best.state = "DRAINING"
         environment.discovery.rev += 1
         environment.discovery.silent = True
-        process = launch(str(environment.config), str(environment.own))
-        running = RunningProxy(process, environment.port, environment.extra)
-        running.listeners = environment.listeners
+        process = launch_process(str(environment.config), str(environment.broker_file))
+        running = RunningProxy(process, environment.port, environment.channels_port)
+        running.endpoints = environment.endpoints
         running.discovery = environment.discovery
         running.config = environment.config
         try:
             running.logged("event=process-started")
-            first_call = environment.discovery.kept.get(timeout=WAIT)
+            first_call = environment.discovery.held_calls.get(timeout=WAIT_S)
             # Some of these keys rank the draining endpoint first.
             clients = [running.client(request_line(key)) for key in range(1, 9)]
             assert running.alive()
             environment.discovery.silent = False
-            first_call.let_go.set()
+            first_call.release.set()
             endpoints = []
             for _ in clients:
-                assert running.asked() is other
+                assert running.next_attempted() is other
                 endpoints.append(other.serve())
             assert {each.line() for each in clients} == {b"UP r1\r\n"}
         finally:
             process.kill()
-            process.wait(WAIT)
+            process.wait(WAIT_S)
 
 
 def request_line(key: int) -> bytes:
@@ -221,27 +226,27 @@
 
 @pytest.mark.parametrize("discovery", ["push", "ask"])
 def test_new_process_serves_when_discovery_never_answers(tmp_path: Path, discovery: str) -> None:
-    with world(tmp_path, discovery=discovery) as environment:
+    with proxy_environment(tmp_path, discovery=discovery) as environment:
         environment.discovery.silent = True
-        process = launch(str(environment.config), str(environment.own))
-        running = RunningProxy(process, environment.port, environment.extra)
-        running.listeners = environment.listeners
+        process = launch_process(str(environment.config), str(environment.broker_file))
+        running = RunningProxy(process, environment.port, environment.channels_port)
+        running.endpoints = environment.endpoints
         running.discovery = environment.discovery
         try:
             running.logged("event=process-started")
             assert running.alive()
             client = running.open()
-            environment.listeners[0].serve()
+            environment.endpoints[0].serve()
             assert client.line() == b"UP r1\r\n"
         finally:
             process.kill()
-            process.wait(WAIT)
+            process.wait(WAIT_S)
 
 
 @pytest.mark.parametrize("discovery", ["push", "ask"])
 def test_reload_with_unchanged_address_reopens_silent_watch_at_once(tmp_path: Path, discovery: str) -> None:
     # A reload with the same address used to leave a watch that got no answer as it was.
-    with proxy(tmp_path, endpoints=2, discovery=discovery, rules=LONG_BACKOFF["rules"]) as running:
+    with started_proxy(tmp_path, endpoints=2, discovery=discovery, rules=LONG_BACKOFF["rules"]) as running:
         best, other = ranked(running)
         running.discovery.silent = True
         running.discovery.change()
@@ -255,32 +260,32 @@
 
 
 def test_late_answer_from_former_address_is_ignored(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
+    with started_proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
         best, other = ranked(running)
         running.discovery.silent = True
         running.discovery.change()
         former_call = unanswered_call(running)  # its list has both endpoints serving, under the next revision
-        new_server = DiscoveryServer(running.listeners)
+        new_server = DiscoveryServer(running.endpoints)
         new_server.rev = running.discovery.rev
         best.state = "DRAINING"
         running.reload("event=configuration-reloaded", discovery=new_server.address)
         running.logged("event=endpoint-list-received .*draining=1")
-        former_call.let_go.set()
+        former_call.release.set()
         client = running.open()
-        assert running.asked() is other
+        assert running.next_attempted() is other
         other.serve()
         assert client.line() == b"UP r1\r\n"
         running.discovery.silent = False
-        assert not [entry for entry in running.unread() if "event=endpoint-list-received" in entry]
+        assert not [entry for entry in running.unread_lines() if "event=endpoint-list-received" in entry]
 
 
 def test_silent_new_address_is_called_again(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
+    with started_proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
         best, other = ranked(running)
-        new_server = DiscoveryServer(running.listeners)
+        new_server = DiscoveryServer(running.endpoints)
         new_server.silent = True
         running.reload("event=configuration-reloaded", discovery=new_server.address)
-        assert new_server.kept.get(timeout=WAIT).path == "/catalog/members"
+        assert new_server.held_calls.get(timeout=WAIT_S).path == "/catalog/members"
         new_server.silent = False
         best.state = "DRAINING"
         new_server.rev += 1
@@ -289,9 +294,9 @@
 
 @pytest.mark.parametrize("indent", [None, 2])
 def test_indented_list_in_several_segments_is_parsed(tmp_path: Path, indent: int | None) -> None:
-    with proxy(tmp_path, endpoints=2) as running:
+    with started_proxy(tmp_path, endpoints=2) as running:
         best, other = ranked(running)
-        new_server = DiscoveryServer(running.listeners, indent=indent)
+        new_server = DiscoveryServer(running.endpoints, indent=indent)
         best.state = "DRAINING"
         new_server.rev += 1
         running.reload("event=configuration-reloaded", discovery=new_server.address)
@@ -299,9 +304,9 @@
 
 
 def test_oversized_list_fails_the_call_and_watch_recovers(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=2, **PUSHED_LISTS) as running:
+    with started_proxy(tmp_path, endpoints=2, **PUSHED_LISTS) as running:
         best, other = ranked(running)
-        running.discovery.says(b'{"rev":9,"all":true,"targets":[' + b" " * (1 << 21))
+        running.discovery.answer_once(b'{"rev":9,"all":true,"targets":[' + b" " * (1 << 21))
         running.logged("event=discovery-call-failed .*too long")
         running.discovery.change(**{best.uid: "DRAINING"})
         assert_request_avoids_draining_endpoint(running, best, other)
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -17,9 +17,14 @@
 
 import pytest
 from conftest import MS, S
-from proxy import WAIT, Conn, Listener, RunningProxy, Terminal, free_port, proxy, settings
+from connections import WAIT_S, ChannelsClient, PeerConnection
+from emulated_peers import EmulatedEndpoint
+from proxy_harness import settings, started_proxy
+from running_proxy import RunningProxy
 from test_line_protocol import ranked
 
+from rig.free_port import free_port
+
 CHANNELS_CONFIG = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 NOT_REPEATABLE = {"effect": "once"}
 """Class settings of requests that must not be executed twice."""
@@ -38,7 +43,7 @@
     """A proxy with a connect timeout of 10 s; the class of the requests has these settings."""
     default_class = settings()["services"][0]
     service = {**default_class, "aimNs": 10 * S, "hardLimitNs": 20 * S, **class_settings}
-    with proxy(
+    with started_proxy(
         directory,
         endpoints,
         own_config,
@@ -48,17 +53,19 @@
         yield running
 
 
-def connecting_request(running: RunningProxy, best: Listener, wait_ms: int = LONG_DEADLINE_MS) -> Conn:
+def connecting_request(
+    running: RunningProxy, best: EmulatedEndpoint, wait_ms: int = LONG_DEADLINE_MS
+) -> PeerConnection:
     """A request whose connection to the endpoint stays pending: the client's end."""
-    best.stall()
+    best.fill_accept_queue()
     client = running.client(REQUEST_LINE % wait_ms)
-    best.dialled()
+    best.wait_until_connecting()
     return client
 
 
 def queued_request(
-    running: RunningProxy, best: Listener, wait_ms: int = LONG_DEADLINE_MS
-) -> tuple[Conn, list[tuple[Conn, Conn]]]:
+    running: RunningProxy, best: EmulatedEndpoint, wait_ms: int = LONG_DEADLINE_MS
+) -> tuple[PeerConnection, list[tuple[PeerConnection, PeerConnection]]]:
     """A request queued behind as many attempts as are allowed: its client, and the ends of those attempts."""
     in_flight = []
     for number in range(9):  # eight, and one more, allowed after the fast first set-up
@@ -71,8 +78,8 @@
 
 
 def request_in_state(
-    running: RunningProxy, best: Listener, state: str
-) -> tuple[Conn, Conn | None, list[tuple[Conn, Conn]]]:
+    running: RunningProxy, best: EmulatedEndpoint, state: str
+) -> tuple[PeerConnection, PeerConnection | None, list[tuple[PeerConnection, PeerConnection]]]:
     """A queued, connecting or sent request: its client, its endpoint's end, and the attempts before it."""
     if state == "sent":
         return *sent_request(running, best), []
@@ -82,13 +89,15 @@
     return connecting_request(running, best), None, []
 
 
-def answer_all(in_flight: list[tuple[Conn, Conn]]) -> None:
+def answer_all(in_flight: list[tuple[PeerConnection, PeerConnection]]) -> None:
     """Let the endpoint answer all these attempts."""
     for _, endpoint in in_flight:
         endpoint.send(b"UP r1\r\n")
 
 
-def sent_request(running: RunningProxy, best: Listener, wait_ms: int = LONG_DEADLINE_MS) -> tuple[Conn, Conn]:
+def sent_request(
+    running: RunningProxy, best: EmulatedEndpoint, wait_ms: int = LONG_DEADLINE_MS
+) -> tuple[PeerConnection, PeerConnection]:
     """A request that the endpoint has received: the client's and the endpoint's end."""
     client = running.client(REQUEST_LINE % wait_ms)
     endpoint = best.accept()
@@ -106,7 +115,7 @@
         client = connecting_request(running, best)
         running.discovery.change(**{best.uid: "DRAINING"})
         running.logged("event=endpoint-list-received .*draining=1")
-        best.go_on()
+        best.empty_accept_queue()
         assert best.accept().line() == b""
         other.serve()
         assert client.line() == b"UP r1\r\n"
@@ -120,16 +129,16 @@
     # The connection used to be handled before the client's close was read, although the close came first.
     with proxy_with_long_timeouts(tmp_path, own_config=CHANNELS_CONFIG) as running:
         best, _ = ranked(running)
-        best.stall()
+        best.fill_accept_queue()
         if frontend == "channels":
-            client: Conn = Terminal(running.extra_port)
-            assert isinstance(client, Terminal)
+            client: PeerConnection = ChannelsClient(running.channels_port)
+            assert isinstance(client, ChannelsClient)
             client.open(5, key=0x7F3A9C21E0B4D655, wait_ms=LONG_DEADLINE_MS)
         else:
             client = running.client(REQUEST_LINE % LONG_DEADLINE_MS)
-        best.dialled()
+        best.wait_until_connecting()
         with running.stopped():
-            best.go_on()
+            best.empty_accept_queue()
             endpoint = best.accept()
             client.close(end)
         assert endpoint.line() == b""
@@ -148,7 +157,7 @@
         best, _ = ranked(running)
         client = connecting_request(running, best)
         with running.stopped():
-            best.go_on()
+            best.empty_accept_queue()
             endpoint = best.accept()
             client.sock.setblocking(False)
             with suppress(BlockingIOError):
@@ -161,14 +170,14 @@
 def test_request_is_not_sent_when_session_close_follows_unread_packet(tmp_path: Path) -> None:
     with proxy_with_long_timeouts(tmp_path, own_config=CHANNELS_CONFIG) as running:
         best, _ = ranked(running)
-        best.stall()
-        terminal = Terminal(running.extra_port)
+        best.fill_accept_queue()
+        terminal = ChannelsClient(running.channels_port)
         terminal.open(5, key=0x7F3A9C21E0B4D655, wait_ms=LONG_DEADLINE_MS)
-        best.dialled()
+        best.wait_until_connecting()
         with running.stopped():
-            best.go_on()
+            best.empty_accept_queue()
             endpoint = best.accept()
-            terminal.packet(2, b"never mind")  # IGNORE, which does not announce the close
+            terminal.send_message(2, b"never mind")  # IGNORE, which does not announce the close
             terminal.close()
         assert endpoint.line() == b""
         running.logged("side=channel")
@@ -179,17 +188,17 @@
     # connections are established.
     with proxy_with_long_timeouts(tmp_path) as running:
         best, _ = ranked(running)
-        best.stall()
+        best.fill_accept_queue()
         departed_clients = [
             running.client(REQUEST_LINE.replace(b"77", b"%d" % number) % LONG_DEADLINE_MS)
             for number in range(100, 160)
         ]
-        best.dialled()
+        best.wait_until_connecting()
         assert running.alive()
         with running.stopped():
             for client in departed_clients:
                 client.close()
-            best.go_on()
+            best.empty_accept_queue()
         next_client = running.client(REQUEST_LINE % LONG_DEADLINE_MS)
         first_line = b""
         while not first_line:
@@ -232,7 +241,7 @@
         best, other = ranked(running)
         client = connecting_request(running, best)
         with running.stopped():
-            best.go_on()
+            best.empty_accept_queue()
             best.accept().close()
         other.serve()
         assert client.line() == b"UP r1\r\n"
@@ -242,14 +251,14 @@
     # The window used to be checked at the decision only, not when the line was sent on the connection.
     idempotency = {"effect": "by_key", "group": "all", "windowNs": 2 * S}
     service = {**settings()["services"][0], "aimNs": 10 * S, "hardLimitNs": 20 * S, **idempotency}
-    with proxy(tmp_path, 2, services=[service], allowed={"connectTimeoutNs": 1500 * MS}) as running:
+    with started_proxy(tmp_path, 2, services=[service], allowed={"connectTimeoutNs": 1500 * MS}) as running:
         best, other = ranked(running)
-        other.stall()
+        other.fill_accept_queue()
         client, endpoint = sent_request(running, best)
         endpoint.send(b"ERR\r\n")
-        other.dialled()
+        other.wait_until_connecting()
         with running.stopped():
-            other.go_on()
+            other.empty_accept_queue()
             retry = other.accept()
             time.sleep(2.0)
         assert retry.line() == b""
@@ -269,33 +278,33 @@
 # ---- each state against each event -----------------------------------------------------------
 
 
-def close_with_fin(conn: Conn) -> None:
+def close_with_fin(conn: PeerConnection) -> None:
     """Close the connection in order."""
     conn.close()
 
 
-def close_with_reset(conn: Conn) -> None:
+def close_with_reset(conn: PeerConnection) -> None:
     """Reset the connection."""
     conn.close("reset")
 
 
-def close_after_partial_line(conn: Conn) -> None:
+def close_after_partial_line(conn: PeerConnection) -> None:
     """Close within an answer line."""
     conn.send(b"UP r")
     conn.close()
 
 
-def send_invalid_bytes(conn: Conn) -> None:
+def send_invalid_bytes(conn: PeerConnection) -> None:
     """Send a line that is not text."""
     conn.send(b"\xff\x00\r\n")
 
 
-def send_oversized_line(conn: Conn) -> None:
+def send_oversized_line(conn: PeerConnection) -> None:
     """Send more than the longest line, without an end of line."""
     conn.send(b"x" * 6000)
 
 
-def send_two_answers_and_close(conn: Conn) -> None:
+def send_two_answers_and_close(conn: PeerConnection) -> None:
     """Send an error and then an acceptance, and close."""
     conn.send(b"ERR\r\nUP r1\r\n")
     conn.close()
@@ -305,7 +314,7 @@
     """Log lines that report the end of the client's connection of request 77."""
     return [
         line
-        for line in running.seen + running.unread()
+        for line in running.passed_lines + running.unread_lines()
         if re.search("event=connection-ended side=client.* open=77 ", line)
     ]
 
@@ -313,21 +322,21 @@
 @pytest.mark.parametrize("state", ["queued", "connecting", "sent"])
 @pytest.mark.parametrize("end_connection", [close_with_fin, close_with_reset])
 def test_departed_client_ends_its_request_in_each_state(
-    tmp_path: Path, state: str, end_connection: Callable[[Conn], None]
+    tmp_path: Path, state: str, end_connection: Callable[[PeerConnection], None]
 ) -> None:
     with proxy_with_long_timeouts(tmp_path) as running:
         best, _ = ranked(running)
-        running.seen.clear()
+        running.passed_lines.clear()
         client, endpoint, in_flight = request_in_state(running, best, state)
         end_connection(client)
         running.logged("side=client reason=withdrawn")
         if endpoint is not None:
             assert endpoint.ended() in ("fin", "reset")
         elif state == "connecting":
-            best.go_on()
+            best.empty_accept_queue()
         answer_all(in_flight)
         next_client = running.client(REQUEST_LINE.replace(b"77", b"78") % LONG_DEADLINE_MS)
-        attempt = running.asked().accept()
+        attempt = running.next_attempted().accept()
         assert attempt.line().startswith(b"OPEN 78 ")
         assert next_client
         assert len(connection_end_events(running)) == 1
@@ -356,12 +365,12 @@
         if end == "half-close":
             client.sock.shutdown(1)
         else:
-            running.leave()
+            running.terminate()
         assert client.line() == answer
         assert client.ended() == "fin"
         client.close()
         if end == "shutdown":
-            assert running.process.wait(WAIT) == 0
+            assert running.process.wait(WAIT_S) == 0
 
 
 @pytest.mark.parametrize(
@@ -376,11 +385,11 @@
     ],
 )
 def test_possibly_executed_request_fails_when_endpoint_connection_ends(
-    tmp_path: Path, end_connection: Callable[[Conn], None]
+    tmp_path: Path, end_connection: Callable[[PeerConnection], None]
 ) -> None:
     with proxy_with_long_timeouts(tmp_path, **NOT_REPEATABLE) as running:
         best, _ = ranked(running)
-        running.seen.clear()
+        running.passed_lines.clear()
         client, endpoint = sent_request(running, best)
         end_connection(endpoint)
         assert client.line() == b"ERR\r\n"
@@ -405,8 +414,8 @@
 
 
 def test_partial_line_and_close_are_relayed(tmp_path: Path) -> None:
-    with proxy(tmp_path) as running:
-        client, endpoint = running.standing()
+    with started_proxy(tmp_path) as running:
+        client, endpoint = running.establish()
         with running.stopped():
             endpoint.send(b"whole\r\nhal")
             endpoint.close()
@@ -418,7 +427,7 @@
 
 def test_slow_reader_receives_everything_before_its_migration(tmp_path: Path) -> None:
     # It used to be closed half a second after MOVE, and lost what it had not read yet, MOVE included.
-    with proxy(tmp_path, 2) as running:
+    with started_proxy(tmp_path, 2) as running:
         best, _ = ranked(running)
         client = running.open()
         endpoint = best.serve()
@@ -427,7 +436,7 @@
         with suppress(TimeoutError):
             while True:  # until all buffers on the way are full
                 endpoint.send(b"y" * 3998 + b"\r\n")
-        endpoint.sock.settimeout(WAIT)
+        endpoint.sock.settimeout(WAIT_S)
         running.discovery.change(**{best.uid: "DRAINING"})
         with suppress(ConnectionError):
             assert endpoint.sock.recv(1) == b""  # MOVE was sent to the client
@@ -442,8 +451,8 @@
 
 def test_graceful_shutdown_answers_the_accept_queue(tmp_path: Path) -> None:
     # 64 are accepted per turn; those behind them used to be reset when the listener closed.
-    with proxy(tmp_path) as running:
-        running.leave()
+    with started_proxy(tmp_path) as running:
+        running.terminate()
         running.logged("event=shutdown-started")
         with running.stopped():
             clients = [running.open(1000) for _ in range(200)]
@@ -451,7 +460,7 @@
         for client in clients:
             assert client.line()[:4] in (b"BUSY", b"ERR\r")
             client.close()
-        assert running.process.wait(WAIT) == 0
+        assert running.process.wait(WAIT_S) == 0
 
 
 def test_reload_serves_the_accept_queue_of_the_former_address(tmp_path: Path) -> None:
@@ -465,7 +474,7 @@
                 running.client(REQUEST_LINE.replace(b"77", b"%x" % number) % LONG_DEADLINE_MS)
                 for number in range(100, 300)
             ]
-        endpoint = running.listeners[0]
+        endpoint = running.endpoints[0]
         served = [endpoint.serve() for _ in clients]
         for client in clients:
             assert client.line() == b"UP r1\r\n"
@@ -477,36 +486,38 @@
     tmp_path: Path, sent_before: bytes
 ) -> None:
     # It used to be reset at the exit, and a line that arrived at that moment was lost.
-    with proxy(tmp_path) as running:
+    with started_proxy(tmp_path) as running:
         idle_client = running.client(sent_before)
         if sent_before.endswith(b"\n"):
             assert idle_client.line() == b"PONG\r\n"
         else:
             assert running.alive()
-        running.leave()
+        running.terminate()
         assert idle_client.line() == b"BUSY\r\n"
         assert idle_client.ended() == "fin"
         idle_client.send(REQUEST_LINE % 2000)  # as a client would that has not seen the close yet
         idle_client.close()
-        assert running.process.wait(WAIT) == 0
+        assert running.process.wait(WAIT_S) == 0
         running.logged("event=shutdown-finished")
-        assert not [line for line in running.seen if "event=attempt-started" in line]
+        assert not [line for line in running.passed_lines if "event=attempt-started" in line]
 
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 def test_late_request_on_idle_connection_is_answered_until_exit(tmp_path: Path, frontend: str) -> None:
-    with proxy(tmp_path, own=CHANNELS_CONFIG) as running:
-        established = running.standing()  # keeps the process running until this connection is migrated
-        idle_client: Conn = Terminal(running.extra_port) if frontend == "channels" else running.client()
+    with started_proxy(tmp_path, broker_toml=CHANNELS_CONFIG) as running:
+        established = running.establish()  # keeps the process running until this connection is migrated
+        idle_client: PeerConnection = (
+            ChannelsClient(running.channels_port) if frontend == "channels" else running.client()
+        )
         assert running.alive()
-        running.leave()
+        running.terminate()
         running.logged("event=shutdown-started")
-        if isinstance(idle_client, Terminal):
+        if isinstance(idle_client, ChannelsClient):
             idle_client.open(5)  # served, or refused once no more are accepted: either is an answer
-            sockets = [running.listeners[0].sock, idle_client.sock]
-            if running.listeners[0].sock in select.select(sockets, [], [], WAIT)[0]:
-                served = running.listeners[0].serve()
-                assert idle_client.confirmed(5) >= 0
+            sockets = [running.endpoints[0].sock, idle_client.sock]
+            if running.endpoints[0].sock in select.select(sockets, [], [], WAIT_S)[0]:
+                served = running.endpoints[0].serve()
+                assert idle_client.expect_confirmation(5) >= 0
                 assert served
                 assert b"move@linnetshift" in idle_client.expect(98, 5)
                 idle_client.expect(97, 5)
@@ -514,20 +525,20 @@
                 assert idle_client.read()[0] in (92, 1)
         else:
             idle_client.send(REQUEST_LINE % 2000)
-            served = running.listeners[0].serve()
+            served = running.endpoints[0].serve()
             assert idle_client.line() == b"UP r1\r\n"
             assert served
             assert idle_client.line() == b"MOVE\r\n"
         assert established[0].line() == b"MOVE\r\n"
         for client in (established[0], idle_client):
             client.close()
-        assert running.process.wait(WAIT) == 0
+        assert running.process.wait(WAIT_S) == 0
 
 
 def test_last_answer_survives_unread_input(tmp_path: Path) -> None:
-    with proxy(tmp_path) as running:
-        client, endpoint = running.standing()
-        running.leave()
+    with started_proxy(tmp_path) as running:
+        client, endpoint = running.establish()
+        running.terminate()
         running.logged("event=shutdown-started")
         with running.stopped():
             client.send(b"half a line")
@@ -536,7 +547,7 @@
         assert client.line() == b"MOVE\r\n"
         assert client.ended() == "fin"
         client.close()
-        assert running.process.wait(WAIT) == 0
+        assert running.process.wait(WAIT_S) == 0
 
 
 def test_answer_that_arrives_with_shutdown_signal_is_relayed(tmp_path: Path) -> None:
@@ -546,12 +557,12 @@
         client, endpoint = sent_request(running, best)
         with running.stopped():
             endpoint.send(b"UP r1\r\n")
-            running.leave()
+            running.terminate()
         assert [client.line(), client.line()] == [b"UP r1\r\n", b"MOVE\r\n"]
         assert client.ended() == "fin"
         assert endpoint.line() == b""
         client.close()
-        assert running.process.wait(WAIT) == 0
+        assert running.process.wait(WAIT_S) == 0
 
 
 def test_each_client_is_answered_when_connections_flood_in_during_shutdown(tmp_path: Path) -> None:
@@ -561,7 +572,7 @@
         served = best.serve()
         assert client.line() == b"UP r1\r\n"
         waiting_client, endpoint = sent_request(running, best)
-        running.leave()
+        running.terminate()
         running.logged("event=shutdown-started")
         clients = [running.client() for _ in range(60)]
         departed_clients = [
@@ -581,7 +592,7 @@
         assert served
         for each in (client, waiting_client, *clients):
             each.close()
-        assert running.process.wait(WAIT) == 0
+        assert running.process.wait(WAIT_S) == 0
 
 
 def test_request_fails_as_possibly_executed_after_late_reset(tmp_path: Path) -> None:
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from proxy import ROOT, free_port
+from proxy_harness import ROOT
 
 from linnetshift.broker.snapshot import export_state, import_state
 from linnetshift.config.broker_file import read_broker_file
@@ -25,6 +25,7 @@
 from linnetshift.routing.endpoints import Endpoint
 from linnetshift.routing.events import EndpointState
 from linnetshift.vrrp.router import State
+from rig.free_port import free_port
 
 RECORDED = Path(__file__).parent / "data" / "handed-over-state.json"
 
--- a/tests/test_hostile_peers.py
+++ b/tests/test_hostile_peers.py
@@ -12,7 +12,8 @@
 
 import pytest
 import tomli_w
-from proxy import RunningProxy, proxy, settings
+from proxy_harness import settings, started_proxy
+from running_proxy import RunningProxy
 
 from linnetshift.config.broker_file import read_broker_file
 from linnetshift.config.errors import ConfigurationError
@@ -36,13 +37,13 @@
 
 @pytest.fixture
 def running(tmp_path: Path) -> Iterator[RunningProxy]:
-    with proxy(tmp_path, own=CHANNELS, admin_server=True, held=True) as started:
+    with started_proxy(tmp_path, broker_toml=CHANNELS, admin_server=True, inherits_listener=True) as started:
         yield started
 
 
 @pytest.mark.parametrize("frontend", ["line-protocol", "channels", "admin"])
 def test_program_survives_hostile_clients_and_operators(running: RunningProxy, frontend: str) -> None:
-    endpoints = HostileEndpoints(running.listeners, SEED)
+    endpoints = HostileEndpoints(running.endpoints, SEED)
     run = HostileRun(running, SEED)
     endpoints.start()
     try:
@@ -65,7 +66,7 @@
     running.discovery.rev = 1 << 70  # newer than anything that was said meanwhile
     running.discovery.change()
     running.discovery.calls.get(timeout=20)
-    assert running.standing()
+    assert running.establish()
 
 
 def test_program_survives_hostile_peer_process(running: RunningProxy) -> None:
@@ -74,7 +75,7 @@
     run.take_baseline()
     path = str(running.config.parent / "linnetshift-n0.sock")
     run.send_takeovers(path, [fuzz_inputs.takeover_lines(rng) for _ in range(60)])
-    assert running.standing()
+    assert running.establish()
 
 
 def test_program_survives_hostile_vrrp_peers(tmp_path: Path) -> None:
@@ -82,7 +83,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         sender.bind(("127.0.0.1", 0))
         own = VRRP.replace("PEER", str(sender.getsockname()[1]))
-        with proxy(tmp_path, own=own, admin_server=True) as running:
+        with started_proxy(tmp_path, broker_toml=own, admin_server=True) as running:
             run = HostileRun(running, SEED)
             run.take_baseline()
             for _ in range(4):
@@ -187,7 +188,7 @@
     with pytest.raises(InvariantViolationError, match="event=fault"):
         run.check([])
     with pytest.raises(InvariantViolationError, match="timed-out"):
-        run.send_inputs([PeerInput(running.listeners[0].port, (b"nobody answers",))])
+        run.send_inputs([PeerInput(running.endpoints[0].port, (b"nobody answers",))])
     running.process.kill()
     running.process.wait()
     with pytest.raises(InvariantViolationError, match="ended"):
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -8,7 +8,8 @@
 
 import pytest
 from conftest import MS, S, balancer, ended, only, request
-from proxy import WAIT, launch, proxy, successor_of
+from connections import WAIT_S
+from proxy_harness import launch_process, started_proxy, successor_of
 from test_admin_interface import DRAIN_CALL, RESTORE_CALL, establish_on
 from test_line_protocol import ranked
 
@@ -19,33 +20,35 @@
 
 
 def test_new_process_takes_over_and_the_old_one_migrates_its_clients(tmp_path: Path) -> None:
-    with proxy(tmp_path, admin_server=True, held=True) as old:
-        established, endpoint = old.standing()
+    with started_proxy(tmp_path, admin_server=True, inherits_listener=True) as old:
+        established, endpoint = old.establish()
         silent = old.client()  # accepted by the old one, and no request so far
         assert old.alive()
         with successor_of(old) as new:
-            new.becomes_ready()
+            new.wait_until_ready()
             assert old.call("GET /ops/readiness") == 503
             silent.send(b"OPEN 5 6 c=feed,t=acme,d=2000\r\n")
-            answered = old.listeners[0].serve()
+            answered = old.endpoints[0].serve()
             assert silent.line() == b"UP r1\r\n"
-            later, its_endpoint = new.standing()
-            old.leave()
+            later, its_endpoint = new.establish()
+            old.terminate()
             assert {established.line(), silent.line()} == {b"MOVE\r\n"}
             for conn in (established, silent, endpoint, answered):
                 conn.close()
-            assert old.process.wait(WAIT) == 0
+            assert old.process.wait(WAIT_S) == 0
             its_endpoint.send(b"on\r\n")
             assert later.line() == b"on\r\n"
             assert new.alive()
 
 
 def test_administrative_drains_apply_in_both_processes(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=2, admin_server=True, held=True, rules={"warmUpNs": 1}) as old:
+    with started_proxy(
+        tmp_path, endpoints=2, admin_server=True, inherits_listener=True, rules={"warmUpNs": 1}
+    ) as old:
         first, second = ranked(old)
         assert old.call(DRAIN_CALL % first.uid) == 200
         with successor_of(old) as new:
-            new.becomes_ready()
+            new.wait_until_ready()
             kept = [establish_on(new, second.uid)]
             assert new.call(RESTORE_CALL % first.uid) == 200
             old.logged(f"administrative-drain-changed endpoint={first.uid} out=False")
@@ -57,31 +60,31 @@
 
 @pytest.mark.parametrize("how", ["new-dies", "old-dies", "stale-socket", "third"])
 def test_process_that_goes_is_replaced_without_harm(tmp_path: Path, how: str) -> None:
-    with proxy(tmp_path, admin_server=True, held=True) as old:
+    with started_proxy(tmp_path, admin_server=True, inherits_listener=True) as old:
         if how == "stale-socket":
             old.process.kill()
-            old.process.wait(WAIT)
+            old.process.wait(WAIT_S)
         with successor_of(old) as new:
-            new.becomes_ready()
+            new.wait_until_ready()
             if how == "new-dies":
                 new.process.kill()
                 old.logged("event=successor-gone")
                 assert old.call("GET /ops/readiness") == 200
-                old.standing()
+                old.establish()
                 with successor_of(old) as next_one:
-                    next_one.becomes_ready()
+                    next_one.wait_until_ready()
             elif how == "old-dies":
                 old.process.kill()
                 new.logged("event=predecessor-gone")
-                new.becomes_ready()
-                new.standing()
+                new.wait_until_ready()
+                new.establish()
             elif how == "third":
                 with successor_of(new) as third:
-                    third.becomes_ready()
+                    third.wait_until_ready()
                     assert new.call("GET /ops/readiness") == 503
-                    third.standing()
+                    third.establish()
             else:
-                new.standing()
+                new.establish()
 
 
 def test_channels_listener_and_vrrp_socket_are_handed_over(tmp_path: Path) -> None:
@@ -89,34 +92,34 @@
         '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
         '[vrrp]\nenabled = true\nvrid = 1\npriority = 255\nlisten = "127.0.0.1:PORT"\npeers = []\n'
     )
-    with proxy(tmp_path, own=own, admin_server=True, held=True) as old:
-        assert old.client(b"SSH-2.0-t\r\n", old.extra_port).line().startswith(b"SSH-2.0-")
+    with started_proxy(tmp_path, broker_toml=own, admin_server=True, inherits_listener=True) as old:
+        assert old.client(b"SSH-2.0-t\r\n", old.channels_port).line().startswith(b"SSH-2.0-")
         with successor_of(old) as new:
-            new.becomes_ready()
+            new.wait_until_ready()
             old.process.send_signal(signal.SIGKILL)
-            old.process.wait(WAIT)
-            assert new.client(b"SSH-2.0-t\r\n", old.extra_port).line().startswith(b"SSH-2.0-")
+            old.process.wait(WAIT_S)
+            assert new.client(b"SSH-2.0-t\r\n", old.channels_port).line().startswith(b"SSH-2.0-")
 
 
 @pytest.mark.parametrize("named", ["2", "99", "three"])
 def test_descriptor_that_does_not_listen_is_rejected_at_start(tmp_path: Path, named: str) -> None:
-    with proxy(tmp_path) as running:
-        process = launch(str(running.config), GW_LISTEN_FD=named)
+    with started_proxy(tmp_path) as running:
+        process = launch_process(str(running.config), GW_LISTEN_FD=named)
         assert process.stderr is not None
         assert "GW_LISTEN_FD names no listening socket" in process.stderr.read()
-        assert process.wait(WAIT) == 2
+        assert process.wait(WAIT_S) == 2
 
 
 def test_listener_of_the_platform_is_never_bound_or_closed(tmp_path: Path) -> None:
-    with proxy(tmp_path, admin_server=True, held=True) as running:
+    with started_proxy(tmp_path, admin_server=True, inherits_listener=True) as running:
         running.reload("event=configuration-reloaded", listen="127.0.0.1:1")
         assert running.alive()
-        running.leave()
-        assert running.process.wait(WAIT) == 0
+        running.terminate()
+        assert running.process.wait(WAIT_S) == 0
         waiting = running.client(b"PING\r\n")  # queued for the next process, not refused
         with successor_of(running) as after:
             assert waiting.line() == b"PONG\r\n"
-            after.becomes_ready()
+            after.wait_until_ready()
 
 
 def test_snapshot_keeps_what_was_observed_of_endpoints() -> None:
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -10,7 +10,12 @@
 
 import pytest
 from conftest import S
-from proxy import OPEN, WAIT, Conn, DiscoveryServer, Listener, RunningProxy, free_port, launch, proxy, world
+from connections import WAIT_S, PeerConnection
+from emulated_peers import DiscoveryServer, EmulatedEndpoint
+from proxy_harness import launch_process, proxy_environment, started_proxy
+from running_proxy import OPEN_LINE, RunningProxy
+
+from rig.free_port import free_port
 
 PROCESSES = 30
 """Processes that start together."""
@@ -48,7 +53,9 @@
 def test_processes_that_start_together_are_ready_without_discovery(tmp_path: Path, how: str) -> None:
     # They all answer before discovery has answered any of them, and serve with the list of their file.
     with ExitStack() as stack:
-        made = stack.enter_context(world(tmp_path, discovery="ask", rules={"mustAskInNs": 10 * S}))
+        made = stack.enter_context(
+            proxy_environment(tmp_path, discovery="ask", rules={"mustAskInNs": 10 * S})
+        )
         discovery = made.discovery
         if how == "down":
             discovery.server.server_close()
@@ -66,8 +73,8 @@
             folder.mkdir()
             config = folder / "config.json"
             config.write_text(made.config.read_text().replace(f":{made.port}", f":{port}"))
-            process = launch(str(config), str(made.own))
-            stack.callback(process.wait, WAIT)
+            process = launch_process(str(config), str(made.broker_file))
+            stack.callback(process.wait, WAIT_S)
             stack.callback(process.kill)
             running.append(RunningProxy(process, port, 0))
         for one in running:
@@ -75,10 +82,10 @@
             assert one.alive()
         if how == "slow":  # it answers now, one call after the other
             discovery.silent = False
-            discovery.kept.get(timeout=WAIT).let_go.set()
+            discovery.held_calls.get(timeout=WAIT_S).release.set()
         for number, one in enumerate(running):
-            client = one.client(OPEN % (number + 1, 2000))
-            made.listeners[0].serve()
+            client = one.client(OPEN_LINE % (number + 1, 2000))
+            made.endpoints[0].serve()
             assert client.line() == b"UP r1\r\n"
 
 
@@ -89,9 +96,9 @@
 
 def test_idle_clients_that_use_all_descriptors_block_no_request(tmp_path: Path) -> None:
     # Idle clients may fill them while discovery is down; its return, attempts and reloads need some.
-    with proxy(tmp_path, endpoints=2, before=limit_descriptors, rules={"mustAskInNs": S}) as running:
+    with started_proxy(tmp_path, endpoints=2, before=limit_descriptors, rules={"mustAskInNs": S}) as running:
         client = running.open()
-        served = running.asked()
+        served = running.next_attempted()
         endpoint = served.serve()
         assert client.line() == b"UP r1\r\n"
         running.discovery.fail(True)
@@ -105,7 +112,7 @@
         other = running.open()
         _, another = running.serve_any()
         assert other.line() == b"UP r1\r\n"
-        later = DiscoveryServer(running.listeners)
+        later = DiscoveryServer(running.endpoints)
         later.rev = 7
         running.reload("event=configuration-reloaded", discovery=later.address)
         running.logged("event=endpoint-list-received .*rev=7")
@@ -122,12 +129,12 @@
 
 @pytest.mark.parametrize("discovery", ["ask", "push"])
 def test_list_of_a_thousand_endpoints_is_complete(tmp_path: Path, discovery: str) -> None:
-    with proxy(tmp_path, discovery=discovery, balancers=230) as running:
-        (there,) = running.listeners
+    with started_proxy(tmp_path, discovery=discovery, balancers=230) as running:
+        (there,) = running.endpoints
         later = DiscoveryServer([])
         later.indent = 4
         listed: list[Any] = [there, *map(ListedEndpoint, range(ENDPOINTS - 1))]
-        later.listeners = listed
+        later.endpoints = listed
         later.rev = 5
         running.reload("event=configuration-reloaded", discovery=later.address)
         assert f"entries={ENDPOINTS} " in running.logged("event=endpoint-list-received .*rev=5")
@@ -139,8 +146,8 @@
         assert f"entries={ENDPOINTS} draining=1 " in running.logged("event=endpoint-list-received .*rev=6")
         assert not [
             line
-            for line in running.seen
+            for line in running.passed_lines
             if "endpoint-limit-exceeded" in line or "endpoint-entries-invalid" in line
         ]
-        assert isinstance(client, Conn)
-        assert isinstance(there, Listener)
+        assert isinstance(client, PeerConnection)
+        assert isinstance(there, EmulatedEndpoint)
--- a/tests/test_line_protocol.py
+++ b/tests/test_line_protocol.py
@@ -8,20 +8,23 @@
 from pathlib import Path
 
 import pytest
-from proxy import OPEN, WAIT, Conn, Listener, RunningProxy, launch, proxy
+from connections import WAIT_S, PeerConnection
+from emulated_peers import EmulatedEndpoint
+from proxy_harness import launch_process, started_proxy
+from running_proxy import OPEN_LINE, RunningProxy
 
 
 @pytest.fixture
 def one(tmp_path: Path) -> Iterator[RunningProxy]:
-    with proxy(tmp_path) as running:
+    with started_proxy(tmp_path) as running:
         yield running
 
 
 def test_lines_are_relayed_both_ways(one: RunningProxy) -> None:
     client = one.open(2000)
-    endpoint = one.listeners[0].accept()
+    endpoint = one.endpoints[0].accept()
     head, _, remaining_ms = endpoint.line().partition(b",d=")
-    assert head.split()[2:] == OPEN.partition(b",d=")[0].split()[2:]
+    assert head.split()[2:] == OPEN_LINE.partition(b",d=")[0].split()[2:]
     assert 0 < int(remaining_ms) <= 2000  # what remains of the client's deadline, never more
     endpoint.send(b"UP a b\r\nLOAD 12.5\r\nfirst\r\n")
     assert [client.line() for _ in range(3)] == [b"UP a b\r\n", b"LOAD 12.5\r\n", b"first\r\n"]
@@ -41,7 +44,7 @@
 @pytest.mark.parametrize("side", ["client", "endpoint"])
 def test_end_of_one_side_ends_the_other_the_same_way(one: RunningProxy, side: str, how: str) -> None:
     # A reset passed on as a plain end would look like a connection served to its end.
-    client, endpoint = one.standing()
+    client, endpoint = one.establish()
     ending, other = (client, endpoint) if side == "client" else (endpoint, client)
     ending.close(how)
     assert other.ended() == how
@@ -53,7 +56,7 @@
     }
 
 
-def answer(listener: Listener, reply: bytes, how: str) -> Conn:
+def answer(listener: EmulatedEndpoint, reply: bytes, how: str) -> PeerConnection:
     conn = listener.accept()
     conn.line()
     if reply:
@@ -84,7 +87,7 @@
     tmp_path: Path, reply: bytes, how: str, reason: str
 ) -> None:
     # Two attempts of one request out together would break a rule, whatever became of the first.
-    with proxy(tmp_path, endpoints=2) as running:
+    with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         if how == "refused":
             first.sock.close()
@@ -99,7 +102,7 @@
         running.logged(f"side=endpoint reason={reason} .*attempt=0")
 
 
-def ranked(running: RunningProxy) -> tuple[Listener, Listener]:
+def ranked(running: RunningProxy) -> tuple[EmulatedEndpoint, EmulatedEndpoint]:
     """The two endpoints in the order in which the key that all tests use is placed."""
     client = running.open()
     first, endpoint = running.serve_any()
@@ -107,7 +110,7 @@
     client.close()
     endpoint.close()
     running.logged("side=client reason=client-left")
-    return first, next(other for other in running.listeners if other is not first)
+    return first, next(other for other in running.endpoints if other is not first)
 
 
 @pytest.mark.parametrize(("asked", "answer"), [(b"PING\r\n", b"PONG\r\n"), (b"STATS\r\n", b"NO\r\n")])
@@ -122,7 +125,7 @@
 
 def test_unknown_names_are_accepted(one: RunningProxy) -> None:
     client = one.client(b"OPEN 1 2 c=feed,t=nobody,zz=9,h=1.5,d=1000\r\n")
-    one.listeners[0].serve()
+    one.endpoints[0].serve()
     assert client.line() == b"UP r1\r\n"
 
 
@@ -130,20 +133,20 @@
     # The decision comes at once, long before the client's own 60 s.
     client = one.open(60000)
     for _ in range(4):
-        answer(one.listeners[0], b"BUSY\r\n", "fin")
+        answer(one.endpoints[0], b"BUSY\r\n", "fin")
     assert client.line() == b"BUSY 1000\r\n"
     one.logged("side=client reason=rejected")
 
 
 def test_unresponsive_endpoint_costs_no_more_than_the_deadline(one: RunningProxy) -> None:
     client = one.open(300)
-    one.listeners[0].accept()
+    one.endpoints[0].accept()
     assert client.line() in (b"ERR\r\n", b"BUSY 1000\r\n", b"BUSY\r\n")
 
 
 def test_client_that_leaves_ends_its_attempt(one: RunningProxy) -> None:
     client = one.open()
-    endpoint = one.listeners[0].accept()
+    endpoint = one.endpoints[0].accept()
     endpoint.line()
     client.close()
     assert endpoint.ended() in ("fin", "reset")
@@ -151,25 +154,25 @@
 
 
 def test_adopted_connection_goes_to_the_endpoint_that_had_it(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=2) as running:
+    with started_proxy(tmp_path, endpoints=2) as running:
         _, second = ranked(running)
         line = b"OPEN 1 7f3a9c21e0b4d655 c=feed,t=acme,d=4294967,at=%s\r\n" % second.uid.encode()
         client = running.client(line)
         endpoint = second.serve()
-        assert b",at=" + second.uid.encode() in endpoint.first  # type: ignore[attr-defined]
+        assert b",at=" + second.uid.encode() in endpoint.first_line
         assert client.line() == b"UP r1\r\n"
 
 
 def test_slow_reader_loses_no_lines(one: RunningProxy) -> None:
     # Reading on while a client does not would fill memory; dropping would lose lines.
-    client, endpoint = one.standing()
+    client, endpoint = one.establish()
     lines = 3000
     data = b"".join(b"%08d" % n + b"y" * 1014 + b"\r\n" for n in range(lines))
     writer = threading.Thread(target=endpoint.send, args=(data,), daemon=True)
     writer.start()
     for n in range(lines):
         assert client.line() == b"%08d" % n + b"y" * 1014 + b"\r\n"
-    writer.join(WAIT)
+    writer.join(WAIT_S)
     assert one.alive()
 
 
@@ -178,7 +181,7 @@
     tmp_path: Path, unfinished: bytes
 ) -> None:
     # An earlier version migrated nothing: connections to a draining endpoint were cut off when it stopped.
-    with proxy(tmp_path, endpoints=2) as running:
+    with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         client = running.open()
         endpoint = first.serve()
@@ -197,37 +200,37 @@
 
 def test_client_of_an_unresponsive_endpoint_is_migrated(one: RunningProxy) -> None:
     # A machine that vanished sends no reset; only the missing reply tells.
-    client, _endpoint = one.standing()
+    client, _endpoint = one.establish()
     client.send(b"M 1 x\r\n")
     assert client.line() == b"MOVE\r\n"
     one.logged("side=client reason=unresponsive")
 
 
 def test_graceful_shutdown_answers_and_migrates_everyone(tmp_path: Path) -> None:
-    with proxy(tmp_path, endpoints=1) as running:
-        standing = [running.standing() for _ in range(5)]
+    with started_proxy(tmp_path, endpoints=1) as running:
+        standing = [running.establish() for _ in range(5)]
         waiting = running.open(60000)
-        running.listeners[0].accept().line()
-        running.leave()
+        running.endpoints[0].accept().line()
+        running.terminate()
         for client, endpoint in standing:
             assert client.line() == b"MOVE\r\n"
             client.close()
             assert endpoint.ended() in ("fin", "reset")
         assert waiting.line() in (b"ERR\r\n", b"BUSY\r\n", b"BUSY 1000\r\n")
         waiting.close()
-        assert running.process.wait(WAIT) == 0
+        assert running.process.wait(WAIT_S) == 0
 
 
 def test_discovery_is_watched_on_after_failed_calls(tmp_path: Path) -> None:
-    with proxy(tmp_path) as running:
+    with started_proxy(tmp_path) as running:
         discovery = running.discovery
-        assert discovery.calls.get(timeout=WAIT).startswith("/catalog/members?since=1&timeout_ms=")
+        assert discovery.calls.get(timeout=WAIT_S).startswith("/catalog/members?since=1&timeout_ms=")
         discovery.fail(True)
         running.logged("event=discovery-call-failed")
-        running.standing()  # the old list stands
+        running.establish()  # the old list stands
         discovery.fail(False)
         discovery.change()
-        while "since=2" not in discovery.calls.get(timeout=WAIT):
+        while "since=2" not in discovery.calls.get(timeout=WAIT_S):
             pass  # the calls that failed; the watch goes on from what the next one brought
 
 
@@ -246,12 +249,12 @@
 )
 def test_invalid_discovery_response_empties_no_list(one: RunningProxy, answer: object, report: str) -> None:
     # Applied as it is, it would migrate every connection and reject every new request.
-    client, endpoint = one.standing()
-    one.discovery.says(answer)
+    client, endpoint = one.establish()
+    one.discovery.answer_once(answer)
     one.logged(report)
     endpoint.send(b"still\r\n")
     assert client.line() == b"still\r\n"
-    one.standing()
+    one.establish()
 
 
 @pytest.mark.parametrize(
@@ -269,8 +272,8 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    process = launch(str(path))
-    _, error = process.communicate(timeout=WAIT)
+    process = launch_process(str(path))
+    _, error = process.communicate(timeout=WAIT_S)
     assert process.returncode == 2
     assert report in error
     assert error.count("\n") == 1
@@ -290,8 +293,8 @@
 def test_invalid_broker_file_is_reported_in_one_line(tmp_path: Path, own: str, report: str) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(own)
-    process = launch(str(tmp_path / "config.json"), str(path))
-    _, error = process.communicate(timeout=WAIT)
+    process = launch_process(str(tmp_path / "config.json"), str(path))
+    _, error = process.communicate(timeout=WAIT_S)
     assert process.returncode == 2
     assert report in error
     assert error.count("\n") == 1
@@ -299,7 +302,7 @@
 
 @pytest.mark.usefixtures("one")
 def test_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
-    process = launch(str(tmp_path / "config.json"))
-    _, error = process.communicate(timeout=WAIT)
+    process = launch_process(str(tmp_path / "config.json"))
+    _, error = process.communicate(timeout=WAIT_S)
     assert process.returncode == 2
     assert error.count("\n") == 1
--- a/tests/test_memory_after_connections_end.py
+++ b/tests/test_memory_after_connections_end.py
@@ -14,7 +14,8 @@
 from pathlib import Path
 
 import pytest
-from proxy import WAIT, Inside, Terminal, inside, proxy, uncollected
+from connections import WAIT_S, ChannelsClient
+from proxy_harness import ProxyInThread, command_without_collector, proxy_in_thread, started_proxy
 
 from linnetshift.admin.connection import AdminConnection
 from linnetshift.broker.active_request import ActiveRequest, Attempt
@@ -53,8 +54,10 @@
 
 
 @pytest.fixture
-def one(without_collector: None, tmp_path: Path) -> Iterator[Inside]:
-    with inside(tmp_path, endpoints=2, own=CHANNELS, admin_server=True, rules={"warmUpNs": 1}) as running:
+def one(without_collector: None, tmp_path: Path) -> Iterator[ProxyInThread]:
+    with proxy_in_thread(
+        tmp_path, endpoints=2, broker_toml=CHANNELS, admin_server=True, rules={"warmUpNs": 1}
+    ) as running:
         yield running
 
 
@@ -72,15 +75,15 @@
         time.sleep(0.02)
 
 
-def served(one: Inside) -> None:
-    client, endpoint = one.standing(one.listeners.index(find_chosen_endpoint(one)))
+def served(one: ProxyInThread) -> None:
+    client, endpoint = one.establish(one.endpoints.index(find_chosen_endpoint(one)))
     endpoint.send(b"LOAD 9\r\nBYE\r\n")
     endpoint.close()
     assert client.line() + client.line() == b"LOAD 9\r\nBYE\r\n"
     assert client.ended() == "fin"
 
 
-def find_chosen_endpoint(one: Inside) -> object:
+def find_chosen_endpoint(one: ProxyInThread) -> object:
     """Which endpoint the key's ranking sends a connection to: found by one that is let go."""
     client = one.open()
     listener, endpoint = one.serve_any()
@@ -90,34 +93,34 @@
     return listener
 
 
-def establish(one: Inside) -> tuple[object, object]:
+def establish(one: ProxyInThread) -> tuple[object, object]:
     client = one.open()
     _, endpoint = one.serve_any()
     assert client.line() == b"UP r1\r\n"
     return client, endpoint
 
 
-def client_leaves(one: Inside, how: str = "fin") -> None:
+def client_leaves(one: ProxyInThread, how: str = "fin") -> None:
     client, endpoint = establish(one)
     client.close(how)  # type: ignore[attr-defined]
     assert endpoint.ended() == how  # type: ignore[attr-defined]
 
 
-def client_resets(one: Inside) -> None:
+def client_resets(one: ProxyInThread) -> None:
     client_leaves(one, "reset")
 
 
-def endpoint_resets(one: Inside) -> None:
+def endpoint_resets(one: ProxyInThread) -> None:
     client, endpoint = establish(one)
     endpoint.close("reset")  # type: ignore[attr-defined]
     assert client.ended() == "reset"  # type: ignore[attr-defined]
 
 
-def rejected(one: Inside) -> None:
+def rejected(one: ProxyInThread) -> None:
     client = one.open(wait_ms=1000)
     while not select.select([client.sock], [], [], 0)[0]:
-        ready, _, _ = select.select([client.sock, *(each.sock for each in one.listeners)], [], [], WAIT)
-        for listener in one.listeners:
+        ready, _, _ = select.select([client.sock, *(each.sock for each in one.endpoints)], [], [], WAIT_S)
+        for listener in one.endpoints:
             if listener.sock in ready:
                 attempt = listener.accept()
                 attempt.line()
@@ -126,22 +129,22 @@
     assert client.line().startswith(b"BUSY")
 
 
-def times_out(one: Inside) -> None:
+def times_out(one: ProxyInThread) -> None:
     client = one.open(wait_ms=200)
-    attempt = one.asked().accept()
+    attempt = one.next_attempted().accept()
     assert client.line() in (b"ERR\r\n", b"BUSY\r\n")
     attempt.line()
 
 
-def client_leaves_before_answer(one: Inside) -> None:
+def client_leaves_before_answer(one: ProxyInThread) -> None:
     client = one.open(wait_ms=600_000)
-    attempt = one.asked().accept()
+    attempt = one.next_attempted().accept()
     attempt.line()
     client.close()
     assert attempt.ended() in ("fin", "reset")
 
 
-def migrated(one: Inside) -> None:
+def migrated(one: ProxyInThread) -> None:
     client = one.open()
     listener, _endpoint = one.serve_any()
     assert client.line() == b"UP r1\r\n"
@@ -149,53 +152,53 @@
     assert client.line() == b"MOVE\r\n"
 
 
-def sends_malformed_line(one: Inside) -> None:
+def sends_malformed_line(one: ProxyInThread) -> None:
     assert one.client(b"HELLO\r\n").line() == b"ERR\r\n"
 
 
-def health_checks(one: Inside) -> None:
+def health_checks(one: ProxyInThread) -> None:
     assert one.alive()
 
 
-def sends_nothing(one: Inside) -> None:
+def sends_nothing(one: ProxyInThread) -> None:
     assert one.client().line() == b"ERR\r\n"
 
 
-def channel(one: Inside) -> tuple[Terminal, int, object]:
-    terminal = Terminal(one.extra_port)
+def channel(one: ProxyInThread) -> tuple[ChannelsClient, int, object]:
+    terminal = ChannelsClient(one.channels_port)
     terminal.open(5)
     _, endpoint = one.serve_any()
-    return terminal, terminal.confirmed(5), endpoint
+    return terminal, terminal.expect_confirmation(5), endpoint
 
 
-def session_ends(one: Inside) -> None:
+def session_ends(one: ProxyInThread) -> None:
     terminal, _, endpoint = channel(one)
     terminal.close()
     endpoint.ended()  # type: ignore[attr-defined]
 
 
-def channel_closes(one: Inside) -> None:
+def channel_closes(one: ProxyInThread) -> None:
     terminal, number, endpoint = channel(one)
-    terminal.packet(97, number)
+    terminal.send_message(97, number)
     terminal.expect(97, 5)
     endpoint.ended()  # type: ignore[attr-defined]
     terminal.close()
 
 
-def channel_without_window(one: Inside) -> None:
+def channel_without_window(one: ProxyInThread) -> None:
     # Its last lines wait for a window that never comes, and its turn stays due.
-    terminal = Terminal(one.extra_port)
+    terminal = ChannelsClient(one.channels_port)
     terminal.open(5, window=0)
     _, endpoint = one.serve_any()
-    terminal.confirmed(5)
+    terminal.expect_confirmation(5)
     endpoint.send(b"M 1\r\nBYE\r\n")
     endpoint.close()
-    terminal.packet(93, 0, 3)
+    terminal.send_message(93, 0, 3)
     assert terminal.expect(94, 5) == b"\0\0\0\3M 1"
     terminal.close("reset")
 
 
-def session_reads_nothing(one: Inside) -> None:
+def session_reads_nothing(one: ProxyInThread) -> None:
     # A channel whose turn is due holds its session, which holds the turns.
     terminal, _, endpoint = channel(one)
     endpoint.sock.settimeout(0.5)  # type: ignore[attr-defined]
@@ -204,24 +207,24 @@
     terminal.close("reset")
 
 
-def session_breaks_the_protocol(one: Inside) -> None:
+def session_breaks_the_protocol(one: ProxyInThread) -> None:
     terminal, _, endpoint = channel(one)
     terminal.send(b"\xff" * 64)
     assert terminal.read()[0] == 1
     endpoint.ended()  # type: ignore[attr-defined]
 
 
-def session_stops_in_a_packet(one: Inside) -> None:
-    terminal = Terminal(one.extra_port)
+def session_stops_in_a_packet(one: ProxyInThread) -> None:
+    terminal = ChannelsClient(one.channels_port)
     terminal.send(b"\0\0\0\x0c\x04")
     assert terminal.read()[0] == 1
 
 
-def admin_request(one: Inside) -> None:
+def admin_request(one: ProxyInThread) -> None:
     assert one.call("GET /ops/readiness") == 200
 
 
-def malformed_admin_request(one: Inside) -> None:
+def malformed_admin_request(one: ProxyInThread) -> None:
     assert b"400" in one.client(b"\0\0\r\n\r\n", one.admin_port).line()
 
 
@@ -249,10 +252,12 @@
         malformed_admin_request,
     ],
 )
-def test_ended_connection_leaves_no_objects(one: Inside, scenario: Callable[[Inside], None]) -> None:
+def test_ended_connection_leaves_no_objects(
+    one: ProxyInThread, scenario: Callable[[ProxyInThread], None]
+) -> None:
     # Cycles waited for a full collection with all their buffers, and armed timers held whole sessions.
     assert one.alive()
-    until = time.monotonic() + WAIT
+    until = time.monotonic() + WAIT_S
     while count_objects()[ClientConnection.__name__]:
         assert time.monotonic() < until
     before = count_objects()
@@ -266,8 +271,8 @@
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 def test_memory_does_not_grow_without_the_collector(tmp_path: Path, frontend: str) -> None:
     # 10 KB stayed of each on one frontend and 37 KB on the other: 6 and 22 MiB for these 600.
-    with proxy(tmp_path, own=CHANNELS, command=uncollected()) as running:
-        port = running.extra_port if frontend == "channels" else running.port
+    with started_proxy(tmp_path, broker_toml=CHANNELS, command=command_without_collector()) as running:
+        port = running.channels_port if frontend == "channels" else running.port
         line = b"SSH-2.0-x\r\n" + b"\xff" * 40 if frontend == "channels" else b"HELLO\r\n"
         levels = []
         for _ in range(2):
@@ -391,24 +396,24 @@
     assert loop.cancelled_timers == sum(timer.callback is None for _, _, timer in loop.timers)
 
 
-def test_answer_cancels_the_deadline_timer(one: Inside) -> None:
+def test_answer_cancels_the_deadline_timer(one: ProxyInThread) -> None:
     for _ in range(3):
         client_leaves_before_answer(one)
     loop = one.program.loop
-    until = time.monotonic() + WAIT
+    until = time.monotonic() + WAIT_S
     while any(at > loop.now() + 60 * S and timer.callback for at, _, timer in tuple(loop.timers)):
         assert time.monotonic() < until
         time.sleep(0.02)
 
 
-def test_reader_that_pauses_repeatedly_has_one_stall_timer(one: Inside) -> None:
+def test_reader_that_pauses_repeatedly_has_one_stall_timer(one: ProxyInThread) -> None:
     client, endpoint = establish(one)
     much = (b"x" * 3998 + b"\r\n") * 4000  # more than the kernel holds: the proxy must stop and go on
     for _ in range(5):
         sender = threading.Thread(target=endpoint.send, args=(much,))  # type: ignore[attr-defined]
         sender.start()
         (reading,) = one.program.frontend.clients
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_S
         while not reading.is_congested:
             assert time.monotonic() < until
             time.sleep(0.001)
@@ -417,6 +422,6 @@
             got = len(client.sock.recv(1 << 20))  # type: ignore[attr-defined]
             assert got
             left -= got
-        sender.join(WAIT)
+        sender.join(WAIT_S)
     timers = [each for each in gc.get_objects() if type(each) is ActorTimer]
     assert sum(timer.tag == "stalled" for timer in timers) <= 1
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from proxy import WAIT
+from connections import WAIT_S
 
 from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.timers import MS
@@ -60,7 +60,7 @@
         self.new = HotRestart(self.loop, self.new_operations, socket_path, predecessor)
 
     def turn_until(self, condition: Callable[[], object]) -> None:
-        until = time.monotonic() + WAIT
+        until = time.monotonic() + WAIT_S
         while not condition():
             assert time.monotonic() < until
             self.loop.stopped = False
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,25 +9,28 @@
 
 import pytest
 from conftest import MS, S, raw_settings
-from proxy import WAIT, DiscoveryServer, free_port, proxy, settings, world
+from connections import WAIT_S
+from emulated_peers import DiscoveryServer
+from proxy_harness import proxy_environment, settings, started_proxy
 from test_final_answers import LONG_DEADLINE_MS, REQUEST_LINE, answer_all, request_in_state
 from test_line_protocol import ranked
 
 from linnetshift.config.proxy_file import read_config
 from linnetshift.routing.settings import Settings
+from rig.free_port import free_port
 
 
 def test_changed_discovery_address_is_watched_and_no_connection_ends(tmp_path: Path) -> None:
     # SIGHUP used to end the process, and discovery's old address stops answering after it.
-    with proxy(tmp_path, endpoints=2) as running:
+    with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         client = running.open()
         endpoint = first.serve()
         assert client.line() == b"UP r1\r\n"
-        later = DiscoveryServer(running.listeners)
+        later = DiscoveryServer(running.endpoints)
         running.reload("event=configuration-reloaded", discovery=later.address)
-        assert later.calls.get(timeout=WAIT) == "/catalog/members"  # what changed meanwhile is in it
-        assert later.calls.get(timeout=WAIT).startswith("/catalog/members?since=1&")
+        assert later.calls.get(timeout=WAIT_S) == "/catalog/members"  # what changed meanwhile is in it
+        assert later.calls.get(timeout=WAIT_S).startswith("/catalog/members?since=1&")
         client.send(b"M 1\r\n")
         assert endpoint.line() == b"M 1\r\n"
         later.change(**{first.uid: "DRAINING"})
@@ -44,7 +47,7 @@
 def test_open_request_keeps_the_rules_of_its_class_when_the_class_is_gone(tmp_path: Path) -> None:
     # Settings without a class or with other rules for it were rejected, and so were clients of a new class.
     feed = settings()["services"][0]
-    with proxy(tmp_path, endpoints=2) as running:
+    with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         standing, endpoint = running.client(b"OPEN 1 2 c=feed,t=acme,d=2000\r\n"), first.accept()
         other = {**feed, "name": "late", "effect": "once", "hardLimitNs": 3_000_000_000}
@@ -102,11 +105,11 @@
 def test_unusable_configuration_is_rejected_and_changes_nothing(
     tmp_path: Path, changes: dict[str, Any], error: str
 ) -> None:
-    with proxy(tmp_path) as running:
-        client, endpoint = running.standing()
+    with started_proxy(tmp_path) as running:
+        client, endpoint = running.establish()
         elsewhere = DiscoveryServer([])
         running.reload(f"event=configuration-rejected .*{error}", discovery=elsewhere.address, **changes)
-        running.discovery.change(**{running.listeners[0].uid: "DRAINING"})
+        running.discovery.change(**{running.endpoints[0].uid: "DRAINING"})
         endpoint.send(b"still\r\n")
         assert client.line() == b"still\r\n"
         assert running.alive()
@@ -115,31 +118,33 @@
 
 @pytest.mark.parametrize("part", [0, 1, 0.5, 0.99])
 def test_truncated_file_is_rejected_and_changes_nothing(tmp_path: Path, part: float) -> None:
-    with proxy(tmp_path) as running:
+    with started_proxy(tmp_path) as running:
         whole = running.config.read_text()
         running.config.write_text(whole[: int(part if part == 1 else part * len(whole))])
         running.process.send_signal(signal.SIGHUP)
         running.logged("event=configuration-rejected .*is not JSON")
-        running.standing()
+        running.establish()
 
 
 def test_changed_settings_and_addresses_are_applied(tmp_path: Path) -> None:
     base = settings()
     more = [*base["services"], {**base["services"][0], "name": "late"}]
-    with proxy(tmp_path, own='[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n') as running:
+    with started_proxy(
+        tmp_path, broker_toml='[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
+    ) as running:
         old, new, extra = running.port, free_port(), free_port()
-        standing, endpoint = running.standing()
+        standing, endpoint = running.establish()
         own = tmp_path / "broker.toml"
-        own.write_text(own.read_text().replace(str(running.extra_port), str(extra)))
+        own.write_text(own.read_text().replace(str(running.channels_port), str(extra)))
         running.reload(
             "event=configuration-reloaded", listen=f"127.0.0.1:{new}", settings=settings(services=more)
         )
         running.port = new
         client = running.client(b"OPEN 1 2 c=late,t=acme,d=2000\r\n")
-        running.listeners[0].serve()
+        running.endpoints[0].serve()
         assert client.line() == b"UP r1\r\n"
         assert running.client(b"SSH-2.0-t\r\n", extra).line().startswith(b"SSH-2.0-")
-        for gone in (old, running.extra_port):
+        for gone in (old, running.channels_port):
             with pytest.raises(ConnectionRefusedError):
                 running.client(port=gone)
         endpoint.send(b"on\r\n")
@@ -148,38 +153,38 @@
 
 def test_requests_in_flight_count_towards_the_reloaded_contract(tmp_path: Path) -> None:
     one = '[[contract]]\nteam = "acme"\nconcurrency = 1\n'
-    with proxy(tmp_path, own=one) as running:
-        held = running.standing()
+    with started_proxy(tmp_path, broker_toml=one) as running:
+        held = running.establish()
         running.reload("event=configuration-reloaded")
         assert running.open().line() == b"BUSY 1000\r\n"
         held[0].close()
 
 
 def test_reload_during_graceful_shutdown_is_applied(tmp_path: Path) -> None:
-    with proxy(tmp_path) as running:
-        client, _ = running.standing()
-        running.leave()
+    with started_proxy(tmp_path) as running:
+        client, _ = running.establish()
+        running.terminate()
         running.logged("event=shutdown-started")
-        running.reload("event=configuration-reloaded", discovery=DiscoveryServer(running.listeners).address)
+        running.reload("event=configuration-reloaded", discovery=DiscoveryServer(running.endpoints).address)
         assert client.line() == b"MOVE\r\n"
         client.close()
-        assert running.process.wait(WAIT) == 0
+        assert running.process.wait(WAIT_S) == 0
 
 
 def test_reordered_names_keep_their_numbers(tmp_path: Path) -> None:
     # Another order of tenants, zones or models was rejected, and discovery's new address with it.
     one = '[[contract]]\nteam = "acme"\nconcurrency = 1\n[[contract]]\nteam = "other"\n'
-    with proxy(tmp_path, own=one) as running:
-        held_by_acme = running.standing()
+    with started_proxy(tmp_path, broker_toml=one) as running:
+        held_by_acme = running.establish()
         new = settings(
             tenants=[{"name": "new"}, {"name": "other"}, {"name": "acme"}], zones=["z", "a"], zone=1
         )
-        later = DiscoveryServer(running.listeners)
+        later = DiscoveryServer(running.endpoints)
         running.reload("event=configuration-reloaded", settings=new, discovery=later.address)
-        assert later.calls.get(timeout=WAIT) == "/catalog/members"
+        assert later.calls.get(timeout=WAIT_S) == "/catalog/members"
         assert running.open().line() == b"BUSY 1000\r\n"  # acme's one is taken, by the number it began with
         other = running.client(b"OPEN 1 2 c=feed,t=other,d=2000\r\n")
-        kept = running.listeners[0].serve()
+        kept = running.endpoints[0].serve()
         assert other.line() == b"UP r1\r\n"
         assert kept
         held_by_acme[0].close()
@@ -187,9 +192,9 @@
 
 def test_requests_of_an_unlisted_tenant_do_not_count_for_one_listed_later(tmp_path: Path) -> None:
     # A tenant that was not listed had the number that the next listed one got.
-    with proxy(tmp_path) as running:
+    with started_proxy(tmp_path) as running:
         connection = running.client(b"OPEN 1 2 c=feed,t=nobody,d=2000\r\n")
-        endpoint = running.listeners[0].serve()
+        endpoint = running.endpoints[0].serve()
         assert connection.line() == b"UP r1\r\n"
         assert endpoint
         (tmp_path / "broker.toml").write_text('[[contract]]\nteam = "late"\nconcurrency = 1\n')
@@ -198,14 +203,14 @@
             settings=settings(tenants=[{"name": n} for n in ("acme", "other", "late")]),
         )
         first = running.client(b"OPEN 2 2 c=feed,t=late,d=2000\r\n")
-        kept = running.listeners[0].serve()
+        kept = running.endpoints[0].serve()
         assert first.line() == b"UP r1\r\n"
         assert kept
         assert running.client(b"OPEN 3 2 c=feed,t=late,d=2000\r\n").line() == b"BUSY 1000\r\n"
 
 
 def test_zone_of_this_proxy_is_found_by_its_name(tmp_path: Path) -> None:
-    with world(tmp_path, zones=["a", "b"], zone=1) as made:
+    with proxy_environment(tmp_path, zones=["a", "b"], zone=1) as made:
         first = read_config(str(made.config))
         text = made.config.read_text().replace('"zones": ["a", "b"]', '"zones": ["c", "b"]')
         made.config.write_text(text)
@@ -225,7 +230,7 @@
     def with_effect(effect: str) -> list[dict[str, Any]]:
         return [{**base, "name": "feed", "effect": effect}]
 
-    with proxy(tmp_path, 2, services=with_effect(before), allowed=allowed) as running:
+    with started_proxy(tmp_path, 2, services=with_effect(before), allowed=allowed) as running:
         first, second = ranked(running)
         client, endpoint, out = request_in_state(running, first, state)
         others = [{**base, "name": "extra", "effect": after}]  # and in another order
@@ -234,7 +239,7 @@
             settings=settings(services=others + with_effect(after), allowed=allowed),
         )
         if state == "connecting":
-            first.go_on()
+            first.empty_accept_queue()
         if endpoint is None:
             answer_all(out)
             endpoint = first.accept()
@@ -247,7 +252,7 @@
             assert client.line() == b"UP r1\r\n"
             assert again
         fresh = running.client(REQUEST_LINE.replace(b"77", b"78") % LONG_DEADLINE_MS)
-        attempt = running.asked().accept()
+        attempt = running.next_attempted().accept()
         assert attempt.line().startswith(b"OPEN 78 ")
         attempt.close("reset")
         if after == "once":
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -9,7 +9,8 @@
 
 import pytest
 from conftest import MS, endpoint, entry, listed, raw_settings
-from proxy import ROOT, WAIT, Terminal, inside, proxy
+from connections import WAIT_S, ChannelsClient
+from proxy_harness import ROOT, proxy_in_thread, started_proxy
 from test_broker import FakeSurroundings
 
 from linnetshift.admin import server
@@ -124,8 +125,8 @@
 
 
 def test_resource_usage_is_reported_and_within_its_bounds(tmp_path: Path) -> None:
-    with proxy(tmp_path, admin_server=True) as running:
-        established = running.standing()
+    with started_proxy(tmp_path, admin_server=True) as running:
+        established = running.establish()
         usage = {name: ResourceUsage(**figures) for name, figures in running.resource_usage().items()}
     assert established
     assert over_bound(usage) == []
@@ -139,7 +140,7 @@
 ) -> None:
     # Answered callers that kept sending used a descriptor each for up to 3 s, without a limit.
     monkeypatch.setattr(server, "MAX_CONNECTIONS", 3)
-    with inside(tmp_path, admin_server=True) as running:
+    with proxy_in_thread(tmp_path, admin_server=True) as running:
         connections = []
         for _ in range(9):
             connection = running.client(b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n", running.admin_port)
@@ -156,11 +157,11 @@
     # Opening a channel is cheap, and a waiting one needs no descriptor: 256 would fit in each session.
     monkeypatch.setattr(frontend, "MAX_OPEN_CHANNELS", 2)
     own_config = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-    with inside(tmp_path, own=own_config) as running:
-        first, second = Terminal(running.extra_port), Terminal(running.extra_port)
+    with proxy_in_thread(tmp_path, broker_toml=own_config) as running:
+        first, second = ChannelsClient(running.channels_port), ChannelsClient(running.channels_port)
         first.open(1, wait_ms=60_000)
         second.open(2, wait_ms=60_000)
-        attempts = [running.listeners[0].accept() for _ in range(2)]
+        attempts = [running.endpoints[0].accept() for _ in range(2)]
         second.open(3)
         assert b"come again after 1000 ms" in second.expect(92, 3, 4)
         first.close()
@@ -169,8 +170,8 @@
         while running.program.channels.open_channels > 1:
             time.sleep(0.01)
         second.open(4)
-        running.listeners[0].serve()
-        second.confirmed(4)
+        running.endpoints[0].serve()
+        second.expect_confirmation(4)
 
 
 def test_hanging_peer_process_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -198,7 +199,7 @@
     peer = PeerProcess(surroundings.loop, surroundings, surroundings, own_end)  # type: ignore[arg-type]
     peer.has_exchanged_state = True
     peer.start(peer.run())
-    give_up_at_s = time.monotonic() + WAIT
+    give_up_at_s = time.monotonic() + WAIT_S
     max_unsent_bytes = 0
     while surroundings.gone_peer is None:
         assert time.monotonic() < give_up_at_s
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -10,7 +10,9 @@
 from pathlib import Path
 
 import pytest
-from proxy import ROOT, WAIT, RunningProxy, launch, world
+from connections import WAIT_S
+from proxy_harness import ROOT, launch_process, proxy_environment
+from running_proxy import RunningProxy
 
 
 def open_when_process_reads(process_id: int, fifo: Path) -> int:
@@ -24,12 +26,12 @@
     tmp_path: Path, signal_number: signal.Signals
 ) -> None:
     # It used to end the process, as handlers were installed only once all parts were ready and listening.
-    with world(tmp_path) as environment:
+    with proxy_environment(tmp_path) as environment:
         config_text = environment.config.read_text()
         environment.config.unlink()
         os.mkfifo(environment.config)
-        process = launch(str(environment.config), str(environment.own))
-        running = RunningProxy(process, environment.port, environment.extra)
+        process = launch_process(str(environment.config), str(environment.broker_file))
+        running = RunningProxy(process, environment.port, environment.channels_port)
         try:
             # From here on the process waits in its read of the file.
             writer = open_when_process_reads(process.pid, environment.config)
@@ -45,10 +47,10 @@
                 assert running.alive()
             else:
                 running.logged("event=shutdown-started")
-                assert process.wait(WAIT) == 0
+                assert process.wait(WAIT_S) == 0
         finally:
             process.kill()
-            process.wait(WAIT)
+            process.wait(WAIT_S)
 
 
 def test_hangup_during_interpreter_start_is_ignored(tmp_path: Path) -> None:
@@ -57,9 +59,9 @@
     command = run_command.replace(".venv/bin/python -m linnetshift", f"cat {tmp_path}/fifo")
     assert command != run_command
     os.mkfifo(tmp_path / "fifo")
-    process = launch("", command=("/bin/sh", "-c", command))
+    process = launch_process("", command=("/bin/sh", "-c", command))
     writer = open_when_process_reads(process.pid, tmp_path / "fifo")
     process.send_signal(signal.SIGHUP)
     os.close(writer)
-    assert process.wait(WAIT) == 0
-    assert select.select([process.stderr], [], [], WAIT)[0]
+    assert process.wait(WAIT_S) == 0
+    assert select.select([process.stderr], [], [], WAIT_S)[0]
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -6,10 +6,12 @@
 from pathlib import Path
 
 import pytest
-from proxy import WAIT, Terminal, free_port, proxy
+from connections import WAIT_S, ChannelsClient
+from proxy_harness import started_proxy
 
 from linnetshift.vrrp.protocol import Advertisement, AdvertisementError
 from linnetshift.vrrp.router import Router, State, VrrpConfig
+from rig.free_port import free_port
 
 # Version 3, type 1, VRID 7, priority 100, one address, 1 s, checksum, 192.0.2.1: worked out by hand.
 KNOWN = bytes.fromhex("310764010064a891c0000201")
@@ -100,7 +102,7 @@
 def test_channels_frontend_listens_only_while_active(tmp_path: Path) -> None:
     peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     peer.bind(("127.0.0.1", 0))
-    peer.settimeout(WAIT)
+    peer.settimeout(WAIT_S)
     port = free_port()
     own = f"""
 [channels]
@@ -114,20 +116,20 @@
 peers = ["127.0.0.1:{peer.getsockname()[1]}"]
 addresses = ["127.0.0.1"]
 """
-    with proxy(tmp_path, own=own) as running:
+    with started_proxy(tmp_path, broker_toml=own) as running:
         with pytest.raises(ConnectionRefusedError):
-            running.client(port=running.extra_port)
+            running.client(port=running.channels_port)
         assert Advertisement.decode(peer.recv(2048)) == Advertisement(7, 100, 20, ("127.0.0.1",))
-        terminal = Terminal(running.extra_port)
+        terminal = ChannelsClient(running.channels_port)
         terminal.open(1)
         _, endpoint = running.serve_any()
-        channel = terminal.confirmed(1)
+        channel = terminal.expect_confirmation(1)
         peer.sendto(Advertisement(7, 200, 4095, ()).encode(), ("127.0.0.1", port))
         assert b"move@linnetshift" in terminal.expect(98, 1)
         terminal.expect(97, 1)
-        terminal.packet(97, channel)
+        terminal.send_message(97, channel)
         terminal.expect(1, 11)
         assert endpoint.ended() == "fin"
         with pytest.raises(ConnectionRefusedError):
-            running.client(port=running.extra_port)
+            running.client(port=running.channels_port)
         assert running.alive()  # the platform's frontend goes on
