--- a/linnetshift/admin/connection.py
+++ b/linnetshift/admin/connection.py
@@ -4,7 +4,7 @@
 
 import select
 import socket
-from email.utils import formatdate
+import time
 from http import HTTPStatus
 from typing import NamedTuple, Protocol
 
@@ -29,6 +29,9 @@
 MAX_HEAD_BYTES = 4096
 MAX_BODY_BYTES = 4096
 
+# IMF-fixdate (RFC 9110, section 5.6.7); days and months are English, as the program sets no locale.
+HTTP_DATE_FORMAT = "%a, %d %b %Y %H:%M:%S GMT"
+
 CALL_TIMER = "call"
 DRAIN_TIMER = "drain"
 
@@ -213,7 +216,7 @@
         """Send it; nothing where the call is so broken that HTTP allows no response."""
         body = response.text.encode("utf-8", "replace") + b"\n"
         headers = [
-            ("Date", formatdate(usegmt=True)),
+            ("Date", time.strftime(HTTP_DATE_FORMAT, time.gmtime())),
             ("Content-Type", "text/plain; charset=utf-8"),
             ("Content-Length", str(len(body))),
             ("Cache-Control", "no-store"),
--- a/linnetshift/lifecycle/takeover_socket.py
+++ b/linnetshift/lifecycle/takeover_socket.py
@@ -11,7 +11,6 @@
 import re
 import select
 import socket
-import tempfile
 import time
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -39,13 +38,22 @@
 SOCKET_MODE = 0o600
 
 
+def _socket_folder() -> str:
+    """Return TMPDIR, else the system's folder for temporary files."""
+    folder = os.environ.get("TMPDIR")
+    if folder:
+        return folder
+    import tempfile  # only here: it takes 2 ms, and the platform sets TMPDIR
+
+    return tempfile.gettempdir()
+
+
 class TakeoverSocketPath:
     """The socket's path by way of an open descriptor of its folder, whose path may be too long to bind."""
 
     def __init__(self, name: str) -> None:
         """`name` is the proxy's; two proxies of one machine differ in it. Raises OSError without a folder."""
-        folder = os.environ.get("TMPDIR") or tempfile.gettempdir()
-        self.folder = os.open(folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
+        self.folder = os.open(_socket_folder(), os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
         self.file = f"linnetshift-{re.sub('[^A-Za-z0-9_.-]', '_', name)[:MAX_NAME_CHARACTERS]}.sock"
 
     def path(self, suffix: str = "") -> str:
--- a/tests/test_admin_interface.py
+++ b/tests/test_admin_interface.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from datetime import UTC, datetime
+from email.utils import format_datetime, parsedate_to_datetime
 from pathlib import Path
 
 import pytest
@@ -76,6 +78,18 @@
         assert running.call("GET /ops/readiness") == 503
 
 
+def test_response_is_dated_as_http_asks(tmp_path: Path) -> None:
+    before = datetime.now(UTC).replace(microsecond=0)
+    with started_proxy(tmp_path, admin_server=True) as running:
+        connection = running.client(b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n", running.admin_port)
+        while not (header := connection.line()).lower().startswith(b"date: "):
+            assert header
+        text = header.split(b" ", 1)[1].decode().strip()
+        dated = parsedate_to_datetime(text)
+        assert text == format_datetime(dated, usegmt=True)
+        assert before <= dated <= datetime.now(UTC)
+
+
 def establish_on(running: RunningProxy, uid: str) -> tuple[PeerConnection, PeerConnection]:
     """Establish a connection with the common key on endpoint `uid`: the client's and the endpoint's end."""
     client = running.open()
--- a/tests/test_takeover_socket.py
+++ b/tests/test_takeover_socket.py
@@ -5,6 +5,7 @@
 import logging
 import os
 import socket
+import tempfile
 import threading
 import time
 from collections.abc import Callable
@@ -58,6 +59,15 @@
     assert socket_path.file == "linnetshift-proxy_one_with___and_a_name_that_is_long.sock"
 
 
+def test_socket_lies_in_tmpdir_else_in_the_systems_temporary_folder(
+    socket_path: TakeoverSocketPath, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    assert os.path.samefile(f"/proc/self/fd/{socket_path.folder}", tmp_path)
+    monkeypatch.setenv("TMPDIR", "")
+    other = TakeoverSocketPath("proxy")
+    assert os.path.samefile(f"/proc/self/fd/{other.folder}", tempfile.gettempdir())
+
+
 def test_without_a_process_there_is_no_state(socket_path: TakeoverSocketPath) -> None:
     assert request_takeover(socket_path) is None
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as stale:
