--- a/linnetshift/routing/actions.py
+++ b/linnetshift/routing/actions.py
@@ -21,7 +21,7 @@
 
     request_id: int
     endpoint: bytes
-    timeout_ns: int  # at most until the client gives up; one that is negative expires at once
+    timeout_ns: int  # ends with the client's deadline at the latest; a negative one expires at once
 
 
 class Reject(NamedTuple):
@@ -38,7 +38,7 @@
 
 
 class Cancel(NamedTuple):
-    """Stop waiting for an attempt; it ends as `Outcome.CANCELLED` unless another outcome is on its way.
+    """Abandon an attempt; it ends as `Outcome.CANCELLED` unless another outcome is on its way.
 
     No effect on an attempt whose connection is established.
     """
@@ -74,18 +74,18 @@
 
 
 class Log(NamedTuple):
-    """Write a line for staff."""
+    """Write a line to the log."""
 
     text: str
 
 
 class Watch(NamedTuple):
-    """Ask discovery for changes of the list of endpoints from now on, or no longer.
+    """Start or stop watching discovery's list of endpoints for changes.
 
-    One `EndpointList` answers the call, also where it fails; what was missed comes with it.
+    One `EndpointList` answers the call, also where it fails; it includes the changes missed until then.
     """
 
-    on: bool
+    on: bool  # start; else stop
 
 
 class FetchList(NamedTuple):
--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -1,6 +1,7 @@
 """The decisions of one balancer: `Balancer.step` takes events and returns actions, without a clock or I/O.
 
-The messages in and out are in `events.py` and `actions.py`. Here stands which component gets which event.
+The messages in and out are in `events.py` and `actions.py`; this module says which component handles which
+event.
 """
 
 from __future__ import annotations
@@ -91,13 +92,19 @@
         return self.context.now
 
     def configure(self, settings: Settings) -> None:
-        """Also while running, when classes may be added but keep their places; what is known stays."""
+        """Apply new settings, also while running; what is known of endpoints and requests is kept.
+
+        Classes may be added then, but those that exist keep their numbers.
+        """
         self.context.configure(settings)
         self.health_checks.configure()
         self.ranking.invalidate()
 
     def step(self, now_ns: int, events: Sequence[Event]) -> list[Action]:
-        """Handle events in their order; returns the actions that they lead to, in theirs."""
+        """Handle events in their order; returns the resulting actions in the order to carry them out.
+
+        `now_ns` is the time of the step on the caller's clock, in nanoseconds.
+        """
         self.context.begin_step(now_ns)
         for event in events:
             self._dispatch(event)
@@ -123,7 +130,7 @@
                 self._dispatch_other(event)
 
     def _dispatch_other(self, event: EndpointList | HealthCheckResult | PeerMessage | TimerFired) -> None:
-        """The same for events that belong to no request."""
+        """Hand one event that belongs to no request to the method for its type."""
         match event:
             case EndpointList():
                 self._handle_endpoint_list(event)
@@ -171,7 +178,7 @@
             self.lifecycle.reject(pending)
 
     def _skip_ranks(self, pending: PendingRequest) -> None:
-        """Let a returning client leave out ranks that may have dropped it."""
+        """Let a returning client skip the best ranks, whose endpoints may have dropped it."""
         probability = self.returning_clients.record_return(self.now)
         while probability and self.context.random.random() < probability:
             pending.skipped_ranks += 1
@@ -181,7 +188,8 @@
         if endpoint is None or event.request_id in self.requests:
             return
         request_class = self.settings.classes[event.klass]
-        self.requests.adopt(PendingRequest(event, 0, event.load_hint, request_class), endpoint)
+        no_deadline = 0  # none runs for an established connection
+        self.requests.adopt(PendingRequest(event, no_deadline, event.load_hint, request_class), endpoint)
 
     def _handle_established(self, event: ConnectionEstablished) -> None:
         pending = self.requests.get(event.request_id)
--- a/linnetshift/routing/concurrency_limit.py
+++ b/linnetshift/routing/concurrency_limit.py
@@ -1,8 +1,8 @@
 """How many connection set-ups one balancer may have in flight.
 
-What all balancers send to a shared store adds up, and none sees the sum. So the limit follows what each
-set-up shows: additive increase, multiplicative decrease, as in congestion control. Balancers that share a
-bottleneck come to equal limits whose sum it bears, whatever their number.
+What all balancers send to a shared store adds up, and none sees the sum. So each balancer adapts its limit to
+the outcomes of its own set-ups: additive increase, multiplicative decrease, as in congestion control.
+Balancers that share a bottleneck converge to equal limits whose sum it can serve, whatever their number.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 INITIAL_LIMIT = 8.0
 MIN_LIMIT = 2.0
 CONGESTED_FAILURE_SHARE = 0.3  # of recent set-ups slow or failed, from which the limit is lowered
-DECREASE_FACTOR = 0.7  # at most once within a latency objective
+DECREASE_FACTOR = 0.7  # applied at most once within a latency objective
 OUTCOME_WEIGHT = 0.1  # of the latest set-up in the share
 
 
@@ -25,7 +25,7 @@
 
     @property
     def is_congested(self) -> bool:
-        """Whether so many set-ups fail that another endpoint is not the cure."""
+        """Whether so many set-ups fail that another endpoint would not help."""
         return self.failure_share >= CONGESTED_FAILURE_SHARE
 
     def record_setup(
@@ -33,14 +33,14 @@
     ) -> None:
         """Count a set-up that ended; `max_limit` bounds the increase.
 
-        Slow everywhere (a shared store past its rate) is not cured by another endpoint. Without a limit,
-        returning clients and retries queue up behind work that nobody waits for.
+        Where set-ups are slow everywhere (a store past its rate) another endpoint does not help. Without
+        a limit, returning clients and retries queue up behind work that nobody waits for any more.
         """
-        is_bad = has_failed or elapsed_ns > latency_objective_ns
-        self.failure_share += OUTCOME_WEIGHT * (is_bad - self.failure_share)
-        if is_bad:
+        has_failed_or_is_slow = has_failed or elapsed_ns > latency_objective_ns
+        self.failure_share += OUTCOME_WEIGHT * (has_failed_or_is_slow - self.failure_share)
+        if has_failed_or_is_slow:
             self._decrease(now, latency_objective_ns)
-        elif elapsed_ns < latency_objective_ns // 2:
+        elif elapsed_ns < latency_objective_ns // 2:  # well within the objective
             self._increase(max_limit)
 
     def _decrease(self, now: int, latency_objective_ns: int) -> None:
--- a/linnetshift/routing/context.py
+++ b/linnetshift/routing/context.py
@@ -7,7 +7,7 @@
 from linnetshift.routing.actions import Action
 from linnetshift.routing.settings import Settings
 
-TICKS_PER_LATENCY_OBJECTIVE = 8  # waiting requests are looked at so often within the shortest objective
+TICKS_PER_LATENCY_OBJECTIVE = 8  # waiting requests are retried this often within the shortest objective
 
 
 class RoutingContext:
@@ -34,7 +34,7 @@
         self.message_latency_objective_ns = min(c.message_latency_objective_ns for c in offered)
 
     def begin_step(self, now_ns: int) -> None:
-        """Start a step with no actions; a clock that steps back must not revive past deadlines."""
+        """Start a step without actions; a clock that steps back must not make deadlines valid again."""
         self.now = max(self.now, now_ns)
         self.actions = []
 
--- a/linnetshift/routing/discovery_poller.py
+++ b/linnetshift/routing/discovery_poller.py
@@ -5,10 +5,10 @@
 from linnetshift.routing.actions import SetTimer, Watch
 from linnetshift.routing.context import RoutingContext
 
-# The longest back-off: 6 s after discovery can be reached again, its answers count as known.
+# Well under the 6 s after which, once discovery can be reached again, its list counts as known here.
 MAX_BACKOFF_NS = 1_000_000_000
-MAX_FAILURES = 5  # doublings of the back-off
-TOKEN_MASK = 0xFFFF
+MAX_FAILURES = 5  # in a row; further ones do not lengthen the back-off
+TOKEN_MASK = 0xFFFF  # tokens of the back-off timer have 16 bits; the tick's is above them
 
 
 class DiscoveryPoller:
@@ -35,15 +35,16 @@
         self._failures = 0
 
     def handle_list_failed(self) -> None:
-        """Poll again after a back-off, jittered so that balancers that failed together part."""
+        """Poll again after a back-off, with jitter so that balancers that failed together poll apart."""
         context = self._context
         self._failures = min(self._failures + 1, MAX_FAILURES)
-        longest = min(context.settings.must_poll_within_ns // 4, MAX_BACKOFF_NS)
-        delay_ns = min(longest // 10 << self._failures, longest) * context.random.uniform(0.5, 1.0)
+        longest_ns = min(context.settings.must_poll_within_ns // 4, MAX_BACKOFF_NS)
+        backoff_ns = (longest_ns // 10) << self._failures  # doubles with each failure
+        delay_ns = min(backoff_ns, longest_ns) * context.random.uniform(0.5, 1.0)
         self._timer_token = (self._timer_token + 1) & TOKEN_MASK
         context.emit(SetTimer(int(delay_ns), self._timer_token))
 
     def handle_timer_fired(self, token: int) -> None:
-        """Poll if that is the timer of the latest back-off."""
+        """Poll if the timer is that of the latest back-off."""
         if token == self._timer_token:
             self._context.emit(Watch(True))
--- a/linnetshift/routing/endpoint_selection.py
+++ b/linnetshift/routing/endpoint_selection.py
@@ -17,7 +17,7 @@
 
 
 class EndpointSelection:
-    """Goes through a key's endpoints by rank and leaves out those that something speaks against.
+    """Goes through a key's endpoints by rank and passes over those that must not or should not be used.
 
     Stateless: it reads the endpoints, the requests and slow start.
     """
@@ -31,7 +31,7 @@
         slow_start: SlowStart,
         health_checks: HealthChecks,
     ) -> None:
-        """The components that it reads, and `health_checks`, which it sends out."""
+        """The components that it reads; through `health_checks` it also sends checks."""
         self._context = context
         self._endpoints = endpoints
         self._requests = requests
@@ -40,46 +40,50 @@
         self._health_checks = health_checks
 
     def choose(self, pending: PendingRequest, is_mid_flow: bool) -> Endpoint | None:
-        """The key's best endpoint that nothing speaks against; if all are bad, the plain ranking.
+        """The key's best eligible endpoint that is neither avoided nor tried before.
 
-        None where the request must wait: no endpoint may have it, or a health check decides.
+        If there is none, the best that is avoided for a reason that may have passed, else the best that was
+        tried without an error. None where the request must wait: no endpoint may have it, or the result of a
+        health check is awaited.
         """
-        suspect: Endpoint | None = None  # ejected, but not known to be overloaded
-        tried: Endpoint | None = None
+        last_resort: Endpoint | None = None
+        already_tried: Endpoint | None = None
         for endpoint in self._eligible(pending, is_mid_flow):
             if is_mid_flow:
                 return endpoint
             if endpoint in pending.endpoints_tried:
-                if tried is None and endpoint not in pending.endpoints_that_erred:
-                    tried = endpoint
+                if already_tried is None and endpoint not in pending.endpoints_that_erred:
+                    already_tried = endpoint
             elif self.is_avoided(endpoint, pending.request_class):
-                if suspect is None and self._is_last_resort(endpoint, pending.request_class):
-                    suspect = endpoint
+                if last_resort is None and self._is_last_resort(endpoint, pending.request_class):
+                    last_resort = endpoint
             elif self._health_checks.check_before_placement(endpoint, pending):
-                return None  # its answer, or the lack of one, decides
+                return None  # the request is placed once its result is in, or has been missing for too long
             else:
                 return endpoint
-        return suspect or tried
+        return last_resort or already_tried
 
     def find_alternative(
         self, pending: PendingRequest, endpoint: Endpoint, is_last_chance: bool = False
     ) -> Endpoint | None:
-        """Where a connection would go that leaves `endpoint`.
+        """The endpoint that a connection would migrate to from `endpoint`, None where there is none.
 
-        Never from one bad endpoint to another, unless the first is about to stop; nor to one that may not
-        take it yet.
+        Avoided endpoints are no alternative, nor those that still warm up, unless `endpoint` is about to stop
+        (`is_last_chance`): then any ready one is.
         """
         for other in self._preference_order(pending):
             if other is endpoint:
                 continue
             if not is_last_chance and self.is_avoided(other, pending.request_class):
                 continue
-            if self._may_receive(other, False) or (is_last_chance and other.state == EndpointState.READY):
+            if self._may_receive(other, is_mid_flow=False) or (
+                is_last_chance and other.state == EndpointState.READY
+            ):
                 return other
         return None
 
     def is_avoided(self, endpoint: Endpoint, request_class: RequestClass) -> bool:
-        """Whether it is slow, ejected, under test or loaded: the key's next rank is taken instead."""
+        """Whether it is slow, ejected, overloaded or has a half-open attempt: the next rank is preferred."""
         now = self._context.now
         if endpoint.is_over_objective(now, request_class) or now < endpoint.ejected_until:
             return True
@@ -88,13 +92,13 @@
         return self._health_checks.advises_against(endpoint)
 
     def wait_ns(self) -> float:
-        """How long until a request that joins the queue has a chance, 0 where a warm endpoint may serve it.
+        """Nanoseconds until a request that joins the queue may be served, 0 where a warm endpoint may do so.
 
-        An endpoint that returns errors or is overloaded has none to give before its ejection is over.
+        An endpoint that returns errors or is overloaded serves none before its ejection is over.
         """
         now = self._context.now
         warm_up_ns = self._context.settings.warm_up_ns
-        soonest = math.inf
+        shortest_ns = math.inf
         usable: list[bytes] = []
         for endpoint in self._endpoints.values():
             if endpoint.state != EndpointState.READY:
@@ -103,16 +107,20 @@
             ejection_ns = endpoint.ejected_until - now if is_bad else 0
             is_warming_up = self._endpoints.is_warming_up(endpoint)
             warming_ns = endpoint.started_at + warm_up_ns - now if is_warming_up else 0
-            soonest = min(soonest, max(ejection_ns, warming_ns, 0))
+            shortest_ns = min(shortest_ns, max(ejection_ns, warming_ns, 0))
             if ejection_ns <= 0:
                 usable.append(endpoint.id)
-        return min(soonest, self._slow_start.wait_ns(usable, len(self._requests.waiting)))
+        return min(shortest_ns, self._slow_start.wait_ns(usable, len(self._requests.waiting)))
 
     def _eligible(self, pending: PendingRequest, is_mid_flow: bool) -> Iterator[Endpoint]:
-        """Endpoints that may have the attempt, best first; one whose turn it is goes before the ranking."""
+        """Endpoints that may have the attempt, best first.
+
+        Before the ranking come the warming endpoint that a slow-start token was drawn for and those that are
+        due for a recovery attempt; packets of an open connection follow the ranking alone.
+        """
         drawn = None if is_mid_flow else self._draw_warming_endpoint(pending)
-        first = [e for e in self._endpoints.values() if e is drawn or (e.is_recovery_due and not is_mid_flow)]
-        for endpoint in (*first, *self._preference_order(pending)):
+        ahead = [e for e in self._endpoints.values() if e is drawn or (e.is_recovery_due and not is_mid_flow)]
+        for endpoint in (*ahead, *self._preference_order(pending)):
             may_receive = (
                 self._may_receive(endpoint, is_mid_flow)
                 or endpoint is drawn
@@ -123,7 +131,7 @@
 
     def _draw_warming_endpoint(self, pending: PendingRequest) -> Endpoint | None:
         """The warming endpoint that this request goes to, if it gets a slow-start token."""
-        self._ranking.candidates()  # makes the shares anew where they are out of date
+        self._ranking.candidates()  # also brings slow start's shares up to date
         shares = self._slow_start.shares
         drawn = pending.warming_endpoint
         if drawn not in shares or self._endpoints[drawn] in pending.endpoints_tried:
@@ -133,10 +141,11 @@
         return self._endpoints.get(pending.warming_endpoint)
 
     def _preference_order(self, pending: PendingRequest) -> Iterator[Endpoint]:
-        """The ranking, endpoints that hold some of the group first, since each that does pays an overhead.
+        """The ranking, but endpoints that have connections of the group first: each of them pays an overhead.
 
-        A balancer with fewer connections than there are endpoints sees too few of these: each would have its
-        own. Nor has it seen why a client came back: unless one in some went on, all would return to who drops
+        A balancer with at most as many requests and connections as endpoints keeps to the ranking instead:
+        it knows too few connections, and each balancer would concentrate a group elsewhere. Nor does it know
+        why a client came back: unless some skip their best ranks, all would return to an endpoint that drops
         them.
         """
         group = pending.request.group
@@ -148,7 +157,7 @@
         return iter(endpoints[skipped:] + endpoints[:skipped])
 
     def _may_receive(self, endpoint: Endpoint, is_mid_flow: bool) -> bool:
-        """Whether it is warm and ready; while it drains only for packets of its connections, for a while."""
+        """Whether it is ready and warm; packets of open connections may also go to one in its drain grace."""
         if endpoint.state == EndpointState.READY:
             return not self._endpoints.is_warming_up(endpoint)
         settings = self._context.settings
@@ -159,7 +168,11 @@
         )
 
     def _is_last_resort(self, endpoint: Endpoint, request_class: RequestClass) -> bool:
-        """Whether an avoided endpoint may still get the attempt if there is no better one."""
+        """Whether an avoided endpoint may get the attempt if there is no better one.
+
+        It may where it was ejected as unreachable, reports too high a load or has not answered a health
+        check: each may have passed by now.
+        """
         return (
             not endpoint.is_over_objective(self._context.now, request_class)
             and not endpoint.is_overloaded
--- a/linnetshift/routing/endpoints.py
+++ b/linnetshift/routing/endpoints.py
@@ -15,18 +15,19 @@
     from linnetshift.routing.pending_requests import PendingRequest
 
 MAX_ERRORS = 2
-"""So many endpoints' errors are a request's own fault, so many requests' errors in a row an endpoint's."""
+"""Errors from this many endpoints are the request's fault; to this many requests in a row, the endpoint's."""
 
 LATENCY_REPORT_TTL_NS = 2_500_000_000
-"""How long an endpoint counts as slow: reports come once a second then, and two in a row may get lost."""
+"""How long an endpoint counts as slow after a report; they come each second, two in a row may get lost."""
 
 NO_REQUEST = -1
-"""In `half_open_request`: no attempt tests the endpoint."""
+"""In `half_open_request`: no half-open attempt is out."""
 
-# Balancers that use an endpoint at once when it is back: rule 4 bears two more than its budget.
+# How many balancers, on average, send an attempt at once to an endpoint that is ready again: rule 4 tolerates
+# two attempts more than its budget.
 RECOVERY_ATTEMPTS_OF_FLEET = 2.0
 MAX_WEIGHT = 1e9  # NaN and absurd weights count as 1
-NEVER_NS = -(1 << 62)
+NEVER_REPORTED_NS = -(1 << 62)  # before any time of the caller's clock
 
 
 @dataclass(slots=True, eq=False)
@@ -40,20 +41,20 @@
     state: int = EndpointState.READY
     weight: float = 1.0
     started_at: int = 0  # 0: long ago
-    drain_within_ns: int = 0  # how soon it may stop once it drains, 0 where that is not known
+    drain_within_ns: int = 0  # how soon after it began to drain it may stop, 0 where that is not known
     draining_since: int = 0  # when this balancer learned that it drains or is gone
     in_flight: int = 0  # this balancer's attempts and connections there
     established: dict[int, PendingRequest] = field(default_factory=dict)  # the connections among them, by id
     established_by_group: dict[int, int] = field(default_factory=dict)  # how many of each group they are
-    over_objective_until: int = 0  # messages there are slow until then
+    over_objective_until: int = 0  # until then messages there count as slow, see `is_over_objective`
     message_latency_ns: int = 0  # how long they took, 0 where that is not known
-    majority_over_objective_until: int = 0  # messages there miss the objective of most connections until then
+    majority_over_objective_until: int = 0  # until then they miss the objective of most connections there
     ejected_until: int = 0
     ejection_time_ns: int = 0  # length of the latest ejection, 0 when the endpoint never failed
     is_overloaded: bool = False  # the ejection is for overload, not for being unreachable
     ejected_at: int = 0
     load: float = 0.0  # share of its capacity in use, as last reported
-    load_reported_at: int = NEVER_NS
+    load_reported_at: int = NEVER_REPORTED_NS
     sends_since_report: int = 0  # this balancer's attempts there since the reported load changed
     sends_before_report: int = 0  # and between the two changes before
     health_check_sent_at: int = 0  # when the health check in flight was sent, 0 when none is
@@ -61,7 +62,7 @@
     last_established_at: int = 0
     consecutive_errors: int = 0  # errors in a row, each to a request that had met none before
     half_open_request: int = NO_REQUEST  # the request whose attempt tests it after an ejection
-    is_recovery_due: bool = False  # it is back, and the next connection goes there: else none may for long
+    is_recovery_due: bool = False  # ready again: the next request goes there, as else none might for long
 
     def add_established(self, pending: PendingRequest) -> None:
         """Count a connection that was established here."""
@@ -70,7 +71,7 @@
         self.established_by_group[group] = self.established_by_group.get(group, 0) + 1
 
     def remove_established(self, pending: PendingRequest) -> None:
-        """Count a connection out; one that is not established here is left alone."""
+        """Count a connection out; does nothing for one that is not established here."""
         if self.established.pop(pending.request.request_id, None) is not None:
             group = pending.request.group
             self.established_by_group[group] -= 1
@@ -78,18 +79,18 @@
                 del self.established_by_group[group]
 
     def is_over_objective(self, now: int, request_class: RequestClass) -> bool:
-        """Whether messages here are slow by the objective of that class."""
+        """Whether messages here are slow for that class: a third of its objective or more, or unknown."""
         return (
             now < self.over_objective_until
             and not 0 < self.message_latency_ns * 3 < request_class.message_latency_objective_ns
         )
 
     def returns_errors(self) -> bool:
-        """Whether it answered several requests in a row with an error, and would answer the next so."""
+        """Whether it answered so many requests in a row with an error that the next is likely to get one."""
         return self.consecutive_errors >= MAX_ERRORS
 
     def reset_health(self) -> None:
-        """A new process runs there: what was held against it ended with the old one."""
+        """Forget failures and slow messages: they were those of a process that has been replaced."""
         self.over_objective_until = 0
         self.majority_over_objective_until = 0
         self.ejected_until = 0
@@ -135,7 +136,7 @@
         return self._by_id.values()
 
     def apply(self, update: EndpointList) -> list[Endpoint]:
-        """Take a list or a change to it; returns the endpoints that connections must now leave."""
+        """Apply a list or a change to it; returns the endpoints that connections must now leave."""
         draining: list[Endpoint] = []
         if update.form in (ListForm.FULL, ListForm.CACHED):
             listed = {entry.endpoint for entry in update.entries}
@@ -152,7 +153,7 @@
         return draining
 
     def warm_up_factor(self, endpoint: Endpoint) -> float:
-        """The share of its capacity that an endpoint surely has by now, 1.0 once it is warm."""
+        """The share of its capacity that an endpoint is certain to have by now, 1.0 once it is warm."""
         return warm_up_factor(self._context.settings, endpoint.started_at, self._context.now)
 
     def is_warming_up(self, endpoint: Endpoint) -> bool:
@@ -166,7 +167,10 @@
         return self._highest_weight_of_kind[endpoint.kind]
 
     def is_fewer_than_balancers(self) -> bool:
-        """Whether each balancer sees little; unlike what it holds, this changes not from moment to moment."""
+        """Whether each balancer sees too few connections to judge by.
+
+        Unlike the number of its own connections, this does not change from one moment to the next.
+        """
         return self._context.settings.balancers > len(self._by_id)
 
     def _add(self, entry: EndpointEntry) -> None:
@@ -182,7 +186,7 @@
             endpoint.reset_health()
         self._copy_entry(endpoint, entry)
         if entry.state != EndpointState.READY:
-            endpoint.state = previous
+            endpoint.state = previous  # which decides whether the grace begins now
             self._drain(endpoint, EndpointState(entry.state), draining)
 
     def _draw_recovery_attempt(self) -> bool:
@@ -201,7 +205,7 @@
         self._highest_weight_of_kind[endpoint.kind] = max(highest, endpoint.weight)
 
     def _drain(self, endpoint: Endpoint, state: EndpointState, draining: list[Endpoint]) -> None:
-        """The grace counts from the first update that says that an endpoint drains or is gone."""
+        """Set a state other than ready; the grace counts from the first update with such a state."""
         if endpoint.state == EndpointState.READY:
             endpoint.draining_since = self._context.now
         endpoint.state = state
