--- a/linnetshift/routing/group_affinity.py
+++ b/linnetshift/routing/group_affinity.py
@@ -1,8 +1,8 @@
-"""How large groups are, as one of many balancers can tell from the clients that come to it.
+"""How large groups are, as one of many balancers can estimate from the clients that come to it.
 
-Every endpoint that holds any connection of a group pays an overhead for it. Where crossing zones has a
-price, a group is placed in each zone. With few large groups that spreads what no endpoint could bear alone;
-with many small ones each endpoint holds some of several, and the overhead outweighs the connections.
+Every endpoint that has any connection of a group pays an overhead for it. Where crossing zones has a price, a
+group is placed in each zone. With few large groups that spreads what no endpoint could serve alone; with many
+small ones each endpoint has some of several, and the overhead outweighs the connections.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 from collections import Counter, deque
 from collections.abc import Collection
 
-SAMPLE_SIZE = 64  # latest clients by which a balancer judges
-# Before any came, as if of so many pairs of clients that many had been of one group.
+SAMPLE_SIZE = 64  # latest clients that the estimate is made of
+# The estimate begins as if of PRIOR_PAIRS pairs of clients PRIOR_EQUAL_PAIRS had been of one group.
 PRIOR_EQUAL_PAIRS = 1.0
 PRIOR_PAIRS = 30.0
 
@@ -20,7 +20,7 @@
     """State: the groups of the latest clients, how often each occurs, and the pairs that are of one group."""
 
     def __init__(self) -> None:
-        """No client came yet."""
+        """Start without any client."""
         self._sample: deque[int] = deque()
         self.counts: Counter[int] = Counter()
         self._equal_pairs = 0
@@ -42,11 +42,11 @@
         return (self._equal_pairs + PRIOR_EQUAL_PAIRS) / (pairs + PRIOR_PAIRS)
 
     def zone_spread(self, zones: Collection[int]) -> float:
-        """How far each group may spread over the zones; `zones` has one item an endpoint.
+        """How far each group may spread over the zones; `zones` has one item for each endpoint.
 
-        From 1, where there are endpoints for a place of each group in each zone, down to 0, where there are
-        far too few. The estimated group count is what would be, were all groups of one size: one over the
-        chance that two clients are of one group.
+        From 1.0, where there are enough endpoints for one of each group in each zone, down to 0.0, where
+        there are far too few. Were all groups of one size, their number would be one over the chance that two
+        clients are of one group; it is estimated so.
         """
         if not self._sample or not zones:
             return 1.0
--- a/linnetshift/routing/load_shedding.py
+++ b/linnetshift/routing/load_shedding.py
@@ -1,7 +1,7 @@
 """Load shedding: which share of the keys is admitted while most endpoints miss their latency objectives.
 
-Which keys those are is a matter of the key, so balancers shed the same groups, and a client that returns gets
-the same answer wherever it comes.
+Which keys those are depends on the key alone, so all balancers shed the same groups, and a client that
+returns gets the same answer from any of them.
 """
 
 from __future__ import annotations
@@ -14,37 +14,35 @@
 from linnetshift.routing.pending_requests import key_hash
 from linnetshift.routing.rendezvous_hashing import MASK, mix64
 
-# While more than the first share of the endpoints misses its objectives, each review admits fewer keys; under
-# the second share, slowly more.
+# Shares of the endpoints that miss their objectives: above the first each review admits fewer keys, up to the
+# second slowly more.
 SHED_ABOVE_SHARE = 0.4
 RECOVER_BELOW_SHARE = 0.15
-SHED_STEP = 0.35
-RECOVERY_STEP = 0.05
+SHED_STEP = 0.35  # part of the admitted share that one review sheds
+RECOVERY_STEP = 0.05  # of all keys, that one review admits again
 MIN_ADMITTED_SHARE = 0.2
 REVIEW_INTERVAL_NS = 1_000_000_000
-ADMISSION_SALT = (
-    0x9E3779B97F4A7C15  # splitmix64's increment: a draw by key that is independent of its ranking
-)
+# The increment of splitmix64: makes admission independent of where the key ranks its endpoints.
+ADMISSION_SALT = 0x9E3779B97F4A7C15
 
 
 @dataclass(slots=True)
 class LoadShedding:
-    """State: the share of the keys that is admitted, the time of the latest review, and its finding."""
+    """State: the share of the keys that is admitted, the time of the latest review, and its result."""
 
     admitted_share: float = 1.0
     reviewed_at: int = 0
-    is_congested: bool = (
-        False  # most endpoints miss their objectives: migration would only move the load about
-    )
+    # Most endpoints miss their objectives: migration would only move the load from one to another.
+    is_congested: bool = False
 
     def is_review_due(self, now: int) -> bool:
         """Whether the latest review is long enough ago."""
         return now - self.reviewed_at >= REVIEW_INTERVAL_NS
 
     def review(self, now: int, over_objective: int, endpoints: int) -> None:
-        """Adapt the admitted share; `over_objective` of that many `endpoints` miss their objectives."""
+        """Adapt the admitted share, given how many of how many endpoints miss their objectives."""
         self.reviewed_at = now
-        # One slow endpoint alone can be avoided.
+        # A single slow endpoint can be avoided instead.
         self.is_congested = over_objective > max(1.0, SHED_ABOVE_SHARE * endpoints)
         if self.is_congested:
             self.admitted_share = max(self.admitted_share * (1.0 - SHED_STEP), MIN_ADMITTED_SHARE)
@@ -71,7 +69,7 @@
         self.load_shedding = LoadShedding()
 
     def review(self) -> None:
-        """When most endpoints miss their objectives, migration does not help: fewer keys must be served."""
+        """Adapt the admitted share once a second: where most endpoints are slow, migration does not help."""
         now = self._context.now
         if not self.load_shedding.is_review_due(now):
             return
--- a/linnetshift/routing/message_latency.py
+++ b/linnetshift/routing/message_latency.py
@@ -14,9 +14,10 @@
 SLOW_MESSAGE = b"h"
 """Opens a message to peers: messages are slow at the endpoint whose id follows."""
 
-# Share of this balancer's connections moved off a slow endpoint at each report (one a second): from two
-# thirds of the objective on (under that it is only avoided), and once messages miss it more, the more work is
-# queued.
+# Shares of a balancer's connections to migrate off a slow endpoint at each report, once a second. The first
+# applies from two thirds of the objective on (below that the endpoint is only avoided). Above the objective
+# the second grows by itself with each QUEUED_WORK_NS of latency, since so much more work is queued there, up
+# to the third.
 NEAR_OBJECTIVE_SHARE = 0.05
 OVER_OBJECTIVE_SHARE = 0.1
 MAX_SHARE = 0.4
@@ -24,7 +25,7 @@
 
 
 def share_to_migrate(latency_ns: int, objective_ns: int) -> float:
-    """The share of the connections with that objective to move where messages take `latency_ns`."""
+    """The share of the connections with that objective to migrate where messages take `latency_ns`."""
     if latency_ns >= objective_ns:
         return min(MAX_SHARE, OVER_OBJECTIVE_SHARE * (1.0 + latency_ns / QUEUED_WORK_NS))
     return NEAR_OBJECTIVE_SHARE if latency_ns * 3 >= objective_ns * 2 else 0.0
@@ -40,14 +41,14 @@
         health_checks: HealthChecks,
         migration: Migration,
     ) -> None:
-        """What a slow endpoint has an effect on."""
+        """The components that act on a slow endpoint."""
         self._context = context
         self._admission = admission
         self._health_checks = health_checks
         self._migration = migration
 
     def handle_report(self, endpoint: Endpoint, latency_ns: int) -> None:
-        """A message to that endpoint took so long."""
+        """A message to that endpoint took `latency_ns`, as the broker measured or estimated it."""
         context = self._context
         is_slow = latency_ns * 3 >= context.message_latency_objective_ns
         endpoint.over_objective_until = context.now + LATENCY_REPORT_TTL_NS if is_slow else 0
@@ -63,10 +64,10 @@
         if not self._health_checks.may_check_for_migration():
             self._migration.migrate_excess(endpoint, misses_objectives, partial(share_to_migrate, latency_ns))
         elif not self._health_checks.is_load_report_current(endpoint):
-            self._health_checks.check(endpoint)  # its answer tells how much to move
+            self._health_checks.check(endpoint)  # its result tells how much to migrate
 
     def handle_peer_report(self, endpoint: Endpoint) -> None:
-        """Another balancer's connections there are slow; how slow it does not say."""
+        """Another balancer's connections there are slow; the message does not say by how much."""
         until = self._context.now + LATENCY_REPORT_TTL_NS
         endpoint.over_objective_until = max(endpoint.over_objective_until, until)
         endpoint.message_latency_ns = 0
--- a/linnetshift/routing/migration.py
+++ b/linnetshift/routing/migration.py
@@ -1,4 +1,4 @@
-"""Migration: which established connections are asked to move to another endpoint, and how many at once."""
+"""Migration: which established connections are migrated to another endpoint, and how many at once."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from linnetshift.routing.pending_requests import PendingRequest
 from linnetshift.routing.tick_timer import TickTimer
 
-UNRESPONSIVE_SHARE = 0.05  # of this balancer's connections at an unresponsive endpoint, moved at each tick
-DRAIN_NS = 5_000_000_000  # to leave an endpoint that drains, where its own time is not known
-LAST_TICKS = 12  # of that time, in which connections go to any other endpoint
+UNRESPONSIVE_SHARE = 0.05  # of this balancer's connections at an unresponsive endpoint, migrated at each tick
+DEFAULT_DRAIN_NS = 5_000_000_000  # how long connections have to leave an endpoint that does not say so itself
+LAST_CHANCE_TICKS = 12  # at the end of that time, in which connections migrate to any ready endpoint
 
 ShareToMigrate = Callable[[int], float]
-"""The share of connections to move, by the message latency objective (ns) of their class."""
+"""The share of connections to migrate, by the message latency objective (ns) of their class."""
 
 
 class Migration:
-    """Moves connections off endpoints that are slow, loaded, unresponsive or draining.
+    """Migrates connections off endpoints that are slow, loaded, unresponsive or draining.
 
-    State: the endpoints that connections leave step by step, at each tick.
+    State: the endpoints that connections leave gradually, some at each tick.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         admission: AdmissionControl,
         tick_timer: TickTimer,
     ) -> None:
-        """No connection moves."""
+        """Start with no endpoint to leave."""
         self._context = context
         self._selection = selection
         self._admission = admission
@@ -42,11 +42,11 @@
         self._leaving: dict[bytes, Endpoint] = {}
 
     def __len__(self) -> int:
-        """How many endpoints are left step by step."""
+        """How many endpoints connections are leaving gradually."""
         return len(self._leaving)
 
     def begin_leaving(self, endpoint: Endpoint) -> None:
-        """Move its connections step by step, if it has any: it drains, is gone or is unresponsive."""
+        """Migrate its connections gradually, if it has any: it drains, is gone or is unresponsive."""
         if endpoint.established:
             self._leaving[endpoint.id] = endpoint
             self._tick_timer.start()
@@ -58,7 +58,7 @@
             self.begin_leaving(endpoint)
 
     def handle_tick(self) -> None:
-        """Move the next connections of the endpoints that are to be left."""
+        """Migrate the next connections of each endpoint that connections are leaving."""
         for endpoint in list(self._leaving.values()):
             self._migrate_next(endpoint)
             is_recovered = (
@@ -70,10 +70,10 @@
             self._tick_timer.start()
 
     def migrate_excess(self, endpoint: Endpoint, misses_objectives: bool, share: ShareToMigrate) -> None:
-        """Move a few of this balancer's connections, heaviest first; each balancer does so by itself.
+        """Migrate a few of this balancer's connections, heaviest first; each balancer does so by itself.
 
-        `share` tells how many by the objective of their class: what is served in time there stays. While the
-        endpoint `misses_objectives` for most, connections that are not admitted go first.
+        `share` gives how many by the objective of their class: those that are served in time there stay.
+        While the endpoint `misses_objectives` for most, connections that are not admitted go first.
         """
         not_admitted: list[PendingRequest] = []
         if misses_objectives:
@@ -82,8 +82,8 @@
         count = int(len(endpoint.established) * SHED_STEP + self._context.random.random())
         for pending in not_admitted[:count]:
             self.migrate(pending, endpoint)
-        # While most endpoints are slow, nowhere is better. Afterwards admitted ones must move, or the
-        # overload of their endpoint lasts.
+        # While most endpoints are slow and more can be shed, no endpoint is better. Otherwise admitted
+        # connections must migrate too, or the overload of their endpoint would last.
         load_shedding = self._admission.load_shedding
         if not_admitted or (
             misses_objectives and load_shedding.is_congested and not load_shedding.is_at_minimum
@@ -92,7 +92,7 @@
         self._migrate_heaviest(endpoint, share)
 
     def migrate(self, pending: PendingRequest, endpoint: Endpoint) -> None:
-        """Ask one connection to move."""
+        """Migrate one connection, which no longer counts as established there."""
         endpoint.remove_established(pending)
         self._context.emit(Migrate(pending.request.request_id))
 
@@ -109,14 +109,14 @@
                 self.migrate(pending, endpoint)
 
     def _migrate_next(self, endpoint: Endpoint) -> None:
-        """Move those whose turn it is by the time that is left."""
+        """Migrate those that are due at this tick, so that all have left when the endpoint stops."""
         context = self._context
         is_ready = endpoint.state == EndpointState.READY
-        stops_at = endpoint.draining_since + (endpoint.drain_within_ns or DRAIN_NS)
+        stops_at = endpoint.draining_since + (endpoint.drain_within_ns or DEFAULT_DRAIN_NS)
         remaining_ticks = max(1, (stops_at - context.now) // context.tick_ns)
         share = UNRESPONSIVE_SHARE if is_ready else 1.0 / remaining_ticks
         count = int(len(endpoint.established) * share + context.random.random())
-        is_last_chance = not is_ready and remaining_ticks <= LAST_TICKS
+        is_last_chance = not is_ready and remaining_ticks <= LAST_CHANCE_TICKS
         for pending in list(endpoint.established.values())[:count]:
             if self._selection.find_alternative(pending, endpoint, is_last_chance) is not None:
                 self.migrate(pending, endpoint)
--- a/linnetshift/routing/outlier_detection.py
+++ b/linnetshift/routing/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: endpoints that fail are ejected for a time, where a zone or cell is lost all of it."""
+"""Outlier detection: an endpoint that fails is ejected for a time, and with a lost zone or cell all of it."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from linnetshift.routing.events import Outcome
 
 MIN_ENDPOINTS_DOWN = 3
-"""Endpoints of one zone or cell down at once, more than are seen to work there, mean all of it."""
+"""A zone or cell is lost with so many of its endpoints down at once, if more than are seen to work."""
 
-MIN_EJECTION_CONNECT_TIMEOUTS = 4  # the first ejection, in connect timeouts; the longest is the warm-up time
-# Ejections of balancers differ by chance, so that their half-open attempts do not come at one moment.
+MIN_EJECTION_CONNECT_TIMEOUTS = 4  # length of the first ejection; the longest one is the warm-up time
+# Factors of an ejection's length, drawn at random so that the half-open attempts of many balancers spread.
 MIN_EJECTION_JITTER = 0.75
 MAX_EJECTION_JITTER = 1.25
 UNREACHABLE_OUTCOMES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT})
@@ -28,9 +28,9 @@
         self._endpoints = endpoints
 
     def record_outcome(self, endpoint: Endpoint, outcome: int, was_established: bool) -> None:
-        """An attempt, or a connection that was established, ended there."""
+        """An attempt, or an established connection, ended there."""
         if outcome == Outcome.FULL or (outcome == Outcome.RESET and was_established):
-            # Dropped connections would hash back to the overloaded endpoint that dropped them.
+            # Otherwise dropped connections would come straight back to the endpoint that dropped them.
             self.record_failure(endpoint, is_overload=True)
         elif outcome in UNREACHABLE_OUTCOMES and not was_established:
             self.record_failure(endpoint, is_overload=False)
@@ -53,7 +53,7 @@
         """Eject an endpoint, for twice as long each time while half-open attempts go on failing."""
         now = self._context.now
         if now < endpoint.ejected_until:
-            # The same failure, seen by more requests.
+            # The same failure, seen by another request.
             endpoint.is_overloaded = endpoint.is_overloaded and is_overload
             return
         endpoint.is_overloaded = is_overload
@@ -66,7 +66,7 @@
         self._eject_lost_group([other for other in others if other.cell == endpoint.cell], endpoint)
 
     def begin_half_open_attempt(self, endpoint: Endpoint, request_id: int) -> None:
-        """An attempt is sent: soon after an ejection it tests the endpoint, and others wait for its end."""
+        """Make an attempt that is sent soon after an ejection the half-open one, whose end others await."""
         if endpoint.ejection_time_ns and self._failed_recently(endpoint):
             endpoint.half_open_request = request_id
 
@@ -80,11 +80,12 @@
         return self._context.now < endpoint.ejected_until + 2 * endpoint.ejection_time_ns
 
     def _eject_lost_group(self, group: list[Endpoint], endpoint: Endpoint) -> None:
-        """When a zone or cell is lost, don't find it out one by one, nor test all its endpoints at once."""
+        """Eject all of a lost zone or cell, rather than find each endpoint down by a failed attempt."""
         now = self._context.now
-        moment_ns = 2 * self._context.settings.connect_timeout_ns  # what breaks together was not shed
+        # A failure this recent counts as down even if it looked like overload: the group broke all at once.
+        recent_ns = 2 * self._context.settings.connect_timeout_ns
         ejected = [e for e in group if now < e.ejected_until]
-        down = sum(not e.is_overloaded or now - e.ejected_at < moment_ns for e in ejected)
+        down = sum(not e.is_overloaded or now - e.ejected_at < recent_ns for e in ejected)
         working = [
             e
             for e in group
--- a/linnetshift/routing/pending_requests.py
+++ b/linnetshift/routing/pending_requests.py
@@ -27,33 +27,33 @@
     request: Request | AdoptedConnection
     deadline: int  # ns of the caller's clock
     load_ns_per_s: float  # work of its connection; 0 when unknown
-    request_class: RequestClass  # the rules it began with
+    request_class: RequestClass  # with the rules that were in force when it arrived
     last_attempt: int = NO_ATTEMPT
     endpoint: Endpoint | None = None  # where the latest attempt went, while it is in flight
     is_established: bool = False
-    health_checks_sent: int = 0  # on its behalf
+    health_checks_sent: int = 0  # before its placement
     endpoints_tried: list[Endpoint] = field(default_factory=list)
     endpoints_that_erred: list[Endpoint] = field(default_factory=list)
-    skipped_ranks: int = 0  # best ranks that a returning client leaves out
+    skipped_ranks: int = 0  # best ranks that a returning client skips
     warming_endpoint: bytes = b""  # the one that a slow-start token was drawn for
     possibly_executed_on: Endpoint | None = None  # endpoint of the first attempt that may have had an effect
     possibly_executed_at: int = 0  # and when that was sent
 
     @property
     def is_first_mid_flow_attempt(self) -> bool:
-        """Whether it is for packets of an open connection, which belong to one endpoint alone."""
-        return bool(self.request.flags & MID_FLOW) and self.last_attempt < 0
+        """Whether the next attempt is the first one for packets of an open connection of one endpoint."""
+        return bool(self.request.flags & MID_FLOW) and self.last_attempt == NO_ATTEMPT
 
 
 class PendingRequests:
-    """The table of requests.
+    """The table of requests and established connections.
 
-    State: the requests by id, those among them that wait for an endpoint, in order, and how many attempts are
-    in flight that are not established yet.
+    State: the requests by id, the ids of those that wait for an endpoint, oldest first, and how many attempts
+    are in flight that are not established yet.
     """
 
     def __init__(self, endpoints: EndpointTable) -> None:
-        """Empty."""
+        """Start empty."""
         self._endpoints = endpoints
         self._by_id: dict[int, PendingRequest] = {}
         self.waiting: deque[int] = deque()
@@ -76,7 +76,7 @@
         return self._by_id.get(request_id)
 
     def add(self, pending: PendingRequest) -> None:
-        """Take in a request whose id is new."""
+        """Add a request whose id is new."""
         self._by_id[pending.request.request_id] = pending
 
     def take_waiting(self) -> deque[int]:
@@ -86,7 +86,7 @@
         return waiting
 
     def are_few(self) -> bool:
-        """Whether there are at most as many as endpoints: they say little of the endpoints then."""
+        """Whether there are at most as many as endpoints, so that they say little of the endpoints."""
         return len(self._by_id) <= len(self._endpoints)
 
     def begin_attempt(self, pending: PendingRequest, endpoint: Endpoint) -> None:
@@ -106,7 +106,7 @@
         self.setups_in_flight -= 1
 
     def adopt(self, pending: PendingRequest, endpoint: Endpoint) -> None:
-        """Take in a connection that was established through this balancer before it started."""
+        """Add a connection that was established through this balancer before it started."""
         self.add(pending)
         pending.last_attempt = 0
         pending.endpoint = endpoint
