--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -11,8 +11,8 @@
 from linnetshift.event_loop.timers import MS, Timeout, Timer
 from linnetshift.observability import log
 
-# How often endpoints are checked for unresponsiveness: well under the 400 ms without an answer after which
-# the broker counts one as unresponsive.
+# How often the broker looks for unresponsive endpoints: well under the 400 ms without an answer after which
+# it counts one as unresponsive.
 REVIEW_INTERVAL_NS = 125 * MS
 
 # Message latencies are reviewed, and new deployment facts logged, once a second.
@@ -30,7 +30,7 @@
 
 
 class Review(NamedTuple):
-    """The tag of the review timer; reviews are numbered from 1."""
+    """Tag of the timer of the next review; reviews are numbered from 1."""
 
     number: int
 
@@ -39,9 +39,10 @@
 
 
 class DecisionLoop(Actor):
-    """Runs the broker's queued events through the balancer, and its periodic reviews.
+    """Runs the broker's queued events through the balancer, and the broker's periodic reviews.
 
-    It is the broker's `Timers` port. `broker` is set before `run` starts, as the broker needs this port.
+    It implements the broker's `Timers` port. `broker` is set before `run` starts, as the broker itself is
+    made with this port.
     """
 
     broker: Broker
@@ -91,8 +92,8 @@
         self.broker.review_unresponsive_endpoints()
         if number % REVIEWS_PER_LATENCY_REVIEW == 0:
             self.broker.review_latency()
-            for what, value in self.broker.deployment_facts.take_unreported():
-                log.info("deployment-fact-observed", what=what, value=value)
+            for fact, value in self.broker.deployment_facts.take_unreported():
+                log.info("deployment-fact-observed", what=fact, value=value)
 
     def _process_events(self) -> None:
         if self.waits_for_discovery:
@@ -100,6 +101,6 @@
         try:
             self.broker.process_events()
         except Exception as error:  # noqa: BLE001
-            # This edge contains faults: one in the decisions must not end the established connections. They
+            # Faults are contained here: one in the decisions must not end the established connections. They
             # go on, and the broker itself answers requests that get no decision.
             log.exception(error)
--- a/linnetshift/routing/health_checks.py
+++ b/linnetshift/routing/health_checks.py
@@ -1,4 +1,4 @@
-"""Active health checks and the load reports that answer them."""
+"""Active health checks and the load reports in their results."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from linnetshift.util.decaying_counter import DecayingCounter
 
 MAX_LOAD = 0.85  # share of its capacity in use from which an endpoint is avoided
-TARGET_LOAD = 0.75  # to which migration brings it
-MIGRATION_GAIN = 0.3  # share of the excess that moves at each report, which may be seconds old
-CHECKS_PER_REQUEST = 3  # that an arriving request pays for: at its endpoint, and where latency is reported
+TARGET_LOAD = 0.75  # that migration aims at
+MIGRATION_GAIN = 0.3  # share of the excess that migrates at each report, as reports may be seconds old
+CHECKS_PER_REQUEST = 3  # credit that a first request adds, and the most before any placement
 MAX_SAVED_CHECKS = CHECKS_PER_REQUEST * 4
-LOAD_REPORT_TTL_NS = 500_000_000  # how long a report serves placements
-AVOID_LOADED_NS = 3_000_000_000  # how long it keeps a loaded endpoint avoided
-REPORT_WEIGHT = 0.1  # of the latest report in what is known of one connection's load
+LOAD_REPORT_TTL_NS = 500_000_000  # how long no further check is needed after a report
+AVOID_LOADED_NS = 3_000_000_000  # how long a loaded endpoint is avoided after its report
+REPORT_WEIGHT = 0.1  # of the latest report in the moving average of one connection's load
 ARRIVAL_WINDOW_NS = 1_000_000_000
 MAX_REPORTED_LOAD = 1e6
-MIN_REPORTED_CONNECTIONS = 8.0  # fewer say little of the load of one
+MIN_REPORTED_CONNECTIONS = 8.0  # fewer say too little of the load of a single one
 MAX_REPORTED_CONNECTIONS = 1e6
 LOAD_COLUMN = "x0"
 CONNECTIONS_COLUMN = "outstanding"
@@ -28,10 +28,10 @@
 
 
 class HealthChecks:
-    """Sends health checks within a budget and keeps what the answers say.
+    """Sends health checks within a budget and keeps what their results say.
 
-    State: the checks that may still be sent, the rate of arrivals, the load of one connection by the reports,
-    and the load fields of the endpoints.
+    State: the checks that may still be sent, the rate of arrivals, the average load of one connection, and
+    the load fields of the endpoints.
     """
 
     _load_column: int
@@ -44,7 +44,7 @@
         requests: PendingRequests,
         outlier_detection: OutlierDetection,
     ) -> None:
-        """No credit and nothing known of any load."""
+        """Start without credit and without any load report."""
         self._context = context
         self._endpoints = endpoints
         self._requests = requests
@@ -65,15 +65,15 @@
 
     @property
     def reports_load(self) -> bool:
-        """Whether health checks are answered with a load."""
-        return self._load_column >= 0
+        """Whether results of health checks carry a load."""
+        return self._load_column != NO_COLUMN
 
     def may_check_for_migration(self) -> bool:
         """Whether a check may be sent to learn how many connections to migrate."""
         return self.reports_load and self._credit >= 1.0
 
     def earn_credit(self) -> None:
-        """A first request arrived, which pays for some checks."""
+        """Allow some more checks, as a request arrived that is neither a retry nor of a returning client."""
         self._credit = min(self._credit, MAX_SAVED_CHECKS) + CHECKS_PER_REQUEST
 
     def record_arrival(self) -> None:
@@ -81,7 +81,7 @@
         self._arrivals.add(self._context.now)
 
     def advises_against(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is too loaded by its latest report, or does not answer the check in flight."""
+        """Whether an endpoint is too loaded by its latest report, or the check in flight is overdue."""
         now = self._context.now
         if now - endpoint.load_reported_at < AVOID_LOADED_NS and self._current_load(endpoint) >= MAX_LOAD:
             return True
@@ -92,10 +92,10 @@
         return self._context.now - endpoint.load_reported_at <= LOAD_REPORT_TTL_NS
 
     def check_before_placement(self, endpoint: Endpoint, pending: PendingRequest) -> bool:
-        """Check an endpoint before a connection is placed there; returns whether to wait for the answer.
+        """Check an endpoint before a connection is placed there; returns whether to wait for the result.
 
-        No check is needed where established connections say enough already. Of many balancers each has fewer
-        connections than there are endpoints: an overload or a loss is new to every one.
+        No check is needed where established connections say enough already. With many balancers each has
+        fewer connections than there are endpoints, and none would notice an overload or a loss otherwise.
         """
         if not self._context.settings.may_health_check:
             return False
@@ -117,7 +117,7 @@
             self._context.emit(HealthCheck(endpoint.id))
 
     def handle_result(self, endpoint: Endpoint, event: HealthCheckResult) -> float:
-        """Take the answer to the check in flight, or its absence.
+        """Take the result of the check in flight.
 
         Returns the share of this balancer's connections there to migrate because of the load, 0.0 for none.
         """
@@ -129,7 +129,7 @@
                 self._outlier_detection.record_failure(endpoint, is_overload)
             return 0.0
         now = self._context.now
-        endpoint.load_reported_at = now  # an answer without a load still says that it answers, and how soon
+        endpoint.load_reported_at = now  # a result without a load still shows that it answers, and how fast
         if event.elapsed_ns * 3 >= self._context.message_latency_objective_ns * 2 > 0:
             endpoint.over_objective_until = now + LATENCY_REPORT_TTL_NS
             endpoint.message_latency_ns = event.elapsed_ns // 2
@@ -142,7 +142,7 @@
         load = report[self._load_column] if self.reports_load else -1.0
         if not 0.0 <= load < MAX_REPORTED_LOAD:
             return 0.0
-        connections = report[self._connections_column] if self._connections_column >= 0 else 0.0
+        connections = report[self._connections_column] if self._connections_column != NO_COLUMN else 0.0
         if load != endpoint.load:
             endpoint.load = load
             endpoint.sends_before_report = endpoint.sends_since_report
@@ -154,10 +154,10 @@
         return (load - TARGET_LOAD) / load * MIGRATION_GAIN
 
     def _current_load(self, endpoint: Endpoint) -> float:
-        """The reported load and what was sent since; in a wave of arrivals the other balancers send as much.
+        """The reported load plus an estimate of what all balancers have sent since.
 
-        Reports are up to seconds old: at a balancer's start a hundred connections can arrive behind one
-        figure.
+        Reports are up to seconds old: at a balancer's start a hundred connections can follow one report. In a
+        wave of arrivals the other balancers send as many as this one.
         """
         balancers = min(self._context.settings.balancers, max(1.0, self._arrivals.value))
         sends = endpoint.sends_since_report + endpoint.sends_before_report / 2
--- a/linnetshift/routing/ranking.py
+++ b/linnetshift/routing/ranking.py
@@ -22,27 +22,28 @@
 if TYPE_CHECKING:
     import numpy.typing as npt
 
-# Steps in which warm-up acts on weights: balancers a few milliseconds apart hold the same ranking.
+# Warm-up raises weights in steps, so that balancers whose clocks differ by milliseconds have the same
+# ranking.
 WARM_UP_STEPS = 8
-NEVER_NS = MASK
+FOREVER_NS = MASK  # after any time of the caller's clock
 
 
 @dataclass(frozen=True, slots=True)
 class Candidates:
-    """The endpoints that a key is ranked over, by id; the arrays go along with the list."""
+    """The endpoints that a key is ranked over, sorted by id; the arrays have their order and length."""
 
     endpoints: list[Endpoint]
     hashes: npt.NDArray[np.uint64]
     inverse_weights: npt.NDArray[np.float64]
-    total_capacity: float  # in weights, less what is not warm yet
-    valid_until: int
+    total_capacity: float  # in weights, each times its warm-up factor
+    valid_until: int  # ns of the caller's clock
 
 
 class EndpointRanking:
-    """Ranks endpoints by key and keeps slow start in step with them.
+    """Ranks endpoints by key and updates slow start whenever the candidates change.
 
-    State: the candidates (made anew after a list update and while an endpoint warms up), the connections that
-    the predecessor process still holds, and how many connections fill an endpoint of weight 1.
+    State: the candidates (cached until a list update, or the next step of a warm-up), how many connections
+    the predecessor process still has, and how many connections fill an endpoint of weight 1.
     """
 
     def __init__(
@@ -52,27 +53,28 @@
         slow_start: SlowStart,
         group_sizes: GroupSizeEstimator,
     ) -> None:
-        """The candidates are made at the first use."""
+        """The candidates are computed at the first use."""
         self._context = context
         self._endpoints = endpoints
         self._slow_start = slow_start
         self._group_sizes = group_sizes
         self._cached: Candidates | None = None
         self.predecessor_connections = 0
-        self.connections_per_weight = 0.0  # a standard core, by the loads that were reported; 0 where unknown
+        # Weight 1 is a standard core; by the loads that connections were reported with, 0.0 before the first.
+        self.connections_per_weight = 0.0
 
     def invalidate(self) -> None:
-        """The list or the settings changed."""
+        """Drop the cached candidates, as the list or the settings changed."""
         self._cached = None
 
     def candidates(self) -> Candidates:
-        """The listed endpoints as they are to be ranked now."""
+        """The listed endpoints to rank now; updates slow start where they are computed anew."""
         if self._cached is None or self._context.now >= self._cached.valid_until:
             self._cached = self._make_candidates()
         return self._cached
 
     def ranked(self, key: int) -> Iterator[Endpoint]:
-        """Listed endpoints for a hashed key, best first; the sort is stable over ids, which settles ties."""
+        """Listed endpoints for a hashed key, best first; ties are broken by the order of ids."""
         candidates = self.candidates()
         order = rank(key, candidates.hashes, candidates.inverse_weights)
         return map(candidates.endpoints.__getitem__, order)
@@ -93,7 +95,7 @@
             hashes=np.array([endpoint_hash(endpoint.id) for endpoint in listed], dtype=np.uint64),
             inverse_weights=1.0 / (self._zone_weights(listed) * np.array(weights)),
             total_capacity=total_capacity,
-            valid_until=context.now + step_ns if is_any_warming_up else NEVER_NS,
+            valid_until=context.now + step_ns if is_any_warming_up else FOREVER_NS,
         )
 
     def _stepped_warm_up_factor(self, endpoint: Endpoint) -> float:
@@ -101,10 +103,10 @@
         return int(factor * WARM_UP_STEPS) / WARM_UP_STEPS or 1 / WARM_UP_STEPS
 
     def _zone_weights(self, listed: list[Endpoint]) -> npt.NDArray[np.float64]:
-        """Factors of the weights by zone.
+        """Factor of each endpoint's weight by its zone.
 
-        Where crossing has a price a key has an endpoint in each zone, as far as there are endpoints for all
-        groups.
+        Where crossing zones has a price a key gets an endpoint in each zone, as far as there are enough
+        endpoints for all groups.
         """
         settings = self._context.settings
         zone_spread = 1.0
@@ -114,7 +116,7 @@
         return np.array([1.0 if e.zone == settings.zone else other_zone_weight for e in listed])
 
     def _update_slow_start(self, listed: list[Endpoint], capacities: list[float], total: float) -> None:
-        """Shares by capacity, so that all balancers' parts are the fleet's, wherever the endpoints are."""
+        """Set the token rate, and the shares: by capacity over all zones, so the same at each balancer."""
         settings = self._context.settings
         self._slow_start.shares = {
             endpoint.id: capacity / total
--- a/linnetshift/routing/rendezvous_hashing.py
+++ b/linnetshift/routing/rendezvous_hashing.py
@@ -1,4 +1,7 @@
-"""Weighted rendezvous hashing: the cost of one key at each of many endpoints, the same at every balancer."""
+"""Weighted rendezvous hashing: the cost of a key at each endpoint, the same at every balancer.
+
+Arrays have one item for each endpoint. The endpoint with the lowest cost over weight comes first.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 
 
 def mix64(x: int) -> int:
-    """The finalizer of splitmix64 on one 64-bit integer."""
+    """The finalizer of splitmix64, on one 64-bit integer."""
     x = ((x ^ (x >> 30)) * MIX_A) & MASK
     x = ((x ^ (x >> 27)) * MIX_B) & MASK
     return x ^ (x >> 31)
@@ -37,7 +40,10 @@
 
 
 def costs(key_hash: int, hashes: npt.NDArray[np.uint64]) -> npt.NDArray[np.float64]:
-    """-log(h) for one key at each endpoint, h strictly inside (0, 1): top 52 bits plus a half."""
+    """The cost -log(h) of one key at each endpoint, given their hashes.
+
+    h is the top 52 bits of the mixed hash plus a half, as a fraction: strictly between 0 and 1.
+    """
     x = hashes ^ np.uint64((key_hash * 3) & MASK)
     x ^= x >> SHIFT_A
     x *= NP_MIX_A
@@ -51,6 +57,6 @@
 def rank(
     key_hash: int, hashes: npt.NDArray[np.uint64], inverse_weights: npt.NDArray[np.float64]
 ) -> list[int]:
-    """Indices of the endpoints for one key, best first; the sort is stable: the given order settles ties."""
+    """Indices of the endpoints for one key, best first; ties keep the given order."""
     order: list[int] = np.argsort(costs(key_hash, hashes) * inverse_weights, kind="stable").tolist()
     return order
--- a/linnetshift/routing/request_lifecycle.py
+++ b/linnetshift/routing/request_lifecycle.py
@@ -14,8 +14,8 @@
 from linnetshift.routing.tick_timer import TickTimer
 
 SETUP_FAILURES = frozenset({Outcome.ERROR, Outcome.TIMEOUT, Outcome.FULL, Outcome.RESET})
-EXTRA_SETUPS = 1000  # the concurrency limit may grow to so many more than there are balancers
-MIN_WAIT_TICKS = 2  # with less time left than that a request is rejected at once
+EXTRA_SETUPS = 1000  # the concurrency limit is at most the number of balancers plus this
+MIN_WAIT_TICKS = 2  # with no more time left than that a request is rejected instead of queued
 
 
 class RequestLifecycle:
@@ -29,7 +29,7 @@
         outlier_detection: OutlierDetection,
         tick_timer: TickTimer,
     ) -> None:
-        """`requests` holds what this component sees through."""
+        """`requests` holds the requests that this component places and answers."""
         self._context = context
         self._requests = requests
         self._selection = selection
@@ -38,7 +38,7 @@
         self.concurrency_limit = ConcurrencyLimit()
 
     def place(self, pending: PendingRequest) -> None:
-        """Send the next attempt, wait for a chance or give the final answer."""
+        """Send the next attempt, queue the request, or give the final answer."""
         context = self._context
         if not retry_policy.may_attempt(pending, context.now, context.settings.connect_timeout_ns):
             self.reject(pending)
@@ -53,14 +53,14 @@
             self._send(pending, endpoint)
 
     def retry_waiting(self) -> None:
-        """Place the requests that wait, oldest first; those that must wait on keep their order."""
+        """Place the queued requests, oldest first; those that must wait longer keep their order."""
         for request_id in self._requests.take_waiting():
             pending = self._requests.get(request_id)
             if pending is not None and pending.endpoint is None:
                 self.place(pending)
 
     def reject(self, pending: PendingRequest) -> None:
-        """Answer that it was not served; with a time to retry after, where a retry is harmless."""
+        """Give the final answer: rejected if a retry by the client is harmless and in time, else failed."""
         now = self._context.now
         retry_after_ns = self._context.settings.max_retry_after_ns
         is_harmless = retry_policy.client_may_retry(pending, now + retry_after_ns)
@@ -82,7 +82,7 @@
         )
 
     def handle_attempt_ended(self, pending: PendingRequest, endpoint: Endpoint, event: AttemptEnded) -> None:
-        """An attempt or a connection on `endpoint` ended: answer or try again, unless the request is over."""
+        """An attempt or a connection on `endpoint` ended: answer or retry, unless the request is over."""
         if event.outcome in SETUP_FAILURES and not pending.is_established:
             self.record_setup(pending, event.elapsed_ns, has_failed=True)
         if event.closed or pending.is_established:
@@ -114,7 +114,7 @@
         context.emit(Send(request_id, endpoint.id, timeout_ns))
 
     def _wait(self, pending: PendingRequest) -> None:
-        """Wait for a chance; where no endpoint may have one, or it would come too late, reject at once."""
+        """Queue the request; reject it at once where no endpoint could serve it before its deadline."""
         shortest_ns = max(MIN_WAIT_TICKS * self._context.tick_ns, self._selection.wait_ns())
         if pending.deadline - self._context.now <= shortest_ns:
             self.reject(pending)
--- a/linnetshift/routing/retry_policy.py
+++ b/linnetshift/routing/retry_policy.py
@@ -1,8 +1,8 @@
 """Whether a request may be attempted again, where, and how long one attempt may take.
 
-An attempt whose end does not prove that it had no effect counts as possibly executed. From then on a request
-that is not idempotent gets no further attempt, and one with an idempotency key only where and while the
-endpoints discard its repeats.
+An attempt whose outcome does not prove that it had no effect counts as possibly executed. From then on a
+request that is not idempotent gets no further attempt, and one with an idempotency key only where, and as
+long as, endpoints discard its repeats.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 def may_attempt(pending: PendingRequest, now: int, connect_timeout_ns: int) -> bool:
-    """Whether one more attempt may be sent now, as far as time and numbers go.
+    """Whether one more attempt may be sent now: in time, and within the number of attempts.
 
-    A repeat counts once its last byte has come, which is after the connection is up.
+    The idempotency window must still be open when the request has arrived, so after the connect timeout.
     """
     request_class = pending.request_class
     if pending.deadline <= now or pending.last_attempt + 1 >= request_class.max_attempts:
@@ -40,10 +40,10 @@
 def attempt_timeout_ns(
     pending: PendingRequest, remaining_ns: int, connect_timeout_ns: int, is_congested: bool
 ) -> int:
-    """How long the next attempt may take.
+    """How long the next attempt may take, in nanoseconds.
 
-    It leaves room for another one, unless what would be left is too short for that or set-ups are slow
-    everywhere. Where one more would come too late to be harmless, all the time that is left serves this one.
+    It leaves time for another attempt after it, unless that would be too short, would miss the idempotency
+    window or exceed the number of attempts, or set-ups are slow everywhere: then it gets all that remains.
     """
     request_class = pending.request_class
     objective_ns = request_class.latency_objective_ns
@@ -62,13 +62,13 @@
 
 
 def record_attempt_end(pending: PendingRequest, endpoint: Endpoint, outcome: int, sent_at: int) -> None:
-    """Remember the first attempt that may have had an effect."""
+    """Record the first attempt that may have had an effect."""
     if outcome not in NEVER_RAN and pending.possibly_executed_on is None:
         pending.possibly_executed_on = endpoint
         pending.possibly_executed_at = sent_at
 
 
 def is_error_of_request(pending: PendingRequest) -> bool:
-    """Whether so many endpoints that work otherwise answered with an error that another would do the same."""
+    """Whether so many endpoints that otherwise work returned an error that the request is the cause."""
     working = sum(not endpoint.returns_errors() for endpoint in pending.endpoints_that_erred)
     return working >= MAX_ERRORS
--- a/linnetshift/routing/settings.py
+++ b/linnetshift/routing/settings.py
@@ -15,9 +15,9 @@
 from linnetshift.routing.settings_reader import SettingsError, SettingsReader, number_or
 
 CROSS_ZONE_COST_SCALE = 0.056
-"""The price of crossing data centres at which an endpoint of another one has 1/e of its weight.
+"""The price of crossing data centres, in requests, at which an endpoint of another one has 1/e of its weight.
 
-Measured once, where a crossing costs 0.13 of a request: a tenth of the weight served best there.
+Measured where a crossing costs 0.13 of a request: a tenth of the weight, as this scale gives, served best.
 """
 
 DEFAULT_MUST_POLL_WITHIN_NS = 10_000_000_000
@@ -67,13 +67,13 @@
 
     Attributes:
         name: What configuration files and log lines call it.
-        latency_objective_ns: The answer earns its full worth within this time.
+        latency_objective_ns: Within this time an answer earns its full priority weight.
         deadline_ns: How long a client waits in all, over all its attempts.
         message_latency_objective_ns: How long a message may take on an established connection.
         effect: What a second execution would do.
         scope: Where repeats are discarded; matters with `Effect.IDEMPOTENT_BY_KEY` only.
-        idempotency_window_ns: And for how long, from the send of the first attempt that may have executed.
-        priority_weight: Worth of a request, relative to other classes.
+        idempotency_window_ns: For how long they are, from the send of the first possibly executed attempt.
+        priority_weight: What a request counts, relative to other classes.
         max_attempts: Attempts that may be made for one request.
     """
 
@@ -138,8 +138,8 @@
         drain_grace_ns: An endpoint may get attempts until this long after notice that it drains or is gone.
         initial_capacity_share: Share of its capacity that an endpoint has at its start, 0 to 1.
         warm_up_ns: Age at which it has all of it.
-        overload_multiple: An endpoint that warms up fails when sent more than this multiple of its capacity
-        overload_window_ns: over this time; 0 where a site has no such rule.
+        overload_multiple: An endpoint that warms up fails when sent more than this multiple of its capacity.
+        overload_window_ns: The time over which that is counted; 0 where a site has no such rule.
         connect_timeout_ns: After this a connection attempt has failed.
         parallel_attempts: Whether a request may have two attempts in flight.
         may_health_check: Whether `HealthCheck` may be used.
@@ -148,7 +148,7 @@
         max_retry_after_ns: Longest retry-after that clients obey; 0 where they get none.
         weights_are_sizes: Whether weights are sizes in standard cores; live ones fall under load.
         pass_through: Whether packets of a connection may arrive at another proxy than the one that placed it.
-        over_share_weight: Worth of a request beyond its tenant's share, as a fraction of its class's.
+        over_share_weight: What a request beyond its tenant's share counts, as a fraction of the weight.
         report_columns: Names of the values of a load report, in order.
         reports_message_time: Whether notes of message times are sent.
         step_ns: Shortest time between two batches of events.
@@ -236,15 +236,16 @@
     def numbered_after(self, former: Settings, in_use: Collection[int] | None = None) -> Settings:
         """Return these settings with the class numbers of `former`, which they replace.
 
-        A class whose rules are new gets a number of its own. Numbers neither offered any more nor `in_use`
-        (None: all are) are given anew, or each reload with other rules would leave a class behind for good.
+        A class whose rules are new gets a number of its own. Numbers that are neither offered any more nor
+        `in_use` (None: all are) are reused, or each reload with other rules would leave a class behind for
+        good.
         """
         classes = list(former.classes)
-        kept = {classes.index(offered) for offered in self.classes if offered in classes}
+        offered_numbers = {classes.index(offered) for offered in self.classes if offered in classes}
         used = range(len(classes)) if in_use is None else in_use
-        free = [number for number in range(len(classes)) if number not in kept and number not in used]
+        free = [n for n in range(len(classes)) if n not in offered_numbers and n not in used]
         for offered in self.classes:
-            if offered in (classes[number] for number in kept):
+            if offered in (classes[number] for number in offered_numbers):
                 continue
             if free:
                 number = free.pop(0)
@@ -252,13 +253,13 @@
             else:
                 number = len(classes)
                 classes.append(offered)
-            kept.add(number)
+            offered_numbers.add(number)
         numbers = tuple(classes.index(offered) for offered in self.classes)
         return replace(self, classes=tuple(classes), offered_numbers=numbers)
 
 
 class _MessageObjectives(NamedTuple):
-    """Objectives for the time of a message on an established connection, as sent by the site."""
+    """Objectives for the time of a message on an established connection, as the site gives them."""
 
     values: list[Any]  # one for each class, in nanoseconds; some sites send fewer, or nulls
     shortest_ns: int
@@ -287,7 +288,7 @@
     for index, values in enumerate(reader.required_list("services")):
         service = SettingsReader(values, f"services[{index}].")
         classes.append(_read_class(service, index, objectives, max_attempts))
-    if len({each.name for each in classes}) < len(classes):
+    if len({request_class.name for request_class in classes}) < len(classes):
         raise SettingsError("settings key 'services' names a class twice")
     if not classes:
         raise SettingsError("settings key 'services' must name at least one class")
--- a/linnetshift/routing/settings_reader.py
+++ b/linnetshift/routing/settings_reader.py
@@ -1,7 +1,7 @@
 """Typed look-ups in the settings object, with errors that name the path of the value.
 
 The settings are JSON, already parsed. Their keys and units are listed under "Read your settings" in the
-simulator's wire protocol; this module knows none of them, only how one is read and what is said of a bad one.
+simulator's wire protocol; this module knows none of them, only how values are read and errors worded.
 """
 
 from __future__ import annotations
--- a/linnetshift/routing/slow_start.py
+++ b/linnetshift/routing/slow_start.py
@@ -1,11 +1,11 @@
 """Slow start: how many requests all balancers together may place at endpoints that warm up.
 
-A fleet's budget at a warming endpoint over its number of balancers is far less than one connection in the
-time that the budget is counted over. Balancers that each saved up for a whole one had it when no request
-came, and warming endpoints were idle beside overloaded ones. So a balancer's budget is counted in requests
-that *may* go to a warming endpoint, and which of those does is a draw by the endpoint's share of the whole
-fleet. That part of the traffic which goes to an endpoint is then the same at every balancer, however uneven
-their traffic, and the sums are bounded without any message between them.
+The fleet's budget for a warming endpoint, divided by the number of balancers, is far less than one connection
+in the time that the budget is counted over. Balancers that each saved up for a whole connection had the
+budget when no request came, and warming endpoints were idle beside overloaded ones. So a balancer's tokens
+are for requests that *may* go to a warming endpoint; whether one does, and to which, is drawn by the
+endpoints' shares of the fleet's capacity. The part of the traffic that goes to an endpoint is then the same
+at every balancer, however uneven their traffic, and its sum is bounded without any message between them.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from linnetshift.util.decaying_counter import DecayingCounter
 from linnetshift.util.token_bucket import TokenBucket
 
-# Share of rule 4's budget for placements; the rest is for chance and heavy connections.
+# Share of rule 4's budget that placements use; the rest allows for chance and heavy connections.
 BUDGET_SHARE = 0.5
-# Endpoints are about so full where no load is known: a fleet nearer its sum would fail at any fault.
+# Assumed load of a fleet that reports none: with less in reserve it would not survive any fault.
 ASSUMED_LOAD = 0.7
-# What may be saved up, in windows of rule 4: a wave may find all balancers with that much at hand.
+# Capacity of the token bucket, in windows of rule 4: a wave may find every balancer's bucket full.
 BURST_WINDOWS = 1.0
 ARRIVAL_WINDOW_NS = 10_000_000_000  # over which the rate of first arrivals is measured
 
@@ -32,25 +32,24 @@
 
 
 def _empty_bucket(now: int = 0) -> TokenBucket:
-    """It starts empty, so that a process that is killed and restarted gains nothing by it."""
+    """An empty bucket, so that a process that is killed and restarted gains no tokens by it."""
     return TokenBucket(rate_per_s=0.0, capacity=0.0, level=0.0, refilled_at_ns=now)
 
 
 @dataclass(slots=True)
 class SlowStart:
-    """A balancer's part of what warming endpoints bear.
+    """A balancer's part of the requests that warming endpoints may get.
 
-    State: the tokens, the rate at which they come, the warming endpoints' shares and the rate of first
-    arrivals.
+    State: the tokens and their rate, the warming endpoints' shares, and the rate of first arrivals.
     """
 
     token_bucket: TokenBucket = field(default_factory=_empty_bucket)
     tokens_per_s: float = 0.0
-    shares: dict[bytes, float] = field(default_factory=dict)  # of the tokens, by warming endpoint
+    shares: dict[bytes, float] = field(default_factory=dict)  # of the fleet's capacity, by warming endpoint
     first_arrivals_per_s: DecayingCounter = field(default_factory=_arrival_counter)
 
     def record_established(self, now: int) -> None:
-        """Count a first arrival; a returning wave or a storm of retries says nothing of capacity."""
+        """Count a first arrival; waves of returning clients or retries say nothing of capacity."""
         self.first_arrivals_per_s.add(now, 1e9 / ARRIVAL_WINDOW_NS)
 
     def draw(self, now: int, window_ns: int, random: Callable[[], float]) -> bytes | None:
@@ -73,31 +72,34 @@
         return None
 
     def wait_ns(self, endpoints: Collection[bytes], requests_ahead: int) -> float:
-        """How long until a request behind so many others gets a token for one of these endpoints."""
-        rate = self.tokens_per_s * sum(self.shares.get(endpoint, 0.0) for endpoint in endpoints)
-        missing = max(0.0, requests_ahead + 1 - self.token_bucket.level)
-        return missing / rate * 1e9 if rate > 0.0 else math.inf
+        """Nanoseconds until a request behind so many others gets a token for one of these endpoints."""
+        useful_tokens_per_s = self.tokens_per_s * sum(
+            self.shares.get(endpoint, 0.0) for endpoint in endpoints
+        )
+        missing_tokens = max(0.0, requests_ahead + 1 - self.token_bucket.level)
+        return missing_tokens / useful_tokens_per_s * 1e9 if useful_tokens_per_s > 0.0 else math.inf
 
 
 def token_rate(
     settings: Settings, first_arrivals_per_s: float, established: int, capacity: float, endpoints: int
 ) -> float:
-    """How many requests a second one balancer may draw for warming endpoints.
+    """How many tokens a second one balancer gets for warming endpoints.
 
-    What fills the fleet, over the warm-up, fills a warming endpoint in that time. A balancer's part is
-    `capacity`, connections by the loads that were reported, else what is established through it; its first
-    arrivals may be more. Where nothing is known yet, as if all balancers sent each endpoint one connection in
-    the time that rule 4 counts over.
+    The rate that would fill the whole fleet within the warm-up time fills a warming endpoint in that time. A
+    balancer's part of the fleet is `capacity`, in connections by the loads that were reported, or what is
+    `established` through it if more; with `capacity` 0.0, for none reported, that over ASSUMED_LOAD. A higher
+    rate of first arrivals is taken instead. The rate is at least that of all balancers together sending each
+    of the `endpoints` one connection in the window of rule 4.
     """
     connections = max(established, capacity) if capacity else established / ASSUMED_LOAD
     fill_per_s = connections * 1e9 / settings.warm_up_ns
     window_ns = settings.overload_window_ns or settings.warm_up_ns
-    least = endpoints * 1e9 / window_ns / settings.balancers
-    return BUDGET_SHARE * max(max(first_arrivals_per_s, fill_per_s) * settings.overload_multiple, least)
+    min_per_s = endpoints * 1e9 / window_ns / settings.balancers
+    return BUDGET_SHARE * max(max(first_arrivals_per_s, fill_per_s) * settings.overload_multiple, min_per_s)
 
 
 def warm_up_factor(settings: Settings, started_at: int, now: int) -> float:
-    """The share of its capacity that an endpoint surely has; `started_at` 0: it has long been up."""
+    """The share of its capacity that an endpoint is certain to have; `started_at` 0: it started long ago."""
     age = (now - started_at) / settings.warm_up_ns if started_at else 1.0
     if age >= 1.0:
         return 1.0
--- a/linnetshift/routing/snapshot.py
+++ b/linnetshift/routing/snapshot.py
@@ -1,7 +1,8 @@
 """What a balancer has learned, in the form that a process hands to its successor.
 
-The stored keys are those of the first version, whatever the attributes are called today, so that two versions
-can hand over to each other. A value of another type is another version's: it is left out and the rest taken.
+The stored keys are those of the first version, whatever the attributes are called today, so that any two
+versions can hand over to each other. A value of an unexpected type is taken for another version's: it is left
+out and the rest is imported.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class StoredValues:
-    """Reads one section of a stored state and notes the keys whose values are of another type."""
+    """Reads one section of a stored state and collects the keys whose values have another type."""
 
     def __init__(self, section: str, values: Mapping[str, Any], rejected: list[str]) -> None:
         """`section` names these `values` in the keys appended to `rejected`, as `section.key`."""
@@ -77,7 +78,7 @@
     }
     rejected: list[str] = []
     _import_node(balancer, StoredValues("node", state["node"], rejected))
-    # An earlier version kept the following sections elsewhere.
+    # An earlier version stored the following sections elsewhere, so they may be missing.
     _import_concurrency_limit(balancer, StoredValues("window", state.get("window", {}), rejected))
     _import_slow_start(balancer, StoredValues("slow_start", state.get("slow_start", {}), rejected))
     _import_token_bucket(balancer, StoredValues("bucket", state.get("bucket", {}), rejected))
--- a/linnetshift/routing/unresponsive_endpoints.py
+++ b/linnetshift/routing/unresponsive_endpoints.py
@@ -1,7 +1,7 @@
 """Endpoints where no connection can be established, found by what balancers report to each other.
 
-On an unresponsive endpoint connections get no answer and no reset until the list knows, seconds later. Each
-balancer fails to connect there only rarely, so that it takes the reports of two to be sure.
+On an unresponsive endpoint connections get neither an answer nor a reset until the endpoint list changes,
+seconds later. Each balancer connects there only rarely, so two reports, from any balancers, are enough.
 """
 
 from __future__ import annotations
@@ -16,16 +16,19 @@
 """Opens a message to peers: this balancer could not connect to the endpoint whose id follows."""
 
 REPORT_TTL_NS = 5_000_000_000
-MIN_REPORTERS = 2  # a balancer's own second failure counts as one more
+MIN_REPORTERS = 2  # a second failure of this balancer itself counts as another reporter
 
 
 class UnresponsiveEndpoints:
-    """Counts reports and lets connections leave. State: the `unresponsive_reports` of the endpoints."""
+    """Counts reports; with enough of them ejects the endpoint and migrates its connections.
+
+    State: the `unresponsive_reports` of the endpoints.
+    """
 
     def __init__(
         self, context: RoutingContext, outlier_detection: OutlierDetection, migration: Migration
     ) -> None:
-        """What it tells when an endpoint is found unresponsive."""
+        """The components that act on an unresponsive endpoint."""
         self._context = context
         self._outlier_detection = outlier_detection
         self._migration = migration
@@ -33,16 +36,17 @@
     def handle_connect_failure(self, endpoint: Endpoint) -> None:
         """Count this balancer's own failure and report it to the peers, unless that is known already."""
         settings = self._context.settings
-        own = settings.node
+        own_number = settings.node
         reports = endpoint.unresponsive_reports
         recent = sum(self._context.now - at < REPORT_TTL_NS for at in reports.values())
-        if settings.may_message_peers and recent < MIN_REPORTERS and own not in reports:
+        if settings.may_message_peers and recent < MIN_REPORTERS and own_number not in reports:
             self._context.emit(SendPeerMessage(ALL_PEERS, UNRESPONSIVE_MESSAGE + endpoint.id))
-        # No balancer has that number: it is the key of this one's second failure.
-        self.handle_report(endpoint, settings.balancers if own in reports else own)
+        # Balancers are numbered from 0, so their count stands for this one's second failure.
+        second_own_number = settings.balancers
+        self.handle_report(endpoint, second_own_number if own_number in reports else own_number)
 
     def handle_report(self, endpoint: Endpoint, reporter: int) -> None:
-        """Count the report of a balancer, given by its number; it counts once."""
+        """Count the report of the balancer with that number; each balancer counts once."""
         now = self._context.now
         since = max(now - REPORT_TTL_NS, endpoint.last_established_at)
         recent = {peer: at for peer, at in endpoint.unresponsive_reports.items() if at > since}
--- a/linnetshift/simulation/adapter.py
+++ b/linnetshift/simulation/adapter.py
@@ -40,15 +40,15 @@
             try:
                 actions = self._run_instance(number, now_ns, events)
             except Exception as error:  # noqa: BLE001
-                # The edge that contains an instance's fault: whatever its decisions raise, the simulator has
-                # to learn which instance failed and why, and one that dies silently tells neither.
+                # Faults of an instance are contained here: whatever its decisions raise, the simulator has to
+                # learn which instance failed and why.
                 fault = InstanceFault(number, f"{type(error).__name__}: {error}")
                 return encode_reply(replies, fault)
             replies.append((number, actions))
         return encode_reply(replies)
 
     def _run_instance(self, number: int, now_ns: int, events: Iterable[WireEvent]) -> list[Action]:
-        """Hand an instance its events in one step; those for one that does not live are void."""
+        """Hand an instance its events in one step; events for one that does not run are ignored."""
         pending: list[Event] = []
         for event in events:
             if isinstance(event, Create | Halt):
@@ -63,7 +63,7 @@
         return []
 
     def _stop(self, number: int, now_ns: int, pending: list[Event]) -> None:
-        """End an instance, if it lives, after its last events; the actions on these are lost with it."""
+        """End an instance, if it runs, after its last events; their actions are discarded."""
         balancer = self._instances.get(number)
         if balancer is not None:
             balancer.step(now_ns, pending)
--- a/linnetshift/simulation/batch_decoder.py
+++ b/linnetshift/simulation/batch_decoder.py
@@ -45,8 +45,7 @@
 FLOAT_BYTES = 4
 """Size of one value of a load report."""
 
-# A plain number for the code that is met in each frame: a look-up in the enumeration costs more than the
-# comparison.
+# As a plain number, since it is compared with for each record: a look-up in the enumeration costs more.
 _SELECT_INSTANCE_EVENT = int(EventCode.SELECT_INSTANCE)
 
 _U32 = Struct(">I")
@@ -206,7 +205,7 @@
 
 
 def _decode_unknown(frame: bytes, offset: int) -> NoReturn:
-    """Refuse a code that this version does not know: its length is unknown too."""
+    """Reject a code that this version does not know, as the length of its record is unknown too."""
     raise WireError(f"unknown event code {frame[offset - 1]}")
 
 
--- a/linnetshift/simulation/reply_encoder.py
+++ b/linnetshift/simulation/reply_encoder.py
@@ -30,7 +30,7 @@
 REPLY_HEADER = Struct(">I")
 """Bytes of the frame, this field included."""
 
-# A plain number for the code that is written for each instance: a look-up in the enumeration costs more.
+# As a plain number, since it is written for each instance: a look-up in the enumeration costs more.
 _SELECT_INSTANCE_ACTION = int(ActionCode.SELECT_INSTANCE)
 
 _SELECT_INSTANCE = Struct(">BI")
@@ -51,15 +51,15 @@
     """Encode one reply frame from the actions by instance; instances without actions take no room."""
     reply = bytearray(REPLY_HEADER.size)
     for instance, actions in replies:
-        start = len(reply)
+        instance_start = len(reply)
         reply += _SELECT_INSTANCE.pack(_SELECT_INSTANCE_ACTION, instance)
-        empty = len(reply)
+        actions_start = len(reply)
         for action in actions:
             code, encode = _ENCODERS[type(action)]
             reply.append(code)
             reply += encode(action)
-        if len(reply) == empty:
-            del reply[start:]
+        if len(reply) == actions_start:
+            del reply[instance_start:]
     if fault is not None:
         reply += _SELECT_INSTANCE.pack(_SELECT_INSTANCE_ACTION, fault.instance)
         reply.append(ActionCode.FAULT)
@@ -123,7 +123,7 @@
 
 
 def _encode_fetch_list(_action: FetchList) -> bytes:
-    """Encode no field, as there is none."""
+    """Encode nothing: there are no fields."""
     return b""
 
 
--- a/linnetshift/simulation/wire.py
+++ b/linnetshift/simulation/wire.py
@@ -1,7 +1,7 @@
 """What is on the simulator's wire: codes of the records, messages beside events and actions, limits.
 
-Source: the simulator's wire protocol ("Read, decide, reply", "Handle these", "Send these"). The names that it
-has for the records stand behind the codes.
+Source: the simulator's wire protocol ("Read, decide, reply", "Handle these", "Send these"). Where
+its name for a record differs, the comment behind the code has it.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 LENGTH_BYTES = 4
 """Size of the field that opens a frame: the bytes of the whole frame, this field included."""
 MAX_FRAME_BYTES = 1 << 30
-"""Far above any batch (they can be megabytes long): a greater length is taken for garbage in the input."""
+"""Far above any batch (they can be megabytes long): a greater length means that the input is malformed."""
 MAX_TEXT_BYTES = 0xFFFF
 """Texts carry a length of two bytes; longer ones are cut."""
 
 
 class WireError(ValueError):
-    """A frame that breaks the wire's rules; where the next one begins is unknown, so the process ends."""
+    """A frame that breaks the wire's rules; as the start of the next one is unknown, the process ends."""
 
 
 class Create(NamedTuple):
@@ -31,7 +31,7 @@
 
 
 class Halt(NamedTuple):
-    """An instance is killed; all that it knew is void."""
+    """An instance is killed and loses all its state."""
 
 
 WireEvent = Event | Create | Halt
@@ -40,8 +40,8 @@
 InstanceEvents = tuple[int, list[WireEvent]]
 """Number of an instance, and its events that follow each other in a batch, in order of arrival.
 
-A plain pair: with named tuples for this and for the batch, decoding recorded batches took over a fifth longer
-in a trial.
+A plain pair: with named tuples for this and for the batch, decoding recorded batches took over 20% longer in
+a trial.
 """
 
 
