--- a/linnetshift/routing/endpoints.py
+++ b/linnetshift/routing/endpoints.py
@@ -17,6 +17,9 @@
 MAX_ERRORS = 2
 """Errors from this many endpoints are the request's fault; to this many requests in a row, the endpoint's."""
 
+SLOW_DIVISOR = 3
+"""Messages are slow from a third of their latency objective on."""
+
 LATENCY_REPORT_TTL_NS = 2_500_000_000
 """How long an endpoint counts as slow after a report; they come each second, two in a row may get lost."""
 
@@ -82,7 +85,7 @@
         """Whether messages here are slow for that class: a third of its objective or more, or unknown."""
         return (
             now < self.over_objective_until
-            and not 0 < self.message_latency_ns * 3 < request_class.message_latency_objective_ns
+            and not 0 < self.message_latency_ns * SLOW_DIVISOR < request_class.message_latency_objective_ns
         )
 
     def returns_errors(self) -> bool:
--- a/linnetshift/routing/health_checks.py
+++ b/linnetshift/routing/health_checks.py
@@ -25,6 +25,7 @@
 LOAD_COLUMN = "x0"
 CONNECTIONS_COLUMN = "outstanding"
 NO_COLUMN = -1
+OVERDUE_TICKS = 2  # a health check without a result for longer makes its endpoint an avoided one
 
 
 class HealthChecks:
@@ -85,7 +86,7 @@
         now = self._context.now
         if now - endpoint.load_reported_at < AVOID_LOADED_NS and self._current_load(endpoint) >= MAX_LOAD:
             return True
-        return 0 < endpoint.health_check_sent_at < now - 2 * self._context.tick_ns
+        return 0 < endpoint.health_check_sent_at < now - OVERDUE_TICKS * self._context.tick_ns
 
     def is_load_report_current(self, endpoint: Endpoint) -> bool:
         """Whether the latest report is recent enough to decide by."""
@@ -124,23 +125,33 @@
         sent_at = endpoint.health_check_sent_at
         endpoint.health_check_sent_at = 0
         if event.outcome != Outcome.OK:
-            if event.outcome != Outcome.FULL:  # too many checks at once say nothing of the endpoint
-                is_overload = event.outcome != Outcome.CONNECT_FAILED
-                self._outlier_detection.record_failure(endpoint, is_overload)
+            self._record_failure(endpoint, event.outcome)
             return 0.0
-        now = self._context.now
-        endpoint.load_reported_at = now  # a result without a load still shows that it answers, and how fast
-        if event.elapsed_ns * 3 >= self._context.message_latency_objective_ns * 2 > 0:
-            endpoint.over_objective_until = now + LATENCY_REPORT_TTL_NS
-            endpoint.message_latency_ns = event.elapsed_ns // 2
+        # A result without a load still shows that the endpoint answers, and how fast.
+        endpoint.load_reported_at = self._context.now
+        self._record_latency(endpoint, event.elapsed_ns)
         is_complete = len(event.report) == len(self._context.settings.report_columns)
         if sent_at < endpoint.started_at or not is_complete:
             return 0.0
         return self._take_report(endpoint, event.report)
 
+    def _record_failure(self, endpoint: Endpoint, outcome: int) -> None:
+        if outcome != Outcome.FULL:  # too many checks at once say nothing of the endpoint
+            is_overload = outcome != Outcome.CONNECT_FAILED
+            self._outlier_detection.record_failure(endpoint, is_overload)
+
+    def _record_latency(self, endpoint: Endpoint, elapsed_ns: int) -> None:
+        """From two thirds of the message objective on, messages there count as slow."""
+        if elapsed_ns * 3 >= self._context.message_latency_objective_ns * 2 > 0:
+            endpoint.over_objective_until = self._context.now + LATENCY_REPORT_TTL_NS
+            endpoint.message_latency_ns = elapsed_ns // 2
+
     def _take_report(self, endpoint: Endpoint, report: tuple[float, ...]) -> float:
-        load = report[self._load_column] if self.reports_load else -1.0
-        if not 0.0 <= load < MAX_REPORTED_LOAD:
+        """Record load and connections; returns the share of this balancer's connections to migrate."""
+        if not self.reports_load:
+            return 0.0
+        load = report[self._load_column]
+        if not 0.0 <= load < MAX_REPORTED_LOAD:  # also where it is NaN
             return 0.0
         connections = report[self._connections_column] if self._connections_column != NO_COLUMN else 0.0
         if load != endpoint.load:
--- a/linnetshift/routing/load_shedding.py
+++ b/linnetshift/routing/load_shedding.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from linnetshift.routing.context import RoutingContext
-from linnetshift.routing.endpoints import EndpointTable
+from linnetshift.routing.endpoints import Endpoint, EndpointTable
 from linnetshift.routing.events import AdoptedConnection, EndpointState, Request
 from linnetshift.routing.pending_requests import key_hash
 from linnetshift.routing.rendezvous_hashing import MASK, mix64
@@ -73,12 +73,18 @@
         now = self._context.now
         if not self.load_shedding.is_review_due(now):
             return
-        # One of many balancers uses few endpoints: that those are slow says nothing of the rest.
-        used = [e for e in self._endpoints.values() if e.established or e.state == EndpointState.READY]
+        endpoints = self._reviewed_endpoints()
+        over_objective = sum(now < endpoint.majority_over_objective_until for endpoint in endpoints)
+        self.load_shedding.review(now, over_objective, len(endpoints))
+
+    def _reviewed_endpoints(self) -> list[Endpoint]:
+        """Endpoints that are warm and ready or in use; those that warm up only where no other is left."""
+        # One of many balancers uses few endpoints: that those are slow says nothing of the others, so ready
+        # ones count without connections too.
+        in_use = [e for e in self._endpoints.values() if e.established or e.state == EndpointState.READY]
         # That an endpoint is slow while it warms up passes by itself.
-        used = [e for e in used if not self._endpoints.is_warming_up(e)] or used
-        over_objective = sum(now < endpoint.majority_over_objective_until for endpoint in used)
-        self.load_shedding.review(now, over_objective, len(used))
+        warm = [e for e in in_use if not self._endpoints.is_warming_up(e)]
+        return warm or in_use
 
     def admits(self, request: Request | AdoptedConnection) -> bool:
         """Whether that request, or its connection, is admitted."""
--- a/linnetshift/routing/message_latency.py
+++ b/linnetshift/routing/message_latency.py
@@ -6,7 +6,7 @@
 
 from linnetshift.routing.actions import ALL_PEERS, SendPeerMessage
 from linnetshift.routing.context import RoutingContext
-from linnetshift.routing.endpoints import LATENCY_REPORT_TTL_NS, Endpoint
+from linnetshift.routing.endpoints import LATENCY_REPORT_TTL_NS, SLOW_DIVISOR, Endpoint
 from linnetshift.routing.health_checks import HealthChecks
 from linnetshift.routing.load_shedding import AdmissionControl
 from linnetshift.routing.migration import Migration
@@ -50,7 +50,7 @@
     def handle_report(self, endpoint: Endpoint, latency_ns: int) -> None:
         """A message to that endpoint took `latency_ns`, as the broker measured or estimated it."""
         context = self._context
-        is_slow = latency_ns * 3 >= context.message_latency_objective_ns
+        is_slow = latency_ns * SLOW_DIVISOR >= context.message_latency_objective_ns
         endpoint.over_objective_until = context.now + LATENCY_REPORT_TTL_NS if is_slow else 0
         endpoint.message_latency_ns = latency_ns
         self._notify_peers(endpoint)
--- a/linnetshift/routing/migration.py
+++ b/linnetshift/routing/migration.py
@@ -75,27 +75,27 @@
         `share` gives how many by the objective of their class: those that are served in time there stay.
         While the endpoint `misses_objectives` for most, connections that are not admitted go first.
         """
-        not_admitted: list[PendingRequest] = []
-        if misses_objectives:
-            established = endpoint.established.values()
-            not_admitted = [pending for pending in established if not self._admission.admits(pending.request)]
+        not_admitted = self._not_admitted(endpoint) if misses_objectives else []
+        # Rounded up or down at random, here and below, so that small shares migrate some in the long run.
         count = int(len(endpoint.established) * SHED_STEP + self._context.random.random())
         for pending in not_admitted[:count]:
             self.migrate(pending, endpoint)
         # While most endpoints are slow and more can be shed, no endpoint is better. Otherwise admitted
         # connections must migrate too, or the overload of their endpoint would last.
         load_shedding = self._admission.load_shedding
-        if not_admitted or (
-            misses_objectives and load_shedding.is_congested and not load_shedding.is_at_minimum
-        ):
-            return
-        self._migrate_heaviest(endpoint, share)
+        is_shedding = load_shedding.is_congested and not load_shedding.is_at_minimum
+        if not not_admitted and not (misses_objectives and is_shedding):
+            self._migrate_heaviest(endpoint, share)
 
     def migrate(self, pending: PendingRequest, endpoint: Endpoint) -> None:
         """Migrate one connection, which no longer counts as established there."""
         endpoint.remove_established(pending)
         self._context.emit(Migrate(pending.request.request_id))
 
+    def _not_admitted(self, endpoint: Endpoint) -> list[PendingRequest]:
+        established = endpoint.established.values()
+        return [pending for pending in established if not self._admission.admits(pending.request)]
+
     def _migrate_heaviest(self, endpoint: Endpoint, share: ShareToMigrate) -> None:
         shares = {
             pending: share(pending.request_class.message_latency_objective_ns)
--- a/linnetshift/routing/pending_requests.py
+++ b/linnetshift/routing/pending_requests.py
@@ -120,7 +120,8 @@
         if endpoint is None:
             return
         endpoint.in_flight -= 1
-        self.setups_in_flight -= not pending.is_established
+        if not pending.is_established:
+            self.setups_in_flight -= 1
         endpoint.remove_established(pending)
         if endpoint.half_open_request == pending.request.request_id:
             endpoint.half_open_request = NO_REQUEST
--- a/linnetshift/routing/ranking.py
+++ b/linnetshift/routing/ranking.py
@@ -17,7 +17,7 @@
 from linnetshift.routing.events import EndpointState
 from linnetshift.routing.group_affinity import GroupSizeEstimator
 from linnetshift.routing.rendezvous_hashing import MASK, endpoint_hash, rank
-from linnetshift.routing.slow_start import SlowStart, token_rate
+from linnetshift.routing.slow_start import NS_PER_S, SlowStart, token_rate
 
 if TYPE_CHECKING:
     import numpy.typing as npt
@@ -100,7 +100,8 @@
 
     def _stepped_warm_up_factor(self, endpoint: Endpoint) -> float:
         factor = self._endpoints.warm_up_factor(endpoint)
-        return int(factor * WARM_UP_STEPS) / WARM_UP_STEPS or 1 / WARM_UP_STEPS
+        steps = int(factor * WARM_UP_STEPS) or 1  # a weight of 0 would have no inverse
+        return steps / WARM_UP_STEPS
 
     def _zone_weights(self, listed: list[Endpoint]) -> npt.NDArray[np.float64]:
         """Factor of each endpoint's weight by its zone.
@@ -141,4 +142,5 @@
             if pending.load_ns_per_s
         ]
         if loads:
-            self.connections_per_weight = 1e9 * len(loads) / sum(loads)
+            # A standard core does NS_PER_S of work a second; this is that over the mean load of a connection.
+            self.connections_per_weight = NS_PER_S * len(loads) / sum(loads)
--- a/linnetshift/routing/slow_start.py
+++ b/linnetshift/routing/slow_start.py
@@ -24,6 +24,7 @@
 ASSUMED_LOAD = 0.7
 # Capacity of the token bucket, in windows of rule 4: a wave may find every balancer's bucket full.
 BURST_WINDOWS = 1.0
+NS_PER_S = 1e9
 ARRIVAL_WINDOW_NS = 10_000_000_000  # over which the rate of first arrivals is measured
 
 
@@ -50,21 +51,27 @@
 
     def record_established(self, now: int) -> None:
         """Count a first arrival; waves of returning clients or retries say nothing of capacity."""
-        self.first_arrivals_per_s.add(now, 1e9 / ARRIVAL_WINDOW_NS)
+        self.first_arrivals_per_s.add(now, NS_PER_S / ARRIVAL_WINDOW_NS)
 
     def draw(self, now: int, window_ns: int, random: Callable[[], float]) -> bytes | None:
-        """The warming endpoint that one more request goes to, if any."""
+        """The warming endpoint that one more request goes to, if any; takes a token where there is one.
+
+        `random` returns a float of 0 to 1, and is called once for the token and once for the endpoint.
+        """
         if not self.shares:
             self.token_bucket = _empty_bucket(now)  # nothing is saved up for when the first starts
             return None
         bucket = self.token_bucket
         bucket.rate_per_s = self.tokens_per_s
-        bucket.capacity = self.tokens_per_s * window_ns / 1e9 * BURST_WINDOWS
+        bucket.capacity = self.tokens_per_s * window_ns / NS_PER_S * BURST_WINDOWS
         bucket.refill(now)
         # Less than a whole token is taken too, and counts as one with that probability.
         if random() >= bucket.take():
             return None
-        position = random()
+        return self._endpoint_at(random())
+
+    def _endpoint_at(self, position: float) -> bytes | None:
+        """The endpoint whose share of 0 to 1 holds `position`; None for the part of the warm endpoints."""
         for endpoint, share in self.shares.items():
             position -= share
             if position < 0.0:
@@ -77,7 +84,7 @@
             self.shares.get(endpoint, 0.0) for endpoint in endpoints
         )
         missing_tokens = max(0.0, requests_ahead + 1 - self.token_bucket.level)
-        return missing_tokens / useful_tokens_per_s * 1e9 if useful_tokens_per_s > 0.0 else math.inf
+        return missing_tokens / useful_tokens_per_s * NS_PER_S if useful_tokens_per_s > 0.0 else math.inf
 
 
 def token_rate(
@@ -92,9 +99,9 @@
     of the `endpoints` one connection in the window of rule 4.
     """
     connections = max(established, capacity) if capacity else established / ASSUMED_LOAD
-    fill_per_s = connections * 1e9 / settings.warm_up_ns
+    fill_per_s = connections * NS_PER_S / settings.warm_up_ns
     window_ns = settings.overload_window_ns or settings.warm_up_ns
-    min_per_s = endpoints * 1e9 / window_ns / settings.balancers
+    min_per_s = endpoints * NS_PER_S / window_ns / settings.balancers
     return BUDGET_SHARE * max(max(first_arrivals_per_s, fill_per_s) * settings.overload_multiple, min_per_s)
 
 
