--- a/linnetshift/routing/settings.py
+++ b/linnetshift/routing/settings.py
@@ -147,7 +147,6 @@
         may_cancel: Whether `Cancel` may be used.
         max_retry_after_ns: Longest retry-after that clients obey; 0 where they get none.
         weights_are_sizes: Whether weights are sizes in standard cores; live ones fall under load.
-        pass_through: Whether packets of a connection may arrive at another proxy than the one that placed it.
         over_share_weight: What a request beyond its tenant's share counts, as a fraction of the weight.
         report_columns: Names of the values of a load report, in order.
         reports_message_time: Whether notes of message times are sent.
@@ -176,7 +175,6 @@
     may_cancel: bool
     max_retry_after_ns: int
     weights_are_sizes: bool
-    pass_through: bool
     over_share_weight: float
     report_columns: tuple[str, ...]
     reports_message_time: bool
@@ -215,7 +213,6 @@
             may_cancel=allowed.required_bool("mayCancel"),
             max_retry_after_ns=_read_max_retry_after_ns(allowed),
             weights_are_sizes=raw.get("weightSource") not in WEIGHT_SOURCES_WITHOUT_SIZE,
-            pass_through=family.values.get("mode") == "pass",
             over_share_weight=reader.optional_number("overShareWorth", 1.0),
             report_columns=tuple(str(name) for name in report.optional_list("columns")),
             reports_message_time=bool(family.values.get("tellsDelay", False)),
