--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -30,9 +30,11 @@
     return changed_settings(changes)
 
 
-def effect(word: str, group: str = "all", **more: Any) -> dict[str, Any]:
+def effect(effect_name: str, group: str = "all", **other_keys: Any) -> dict[str, Any]:
     """Changes to the settings: one service with this effect, and other keys in `more`."""
-    return {"services": [{**raw_settings()["services"][0], "effect": word, "group": group, **more}]}
+    return {
+        "services": [{**raw_settings()["services"][0], "effect": effect_name, "group": group, **other_keys}]
+    }
 
 
 def endpoint(number: int) -> bytes:
@@ -57,17 +59,17 @@
     return Request(number, 0, 0, number + 1000, 0, 0, 0, 2 * S)._replace(**changes)
 
 
-def ended(sent: Send, attempt: int, outcome: int, elapsed: int = 0, closed: bool = False) -> AttemptEnded:
+def ended(sent: Send, attempt: int, outcome: int, elapsed_ns: int = 0, closed: bool = False) -> AttemptEnded:
     """The end of an attempt that was sent, `elapsed` nanoseconds after that."""
-    return AttemptEnded(sent.request_id, attempt, sent.endpoint, closed, elapsed, outcome, ())
+    return AttemptEnded(sent.request_id, attempt, sent.endpoint, closed, elapsed_ns, outcome, ())
 
 
-def balancer(endpoints: int = 8, seed: int = 1, window: float = 1e9, **changes: Any) -> Balancer:
+def balancer(endpoints: int = 8, seed: int = 1, concurrency_limit: float = 1e9, **changes: Any) -> Balancer:
     """A balancer that knows `endpoints` endpoints; the wide limit lets tests place many requests at once."""
-    made = Balancer(Settings.parse(raw_settings(**changes)), seed)
-    made.lifecycle.concurrency_limit.limit = window
-    made.step(1 * S, [listed(*(entry(n) for n in range(endpoints)))])
-    return made
+    new_balancer = Balancer(Settings.parse(raw_settings(**changes)), seed)
+    new_balancer.lifecycle.concurrency_limit.limit = concurrency_limit
+    new_balancer.step(1 * S, [listed(*(entry(n) for n in range(endpoints)))])
+    return new_balancer
 
 
 def only(actions: list[Action], kind: type) -> list[Any]:
--- a/tests/routing_parts.py
+++ b/tests/routing_parts.py
@@ -35,18 +35,18 @@
         self.slow_start = SlowStart()
         self.ranking = EndpointRanking(self.context, self.endpoints, self.slow_start, GroupSizeEstimator())
         self.admission = AdmissionControl(self.context, self.endpoints)
-        self.outliers = OutlierDetection(self.context, self.endpoints)
-        self.health_checks = HealthChecks(self.context, self.endpoints, self.requests, self.outliers)
+        self.outlier_detection = OutlierDetection(self.context, self.endpoints)
+        self.health_checks = HealthChecks(self.context, self.endpoints, self.requests, self.outlier_detection)
         self.selection = EndpointSelection(
             self.context, self.endpoints, self.requests, self.ranking, self.slow_start, self.health_checks
         )
         self.tick_timer = TickTimer(self.context)
         self.migration = Migration(self.context, self.selection, self.admission, self.tick_timer)
         self.lifecycle = RequestLifecycle(
-            self.context, self.requests, self.selection, self.outliers, self.tick_timer
+            self.context, self.requests, self.selection, self.outlier_detection, self.tick_timer
         )
 
-    def at(self, now: int) -> None:
+    def begin_step(self, now: int) -> None:
         """Begin a step at that time."""
         self.context.begin_step(now)
 
@@ -57,15 +57,15 @@
     def pending(self, number: int, **changes: Any) -> PendingRequest:
         """A request that has just arrived."""
         context = self.context
-        made = PendingRequest(
+        pending = PendingRequest(
             request(number, **changes), context.now + 2 * S, 0.0, context.settings.classes[0]
         )
-        self.requests.add(made)
-        return made
+        self.requests.add(pending)
+        return pending
 
-    def connection(self, number: int, where: Endpoint, **changes: Any) -> PendingRequest:
+    def connection(self, number: int, target: Endpoint, **changes: Any) -> PendingRequest:
         """An established connection."""
-        made = self.pending(number, **changes)
-        self.requests.begin_attempt(made, where)
-        self.requests.establish(made, where)
-        return made
+        pending = self.pending(number, **changes)
+        self.requests.begin_attempt(pending, target)
+        self.requests.establish(pending, target)
+        return pending
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -35,7 +35,7 @@
         return [("fact", 7)]
 
 
-def started(waits_for_discovery: bool = False) -> tuple[DecisionLoop, StandInBroker]:
+def start_decision_loop(waits_for_discovery: bool = False) -> tuple[DecisionLoop, StandInBroker]:
     decision_loop, broker = DecisionLoop(Loop(), waits_for_discovery), StandInBroker()
     decision_loop.broker = broker  # type: ignore[assignment]
     decision_loop.start(decision_loop.run())
@@ -43,7 +43,7 @@
 
 
 def test_confirmation_follows_the_decision_on_all_that_was_queued() -> None:
-    decision_loop, broker = started()
+    decision_loop, broker = start_decision_loop()
     decision_loop.schedule_processing()
     decision_loop.when_processed(lambda: broker.calls.append("done"))
     assert broker.calls == []
@@ -52,7 +52,7 @@
 
 
 def test_nothing_is_decided_before_the_first_call_to_discovery_has_ended() -> None:
-    decision_loop, broker = started(waits_for_discovery=True)
+    decision_loop, broker = start_decision_loop(waits_for_discovery=True)
     decision_loop.schedule_processing()
     decision_loop.when_processed(lambda: broker.calls.append("done"))
     decision_loop.process_mailbox()
@@ -64,7 +64,7 @@
 
 
 def test_fault_in_a_decision_is_logged_and_contained(caplog: pytest.LogCaptureFixture) -> None:
-    decision_loop, broker = started()
+    decision_loop, broker = start_decision_loop()
     broker.fault = ValueError("a fault")
     with caplog.at_level(logging.ERROR, "linnetshift"):
         decision_loop.when_processed(lambda: broker.calls.append("done"))
@@ -74,8 +74,8 @@
     assert decision_loop.coroutine is not None
 
 
-def test_latency_is_reviewed_at_one_review_in_so_many(caplog: pytest.LogCaptureFixture) -> None:
-    decision_loop, broker = started()
+def test_latency_is_reviewed_at_every_eighth_review(caplog: pytest.LogCaptureFixture) -> None:
+    decision_loop, broker = start_decision_loop()
     with caplog.at_level(logging.INFO, "linnetshift"):
         for number in range(1, 2 * REVIEWS_PER_LATENCY_REVIEW + 1):
             decision_loop.post(Timeout(Review(number)))
--- a/tests/test_decision_recordings.py
+++ b/tests/test_decision_recordings.py
@@ -62,11 +62,11 @@
 
 
 def test_the_first_frame_that_differs_is_named() -> None:
-    empty, denial = bytes.fromhex("00000004"), bytes.fromhex("000000090d00000003")
-    assert first_difference(empty + denial, empty + denial) == ""
-    assert first_difference(empty + denial, empty + empty).startswith("frame 1 differs: recorded 00000009")
+    empty, rejection = bytes.fromhex("00000004"), bytes.fromhex("000000090d00000003")
+    assert first_difference(empty + rejection, empty + rejection) == ""
+    assert first_difference(empty + rejection, empty + empty).startswith("frame 1 differs: recorded 00000009")
     assert (
-        first_difference(empty + denial, empty)
-        == f"frame 1 differs: recorded {denial.hex()}, replayed no frame"
+        first_difference(empty + rejection, empty)
+        == f"frame 1 differs: recorded {rejection.hex()}, replayed no frame"
     )
     assert first_difference(empty, empty + empty) == "frame 1 differs: recorded no frame, replayed 00000004"
--- a/tests/test_discovery_poller.py
+++ b/tests/test_discovery_poller.py
@@ -23,7 +23,7 @@
     poller = DiscoveryPoller(parts.context)
     for _ in range(2):
         for longest in (200, 400, 800, 1000, 1000):
-            parts.at(2 * S)
+            parts.begin_step(2 * S)
             poller.handle_list_failed()
             (timer,) = parts.context.actions
             assert isinstance(timer, SetTimer)
@@ -36,7 +36,7 @@
     poller = DiscoveryPoller(parts.context)
     poller.handle_list_failed()
     poller.handle_list_failed()
-    parts.at(3 * S)
+    parts.begin_step(3 * S)
     poller.handle_timer_fired(1)
     assert parts.context.actions == []
     poller.handle_timer_fired(2)
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -58,7 +58,7 @@
 
 def test_restored_endpoint_gets_exactly_the_next_connection() -> None:
     # With its slow-start share of the keys alone it could stay unused for long.
-    decisions = balancer(endpoints=8, window=1e9, balancers=2)
+    decisions = balancer(endpoints=8, concurrency_limit=1e9, balancers=2)
     decisions.step(1 * S, [listed(entry(3, state=EndpointState.DRAINING), form=ListForm.DELTA)])
     decisions.step(2 * S, [listed(entry(3, started_ns=2 * S), form=ListForm.DELTA)])
     sends = [only(decisions.step(2 * S, [request(number)]), Send)[0].endpoint for number in range(6)]
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -14,7 +14,7 @@
     return list(parts.ranking.ranked(key_hash(pending.request)))
 
 
-def test_avoided_endpoints_are_left_out_and_the_suspect_is_taken_when_all_are() -> None:
+def test_avoided_endpoints_are_passed_over_and_an_unreachable_one_is_used_when_all_are() -> None:
     parts = Parts(endpoints=3)
     pending = parts.pending(1)
     first, second, third = ranked(parts, pending)
@@ -42,7 +42,7 @@
     assert parts.selection.choose(pending, False) is None
 
 
-def test_endpoint_under_test_is_avoided_until_the_test_ends() -> None:
+def test_endpoint_with_a_half_open_attempt_is_avoided_until_that_ends() -> None:
     parts = Parts(endpoints=3)
     pending = parts.pending(1)
     first, second, _ = ranked(parts, pending)
@@ -52,7 +52,7 @@
     assert parts.selection.choose(pending, False) is first
 
 
-def test_recovery_attempt_goes_before_the_ranking() -> None:
+def test_endpoint_due_for_a_recovery_attempt_goes_before_the_ranking() -> None:
     parts = Parts(endpoints=3)
     pending = parts.pending(1)
     last = ranked(parts, pending)[-1]
@@ -64,16 +64,16 @@
     parts = Parts(endpoints=1)
     pending = parts.pending(1)
     parts.endpoints.apply(listed(entry(0, state=EndpointState.DRAINING), form=ListForm.DELTA))
-    where = parts.endpoint(0)
-    assert parts.selection.choose(pending, True) is where
+    endpoint = parts.endpoint(0)
+    assert parts.selection.choose(pending, True) is endpoint
     assert parts.selection.choose(pending, False) is None
-    parts.at(1 * S + 496 * MS)  # the grace less one step of the clock
+    parts.begin_step(1 * S + 496 * MS)  # the grace less one step of the clock
     assert parts.selection.choose(pending, True) is None
 
 
 def test_warming_endpoint_is_chosen_only_with_a_slow_start_token() -> None:
     parts = Parts(endpoints=0)
-    parts.at(100 * S)
+    parts.begin_step(100 * S)
     parts.endpoints.apply(listed(entry(0, started_ns=100 * S)))
     pending = parts.pending(1)
     assert parts.selection.choose(pending, False) is None
@@ -83,7 +83,7 @@
     assert parts.selection.choose(pending, False) is parts.endpoint(0)
 
 
-def test_group_stays_where_it_is_established_unless_the_balancer_sees_little() -> None:
+def test_group_stays_where_it_is_established_unless_the_balancer_has_few_requests() -> None:
     parts = Parts(endpoints=3)
     first, second, _ = ranked(parts, parts.pending(1, group=5))
     parts.connection(2, second, group=5)
@@ -93,14 +93,14 @@
     assert parts.selection.choose(pending, False) is second
 
 
-def test_returning_client_leaves_out_ranks() -> None:
+def test_returning_client_skips_its_best_ranks() -> None:
     parts = Parts(endpoints=4)
     pending = parts.pending(1)
     pending.skipped_ranks = 2
     assert parts.selection.choose(pending, False) is ranked(parts, pending)[2]
 
 
-def test_alternative_is_never_bad_unless_the_endpoint_is_about_to_stop() -> None:
+def test_avoided_endpoint_is_an_alternative_only_to_one_that_is_about_to_stop() -> None:
     parts = Parts(endpoints=2)
     pending = parts.pending(1)
     leaving, other = parts.endpoint(0), parts.endpoint(1)
@@ -127,7 +127,7 @@
 
 def test_slow_start_shares_are_up_to_date_when_the_first_request_comes() -> None:
     parts = Parts(endpoints=0)
-    parts.at(100 * S)
+    parts.begin_step(100 * S)
     parts.endpoints.apply(listed(entry(0, started_ns=100 * S)))
     parts.slow_start.token_bucket.level = 1.0
     parts.slow_start.token_bucket.refilled_at_ns = 100 * S
@@ -137,8 +137,8 @@
 
 def test_endpoint_is_no_longer_avoided_when_its_ejection_ends() -> None:
     parts = Parts()
-    where, request_class = parts.endpoint(0), parts.context.settings.classes[0]
-    where.ejected_until = parts.context.now + 1
-    assert parts.selection.is_avoided(where, request_class)
-    where.ejected_until = parts.context.now
-    assert not parts.selection.is_avoided(where, request_class)
+    endpoint, request_class = parts.endpoint(0), parts.context.settings.classes[0]
+    endpoint.ejected_until = parts.context.now + 1
+    assert parts.selection.is_avoided(endpoint, request_class)
+    endpoint.ejected_until = parts.context.now
+    assert not parts.selection.is_avoided(endpoint, request_class)
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -8,12 +8,12 @@
 from linnetshift.routing.events import EndpointState, ListForm
 
 
-def test_full_list_removes_who_is_not_named_and_keeps_connections_to_leave() -> None:
+def test_full_list_removes_unlisted_endpoints_and_returns_those_with_connections() -> None:
     parts = Parts(endpoints=3)
     holder = parts.endpoint(1)
     connection = parts.connection(1, holder)
     parts.connection(2, parts.endpoint(0))
-    parts.at(5 * S)
+    parts.begin_step(5 * S)
     assert parts.endpoints.apply(listed(entry(0))) == [holder]
     assert list(parts.endpoints) == [endpoint(0), endpoint(1)]
     assert (holder.state, holder.draining_since) == (EndpointState.REMOVED, 5 * S)
@@ -24,10 +24,10 @@
     assert endpoint(1) not in parts.endpoints
 
 
-def test_grace_counts_from_the_first_update_that_says_that_it_drains() -> None:
+def test_grace_counts_from_the_first_update_with_a_state_other_than_ready() -> None:
     parts = Parts(endpoints=2)
     for second, state in ((3, EndpointState.DRAINING), (4, EndpointState.REMOVED)):
-        parts.at(second * S)
+        parts.begin_step(second * S)
         parts.connection(second, parts.endpoint(0))
         update = listed(entry(0, state=state, drain_within_ns=7), form=ListForm.DELTA)
         assert parts.endpoints.apply(update) == [parts.endpoint(0)]
@@ -35,7 +35,7 @@
     assert parts.endpoint(0).drain_within_ns == 7
 
 
-def test_restart_clears_what_was_held_against_the_old_process() -> None:
+def test_restart_clears_failures_and_slow_messages_of_the_old_process() -> None:
     parts = Parts(endpoints=2)
     for each in parts.endpoints.values():
         each.ejected_until = each.over_objective_until = 9 * S
@@ -70,13 +70,13 @@
         assert parts.endpoints.capacity(parts.endpoint(0)) == capacity
 
 
-def test_established_connections_are_counted_by_group_and_counted_out_once() -> None:
+def test_established_connections_are_counted_by_group_and_removed_only_once() -> None:
     parts = Parts()
-    where = parts.endpoint(0)
-    first = parts.connection(1, where, group=5)
-    parts.connection(2, where, group=5)
-    assert where.established_by_group == {5: 2}
+    target = parts.endpoint(0)
+    first = parts.connection(1, target, group=5)
+    parts.connection(2, target, group=5)
+    assert target.established_by_group == {5: 2}
     for _ in range(2):
-        where.remove_established(first)
-    assert where.established_by_group == {5: 1}
-    assert list(where.established) == [2]
+        target.remove_established(first)
+    assert target.established_by_group == {5: 1}
+    assert list(target.established) == [2]
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -13,36 +13,36 @@
 WITH_LOAD = {"allowed": {"probing": True}, "report": {"columns": ["outstanding", "x0"], "how": "pull"}}
 
 
-def answer(parts: Parts, where: Endpoint, *report: float, outcome: int = Outcome.OK) -> float:
-    parts.health_checks.check(where)
-    return parts.health_checks.handle_result(where, HealthCheckResult(where.id, outcome, MS, report))
+def check_and_answer(parts: Parts, endpoint: Endpoint, *report: float, outcome: int = Outcome.OK) -> float:
+    parts.health_checks.check(endpoint)
+    return parts.health_checks.handle_result(endpoint, HealthCheckResult(endpoint.id, outcome, MS, report))
 
 
 def test_no_second_check_is_sent_while_one_is_in_flight() -> None:
     parts = Parts(**WITH_LOAD)
-    where = parts.endpoint(0)
-    parts.health_checks.check(where)
-    parts.health_checks.check(where)
-    assert parts.context.actions == [HealthCheck(where.id)]
-    parts.health_checks.handle_result(where, HealthCheckResult(where.id, Outcome.OK, MS, (1.0, 0.1)))
-    parts.health_checks.check(where)
+    endpoint = parts.endpoint(0)
+    parts.health_checks.check(endpoint)
+    parts.health_checks.check(endpoint)
+    assert parts.context.actions == [HealthCheck(endpoint.id)]
+    parts.health_checks.handle_result(endpoint, HealthCheckResult(endpoint.id, Outcome.OK, MS, (1.0, 0.1)))
+    parts.health_checks.check(endpoint)
     assert len(parts.context.actions) == 2
 
 
-def test_placement_waits_for_a_check_until_a_report_is_fresh_or_three_were_sent() -> None:
+def test_placement_waits_for_a_check_until_a_report_is_recent_or_three_were_sent() -> None:
     parts = Parts(**WITH_LOAD)
-    pending, where = parts.pending(1), parts.endpoint(0)
-    assert parts.health_checks.check_before_placement(where, pending)
-    parts.health_checks.handle_result(where, HealthCheckResult(where.id, Outcome.OK, MS, (1.0, 0.1)))
-    parts.at(parts.context.now + 499 * MS)
-    assert not parts.health_checks.check_before_placement(where, pending)
-    parts.at(parts.context.now + MS)
-    assert parts.health_checks.check_before_placement(where, pending)
+    pending, endpoint = parts.pending(1), parts.endpoint(0)
+    assert parts.health_checks.check_before_placement(endpoint, pending)
+    parts.health_checks.handle_result(endpoint, HealthCheckResult(endpoint.id, Outcome.OK, MS, (1.0, 0.1)))
+    parts.begin_step(parts.context.now + 499 * MS)
+    assert not parts.health_checks.check_before_placement(endpoint, pending)
+    parts.begin_step(parts.context.now + MS)
+    assert parts.health_checks.check_before_placement(endpoint, pending)
     assert parts.health_checks.check_before_placement(parts.endpoint(1), pending)
     assert not parts.health_checks.check_before_placement(parts.endpoint(2), pending)
 
 
-def test_placement_without_leave_to_check_or_beside_a_connection_does_not_wait() -> None:
+def test_placement_does_not_wait_where_checks_are_not_allowed_or_a_connection_is_up() -> None:
     parts = Parts()
     assert not parts.health_checks.check_before_placement(parts.endpoint(0), parts.pending(1))
     parts = Parts(allowed={"probing": True})
@@ -55,72 +55,72 @@
     ("outcome", "is_ejected", "is_overloaded"),
     [(Outcome.FULL, False, False), (Outcome.TIMEOUT, True, True), (Outcome.CONNECT_FAILED, True, False)],
 )
-def test_check_that_fails_ejects_unless_the_endpoint_had_too_many(
+def test_failed_check_ejects_the_endpoint_unless_it_had_too_many_checks(
     outcome: Outcome, is_ejected: bool, is_overloaded: bool
 ) -> None:
     parts = Parts(**WITH_LOAD)
-    where = parts.endpoint(0)
-    assert answer(parts, where, outcome=outcome) == 0.0
-    assert (where.ejected_until > 0, where.is_overloaded) == (is_ejected, is_overloaded)
-    assert not where.health_check_sent_at
+    endpoint = parts.endpoint(0)
+    assert check_and_answer(parts, endpoint, outcome=outcome) == 0.0
+    assert (endpoint.ejected_until > 0, endpoint.is_overloaded) == (is_ejected, is_overloaded)
+    assert not endpoint.health_check_sent_at
 
 
-def test_load_over_the_maximum_advises_against_it_and_moves_part_of_the_excess() -> None:
+def test_endpoint_over_the_maximum_load_is_avoided_and_part_of_the_excess_migrates() -> None:
     parts = Parts(**WITH_LOAD)
-    loaded, well = parts.endpoint(0), parts.endpoint(1)
-    assert answer(parts, loaded, 40.0, 1.5) == pytest.approx(0.3 * 0.75 / 1.5)
-    assert answer(parts, well, 40.0, 0.84) == 0.0
+    loaded, healthy = parts.endpoint(0), parts.endpoint(1)
+    assert check_and_answer(parts, loaded, 40.0, 1.5) == pytest.approx(0.3 * 0.75 / 1.5)
+    assert check_and_answer(parts, healthy, 40.0, 0.84) == 0.0
     assert parts.health_checks.advises_against(loaded)
-    assert not parts.health_checks.advises_against(well)
-    parts.at(parts.context.now + 3 * S)
+    assert not parts.health_checks.advises_against(healthy)
+    parts.begin_step(parts.context.now + 3 * S)
     assert not parts.health_checks.advises_against(loaded)
 
 
-def test_sends_since_the_report_add_to_the_load() -> None:
+def test_sends_since_the_report_add_to_the_reported_load() -> None:
     parts = Parts(**WITH_LOAD)
-    where = parts.endpoint(0)
+    endpoint = parts.endpoint(0)
     for _ in range(40):
-        answer(parts, where, 10.0, 0.8)
+        check_and_answer(parts, endpoint, 10.0, 0.8)
     assert parts.health_checks.load_per_connection == pytest.approx(0.08, rel=0.05)
-    assert not parts.health_checks.advises_against(where)
-    where.sends_since_report = 1
-    assert parts.health_checks.advises_against(where)
+    assert not parts.health_checks.advises_against(endpoint)
+    endpoint.sends_since_report = 1
+    assert parts.health_checks.advises_against(endpoint)
 
 
 @pytest.mark.parametrize("report", [(), (1.0,), (1.0, -1.0), (1.0, float("nan")), (1.0, 1e9)])
-def test_damaged_report_is_an_answer_without_a_load(report: tuple[float, ...]) -> None:
+def test_invalid_report_counts_as_an_answer_without_a_load(report: tuple[float, ...]) -> None:
     parts = Parts(**WITH_LOAD)
-    where = parts.endpoint(0)
-    assert answer(parts, where, *report) == 0.0
-    assert where.load == 0.0
-    assert where.load_reported_at == parts.context.now
+    endpoint = parts.endpoint(0)
+    assert check_and_answer(parts, endpoint, *report) == 0.0
+    assert endpoint.load == 0.0
+    assert endpoint.load_reported_at == parts.context.now
 
 
-def test_report_from_before_a_restart_is_not_taken() -> None:
+def test_load_report_is_ignored_when_the_endpoint_restarted_since_the_check() -> None:
     parts = Parts(**WITH_LOAD)
-    where = parts.endpoint(0)
-    where.started_at = parts.context.now + 1
-    assert answer(parts, where, 40.0, 1.5) == 0.0
-    assert where.load == 0.0
+    endpoint = parts.endpoint(0)
+    endpoint.started_at = parts.context.now + 1
+    assert check_and_answer(parts, endpoint, 40.0, 1.5) == 0.0
+    assert endpoint.load == 0.0
 
 
-def test_check_without_an_answer_for_two_ticks_advises_against_the_endpoint() -> None:
+def test_endpoint_is_avoided_when_a_check_has_no_answer_for_over_two_ticks() -> None:
     parts = Parts(**WITH_LOAD)
-    where = parts.endpoint(0)
-    parts.health_checks.check(where)
-    parts.at(parts.context.now + 100 * MS)
-    assert not parts.health_checks.advises_against(where)
-    parts.at(parts.context.now + 1)
-    assert parts.health_checks.advises_against(where)
+    endpoint = parts.endpoint(0)
+    parts.health_checks.check(endpoint)
+    parts.begin_step(parts.context.now + 100 * MS)
+    assert not parts.health_checks.advises_against(endpoint)
+    parts.begin_step(parts.context.now + 1)
+    assert parts.health_checks.advises_against(endpoint)
 
 
 def test_slow_answer_counts_as_slow_messages() -> None:
     parts = Parts(**WITH_LOAD)
-    where = parts.endpoint(0)
-    parts.health_checks.check(where)
-    parts.health_checks.handle_result(where, HealthCheckResult(where.id, Outcome.OK, 40 * MS, ()))
-    assert where.over_objective_until == parts.context.now + 2500 * MS
-    assert where.message_latency_ns == 20 * MS
+    endpoint = parts.endpoint(0)
+    parts.health_checks.check(endpoint)
+    parts.health_checks.handle_result(endpoint, HealthCheckResult(endpoint.id, Outcome.OK, 40 * MS, ()))
+    assert endpoint.over_objective_until == parts.context.now + 2500 * MS
+    assert endpoint.message_latency_ns == 20 * MS
 
 
 def test_checks_for_migration_need_credit_that_requests_earn() -> None:
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -16,30 +16,30 @@
 def test_review_adapts_the_share_to_the_endpoints_over_their_objectives(
     over_objective: int, before: float, after: float, is_congested: bool
 ) -> None:
-    made = LoadShedding(before)
-    made.review(9 * S, over_objective, 10)
-    assert made.admitted_share == pytest.approx(after)
-    assert (made.is_congested, made.reviewed_at) == (is_congested, 9 * S)
-    assert made.is_at_minimum is (after == 0.2)
+    load_shedding = LoadShedding(before)
+    load_shedding.review(9 * S, over_objective, 10)
+    assert load_shedding.admitted_share == pytest.approx(after)
+    assert (load_shedding.is_congested, load_shedding.reviewed_at) == (is_congested, 9 * S)
+    assert load_shedding.is_at_minimum is (after == 0.2)
 
 
 def test_review_is_due_once_a_second() -> None:
-    made = LoadShedding(reviewed_at=5 * S)
-    assert not made.is_review_due(6 * S - 1)
-    assert made.is_review_due(6 * S)
+    load_shedding = LoadShedding(reviewed_at=5 * S)
+    assert not load_shedding.is_review_due(6 * S - 1)
+    assert load_shedding.is_review_due(6 * S)
 
 
-def test_share_recovers_up_to_the_second_limit_and_not_over_it() -> None:
+def test_share_recovers_only_while_few_enough_endpoints_are_over_their_objectives() -> None:
     for over_objective, share in ((3, 0.55), (4, 0.5)):
-        made = LoadShedding(0.5)
-        made.review(9 * S, over_objective, 20)
-        assert made.admitted_share == pytest.approx(share)
+        load_shedding = LoadShedding(0.5)
+        load_shedding.review(9 * S, over_objective, 20)
+        assert load_shedding.admitted_share == pytest.approx(share)
 
 
 def test_one_slow_endpoint_alone_sheds_nothing() -> None:
-    made = LoadShedding()
-    made.review(1 * S, 1, 1)
-    assert made.admitted_share == 1.0
+    load_shedding = LoadShedding()
+    load_shedding.review(1 * S, 1, 1)
+    assert load_shedding.admitted_share == 1.0
 
 
 def test_admitted_keys_stay_admitted_as_the_share_grows() -> None:
@@ -51,7 +51,7 @@
     assert all(LoadShedding().admits_key(key) for key in keys)
 
 
-def test_members_of_a_group_are_admitted_alike() -> None:
+def test_requests_of_one_group_are_all_admitted_or_all_shed() -> None:
     parts = Parts()
     parts.admission.load_shedding.admitted_share = 0.5
     for group in range(1, 20):
@@ -64,10 +64,10 @@
         parts.endpoint(number).majority_over_objective_until = 99 * S
     for number in range(3, 6):
         parts.endpoint(number).started_at = 9 * S
-    parts.at(9 * S)
+    parts.begin_step(9 * S)
     parts.admission.review()
     assert parts.admission.load_shedding.is_congested
-    parts.at(30 * S)
+    parts.begin_step(30 * S)
     for number in range(2):
         parts.endpoint(number).majority_over_objective_until = 30 * S
     parts.admission.review()
--- a/tests/test_message_latency.py
+++ b/tests/test_message_latency.py
@@ -12,7 +12,7 @@
 OBJECTIVE_NS = 60 * MS  # of raw_settings
 
 
-def reporter(parts: Parts) -> MessageLatency:
+def make_message_latency(parts: Parts) -> MessageLatency:
     return MessageLatency(parts.context, parts.admission, parts.health_checks, parts.migration)
 
 
@@ -30,58 +30,58 @@
     latency_ms: int, is_slow: bool, is_over: bool
 ) -> None:
     parts = Parts()
-    where = parts.endpoint(0)
-    reporter(parts).handle_report(where, latency_ms * MS)
+    endpoint = parts.endpoint(0)
+    make_message_latency(parts).handle_report(endpoint, latency_ms * MS)
     until = parts.context.now + 2500 * MS
-    assert where.over_objective_until == (until if is_slow else 0)
-    assert where.majority_over_objective_until == (until if is_over else 0)
-    assert where.message_latency_ns == latency_ms * MS
+    assert endpoint.over_objective_until == (until if is_slow else 0)
+    assert endpoint.majority_over_objective_until == (until if is_over else 0)
+    assert endpoint.message_latency_ns == latency_ms * MS
 
 
-def test_fast_messages_clear_an_endpoint_and_move_nobody() -> None:
+def test_fast_messages_clear_a_slow_endpoint_and_migrate_no_connection() -> None:
     parts = Parts()
-    where = parts.endpoint(0)
-    parts.connection(1, where)
-    reporter(parts).handle_report(where, 59 * MS)
-    parts.at(2 * S)
-    reporter(parts).handle_report(where, 1 * MS)
-    assert where.over_objective_until == 0
+    endpoint = parts.endpoint(0)
+    parts.connection(1, endpoint)
+    make_message_latency(parts).handle_report(endpoint, 59 * MS)
+    parts.begin_step(2 * S)
+    make_message_latency(parts).handle_report(endpoint, 1 * MS)
+    assert endpoint.over_objective_until == 0
     assert parts.context.actions == []
 
 
 def test_load_is_checked_before_migration_where_it_is_reported() -> None:
     parts = Parts(allowed={"probing": True}, report={"columns": ["outstanding", "x0"], "how": "pull"})
-    where = parts.endpoint(0)
+    endpoint = parts.endpoint(0)
     for number in range(1, 41):
-        parts.connection(number, where)
+        parts.connection(number, endpoint)
     parts.health_checks.earn_credit()
-    reporter(parts).handle_report(where, 500 * MS)
-    assert parts.context.actions == [HealthCheck(where.id)]
+    make_message_latency(parts).handle_report(endpoint, 500 * MS)
+    assert parts.context.actions == [HealthCheck(endpoint.id)]
     without_load = Parts()
-    where = without_load.endpoint(0)
+    endpoint = without_load.endpoint(0)
     for number in range(1, 41):
-        without_load.connection(number, where)
-    reporter(without_load).handle_report(where, 500 * MS)
+        without_load.connection(number, endpoint)
+    make_message_latency(without_load).handle_report(endpoint, 500 * MS)
     assert {type(action) for action in without_load.context.actions} == {Migrate}
 
 
-def test_peers_are_notified_of_slow_messages_and_take_no_latency_from_it() -> None:
+def test_peers_are_notified_of_slow_messages_without_their_latency() -> None:
     parts = Parts(balancers=1, allowed={"peerMessages": True})
-    where = parts.endpoint(0)
-    reporter(parts).handle_report(where, 30 * MS)
-    assert parts.context.actions == [SendPeerMessage(ALL_PEERS, b"h" + where.id)]
-    reporter(parts).handle_peer_report(parts.endpoint(1))
+    endpoint = parts.endpoint(0)
+    make_message_latency(parts).handle_report(endpoint, 30 * MS)
+    assert parts.context.actions == [SendPeerMessage(ALL_PEERS, b"h" + endpoint.id)]
+    make_message_latency(parts).handle_peer_report(parts.endpoint(1))
     assert parts.endpoint(1).over_objective_until == parts.context.now + 2500 * MS
     assert parts.endpoint(1).message_latency_ns == 0
 
 
 def test_slow_messages_at_most_endpoints_shed_load() -> None:
     parts = Parts()
-    made = reporter(parts)
-    for turn in range(2):
-        parts.at((10 + turn) * S)
-        for where in parts.endpoints.values():
-            made.handle_report(where, 90 * MS)
+    message_latency = make_message_latency(parts)
+    for second in range(2):
+        parts.begin_step((10 + second) * S)
+        for endpoint in parts.endpoints.values():
+            message_latency.handle_report(endpoint, 90 * MS)
     assert parts.admission.load_shedding.admitted_share == 0.65
 
 
@@ -89,11 +89,11 @@
     base = raw_settings()["services"][0]
     services = [{**base, "name": "strict"}, {**base, "name": "loose"}]
     parts = Parts(services=services, familyInfo={"messageAimNs": [20 * MS, 400 * MS]})
-    where = parts.endpoint(0)
+    endpoint = parts.endpoint(0)
     for number in (1, 2):
-        parts.connection(number, where).request_class = parts.context.settings.classes[number - 1]
-    reporter(parts).handle_report(where, 30 * MS)
-    assert where.majority_over_objective_until
-    parts.connection(3, where).request_class = parts.context.settings.classes[1]
-    reporter(parts).handle_report(where, 30 * MS)
-    assert not where.majority_over_objective_until
+        parts.connection(number, endpoint).request_class = parts.context.settings.classes[number - 1]
+    make_message_latency(parts).handle_report(endpoint, 30 * MS)
+    assert endpoint.majority_over_objective_until
+    parts.connection(3, endpoint).request_class = parts.context.settings.classes[1]
+    make_message_latency(parts).handle_report(endpoint, 30 * MS)
+    assert not endpoint.majority_over_objective_until
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -9,54 +9,54 @@
 from linnetshift.routing.events import EndpointState, ListForm
 
 
-def moved(parts: Parts) -> list[int]:
+def migrated(parts: Parts) -> list[int]:
     return [action.request_id for action in parts.context.actions if isinstance(action, Migrate)]
 
 
-def test_heaviest_connections_move_first_and_as_many_as_the_share_says() -> None:
+def test_heaviest_connections_migrate_first_and_as_many_as_the_share_allows() -> None:
     parts = Parts()
-    where = parts.endpoint(0)
+    endpoint = parts.endpoint(0)
     for number in range(1, 11):
-        parts.connection(number, where).load_ns_per_s = float(number)
-    parts.migration.migrate_excess(where, False, lambda _: 0.2)
-    assert moved(parts) in ([10, 9], [10, 9, 8])
-    assert len(where.established) == 10 - len(moved(parts))
+        parts.connection(number, endpoint).load_ns_per_s = float(number)
+    parts.migration.migrate_excess(endpoint, False, lambda _: 0.2)
+    assert migrated(parts) in ([10, 9], [10, 9, 8])
+    assert len(endpoint.established) == 10 - len(migrated(parts))
 
 
-def test_nothing_moves_where_no_other_endpoint_is_better() -> None:
+def test_no_connection_migrates_when_no_other_endpoint_is_better() -> None:
     parts = Parts(endpoints=2)
-    where = parts.endpoint(0)
-    parts.connection(1, where)
+    endpoint = parts.endpoint(0)
+    parts.connection(1, endpoint)
     parts.endpoint(1).ejected_until = 9 * S
-    parts.migration.migrate_excess(where, False, lambda _: 1.0)
-    assert moved(parts) == []
+    parts.migration.migrate_excess(endpoint, False, lambda _: 1.0)
+    assert migrated(parts) == []
 
 
 def test_connections_that_are_not_admitted_leave_a_slow_endpoint_first() -> None:
     parts = Parts()
-    where = parts.endpoint(0)
+    endpoint = parts.endpoint(0)
     parts.admission.load_shedding.admitted_share = 0.5
-    connections = [parts.connection(number, where) for number in range(1, 41)]
+    connections = [parts.connection(number, endpoint) for number in range(1, 41)]
     admitted = {c.request.request_id for c in connections if parts.admission.admits(c.request)}
-    parts.migration.migrate_excess(where, True, lambda _: 1.0)
-    assert 10 <= len(moved(parts)) <= 15
-    assert not admitted & set(moved(parts))
+    parts.migration.migrate_excess(endpoint, True, lambda _: 1.0)
+    assert 10 <= len(migrated(parts)) <= 15
+    assert not admitted & set(migrated(parts))
 
 
 def test_admitted_connections_stay_while_most_endpoints_are_slow() -> None:
-    for is_congested, leave in ((True, False), (False, True)):
+    for is_congested, migrates in ((True, False), (False, True)):
         parts = Parts()
         parts.connection(1, parts.endpoint(0))
         parts.admission.load_shedding.is_congested = is_congested
         parts.migration.migrate_excess(parts.endpoint(0), True, lambda _: 1.0)
-        assert bool(moved(parts)) is leave
+        assert bool(migrated(parts)) is migrates
 
 
-def test_draining_endpoint_is_left_over_its_time_at_ticks() -> None:
+def test_connections_leave_a_draining_endpoint_gradually_until_it_stops() -> None:
     parts = Parts()
-    where = parts.endpoint(0)
+    endpoint = parts.endpoint(0)
     for number in range(1, 21):
-        parts.connection(number, where)
+        parts.connection(number, endpoint)
     (draining,) = parts.endpoints.apply(
         listed(entry(0, state=EndpointState.DRAINING, drain_within_ns=500 * MS), form=ListForm.DELTA)
     )
@@ -64,34 +64,34 @@
     assert parts.context.actions == [SetTimer(50 * MS, 1 << 16)]
     counts = []
     for tick in range(1, 11):
-        parts.at(1 * S + tick * 50 * MS)
+        parts.begin_step(1 * S + tick * 50 * MS)
         parts.tick_timer.handle_fired()
         parts.migration.handle_tick()
-        counts.append(len(moved(parts)))
+        counts.append(len(migrated(parts)))
     assert sum(counts) == 20
     assert max(counts[:8]) <= 5
     assert len(parts.migration) == 0
-    assert not where.established
+    assert not endpoint.established
 
 
-def test_unresponsive_endpoint_is_left_until_its_ejection_ends_or_a_connection_is_established() -> None:
-    for how in ("ejection ends", "established"):
+def test_connections_leave_an_unresponsive_endpoint_until_it_recovers() -> None:
+    for end in ("ejection ends", "established"):
         parts = Parts()
-        where = parts.endpoint(0)
-        where.ejected_until = 2 * S
-        parts.connection(1, where)
-        parts.migration.begin_leaving(where)
+        endpoint = parts.endpoint(0)
+        endpoint.ejected_until = 2 * S
+        parts.connection(1, endpoint)
+        parts.migration.begin_leaving(endpoint)
         parts.migration.handle_tick()
         assert len(parts.migration) == 1
-        if how == "established":
-            parts.migration.handle_established(where)
+        if end == "established":
+            parts.migration.handle_established(endpoint)
         else:
-            parts.at(2 * S)
+            parts.begin_step(2 * S)
             parts.migration.handle_tick()
         assert len(parts.migration) == 0
 
 
-def test_endpoint_without_connections_needs_no_leaving() -> None:
+def test_endpoint_without_connections_starts_no_migration() -> None:
     parts = Parts()
     parts.migration.begin_leaving(parts.endpoint(0))
     assert len(parts.migration) == 0
--- a/tests/test_pending_requests.py
+++ b/tests/test_pending_requests.py
@@ -12,43 +12,43 @@
 
 def test_attempt_is_counted_until_it_is_established_and_the_connection_until_its_end() -> None:
     parts = Parts()
-    where = parts.endpoint(0)
-    where.is_recovery_due = True
+    endpoint = parts.endpoint(0)
+    endpoint.is_recovery_due = True
     pending = parts.pending(1)
-    parts.requests.begin_attempt(pending, where)
-    assert (parts.requests.setups_in_flight, where.in_flight, where.sends_since_report) == (1, 1, 1)
+    parts.requests.begin_attempt(pending, endpoint)
+    assert (parts.requests.setups_in_flight, endpoint.in_flight, endpoint.sends_since_report) == (1, 1, 1)
     assert pending.last_attempt == 0
-    assert pending.endpoints_tried == [where]
-    assert not where.is_recovery_due
-    parts.requests.establish(pending, where)
-    assert (parts.requests.setups_in_flight, where.in_flight, len(where.established)) == (0, 1, 1)
+    assert pending.endpoints_tried == [endpoint]
+    assert not endpoint.is_recovery_due
+    parts.requests.establish(pending, endpoint)
+    assert (parts.requests.setups_in_flight, endpoint.in_flight, len(endpoint.established)) == (0, 1, 1)
     for _ in range(2):
         parts.requests.end_attempt(pending)
-    assert (parts.requests.setups_in_flight, where.in_flight, len(where.established)) == (0, 0, 0)
+    assert (parts.requests.setups_in_flight, endpoint.in_flight, len(endpoint.established)) == (0, 0, 0)
     assert pending.endpoint is None
     assert 1 in parts.requests
 
 
-def test_removed_request_gives_back_its_half_open_attempt_and_only_its_own() -> None:
+def test_removed_request_ends_its_own_half_open_attempt_only() -> None:
     parts = Parts()
-    where = parts.endpoint(0)
-    tester, other = parts.pending(1), parts.pending(2)
-    for pending in (tester, other):
-        parts.requests.begin_attempt(pending, where)
-    where.half_open_request = 1
+    endpoint = parts.endpoint(0)
+    half_open, other = parts.pending(1), parts.pending(2)
+    for pending in (half_open, other):
+        parts.requests.begin_attempt(pending, endpoint)
+    endpoint.half_open_request = 1
     parts.requests.remove(other)
-    assert where.half_open_request == 1
-    parts.requests.remove(tester)
-    assert where.half_open_request == NO_REQUEST
+    assert endpoint.half_open_request == 1
+    parts.requests.remove(half_open)
+    assert endpoint.half_open_request == NO_REQUEST
     assert len(parts.requests) == 0
     assert parts.requests.setups_in_flight == 0
 
 
 def test_adopted_connection_counts_as_established_without_a_set_up() -> None:
     parts = Parts()
-    where, pending = parts.endpoint(0), parts.pending(1)
-    parts.requests.adopt(pending, where)
-    assert (parts.requests.setups_in_flight, where.in_flight, list(where.established)) == (0, 1, [1])
+    endpoint, pending = parts.endpoint(0), parts.pending(1)
+    parts.requests.adopt(pending, endpoint)
+    assert (parts.requests.setups_in_flight, endpoint.in_flight, list(endpoint.established)) == (0, 1, [1])
 
 
 def test_waiting_queue_is_emptied_in_its_order() -> None:
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -55,12 +55,12 @@
 
 
 def test_balancers_agree_whatever_the_order_of_their_lists() -> None:
-    one, other = make_balancer(0, seed=1), make_balancer(0, seed=2)
+    first, second = make_balancer(0, seed=1), make_balancer(0, seed=2)
     entries = [entry(n) for n in range(12)]
-    one.step(2 * S, [listed(*entries)])
-    other.step(2 * S, [listed(*entries[:5], form=ListForm.CACHED)])
-    other.step(3 * S, [listed(*reversed(entries))])
-    assert first_endpoints(one, range(1, 500)) == first_endpoints(other, range(1, 500))
+    first.step(2 * S, [listed(*entries)])
+    second.step(2 * S, [listed(*entries[:5], form=ListForm.CACHED)])
+    second.step(3 * S, [listed(*reversed(entries))])
+    assert first_endpoints(first, range(1, 500)) == first_endpoints(second, range(1, 500))
 
 
 def test_invalid_weights_count_as_one() -> None:
@@ -78,9 +78,9 @@
 
 def test_hash_stays_strictly_inside_unit_interval() -> None:
     for key in (0, 1, MASK):
-        found = costs(key, np.array([0, 1, MASK, (key * 3) & MASK], dtype=np.uint64))
-        assert np.all(np.isfinite(found))
-        assert np.all(found > 0.0)
+        key_costs = costs(key, np.array([0, 1, MASK, (key * 3) & MASK], dtype=np.uint64))
+        assert np.all(np.isfinite(key_costs))
+        assert np.all(key_costs > 0.0)
 
 
 def test_group_members_share_an_endpoint_and_client_key_is_used_without_group() -> None:
@@ -110,19 +110,19 @@
 
 def test_candidates_are_rebuilt_after_list_update_and_at_each_warm_up_step() -> None:
     parts = Parts(endpoints=2)
-    made = parts.ranking.candidates()
-    parts.at(500 * S)
-    assert parts.ranking.candidates() is made
+    candidates = parts.ranking.candidates()
+    parts.begin_step(500 * S)
+    assert parts.ranking.candidates() is candidates
     parts.endpoints.apply(listed(entry(0), entry(1, started_ns=500 * S)))
     parts.ranking.invalidate()
-    made = parts.ranking.candidates()
-    assert made.total_capacity == 1.25
-    assert made.valid_until == 500 * S + 10 * S // 16
+    candidates = parts.ranking.candidates()
+    assert candidates.total_capacity == 1.25
+    assert candidates.valid_until == 500 * S + 10 * S // 16
     assert parts.slow_start.shares == {endpoint(1): 0.25 / 1.25}
-    parts.at(made.valid_until - 1)
-    assert parts.ranking.candidates() is made
-    parts.at(made.valid_until)
-    assert parts.ranking.candidates() is not made
+    parts.begin_step(candidates.valid_until - 1)
+    assert parts.ranking.candidates() is candidates
+    parts.begin_step(candidates.valid_until)
+    assert parts.ranking.candidates() is not candidates
 
 
 def test_slow_start_rate_counts_connections_of_both_processes() -> None:
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -10,29 +10,31 @@
 from linnetshift.routing.pending_requests import PendingRequest
 
 
-def end(parts: Parts, pending: PendingRequest, outcome: int, closed: bool = False) -> None:
-    where = pending.endpoint
-    assert where is not None
-    parts.at(parts.context.now + MS)
-    event = AttemptEnded(pending.request.request_id, pending.last_attempt, where.id, closed, MS, outcome, ())
+def end_attempt(parts: Parts, pending: PendingRequest, outcome: int, closed: bool = False) -> None:
+    endpoint = pending.endpoint
+    assert endpoint is not None
+    parts.begin_step(parts.context.now + MS)
+    event = AttemptEnded(
+        pending.request.request_id, pending.last_attempt, endpoint.id, closed, MS, outcome, ()
+    )
     parts.requests.end_attempt(pending)
-    parts.lifecycle.handle_attempt_ended(pending, where, event)
+    parts.lifecycle.handle_attempt_ended(pending, endpoint, event)
 
 
-def test_attempts_go_on_to_other_endpoints_until_their_number_is_reached() -> None:
+def test_attempts_go_to_other_endpoints_until_the_maximum_is_reached() -> None:
     parts = Parts(endpoints=8)
     pending = parts.pending(1)
     parts.lifecycle.place(pending)
     used = []
     while parts.context.actions and isinstance(parts.context.actions[0], Send):
         used.append(parts.context.actions[0].endpoint)
-        end(parts, pending, Outcome.CONNECT_FAILED)
+        end_attempt(parts, pending, Outcome.CONNECT_FAILED)
     assert len(set(used)) == 4
     assert parts.context.actions == [Reject(1, 1 * S)]
     assert 1 not in parts.requests
 
 
-def test_request_waits_beyond_the_concurrency_limit_and_is_placed_in_its_turn() -> None:
+def test_request_over_the_concurrency_limit_waits_until_a_set_up_ends() -> None:
     parts = Parts()
     parts.lifecycle.concurrency_limit.limit = 1.0
     first, second = parts.pending(1), parts.pending(2)
@@ -43,7 +45,7 @@
     parts.lifecycle.retry_waiting()
     assert list(parts.requests.waiting) == [2]
     parts.requests.remove(first)
-    parts.at(parts.context.now + MS)
+    parts.begin_step(parts.context.now + MS)
     parts.lifecycle.retry_waiting()
     assert [type(action) for action in parts.context.actions] == [Send]
     assert not parts.requests.waiting
@@ -66,21 +68,21 @@
 
 
 def test_possibly_executed_attempt_is_not_repeated_unless_it_is_idempotent() -> None:
-    for word, kind in (("once", Fail), ("repeatable", Send)):
-        parts = Parts(**effect(word))
+    for effect_name, action_type in (("once", Fail), ("repeatable", Send)):
+        parts = Parts(**effect(effect_name))
         pending = parts.pending(1)
         parts.lifecycle.place(pending)
-        end(parts, pending, Outcome.TIMEOUT)
-        assert [type(action) for action in parts.context.actions] == [kind]
+        end_attempt(parts, pending, Outcome.TIMEOUT)
+        assert [type(action) for action in parts.context.actions] == [action_type]
 
 
-def test_two_errors_of_endpoints_that_work_fail_the_request() -> None:
+def test_request_fails_after_errors_from_two_endpoints_that_work() -> None:
     parts = Parts()
     pending = parts.pending(1)
     parts.lifecycle.place(pending)
-    end(parts, pending, Outcome.ERROR)
+    end_attempt(parts, pending, Outcome.ERROR)
     assert [type(action) for action in parts.context.actions] == [Send]
-    end(parts, pending, Outcome.ERROR)
+    end_attempt(parts, pending, Outcome.ERROR)
     assert parts.context.actions == [Fail(1)]
 
 
@@ -88,9 +90,9 @@
     parts = Parts()
     closed = parts.pending(1)
     parts.lifecycle.place(closed)
-    end(parts, closed, Outcome.ERROR, closed=True)
+    end_attempt(parts, closed, Outcome.ERROR, closed=True)
     connection = parts.connection(2, parts.endpoint(0))
-    end(parts, connection, Outcome.RESET)
+    end_attempt(parts, connection, Outcome.RESET)
     assert parts.context.actions == []
     assert len(parts.requests) == 0
 
@@ -98,11 +100,11 @@
 def test_failed_set_ups_lower_the_concurrency_limit_and_ended_connections_do_not() -> None:
     parts = Parts()
     for number in range(20):
-        end(parts, parts.connection(number, parts.endpoint(0)), Outcome.RESET)
+        end_attempt(parts, parts.connection(number, parts.endpoint(0)), Outcome.RESET)
     assert parts.lifecycle.concurrency_limit.failure_share == 0.0
     for number in range(20, 40):
         pending = parts.pending(number)
         parts.requests.begin_attempt(pending, parts.endpoint(0))
-        end(parts, pending, Outcome.ERROR, closed=True)
+        end_attempt(parts, pending, Outcome.ERROR, closed=True)
     assert parts.lifecycle.concurrency_limit.is_congested
     assert parts.lifecycle.concurrency_limit.limit < 8.0
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -12,7 +12,7 @@
 CONNECT_NS = 200 * MS
 
 
-def test_attempts_end_with_their_number_and_with_the_deadline() -> None:
+def test_no_attempt_is_allowed_after_the_maximum_or_the_deadline() -> None:
     parts = Parts()
     pending = parts.pending(1)
     now = parts.context.now
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("word", "group", "expected"),
+    ("effect_name", "group", "expected"),
     [
         ("repeatable", "cell", [0, 1, 2, 3, 4, 5, 6]),
         ("by_key", "all", [0, 1, 2, 3, 4, 5, 6]),
@@ -41,10 +41,12 @@
         ("by_key", "cell", [0, 5]),
     ],
 )
-def test_repeat_goes_where_endpoints_discard_it_together(word: str, group: str, expected: list[int]) -> None:
-    parts = Parts(endpoints=7, **effect(word, group))
+def test_repeat_may_go_only_to_endpoints_that_discard_it_together(
+    effect_name: str, group: str, expected: list[int]
+) -> None:
+    parts = Parts(endpoints=7, **effect(effect_name, group))
     pending = parts.pending(1)
-    assert all(retry_policy.may_execute_on(pending, where) for where in parts.endpoints.values())
+    assert all(retry_policy.may_execute_on(pending, endpoint) for endpoint in parts.endpoints.values())
     pending.possibly_executed_on = parts.endpoint(0)
     allowed = [n for n in range(7) if retry_policy.may_execute_on(pending, parts.endpoint(n))]
     assert allowed == expected
@@ -54,7 +56,7 @@
     ("last_attempt", "remaining_ms", "is_congested", "timeout_ms"),
     [(-1, 800, False, 400), (-1, 799, False, 799), (-1, 800, True, 800), (2, 800, False, 800)],
 )
-def test_timeout_leaves_room_for_another_attempt_that_is_worth_it(
+def test_timeout_leaves_time_for_another_attempt_when_that_is_long_enough(
     last_attempt: int, remaining_ms: int, is_congested: bool, timeout_ms: int
 ) -> None:
     pending = Parts().pending(1)
--- a/tests/test_returning_clients.py
+++ b/tests/test_returning_clients.py
@@ -9,20 +9,20 @@
 
 
 def test_probability_is_the_share_of_drops_among_returns() -> None:
-    made = ReturningClients()
-    assert made.record_return(1 * S) == 0.0
-    made.record_drop(1 * S)
-    assert made.record_return(1 * S) == pytest.approx(0.3 / 2)
+    returning_clients = ReturningClients()
+    assert returning_clients.record_return(1 * S) == 0.0
+    returning_clients.record_drop(1 * S)
+    assert returning_clients.record_return(1 * S) == pytest.approx(0.3 / 2)
     for _ in range(9):
-        made.record_drop(1 * S)
-    assert made.record_return(1 * S) == pytest.approx(0.3)  # not more, however many drops
+        returning_clients.record_drop(1 * S)
+    assert returning_clients.record_return(1 * S) == pytest.approx(0.3)  # not more, however many drops
 
 
-def test_both_counts_fall_at_the_same_times() -> None:
-    made = ReturningClients()
-    made.record_drop(1 * S)
-    made.record_return(6 * S)
-    assert (made.drops.value, made.returns.value) == (0.5, 1.0)
-    made.record_drop(11 * S)
-    assert (made.drops.value, made.returns.value) == (1.25, 0.5)
-    assert made.record_return(21 * S) == 0.0
+def test_each_count_decays_when_the_other_changes() -> None:
+    returning_clients = ReturningClients()
+    returning_clients.record_drop(1 * S)
+    returning_clients.record_return(6 * S)
+    assert (returning_clients.drops.value, returning_clients.returns.value) == (0.5, 1.0)
+    returning_clients.record_drop(11 * S)
+    assert (returning_clients.drops.value, returning_clients.returns.value) == (1.25, 0.5)
+    assert returning_clients.record_return(21 * S) == 0.0
--- a/tests/test_routing_snapshot.py
+++ b/tests/test_routing_snapshot.py
@@ -33,32 +33,32 @@
 
 
 def test_state_goes_in_and_out_under_the_stored_keys() -> None:
-    node = balancer(1)
-    assert import_balancer_state(node, STATE) == []
-    assert json.loads(json.dumps(export_balancer_state(node))) == STATE
-    where = node.endpoints[endpoint(0)]
-    assert (where.ejected_until, where.ejection_time_ns, where.is_overloaded) == (13, 14, True)
-    assert node.slow_start.first_arrivals_per_s.value == 2.5
-    assert node.lifecycle.concurrency_limit.limit == 5.0
+    restored = balancer(1)
+    assert import_balancer_state(restored, STATE) == []
+    assert json.loads(json.dumps(export_balancer_state(restored))) == STATE
+    target = restored.endpoints[endpoint(0)]
+    assert (target.ejected_until, target.ejection_time_ns, target.is_overloaded) == (13, 14, True)
+    assert restored.slow_start.first_arrivals_per_s.value == 2.5
+    assert restored.lifecycle.concurrency_limit.limit == 5.0
 
 
 def test_values_of_another_type_are_left_out_and_reported_and_the_rest_is_taken() -> None:
-    node = balancer(1)
+    restored = balancer(1)
     damaged = {
         **STATE,
         "window": {"size": "wide", "failing": 0.5},
         "hosts": {NAME: {"spell": 1.5, "avoid_until": 9 * S}, "00": {"spell": "x"}},
     }
-    assert import_balancer_state(node, damaged) == ["window.size", f"hosts.{NAME}.spell"]
-    where = node.endpoints[endpoint(0)]
-    assert (where.ejected_until, where.ejection_time_ns) == (9 * S, 0)
-    limit = node.lifecycle.concurrency_limit
+    assert import_balancer_state(restored, damaged) == ["window.size", f"hosts.{NAME}.spell"]
+    target = restored.endpoints[endpoint(0)]
+    assert (target.ejected_until, target.ejection_time_ns) == (9 * S, 0)
+    limit = restored.lifecycle.concurrency_limit
     assert (limit.limit, limit.failure_share, limit.decreased_at) == (1e9, 0.5, 0)
 
 
 def test_sections_that_an_earlier_version_did_not_write_may_be_missing() -> None:
-    node = balancer(1)
-    assert import_balancer_state(node, {"node": {}, "hosts": {}}) == []
+    restored = balancer(1)
+    assert import_balancer_state(restored, {"node": {}, "hosts": {}}) == []
     for missing in ("node", "hosts"):
         with pytest.raises(KeyError):
-            import_balancer_state(node, {key: {} for key in ("node", "hosts") if key != missing})
+            import_balancer_state(restored, {key: {} for key in ("node", "hosts") if key != missing})
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -52,7 +52,7 @@
     assert str(raised.value) == text
 
 
-def test_choice_refuses_other_types_and_unknown_words() -> None:
+def test_choice_rejects_other_types_and_unknown_values() -> None:
     with pytest.raises(SettingsError) as raised:
         READER.required_choice("count", {"push": 1})
     assert str(raised.value) == "settings key 'rules.count' must be a text"
@@ -61,10 +61,10 @@
     assert str(raised.value) == "settings key 'rules.name' has a value this version does not know"
 
 
-def test_objects_below_carry_the_path_of_their_parent() -> None:
+def test_nested_objects_carry_the_path_of_their_parent() -> None:
     reader = SettingsReader({"allowed": {"fees": {}}})
-    below = reader.required_object("allowed").required_object("fees")
-    assert below.path == "allowed.fees."
+    nested = reader.required_object("allowed").required_object("fees")
+    assert nested.path == "allowed.fees."
     assert reader.optional_object("report").values == {}
 
 
@@ -91,7 +91,9 @@
 
 
 def services(*changes: dict[str, Any]) -> list[dict[str, Any]]:
-    return [{**raw_settings()["services"][0], "name": f"class-{n}", **each} for n, each in enumerate(changes)]
+    return [
+        {**raw_settings()["services"][0], "name": f"class-{n}", **change} for n, change in enumerate(changes)
+    ]
 
 
 @pytest.mark.parametrize(
@@ -106,11 +108,13 @@
     ],
     ids=str,
 )
-def test_message_objective_falls_back_to_the_shortest_then_to_that_of_the_set_up(
+def test_missing_message_objective_is_the_shortest_one_or_that_of_the_set_up(
     objectives: list[int | None] | None, expected: list[int]
 ) -> None:
     raw = raw_settings(services=services({}, {}), familyInfo={"messageAimNs": objectives})
-    assert [each.message_latency_objective_ns for each in Settings.parse(raw).classes] == expected
+    assert [
+        request_class.message_latency_objective_ns for request_class in Settings.parse(raw).classes
+    ] == expected
 
 
 @pytest.mark.parametrize(
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -64,15 +64,17 @@
 def test_wait_follows_level_rate_and_requests_ahead(
     level: float, rate: float, ahead: int, wait: float
 ) -> None:
-    made = SlowStart(TokenBucket(0.0, 0.0, level), 2.0 * rate, {b"a": 0.25, b"b": 0.25, b"c": 0.1})
-    assert made.wait_ns([b"a", b"b", b"d"], ahead) == pytest.approx(wait)
+    slow_start = SlowStart(TokenBucket(0.0, 0.0, level), 2.0 * rate, {b"a": 0.25, b"b": 0.25, b"c": 0.1})
+    assert slow_start.wait_ns([b"a", b"b", b"d"], ahead) == pytest.approx(wait)
 
 
 def test_draw_selects_endpoint_by_share_or_none() -> None:
-    made = SlowStart(TokenBucket(0.0, 0.0, 9.0), 1.0, {b"a": 0.2, b"b": 0.3})
-    draws = [made.draw(0, 9 * S, iter([0.0, at]).__next__) for at in (0.0, 0.19, 0.21, 0.49, 0.51, 0.99)]
+    slow_start = SlowStart(TokenBucket(0.0, 0.0, 9.0), 1.0, {b"a": 0.2, b"b": 0.3})
+    draws = [
+        slow_start.draw(0, 9 * S, iter([0.0, at]).__next__) for at in (0.0, 0.19, 0.21, 0.49, 0.51, 0.99)
+    ]
     assert draws == [b"a", b"a", b"b", b"b", None, None]
-    assert made.token_bucket.level == 3.0
+    assert slow_start.token_bucket.level == 3.0
 
 
 def restart_eight_endpoints(
@@ -83,9 +85,9 @@
     Returns how many connections these got, their slow-start capacity in connections, and the fullest window
     as a share of what may overload an endpoint (1.0).
     """
-    endpoints, warm, window, established = 20, 10, 2, 400
+    endpoints, warm_up_s, window, established = 20, 10, 2, 400
     fleet = SimulatedBalancers(
-        balancer_count, tuple(entry(n, zone=0) for n in range(endpoints)), rules={"warmUpNs": warm * S}
+        balancer_count, tuple(entry(n, zone=0) for n in range(endpoints)), rules={"warmUpNs": warm_up_s * S}
     )
     rules, draws = fleet.balancers[0].settings, random.Random(seed)
     arrival_weights = [1.0 / (1 + n % 10) if uneven else 1.0 for n in range(balancer_count)]
@@ -102,7 +104,7 @@
     restarted_at, before = fleet.now, len(fleet.sends)
     new_list = listed(*(entry(n, zone=0, started_ns=restarted_at if n < 8 else 0) for n in range(endpoints)))
     fleet.send_to_all(new_list)
-    for number in range(warm * 80):
+    for number in range(warm_up_s * 80):
         fleet.run(fleet.now + S // 80)
         if restarts and number % 40 == 0:
             fleet.restart(draws.randrange(balancer_count), new_list)
@@ -112,9 +114,9 @@
     def allowed(age: float) -> float:
         """Return the connections allowed in a window; a warm endpoint takes at least the present mean."""
         warm_up_factor = min(
-            1.0, rules.initial_capacity_share + (1 - rules.initial_capacity_share) * age / warm
+            1.0, rules.initial_capacity_share + (1 - rules.initial_capacity_share) * age / warm_up_s
         )
-        return rules.overload_multiple * established / endpoints / warm * warm_up_factor * window
+        return rules.overload_multiple * established / endpoints / warm_up_s * warm_up_factor * window
 
     worst = sent = 0.0
     for restarted in range(8):
@@ -124,7 +126,7 @@
             capacity = allowed((at - restarted_at) / S)
             recent = sum(at - window * S < other <= at for other in times)
             worst = max(worst, recent / (capacity + 2 * math.sqrt(capacity) + 2))
-    capacity = 8 * sum(allowed(second + 0.5) / window for second in range(warm))
+    capacity = 8 * sum(allowed(second + 0.5) / window for second in range(warm_up_s))
     return int(sent), capacity, worst
 
 
@@ -133,7 +135,11 @@
     [
         (2, False, False),
         (2, True, False),
-        *((n, *how) for n in (24, 32, 200) for how in ((False, False), (True, False), (True, True))),
+        *(
+            (n, *conditions)
+            for n in (24, 32, 200)
+            for conditions in ((False, False), (True, False), (True, True))
+        ),
     ],
 )
 def test_many_balancers_use_half_of_slow_start_capacity_and_never_exceed_it(
@@ -148,7 +154,7 @@
 
 
 @pytest.mark.parametrize(
-    ("balancer_count", "warm", "left_ns", "is_queued"),
+    ("balancer_count", "has_warm_endpoint", "left_ns", "is_queued"),
     [
         (2, False, S, False),  # one in 2 s, half of it safety margin: a token in 4 s
         (2, False, 5 * S, True),
@@ -161,14 +167,15 @@
     ],
 )
 def test_request_without_token_before_deadline_is_rejected_at_once(
-    balancer_count: int, warm: bool, left_ns: int, is_queued: bool
+    balancer_count: int, has_warm_endpoint: bool, left_ns: int, is_queued: bool
 ) -> None:
     # 29 clients waited 2.9 s of 3 for servers in slow start and were then rejected: too late to retry.
     balancer = make_balancer(0, balancers=balancer_count)
     balancer.step(
-        100 * S, [listed(entry(1, started_ns=100 * S), entry(2, started_ns=0 if warm else 100 * S))]
+        100 * S,
+        [listed(entry(1, started_ns=100 * S), entry(2, started_ns=0 if has_warm_endpoint else 100 * S))],
     )
-    if warm:
+    if has_warm_endpoint:
         balancer.endpoints[endpoint(2)].ejected_until = 150 * S
         balancer.endpoints[endpoint(2)].is_overloaded = True
     balancer.slow_start.token_bucket.refilled_at_ns = 100 * S
@@ -185,11 +192,11 @@
     # One limit starts high and one low; the store serves 20 at once, beyond that all set-ups are slow.
     limits = [ConcurrencyLimit(), ConcurrencyLimit()]
     limits[0].limit = 60.0
-    for turn in range(400):
-        slow = sum(one.limit for one in limits) > 20.0
+    for second in range(400):
+        slow = sum(limit.limit for limit in limits) > 20.0
         for concurrency_limit in limits:
             for _ in range(8):
-                concurrency_limit.record_setup(turn * S, S, 2 * S if slow else S // 4, False, 1000.0)
-    assert all(MIN_LIMIT <= one.limit <= 30.0 for one in limits)
+                concurrency_limit.record_setup(second * S, S, 2 * S if slow else S // 4, False, 1000.0)
+    assert all(MIN_LIMIT <= limit.limit <= 30.0 for limit in limits)
     assert limits[0].limit < 2.5 * limits[1].limit
     assert ConcurrencyLimit().limit == INITIAL_LIMIT
--- a/tests/test_tick_timer.py
+++ b/tests/test_tick_timer.py
@@ -22,7 +22,7 @@
 def test_step_begins_without_actions_and_never_before_the_last_one() -> None:
     parts = Parts()
     parts.tick_timer.start()
-    parts.at(3 * S)
+    parts.begin_step(3 * S)
     assert (parts.context.now, parts.context.actions) == (3 * S, [])
-    parts.at(2 * S)
+    parts.begin_step(2 * S)
     assert parts.context.now == 3 * S
--- a/tests/test_unresponsive_endpoints.py
+++ b/tests/test_unresponsive_endpoints.py
@@ -9,53 +9,53 @@
 from linnetshift.routing.unresponsive_endpoints import UnresponsiveEndpoints
 
 
-def made() -> tuple[Parts, UnresponsiveEndpoints]:
+def make_parts() -> tuple[Parts, UnresponsiveEndpoints]:
     parts = Parts(balancers=5, myNumber=0, allowed={"peerMessages": True})
-    parts.at(100 * S)
-    return parts, UnresponsiveEndpoints(parts.context, parts.outliers, parts.migration)
+    parts.begin_step(100 * S)
+    return parts, UnresponsiveEndpoints(parts.context, parts.outlier_detection, parts.migration)
 
 
-def test_own_failure_is_reported_once_and_the_second_makes_sure() -> None:
-    parts, unresponsive = made()
-    where = parts.endpoint(0)
-    parts.connection(1, where)
-    unresponsive.handle_connect_failure(where)
-    assert parts.context.actions == [SendPeerMessage(ALL_PEERS, b"s" + where.id)]
-    assert not where.ejected_until
+def test_own_failure_is_reported_once_and_a_second_one_ejects_the_endpoint() -> None:
+    parts, unresponsive = make_parts()
+    endpoint = parts.endpoint(0)
+    parts.connection(1, endpoint)
+    unresponsive.handle_connect_failure(endpoint)
+    assert parts.context.actions == [SendPeerMessage(ALL_PEERS, b"s" + endpoint.id)]
+    assert not endpoint.ejected_until
     assert len(parts.migration) == 0
-    parts.at(101 * S)
-    unresponsive.handle_connect_failure(where)
+    parts.begin_step(101 * S)
+    unresponsive.handle_connect_failure(endpoint)
     assert not any(isinstance(action, SendPeerMessage) for action in parts.context.actions)
-    assert where.ejected_until
+    assert endpoint.ejected_until
     assert len(parts.migration) == 1
 
 
-def test_two_reports_of_one_peer_are_not_enough_and_those_of_two_are() -> None:
-    parts, unresponsive = made()
-    where = parts.endpoint(0)
+def test_endpoint_is_ejected_by_reports_of_two_peers_but_not_by_two_of_one() -> None:
+    parts, unresponsive = make_parts()
+    endpoint = parts.endpoint(0)
     for reporter, is_ejected in ((1, False), (1, False), (2, True)):
-        unresponsive.handle_report(where, reporter)
-        assert (where.ejected_until > 0) is is_ejected
+        unresponsive.handle_report(endpoint, reporter)
+        assert (endpoint.ejected_until > 0) is is_ejected
 
 
 def test_old_reports_and_those_before_an_established_connection_do_not_count() -> None:
-    parts, unresponsive = made()
+    parts, unresponsive = make_parts()
     old, established = parts.endpoint(0), parts.endpoint(1)
-    for where in (old, established):
-        unresponsive.handle_report(where, 1)
-    parts.at(102 * S)
+    for endpoint in (old, established):
+        unresponsive.handle_report(endpoint, 1)
+    parts.begin_step(102 * S)
     established.last_established_at = 101 * S
     unresponsive.handle_report(established, 2)
-    parts.at(105 * S)
+    parts.begin_step(105 * S)
     unresponsive.handle_report(old, 2)
     assert not old.ejected_until
     assert not established.ejected_until
 
 
 def test_failure_that_two_peers_know_of_already_is_not_reported() -> None:
-    parts, unresponsive = made()
-    where = parts.endpoint(0)
-    unresponsive.handle_report(where, 1)
-    unresponsive.handle_report(where, 2)
-    unresponsive.handle_connect_failure(where)
+    parts, unresponsive = make_parts()
+    endpoint = parts.endpoint(0)
+    unresponsive.handle_report(endpoint, 1)
+    unresponsive.handle_report(endpoint, 2)
+    unresponsive.handle_connect_failure(endpoint)
     assert parts.context.actions == []
