--- a/tests/simulated_balancers.py
+++ b/tests/simulated_balancers.py
@@ -9,6 +9,7 @@
 import heapq
 from collections import Counter, deque
 from itertools import count
+from typing import NamedTuple
 
 from conftest import MS, S, listed, raw_settings
 
@@ -29,8 +30,42 @@
 ANSWER_NS = 1 * MS  # response time of a healthy endpoint
 
 
+class ScheduledEvent(NamedTuple):
+    """An event to come; sorted by its time, then by the order in which events were scheduled."""
+
+    at: int
+    order: int
+    balancer: int
+    event: Event
+
+
+class SentAttempt(NamedTuple):
+    """An attempt that a balancer sent."""
+
+    at: int
+    balancer: int
+    request_id: int
+    endpoint: bytes
+
+
+class SentHealthCheck(NamedTuple):
+    """A health check that a balancer sent."""
+
+    at: int
+    balancer: int
+    endpoint: bytes
+
+
+class SentMigration(NamedTuple):
+    """A connection that a balancer migrated."""
+
+    at: int
+    balancer: int
+    request_id: int
+
+
 class SimulatedBalancers:
-    """The balancers, their simulated clock and all that they did."""
+    """The balancers, their simulated clock and all that they did; times are in nanoseconds."""
 
     def __init__(
         self, balancer_count: int, endpoints: tuple[EndpointEntry, ...], seed: int = 0, **changes: object
@@ -46,15 +81,15 @@
         self.now = 1 * S
         self.order = count()
         self.request_ids = count(1)
-        self.due: list[tuple[int, int, int, Event]] = []
+        self.due: list[ScheduledEvent] = []
         self.unreachable: set[bytes] = set()  # connects to these time out
         self.failing: set[bytes] = set()  # these answer everything with an error
         self.health_check_delays: dict[bytes, int] = {}  # of overloaded endpoints, in ns
-        self.sends: list[tuple[int, int, int, bytes]] = []  # time, balancer, request, endpoint
-        self.health_checks: list[tuple[int, int, bytes]] = []
-        self.watches: list[tuple[int, int]] = []
-        self.answers: dict[int, list[tuple[int, Action]]] = {}
-        self.migrations: list[tuple[int, int, int]] = []
+        self.sends: list[SentAttempt] = []
+        self.health_checks: list[SentHealthCheck] = []
+        self.watches: list[tuple[int, int]] = []  # time and balancer
+        self.answers: dict[int, list[tuple[int, Action]]] = {}  # by request, with their times
+        self.migrations: list[SentMigration] = []
         self.attempts: Counter[int] = Counter()
         self.send_to_all(listed(*endpoints))
 
@@ -65,7 +100,7 @@
     def restart(self, balancer: int, known: Event) -> None:
         """Replace the balancer by a new process that knows only that list; drop its scheduled events."""
         self.balancers[balancer] = Balancer(self.balancers[balancer].settings, next(self.restart_seeds))
-        self.due = [entry for entry in self.due if entry[2] != balancer]
+        self.due = [scheduled for scheduled in self.due if scheduled.balancer != balancer]
         heapq.heapify(self.due)
         self.send_event(balancer, known)
 
@@ -74,7 +109,7 @@
             self.perform(balancer, action)
 
     def call_later(self, delay: int, balancer: int, event: Event) -> None:
-        heapq.heappush(self.due, (self.now + delay, next(self.order), balancer, event))
+        heapq.heappush(self.due, ScheduledEvent(self.now + delay, next(self.order), balancer, event))
 
     def send_request(self, balancer: int, **changes: object) -> int:
         request_id = next(self.request_ids)
@@ -83,9 +118,10 @@
         return request_id
 
     def run(self, until: int) -> None:
-        while self.due and self.due[0][0] <= until:
-            self.now, _, balancer, event = heapq.heappop(self.due)
-            self.send_event(balancer, event)
+        while self.due and self.due[0].at <= until:
+            scheduled = heapq.heappop(self.due)
+            self.now = scheduled.at
+            self.send_event(scheduled.balancer, scheduled.event)
         self.now = until
 
     def perform(self, balancer: int, action: Action) -> None:
@@ -99,7 +135,7 @@
             case Watch(on=True):
                 self.watches.append((self.now, balancer))
             case Migrate(request):
-                self.migrations.append((self.now, balancer, request))
+                self.migrations.append(SentMigration(self.now, balancer, request))
                 closed = AttemptEnded(request, 0, b"", True, 0, Outcome.CANCELLED, ())
                 self.call_later(ANSWER_NS, balancer, closed)
             case Reject(request) | Fail(request):
@@ -110,7 +146,7 @@
         request, endpoint, timeout = send
         attempt = self.attempts[request]
         self.attempts[request] += 1
-        self.sends.append((self.now, balancer, request, endpoint))
+        self.sends.append(SentAttempt(self.now, balancer, request, endpoint))
         if endpoint in self.unreachable:
             limit = min(timeout, self.balancers[balancer].settings.connect_timeout_ns)
             failed = AttemptEnded(request, attempt, endpoint, False, limit, Outcome.CONNECT_FAILED, ())
@@ -124,16 +160,19 @@
 
     def answer_health_check(self, balancer: int, endpoint: bytes) -> None:
         """Schedule the result of a health check, at the latest when the connect timeout expires."""
-        self.health_checks.append((self.now, balancer, endpoint))
+        self.health_checks.append(SentHealthCheck(self.now, balancer, endpoint))
         limit = self.balancers[balancer].settings.connect_timeout_ns
-        outcome, wait = Outcome.OK, self.health_check_delays.get(endpoint, ANSWER_NS)
+        outcome = Outcome.OK
+        delay = self.health_check_delays.get(endpoint, ANSWER_NS)
         if endpoint in self.unreachable:
-            outcome, wait = Outcome.CONNECT_FAILED, limit
+            outcome = Outcome.CONNECT_FAILED
+            delay = limit
         elif endpoint in self.failing:
             outcome = Outcome.ERROR
-        elif wait > limit:
-            outcome, wait = Outcome.TIMEOUT, limit
-        self.call_later(wait, balancer, HealthCheckResult(endpoint, outcome, wait, ()))
+        elif delay > limit:
+            outcome = Outcome.TIMEOUT
+            delay = limit
+        self.call_later(delay, balancer, HealthCheckResult(endpoint, outcome, delay, ()))
 
 
 def most_within(times: list[int], window: int) -> int:
--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -33,13 +33,13 @@
 
 
 @pytest.mark.parametrize("zones", [1, 2, 5])
-@pytest.mark.parametrize("fee", [0.0, 0.014, 0.13])
-def test_remote_zone_share_follows_cross_zone_fee(fee: float, zones: int) -> None:
+@pytest.mark.parametrize("crossing_cost", [0.0, 0.014, 0.13])
+def test_remote_zone_share_follows_cross_zone_cost(crossing_cost: float, zones: int) -> None:
     # A fixed share of a tenth, right for a fee of 0.13, cost a deployment with a fee of 0.014 a sixth of its
     # score.
-    balancer = make_balancer(0, fees={"crossZone": fee})
+    balancer = make_balancer(0, fees={"crossZone": crossing_cost})
     balancer.step(2 * S, [listed(*(entry(n, zone=n % zones) for n in range(30)))])
-    odds = (zones - 1) * math.exp(-fee / CROSS_ZONE_COST_SCALE)
+    odds = (zones - 1) * math.exp(-crossing_cost / CROSS_ZONE_COST_SCALE)
     assert remote_share(balancer) == pytest.approx(odds / (1 + odds), abs=0.06)
 
 
@@ -60,14 +60,16 @@
     # endpoints.
     balancer = make_balancer(8, weightSource=source)
     before = establish(balancer, 40, 4)
-    for turn in range(10):
-        balancer.step((4 + turn) * S, [listed(*(entry(n, weight=0.2 + (n + turn) % 8) for n in range(8)))])
+    for second in range(10):
+        balancer.step(
+            (4 + second) * S, [listed(*(entry(n, weight=0.2 + (n + second) % 8) for n in range(8)))]
+        )
         for g in before:
-            (send,) = only(balancer.step(balancer.now + MS, [request(1000 + 10 * turn + g, group=g)]), Send)
+            (send,) = only(balancer.step(balancer.now + MS, [request(1000 + 10 * second + g, group=g)]), Send)
             assert send.endpoint in before[g]
 
 
-def test_group_of_overloaded_endpoint_uses_next_ranked_one() -> None:
+def test_group_of_slow_endpoint_uses_next_ranked_one() -> None:
     balancer = make_balancer(8)
     (home,) = establish(balancer, 12, 1)[1]
     balancer.step(4 * S, [ConnectionNote(1, 0, home, SLOW_NOTE, 60.0)])
@@ -86,8 +88,8 @@
     assert send.endpoint != home
 
 
-@pytest.mark.parametrize("end", ["ended", "moved", "gone"])
-def test_ended_connections_leave_group_counts(end: str) -> None:
+@pytest.mark.parametrize("end", ["ended", "migrated", "removed"])
+def test_ended_connections_are_removed_from_group_counts(end: str) -> None:
     balancer = make_balancer(1)
     establish(balancer, 6, 2)
     (only_endpoint,) = balancer.endpoints.values()
@@ -95,7 +97,7 @@
     if end == "ended":
         for n in range(1, 7):
             balancer.step(4 * S, [ended(Send(n, only_endpoint.id, 0), 0, Outcome.OK, closed=True)])
-    elif end == "moved":
+    elif end == "migrated":
         for item in list(only_endpoint.established.values()):
             balancer.migration.migrate(item, only_endpoint)
     else:
@@ -110,16 +112,16 @@
     # Errors counted only once another endpoint had served the request: while the others were in slow
     # start, the failing endpoint stayed first.
     balancer = make_balancer(2)
-    bad = next(iter(balancer.ranking.ranked(key_hash(request(1, key=5))))).id
+    failing = next(iter(balancer.ranking.ranked(key_hash(request(1, key=5))))).id
     balancer.step(2 * S, [listed(entry(0, started_ns=2 * S), entry(1, started_ns=2 * S))])
-    balancer.endpoints[bad].started_at = 0
-    tried = 0
+    balancer.endpoints[failing].started_at = 0
+    attempts_at_failing = 0
     for number in range(1, 12):
         actions = balancer.step(balancer.now + MS, [request(number, key=5)])
         while sends := only(actions, Send):
-            tried += sends[0].endpoint == bad
+            attempts_at_failing += sends[0].endpoint == failing
             actions = balancer.step(balancer.now, [ended(sends[0], 0, Outcome.ERROR)])
-    assert tried == 2
+    assert attempts_at_failing == 2
 
 
 def test_request_is_not_retried_at_endpoint_that_failed_it_though_it_serves_others() -> None:
@@ -134,11 +136,11 @@
 
 def test_success_or_restart_resets_consecutive_errors() -> None:
     balancer = make_balancer(1)
-    for number, then in ((1, "serves"), (2, "restarts")):
+    for number, event in ((1, "serves"), (2, "restarts")):
         (send,) = only(balancer.step(balancer.now + S, [request(number)]), Send)
         balancer.step(balancer.now, [ended(send, 0, Outcome.ERROR)])
         assert balancer.endpoints[endpoint(0)].consecutive_errors == 1
-        if then == "serves":
+        if event == "serves":
             (again,) = only(balancer.step(balancer.now + S, [request(9)]), Send)
             balancer.step(balancer.now, [ConnectionEstablished(9, 0, again.endpoint, MS)])
         else:
@@ -157,8 +159,8 @@
         balancer.settings.overload_window_ns,
         0,
     )
-    for turn in range(1, 80 * balancer_count + 1):
-        actions = balancer.step(2 * S + turn * overload_window_ns + turn, [request(turn, budget_ns=S)])
+    for number in range(1, 80 * balancer_count + 1):
+        actions = balancer.step(2 * S + number * overload_window_ns + number, [request(number, budget_ns=S)])
         served += len(only(actions, Send))
         for send in only(actions, Send):
             balancer.step(balancer.now, [ended(send, 0, Outcome.FULL, closed=True)])
@@ -183,19 +185,19 @@
     assert new.ranking.connections_per_weight == 11.5
 
 
-def test_late_endpoints_in_slow_start_do_not_cause_load_shedding() -> None:
+def test_slow_endpoints_in_slow_start_do_not_cause_load_shedding() -> None:
     # In a deploy most endpoints are in slow start and late for some seconds: keys were rejected for ten
     # seconds after it.
     balancer = make_balancer(8)
     establish(balancer, 40, 4)
     balancer.step(4 * S, [listed(*(entry(n, started_ns=4 * S if n < 5 else 0) for n in range(8)))])
-    late = [ConnectionNote(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5)]
-    balancer.step(5 * S, late)
-    balancer.step(6 * S + MS, late)
+    slow_notes = [ConnectionNote(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5)]
+    balancer.step(5 * S, slow_notes)
+    balancer.step(6 * S + MS, slow_notes)
     assert balancer.admission.load_shedding.admitted_share == 1.0
-    warm = [ConnectionNote(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5, 8)]
-    balancer.step(7 * S + 2 * MS, late + warm)
-    balancer.step(8 * S + 3 * MS, late + warm)
+    warm_notes = [ConnectionNote(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5, 8)]
+    balancer.step(7 * S + 2 * MS, slow_notes + warm_notes)
+    balancer.step(8 * S + 3 * MS, slow_notes + warm_notes)
     assert balancer.admission.load_shedding.admitted_share < 1.0
 
 
@@ -225,8 +227,8 @@
         zones=["a"],
     )
     for path in paths:
-        *above, last = path.split(".")
-        (raw.get(above[0], {}) if above else raw).pop(last, None)
+        *parents, last = path.split(".")
+        (raw.get(parents[0], {}) if parents else raw).pop(last, None)
     return raw
 
 
--- a/tests/test_group_affinity.py
+++ b/tests/test_group_affinity.py
@@ -15,16 +15,16 @@
 
 @given(st.lists(st.integers(0, 5), max_size=3 * SAMPLE_SIZE))
 def test_same_group_probability_counts_most_recent_clients(groups: list[int]) -> None:
-    sizes = GroupSizeEstimator()
+    estimator = GroupSizeEstimator()
     for group in groups:
-        sizes.record_client(group)
+        estimator.record_client(group)
     recent = [group for group in groups if group][-SAMPLE_SIZE:]
     equal_pairs = sum(a == b for n, a in enumerate(recent) for b in recent[:n])
     pairs = len(recent) * (len(recent) - 1) / 2
-    assert sizes.same_group_probability() == pytest.approx(
+    assert estimator.same_group_probability() == pytest.approx(
         (equal_pairs + PRIOR_EQUAL_PAIRS) / (pairs + PRIOR_PAIRS)
     )
-    assert sum(sizes.counts.values()) == len(recent)
+    assert sum(estimator.counts.values()) == len(recent)
 
 
 def mean_endpoints_per_group(groups: int, balancer_count: int) -> float:
@@ -41,7 +41,7 @@
         group = draws.randrange(groups) + 1
         fleet.send_request(n % balancer_count, key=n + 1, group=group)
         fleet.run(fleet.now + 2 * MS)
-        endpoints_by_group.setdefault(group, set()).add(fleet.sends[-1][3])
+        endpoints_by_group.setdefault(group, set()).add(fleet.sends[-1].endpoint)
     assert fleet.now < 10 * S
     return sum(map(len, endpoints_by_group.values())) / len(endpoints_by_group)
 
--- a/tests/test_many_balancers.py
+++ b/tests/test_many_balancers.py
@@ -24,7 +24,7 @@
 from linnetshift.routing.pending_requests import key_hash
 
 ENDPOINTS = tuple(entry(n) for n in range(8))
-PROBING = {"probing": True}
+HEALTH_CHECKS_ALLOWED = {"probing": True}
 
 
 def established_at(fleet: SimulatedBalancers, endpoint_id: bytes) -> int:
@@ -35,51 +35,49 @@
 def test_balancer_with_few_connections_checks_health_before_placement(balancer_count: int) -> None:
     # 40 balancers with a connection or two each went on sending to an endpoint that answered no message in
     # time.
-    fleet = SimulatedBalancers(balancer_count, ENDPOINTS, allowed=PROBING)
+    fleet = SimulatedBalancers(balancer_count, ENDPOINTS, allowed=HEALTH_CHECKS_ALLOWED)
     fleet.health_check_delays[endpoint(3)] = 150 * MS
     for n in range(80):
         fleet.send_request(n % balancer_count, key=n + 1)
         fleet.run(fleet.now + 20 * MS)
     fleet.run(fleet.now + 2 * S)
-    overloaded_sends = [at for at, _, _, endpoint_id in fleet.sends if endpoint_id == endpoint(3)]
+    overloaded_sends = [send for send in fleet.sends if send.endpoint == endpoint(3)]
     assert not fleet.answers
     assert len(fleet.sends) == 80
     if balancer_count == 40:
         assert not overloaded_sends
-        assert len({endpoint_id for _, _, endpoint_id in fleet.health_checks}) == 8
+        assert len({check.endpoint for check in fleet.health_checks}) == 8
     else:
         # A balancer with more connections than endpoints hears from most of them and needs no checks.
         assert len(fleet.health_checks) < 40
-        assert len(fleet.health_checks) <= sum(at < 2 * S for at, _, _ in fleet.health_checks)
+        assert len(fleet.health_checks) <= sum(check.at < 2 * S for check in fleet.health_checks)
 
 
-def slow_note(
-    fleet: SimulatedBalancers, balancer: int, number: int, endpoint_id: bytes, ms: float
-) -> ConnectionNote:
-    return ConnectionNote(number, 0, endpoint_id, SLOW_NOTE, ms)
+def slow_note(request_id: int, endpoint_id: bytes, ms: float) -> ConnectionNote:
+    return ConnectionNote(request_id, 0, endpoint_id, SLOW_NOTE, ms)
 
 
 @pytest.mark.parametrize(
-    ("balancer_count", "late", "served"), [(40, 2, True), (40, 5, False), (2, 2, True), (2, 5, False)]
+    ("balancer_count", "slow_count", "admits_all"),
+    [(40, 2, True), (40, 5, False), (2, 2, True), (2, 5, False)],
 )
-def test_load_shedding_starts_only_when_most_endpoints_are_late(
-    balancer_count: int, late: int, served: bool
+def test_load_shedding_starts_only_when_most_endpoints_are_slow(
+    balancer_count: int, slow_count: int, admits_all: bool
 ) -> None:
-    # A balancer with connections at two endpoints, both late, rejected half of all requests at once while
+    # A balancer with connections at two endpoints, both slow, rejected half of all requests at once while
     # most endpoints were idle.
     fleet = SimulatedBalancers(balancer_count, ENDPOINTS)
     balancer = fleet.balancers[0]
-    for n in range(late):
+    for n in range(slow_count):
         numbers = [number for number in range(1, 400) if first_ranked(fleet, number) == endpoint(n)]
         fleet.send_request(0, key=numbers[0])
     fleet.run(fleet.now + 100 * MS)
     for _ in range(3):
         fleet.run(fleet.now + 1 * S)
-        for late_endpoint in [h for h in balancer.endpoints.values() if h.established]:
-            fleet.send_event(
-                0, slow_note(fleet, 0, next(iter(late_endpoint.established)), late_endpoint.id, 90.0)
-            )
-    assert (balancer.admission.load_shedding.admitted_share == 1.0) is served
+        for slow_endpoint in [h for h in balancer.endpoints.values() if h.established]:
+            request_id = next(iter(slow_endpoint.established))
+            fleet.send_event(0, slow_note(request_id, slow_endpoint.id, 90.0))
+    assert (balancer.admission.load_shedding.admitted_share == 1.0) is admits_all
 
 
 def first_ranked(fleet: SimulatedBalancers, key: int, number: int = 0) -> bytes:
@@ -90,7 +88,7 @@
 
 def ranked(fleet: SimulatedBalancers, key: int) -> list[bytes]:
     balancer = fleet.balancers[0]
-    return [one.id for one in balancer.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))]
+    return [each.id for each in balancer.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))]
 
 
 @pytest.mark.parametrize(("ms", "minimum", "maximum"), [(90.0, 8, 15), (1500.0, 29, 35)])
@@ -105,7 +103,7 @@
         fleet.run(fleet.now + 100 * MS)
         for n, number in enumerate(numbers):
             if n < 40:
-                fleet.send_event(n, slow_note(fleet, n, number, endpoint(3), ms))
+                fleet.send_event(n, slow_note(number, endpoint(3), ms))
         migrated += len(fleet.migrations)
     assert minimum <= migrated / 10 <= maximum
 
@@ -127,12 +125,12 @@
 
 
 @pytest.mark.parametrize("balancer_count", [2, 40])
-@pytest.mark.parametrize(("fee", "minimum", "maximum"), [(0.0, 0.55, 0.8), (0.1, 0.0, 0.25)])
-def test_cross_zone_fee_gives_each_zone_its_own_endpoint_for_a_key(
-    balancer_count: int, fee: float, minimum: float, maximum: float
+@pytest.mark.parametrize(("crossing_cost", "minimum", "maximum"), [(0.0, 0.55, 0.8), (0.1, 0.0, 0.25)])
+def test_cross_zone_cost_gives_each_zone_its_own_endpoint_for_a_key(
+    balancer_count: int, crossing_cost: float, minimum: float, maximum: float
 ) -> None:
     # Every second connection crossed data centres, a fifth of all lost score. Here are three zones.
-    fleet = SimulatedBalancers(balancer_count, ENDPOINTS, fees={"crossZone": fee})
+    fleet = SimulatedBalancers(balancer_count, ENDPOINTS, fees={"crossZone": crossing_cost})
     first_by_zone = {n: set[bytes]() for n in range(3)}
     for n, balancer in enumerate(fleet.balancers):
         balancer.configure(replace(balancer.settings, zone=n % 3))
@@ -142,9 +140,7 @@
     for n in range(240):
         fleet.send_request(n % balancer_count, key=n + 1, group=n // 6 + 1)
         fleet.run(fleet.now + 5 * MS)
-    crossing = sum(
-        entry_of(endpoint_id).zone != balancer_index % 3 for _, balancer_index, _, endpoint_id in fleet.sends
-    )
+    crossing = sum(entry_of(send.endpoint).zone != send.balancer % 3 for send in fleet.sends)
     assert minimum <= crossing / 240 <= maximum
     for n in range(balancer_count):
         first_by_zone[n % 3].add(first_ranked(fleet, 7, n))
@@ -152,15 +148,15 @@
 
 
 def entry_of(endpoint_id: bytes) -> EndpointEntry:
-    return next(one for one in ENDPOINTS if one.endpoint == endpoint_id)
+    return next(each for each in ENDPOINTS if each.endpoint == endpoint_id)
 
 
 @pytest.mark.parametrize(
-    ("flags", "dropped", "minimum", "maximum"),
+    ("flags", "has_drops", "minimum", "maximum"),
     [(0, True, 1.0, 1.0), (RETURNED, True, 0.55, 0.85), (RETURNED, False, 1.0, 1.0)],
 )
 def test_returning_clients_are_spread_after_drops(
-    flags: int, dropped: bool, minimum: float, maximum: float
+    flags: int, has_drops: bool, minimum: float, maximum: float
 ) -> None:
     # 4,259 of 5,319 connections of one release were dropped within a second or so, and all came back through
     # proxies that knew nothing of it to the same dozen of servers, 200 a second, for twenty seconds. Where
@@ -168,17 +164,17 @@
     balancer_count = 40
     fleet = SimulatedBalancers(balancer_count, ENDPOINTS)
     key = next(key for key in range(1, 400) if first_ranked(fleet, key) == endpoint(3))
-    if dropped:
+    if has_drops:
         for balancer in fleet.balancers:
             for _ in range(8):
                 balancer.returning_clients.record_drop(fleet.now)
     for n in range(200):
         fleet.send_request(n % balancer_count, key=n + 1, group=key, flags=flags)
         fleet.run(fleet.now + 5 * MS)
-    chosen = [endpoint_id for _, _, _, endpoint_id in fleet.sends]
+    chosen = [send.endpoint for send in fleet.sends]
     assert minimum <= chosen.count(endpoint(3)) / 200 <= maximum
     # Clients that are passed on get the same next endpoint at every balancer: a group has few endpoints.
-    second = next(one for one in ranked(fleet, key) if one != endpoint(3))
+    second = next(each for each in ranked(fleet, key) if each != endpoint(3))
     assert chosen.count(endpoint(3)) + chosen.count(second) >= 0.8 * 200
 
 
@@ -193,8 +189,8 @@
     assert balancer.returning_clients.record_return(30 * S) == 0.0
 
 
-IN_SLOW_START = tuple(one._replace(started_ns=900 * MS) for one in ENDPOINTS)
-DRAINING_ENDPOINTS = tuple(one._replace(state=EndpointState.DRAINING) for one in ENDPOINTS)
+IN_SLOW_START = tuple(each._replace(started_ns=900 * MS) for each in ENDPOINTS)
+DRAINING_ENDPOINTS = tuple(each._replace(state=EndpointState.DRAINING) for each in ENDPOINTS)
 
 
 @pytest.mark.parametrize("balancer_count", [2, 40])
@@ -204,8 +200,8 @@
         ((), False),
         (DRAINING_ENDPOINTS, False),
         (IN_SLOW_START, True),
-        (tuple(one._replace(weight=0.0) for one in ENDPOINTS), True),
-        (tuple(one._replace(weight=float("nan")) for one in ENDPOINTS), True),
+        (tuple(each._replace(weight=0.0) for each in ENDPOINTS), True),
+        (tuple(each._replace(weight=float("nan")) for each in ENDPOINTS), True),
     ],
 )
 def test_request_is_rejected_at_once_when_no_endpoint_can_serve(
@@ -222,6 +218,6 @@
             for _, action in fleet.answers[number]  # type: ignore[union-attr]
         )
     fleet.run(fleet.now + 2 * S)
-    sent = {request for _, _, request, _ in fleet.sends}
+    sent = {send.request_id for send in fleet.sends}
     assert all((number in sent) is may_serve or number in fleet.answers for number in numbers)
     assert all(len(fleet.answers.get(number, [0])) == 1 for number in numbers)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_once_request_is_neither_retried_nor_rejected_after_it_may_have_run(outcome: Outcome) -> None:
+def test_once_request_is_neither_retried_nor_rejected_after_possible_execution(outcome: Outcome) -> None:
     balancer = make_balancer(**effect("once"))
     (send,) = balancer.step(2 * S, [request(1)])
     balancer.step(2 * S + MS, [ended(send, 0, outcome)])
@@ -130,22 +130,22 @@
     assert [s.endpoint for s in sends] == [best]
 
 
-def test_ejected_endpoint_is_avoided_and_readmitted_after_one_trial_request() -> None:
+def test_ejected_endpoint_is_avoided_and_readmitted_after_one_half_open_attempt() -> None:
     balancer = make_balancer(8)
     (send,) = balancer.step(2 * S, [request(1, group=5)])
     failed = send.endpoint
     balancer.step(2 * S + MS, [ended(send, 0, Outcome.CONNECT_FAILED, MS)])
     (other,) = only(balancer.step(2 * S + 2 * MS, [request(2, group=5)]), Send)
     assert other.endpoint != failed
-    trial, next_one = only(balancer.step(4 * S, [request(3, group=5), request(4, group=5)]), Send)
-    assert trial.endpoint == failed
-    assert next_one.endpoint != failed
+    half_open, next_send = only(balancer.step(4 * S, [request(3, group=5), request(4, group=5)]), Send)
+    assert half_open.endpoint == failed
+    assert next_send.endpoint != failed
     balancer.step(4 * S + MS, [ConnectionEstablished(3, 0, failed, MS)])
     (after,) = only(balancer.step(4 * S + 2 * MS, [request(5, group=5)]), Send)
     assert after.endpoint == failed
 
 
-def test_late_endpoint_is_avoided_until_its_messages_are_fast_again() -> None:
+def test_slow_endpoint_is_avoided_until_its_messages_are_fast_again() -> None:
     balancer = make_balancer(8)
     (send,) = balancer.step(2 * S, [request(1, group=5)])
     balancer.step(2 * S + MS, [ConnectionEstablished(1, 0, send.endpoint, MS)])
@@ -153,8 +153,8 @@
     (other,) = only(balancer.step(2 * S + 3 * MS, [request(2, group=5)]), Send)
     assert other.endpoint != send.endpoint
     balancer.step(2 * S + 4 * MS, [ConnectionNote(1, 0, send.endpoint, SLOW_NOTE, 5.0)])
-    (back,) = only(balancer.step(2 * S + 5 * MS, [request(3, group=5)]), Send)
-    assert back.endpoint == send.endpoint
+    (readmitted,) = only(balancer.step(2 * S + 5 * MS, [request(3, group=5)]), Send)
+    assert readmitted.endpoint == send.endpoint
 
 
 def test_events_of_withdrawn_and_unknown_requests_are_ignored() -> None:
@@ -199,7 +199,7 @@
 
 
 def test_concurrent_setups_stay_within_limit_that_success_raises() -> None:
-    balancer = make_balancer(8, window=8.0)
+    balancer = make_balancer(8, concurrency_limit=8.0)
     now = 2 * S
     sends = only(balancer.step(now, [request(n) for n in range(300)]), Send)
     assert len(sends) == 8
@@ -215,7 +215,7 @@
 
 
 def test_overloaded_store_lowers_concurrency_limit_and_lengthens_attempt_timeouts() -> None:
-    balancer = make_balancer(8, window=64.0)
+    balancer = make_balancer(8, concurrency_limit=64.0)
     now = 2 * S
     for number in range(200):  # errors at every endpoint
         now += 20 * MS
@@ -237,13 +237,13 @@
     return established
 
 
-def test_migrations_off_late_endpoint_are_few_and_need_a_better_one() -> None:
+def test_migrations_off_slow_endpoint_are_few_and_need_a_better_one() -> None:
     balancer = make_balancer(4)
     established = establish(balancer, 200)
-    late_endpoint = established[0].endpoint
-    connection_count = len(balancer.endpoints[late_endpoint].established)
+    slow_endpoint = established[0].endpoint
+    connection_count = len(balancer.endpoints[slow_endpoint].established)
     migrations = only(
-        balancer.step(3 * S, [ConnectionNote(established[0].request_id, 0, late_endpoint, SLOW_NOTE, 45.0)]),
+        balancer.step(3 * S, [ConnectionNote(established[0].request_id, 0, slow_endpoint, SLOW_NOTE, 45.0)]),
         Migrate,
     )
     assert 0 < len(migrations) <= connection_count * 0.05 + 1
@@ -252,7 +252,7 @@
     assert not only(only_balancer.step(3 * S, [ConnectionNote(0, 0, endpoint(0), SLOW_NOTE, 45.0)]), Migrate)
 
 
-def test_every_balancer_sheds_same_keys_when_most_endpoints_are_late() -> None:
+def test_every_balancer_sheds_same_keys_when_most_endpoints_are_slow() -> None:
     shed_by_balancer: list[set[int]] = []
     for seed in (1, 2):
         balancer = make_balancer(6, seed=seed)
@@ -269,7 +269,7 @@
     assert shed_by_balancer[0] == shed_by_balancer[1]
 
 
-def test_failed_zone_is_avoided_as_a_whole() -> None:
+def test_every_endpoint_of_failed_zone_is_avoided() -> None:
     balancer = make_balancer(30)
     established = establish(balancer, 300)
     in_failed_zone = [s for s in established if balancer.endpoints[s.endpoint].zone == 1]
@@ -335,8 +335,8 @@
     balancer = balancer_with_health_checks()
     now = 2 * S
     actions = balancer.step(now, [request(1)])
-    (silent,) = only(actions, HealthCheck)
-    while not only(actions, HealthCheck) or only(actions, HealthCheck)[0] == silent:
+    (unanswered,) = only(actions, HealthCheck)
+    while not only(actions, HealthCheck) or only(actions, HealthCheck)[0] == unanswered:
         now += 50 * MS
         assert now < 2 * S + 300 * MS
         actions = balancer.step(now, [TimerFired(1 << 16)])
@@ -345,7 +345,7 @@
         balancer.step(now + MS, [HealthCheckResult(check.endpoint, Outcome.OK, MS, (3.0, 0.1))]),
         Send,
     )
-    assert send.endpoint == check.endpoint != silent.endpoint
+    assert send.endpoint == check.endpoint != unanswered.endpoint
 
 
 def balancer_with_peers(balancer_number: int = 0) -> Balancer:
@@ -359,8 +359,8 @@
     connection_count = len(balancer.endpoints[unresponsive].established)
     assert not only(balancer.step(3 * S, [PeerMessage(1, b"s" + unresponsive)]), Migrate)
     assert not only(balancer.step(3 * S + MS, [PeerMessage(1, b"s" + unresponsive)]), Migrate)
-    late = request(900, group=established[0].request_id + 1)
-    actions = balancer.step(3 * S + 2 * MS, [PeerMessage(2, b"s" + unresponsive), late])
+    new_request = request(900, group=established[0].request_id + 1)
+    actions = balancer.step(3 * S + 2 * MS, [PeerMessage(2, b"s" + unresponsive), new_request])
     assert unresponsive not in {send.endpoint for send in only(actions, Send)}
     migrated = 0
     now = 3 * S
@@ -392,24 +392,24 @@
     assert not len(balancer.migration)
 
 
-def test_admitted_connections_migrate_off_late_endpoint_when_others_are_healthy() -> None:
+def test_admitted_connections_migrate_off_slow_endpoint_when_others_are_healthy() -> None:
     balancer = make_balancer(10)
     established = establish(balancer, 300)
     balancer.admission.load_shedding.admitted_share = 0.5  # still shedding after an overload
-    late_endpoint = established[0].endpoint
+    slow_endpoint = established[0].endpoint
     for _ in range(40):  # connections that are not admitted migrate first
         balancer.step(
-            balancer.now + S, [ConnectionNote(established[0].request_id, 0, late_endpoint, SLOW_NOTE, 500.0)]
+            balancer.now + S, [ConnectionNote(established[0].request_id, 0, slow_endpoint, SLOW_NOTE, 500.0)]
         )
-        if not balancer.endpoints[late_endpoint].established:
+        if not balancer.endpoints[slow_endpoint].established:
             break
         if all(
             balancer.admission.admits(item.request)
-            for item in balancer.endpoints[late_endpoint].established.values()
+            for item in balancer.endpoints[slow_endpoint].established.values()
         ):
-            before = len(balancer.endpoints[late_endpoint].established)
+            before = len(balancer.endpoints[slow_endpoint].established)
             migrations = only(
-                balancer.step(balancer.now + S, [ConnectionNote(0, 0, late_endpoint, SLOW_NOTE, 60.0)]),
+                balancer.step(balancer.now + S, [ConnectionNote(0, 0, slow_endpoint, SLOW_NOTE, 60.0)]),
                 Migrate,
             )
             assert migrations
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 
 import heapq
 import random
-from typing import Any
+from typing import Any, NamedTuple
 
 from conftest import MS, S, effect, endpoint, entry, raw_settings
 from hypothesis import given, settings
@@ -45,6 +45,21 @@
 FAILURES = [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
+class AttemptInFlight(NamedTuple):
+    """An attempt whose end is still to come."""
+
+    number: int
+    endpoint: bytes
+    sent_at: int
+
+
+class PossibleExecution(NamedTuple):
+    """The first attempt of a request that may have had an effect."""
+
+    endpoint: bytes
+    sent_at: int
+
+
 class Simulation:
     """Endpoints that fail at random; answers every attempt and asserts that each action keeps the rules."""
 
@@ -57,10 +72,10 @@
         self.due: list[tuple[int, int, Event]] = []
         self.order = 0
         self.deadlines: dict[int, int] = {}  # of open requests
-        self.in_flight: dict[int, tuple[int, bytes, int]] = {}  # request: attempt, endpoint, sent
-        self.attempts: dict[int, int] = {}
+        self.in_flight: dict[int, AttemptInFlight] = {}  # by request
+        self.attempts: dict[int, int] = {}  # number of the latest attempt, by request
         self.established: dict[int, bytes] = {}
-        self.maybe_executed: dict[int, tuple[bytes, int]] = {}  # first attempt that may have run
+        self.possible_executions: dict[int, PossibleExecution] = {}  # by request
         self.unavailable_since: dict[bytes, int] = {}
         self.zone = {endpoint(n): entry(n).zone for n in range(12)}
         self.answered = 0
@@ -109,38 +124,18 @@
             assert self.now <= deadline + self.settings.answer_slack_ns, f"{request} is overdue"
 
     def check(self, action: Action) -> None:
+        """Assert that the action keeps the rules, and carry it out."""
         match action:
-            case Send(request, endpoint_id, timeout):
-                assert request in self.deadlines
-                assert request not in self.in_flight
-                assert (
-                    self.now - self.unavailable_since.get(endpoint_id, self.now)
-                    <= self.settings.drain_grace_ns
-                )
-                self.check_retry_allowed(request, endpoint_id)
-                self.check_slow_start(endpoint_id)
-                attempt = self.attempts[request] = self.attempts.get(request, -1) + 1
-                assert attempt < self.settings.classes[0].max_attempts
-                self.in_flight[request] = (attempt, endpoint_id, self.now)
-                self.answer(request, attempt, endpoint_id, min(timeout, self.deadlines[request] - self.now))
+            case Send():
+                self.check_send(action)
             case Reject(request, _):
-                klass = self.settings.classes[0]
-                assert request in self.deadlines
-                assert request not in self.in_flight
-                assert (
-                    request not in self.maybe_executed
-                    or klass.effect == Effect.IDEMPOTENT
-                    or (klass.effect == Effect.IDEMPOTENT_BY_KEY and klass.scope == Scope.ALL)
-                )
-                del self.deadlines[request]
-                self.answered += 1
+                self.check_reject(request)
             case Fail(request):
-                assert request in self.deadlines
-                del self.deadlines[request]
-                self.answered += 1
+                self.check_answer(request)
             case SetTimer(delay, token):
                 self.call_later(max(delay, 1), TimerFired(token))
             case Migrate(request):
+                assert request in self.established
                 endpoint_id = self.established.pop(request)
                 attempt = self.attempts[request]
                 self.call_later(
@@ -149,14 +144,44 @@
             case HealthCheck() | SendPeerMessage():
                 raise AssertionError("not permitted here")
 
+    def check_send(self, send: Send) -> None:
+        request, endpoint_id, timeout = send
+        assert request in self.deadlines
+        assert request not in self.in_flight
+        unavailable_ns = self.now - self.unavailable_since.get(endpoint_id, self.now)
+        assert unavailable_ns <= self.settings.drain_grace_ns
+        self.check_retry_allowed(request, endpoint_id)
+        self.check_slow_start(endpoint_id)
+        attempt = self.attempts[request] = self.attempts.get(request, -1) + 1
+        assert attempt < self.settings.classes[0].max_attempts
+        self.in_flight[request] = AttemptInFlight(attempt, endpoint_id, self.now)
+        self.answer(request, attempt, endpoint_id, min(timeout, self.deadlines[request] - self.now))
+
+    def check_reject(self, request: int) -> None:
+        """A rejected request has no attempt in flight, and a retry of its client does no harm."""
+        request_class = self.settings.classes[0]
+        assert request not in self.in_flight
+        assert (
+            request not in self.possible_executions
+            or request_class.effect == Effect.IDEMPOTENT
+            or (request_class.effect == Effect.IDEMPOTENT_BY_KEY and request_class.scope == Scope.ALL)
+        )
+        self.check_answer(request)
+
+    def check_answer(self, request: int) -> None:
+        """A final answer comes once, to an open request."""
+        assert request in self.deadlines
+        del self.deadlines[request]
+        self.answered += 1
+
     def check_retry_allowed(self, request: int, endpoint_id: bytes) -> None:
-        klass = self.settings.classes[0]
-        if request not in self.maybe_executed or klass.effect == Effect.IDEMPOTENT:
+        request_class = self.settings.classes[0]
+        if request not in self.possible_executions or request_class.effect == Effect.IDEMPOTENT:
             return
-        first, sent = self.maybe_executed[request]
-        assert klass.effect == Effect.IDEMPOTENT_BY_KEY
-        assert self.now - sent <= klass.idempotency_window_ns
-        assert klass.scope == Scope.ALL or self.zone[endpoint_id] == self.zone[first]
+        first = self.possible_executions[request]
+        assert request_class.effect == Effect.IDEMPOTENT_BY_KEY
+        assert self.now - first.sent_at <= request_class.idempotency_window_ns
+        assert request_class.scope == Scope.ALL or self.zone[endpoint_id] == self.zone[first.endpoint]
 
     def answer(self, request: int, attempt: int, endpoint_id: bytes, timeout: int) -> None:
         delay = self.random.randrange(1, 300) * MS
@@ -180,9 +205,10 @@
                     self.max_established = max(self.max_established, len(self.established))
                     self.answered += 1
                 case AttemptEnded(request, _, endpoint_id, closed, _, outcome, _) if not closed:
-                    _, _, sent = self.in_flight.pop(request)
+                    attempt = self.in_flight.pop(request)
                     if outcome not in NEVER_RAN:
-                        self.maybe_executed.setdefault(request, (endpoint_id, sent))
+                        execution = PossibleExecution(endpoint_id, attempt.sent_at)
+                        self.possible_executions.setdefault(request, execution)
             self.feed([event])
         self.now = max(self.now, until)
 
--- a/tests/test_simulation_codec.py
+++ b/tests/test_simulation_codec.py
@@ -51,22 +51,22 @@
     return struct.pack(">IIQ", 16 + len(body), len(records) if count is None else count, now) + body
 
 
-def on(node: int) -> bytes:
+def select_instance(node: int) -> bytes:
     return struct.pack(">BI", 12, node)
 
 
-def create(**changes: object) -> bytes:
+def create_record(**changes: object) -> bytes:
     text = json.dumps(raw_settings(**changes)).encode()
     return struct.pack(">BQI", 0, 7, len(text)) + text
 
 
-def members(form: int, *entries: EndpointEntry) -> bytes:
+def list_record(form: int, *entries: EndpointEntry) -> bytes:
     rows = b"".join(struct.pack(">6sHHHBfQ", *e[:7]) for e in entries)
     return struct.pack(">BBQI", 1, form, 3, len(entries)) + rows
 
 
-def inbound(rid: int, group: int = 5) -> bytes:
-    return struct.pack(">BIQQBQHIQ", 2, rid, group, 0, 0, 9, 0, 0, 2 * S)
+def request_record(request_id: int, group: int = 5) -> bytes:
+    return struct.pack(">BIQQBQHIQ", 2, request_id, group, 0, 0, 9, 0, 0, 2 * S)
 
 
 HALT = b"\x09"
@@ -90,19 +90,21 @@
         struct.pack(">BHQ6sBf", 7, 1, 9, endpoint(3), 1, 0.25),
     ),
     (PeerMessage(3, b"hi"), struct.pack(">BHH", 8, 3, 2) + b"hi"),
-    (EndpointList(2, 3, (entry(1), entry(2))), members(2, entry(1), entry(2))),
+    (EndpointList(2, 3, (entry(1), entry(2))), list_record(2, entry(1), entry(2))),
     (Halt(), HALT),
 ]
 
 
 @pytest.mark.parametrize(("event", "record"), EVENTS, ids=lambda v: type(v).__name__)
-def test_every_event_is_read(event: Event, record: bytes) -> None:
-    assert decode_batch(frame(on(6), record, now=77)) == (77, [(6, [event])])
+def test_every_event_is_decoded(event: Event, record: bytes) -> None:
+    assert decode_batch(frame(select_instance(6), record, now=77)) == (77, [(6, [event])])
 
 
 def test_events_are_grouped_by_instance_in_order() -> None:
     timer = struct.pack(">BI", 6, 4)
-    _, groups = decode_batch(frame(on(1), timer, timer, on(2), on(1), timer))
+    _, groups = decode_batch(
+        frame(select_instance(1), timer, timer, select_instance(2), select_instance(1), timer)
+    )
     assert [(node, len(events)) for node, events in groups] == [(1, 2), (2, 0), (1, 1)]
 
 
@@ -122,18 +124,18 @@
 
 
 @pytest.mark.parametrize(("action", "record"), ACTIONS, ids=lambda v: type(v).__name__)
-def test_every_action_is_written(action: Action, record: bytes) -> None:
+def test_every_action_is_encoded(action: Action, record: bytes) -> None:
     body = struct.pack(">BI", 13, 3) + record
     assert encode_reply([(2, []), (3, [action])]) == struct.pack(">I", 4 + len(body)) + body
 
 
 TIMER = struct.pack(">BI", 6, 4)
 MALFORMED = {
-    "unknown code": frame(on(1), b"\x63"),
-    "truncated record": frame(on(1), TIMER[:-1]),
-    "truncated bytes": frame(on(1), struct.pack(">BHH", 8, 3, 9) + b"hi"),
-    "too few records": frame(on(1), TIMER, count=3),
-    "trailing bytes": frame(on(1), TIMER, count=1),
+    "unknown code": frame(select_instance(1), b"\x63"),
+    "truncated record": frame(select_instance(1), TIMER[:-1]),
+    "truncated bytes": frame(select_instance(1), struct.pack(">BHH", 8, 3, 9) + b"hi"),
+    "too few records": frame(select_instance(1), TIMER, count=3),
+    "trailing bytes": frame(select_instance(1), TIMER, count=1),
     "event before any instance": frame(TIMER),
     "length too small": struct.pack(">I", 3) + b"\0" * 12,
     "length past the end": struct.pack(">IIQ", 99, 0, 1),
@@ -152,7 +154,7 @@
     assert run.stderr.startswith(b"linnetshift: ")
 
 
-def test_empty_batches_and_end_of_input() -> None:
+def test_empty_batches_get_empty_replies_until_the_input_ends() -> None:
     run = subprocess.run(
         [sys.executable, "-m", "linnetshift.simulation"], input=frame() * 2, capture_output=True, timeout=60
     )
@@ -165,21 +167,42 @@
     return sink.getvalue()
 
 
-def test_a_request_is_sent_and_instances_share_nothing() -> None:
-    start = frame(on(1), create(), members(2, entry(1)), on(2), create(), members(2), now=S)
-    out = replies(start, frame(on(1), inbound(1), on(2), inbound(1), now=2 * S))
+def test_request_is_sent_by_its_own_instance_only() -> None:
+    start = frame(
+        select_instance(1),
+        create_record(),
+        list_record(2, entry(1)),
+        select_instance(2),
+        create_record(),
+        list_record(2),
+        now=S,
+    )
+    output = replies(
+        start, frame(select_instance(1), request_record(1), select_instance(2), request_record(1), now=2 * S)
+    )
     body = struct.pack(">BIBIq6s", 13, 1, 0, 1, 400 * MS, endpoint(1))
-    assert body in out
-    assert out.count(b"\x0d\0\0\0\x02") == 1
-
-
-def test_halt_and_re_creation_within_one_batch_start_afresh() -> None:
-    start = frame(on(1), create(), members(2, entry(1)), now=S)
-    again = frame(on(1), inbound(1), HALT, create(), members(2, entry(2)), inbound(2), now=2 * S)
-    out = replies(start, again)
-    assert endpoint(2) in out
-    assert endpoint(1) not in out
-    assert replies(start, frame(on(1), HALT), frame(on(1), TIMER)) == struct.pack(">I", 4) * 3
+    assert body in output
+    assert output.count(b"\x0d\0\0\0\x02") == 1
+
+
+def test_instance_created_again_within_one_batch_has_no_former_state() -> None:
+    start = frame(select_instance(1), create_record(), list_record(2, entry(1)), now=S)
+    after_halt = frame(
+        select_instance(1),
+        request_record(1),
+        HALT,
+        create_record(),
+        list_record(2, entry(2)),
+        request_record(2),
+        now=2 * S,
+    )
+    output = replies(start, after_halt)
+    assert endpoint(2) in output
+    assert endpoint(1) not in output
+    assert (
+        replies(start, frame(select_instance(1), HALT), frame(select_instance(1), TIMER))
+        == struct.pack(">I", 4) * 3
+    )
 
 
 @pytest.mark.parametrize(
@@ -195,23 +218,28 @@
 )
 def test_bad_settings_are_a_fault_that_names_the_key(settings: bytes, text: str) -> None:
     record = struct.pack(">BQI", 0, 7, len(settings)) + settings
-    out = replies(frame(on(4), record))
-    assert out[4:9] == struct.pack(">BI", 13, 4)
-    assert out[9] == 9
-    assert text.encode() in out
+    output = replies(frame(select_instance(4), record))
+    assert output[4:9] == struct.pack(">BI", 13, 4)
+    assert output[9] == 9
+    assert text.encode() in output
 
 
 def test_unknown_settings_are_skipped() -> None:
-    assert replies(frame(on(1), create(novelty={"x": 1}), members(2, entry(1)))) == struct.pack(">I", 4)
+    assert replies(
+        frame(select_instance(1), create_record(novelty={"x": 1}), list_record(2, entry(1)))
+    ) == struct.pack(">I", 4)
 
 
 @pytest.mark.parametrize(
     ("data", "text"),
     [
-        (frame(on(1), b"\x63"), "unknown event code 99"),
-        (frame(on(1), struct.pack(">BHH", 8, 3, 9) + b"hi"), "a field runs past the end of the frame"),
-        (frame(on(1), TIMER[:-1]), "truncated record: unpack_from requires a buffer"),
-        (frame(on(1), TIMER, count=1), "5 bytes follow the last record"),
+        (frame(select_instance(1), b"\x63"), "unknown event code 99"),
+        (
+            frame(select_instance(1), struct.pack(">BHH", 8, 3, 9) + b"hi"),
+            "a field runs past the end of the frame",
+        ),
+        (frame(select_instance(1), TIMER[:-1]), "truncated record: unpack_from requires a buffer"),
+        (frame(select_instance(1), TIMER, count=1), "5 bytes follow the last record"),
         (frame(TIMER), "event before any instance was named"),
         (b"\0" * 15, "frame is shorter than its header"),
         (frame() + b"\0", "frame says 16 bytes but has 17"),
@@ -230,7 +258,7 @@
     assert reply == struct.pack(">I", 4 + len(timer) + len(fault)) + timer + fault
 
 
-def test_long_texts_are_cut_to_what_their_length_can_say() -> None:
+def test_long_texts_are_cut_to_the_maximum_length() -> None:
     reply = encode_reply([(1, [Log("x" * (MAX_TEXT_BYTES + 1))])])
     assert (
         reply == struct.pack(">IBIBH", 12 + MAX_TEXT_BYTES, 13, 1, 8, MAX_TEXT_BYTES) + b"x" * MAX_TEXT_BYTES
@@ -238,9 +266,9 @@
 
 
 def test_fault_of_one_instance_leaves_the_actions_of_those_before_it() -> None:
-    start = frame(on(1), create(), members(2, entry(1)), now=S)
+    start = frame(select_instance(1), create_record(), list_record(2, entry(1)), now=S)
     bad = struct.pack(">BQI", 0, 7, 1) + b"{"
-    out = replies(start, frame(on(1), inbound(1), on(2), bad, now=2 * S))
-    assert struct.pack(">BIq6s", 0, 1, 400 * MS, endpoint(1)) in out
-    assert struct.pack(">BIB", 13, 2, 9) in out
-    assert b"SettingsError: settings are not JSON" in out
+    output = replies(start, frame(select_instance(1), request_record(1), select_instance(2), bad, now=2 * S))
+    assert struct.pack(">BIq6s", 0, 1, 400 * MS, endpoint(1)) in output
+    assert struct.pack(">BIB", 13, 2, 9) in output
+    assert b"SettingsError: settings are not JSON" in output
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -120,7 +120,7 @@
 
     worst = sent = 0.0
     for restarted in range(8):
-        times = [at for at, _, _, endpoint_id in fleet.sends[before:] if endpoint_id == endpoint(restarted)]
+        times = [send.at for send in fleet.sends[before:] if send.endpoint == endpoint(restarted)]
         sent += len(times)
         for at in times:
             capacity = allowed((at - restarted_at) / S)
