--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -41,8 +41,8 @@
 class DecisionLoop(Actor):
     """Runs the broker's queued events through the balancer, and the broker's periodic reviews.
 
-    It implements the broker's `Timers` port. `broker` is set before `run` starts, as the broker itself is
-    made with this port.
+    It implements the broker's `Timers` port. `broker` is set before `run` starts, as the broker is
+    constructed with this port.
     """
 
     broker: Broker
--- a/linnetshift/routing/endpoints.py
+++ b/linnetshift/routing/endpoints.py
@@ -26,8 +26,8 @@
 NO_REQUEST = -1
 """In `half_open_request`: no half-open attempt is out."""
 
-# How many balancers, on average, send an attempt at once to an endpoint that is ready again: rule 4 tolerates
-# two attempts more than its budget.
+# How many balancers, on average, send an attempt at once to an endpoint that is ready again: two attempts
+# more than the slow-start budget are tolerated.
 RECOVERY_ATTEMPTS_OF_FLEET = 2.0
 MAX_WEIGHT = 1e9  # NaN and absurd weights count as 1
 NEVER_REPORTED_NS = -(1 << 62)  # before any time of the caller's clock
@@ -160,7 +160,7 @@
         return warm_up_factor(self._context.settings, endpoint.started_at, self._context.now)
 
     def is_warming_up(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint started so recently that it can't bear its full share."""
+        """Whether an endpoint started so recently that it cannot serve its full share yet."""
         return self.warm_up_factor(endpoint) < 1.0
 
     def capacity(self, endpoint: Endpoint) -> float:
--- a/linnetshift/routing/slow_start.py
+++ b/linnetshift/routing/slow_start.py
@@ -1,5 +1,9 @@
 """Slow start: how many requests all balancers together may place at endpoints that warm up.
 
+The slow-start budget of an endpoint is what it can take without failing: `Settings.overload_multiple` times
+the capacity that it has by then, counted over the overload window (`Settings.overload_window_ns`, or the
+warm-up time where that is 0).
+
 The fleet's budget for a warming endpoint, divided by the number of balancers, is far less than one connection
 in the time that the budget is counted over. Balancers that each saved up for a whole connection had the
 budget when no request came, and warming endpoints were idle beside overloaded ones. So a balancer's tokens
@@ -18,11 +22,11 @@
 from linnetshift.util.decaying_counter import DecayingCounter
 from linnetshift.util.token_bucket import TokenBucket
 
-# Share of rule 4's budget that placements use; the rest allows for chance and heavy connections.
+# Share of the slow-start budget that placements use; the rest allows for chance and heavy connections.
 BUDGET_SHARE = 0.5
 # Assumed load of a fleet that reports none: with less in reserve it would not survive any fault.
 ASSUMED_LOAD = 0.7
-# Capacity of the token bucket, in windows of rule 4: a wave may find every balancer's bucket full.
+# Capacity of the token bucket, in overload windows: a wave may find every balancer's bucket full.
 BURST_WINDOWS = 1.0
 NS_PER_S = 1e9
 ARRIVAL_WINDOW_NS = 10_000_000_000  # over which the rate of first arrivals is measured
@@ -96,7 +100,7 @@
     balancer's part of the fleet is `capacity`, in connections by the loads that were reported, or what is
     `established` through it if more; with `capacity` 0.0, for none reported, that over ASSUMED_LOAD. A higher
     rate of first arrivals is taken instead. The rate is at least that of all balancers together sending each
-    of the `endpoints` one connection in the window of rule 4.
+    of the `endpoints` one connection in the overload window.
     """
     connections = max(established, capacity) if capacity else established / ASSUMED_LOAD
     fill_per_s = connections * NS_PER_S / settings.warm_up_ns
--- a/tests/routing_parts.py
+++ b/tests/routing_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a balancer for the unit tests of its components, each without the others."""
+"""A balancer's components without the balancer, for the unit tests of each."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     """The components that most others need, over `endpoints` listed ones, at second 1."""
 
     def __init__(self, endpoints: int = 4, **changes: Any) -> None:
-        """`changes` are those of `raw_settings`."""
+        """`changes` are passed to `raw_settings`."""
         self.context = RoutingContext(Settings.parse(raw_settings(**changes)), 1)
         self.context.begin_step(1 * S)
         self.endpoints = EndpointTable(self.context)
@@ -64,7 +64,7 @@
         return pending
 
     def connection(self, number: int, target: Endpoint, **changes: Any) -> PendingRequest:
-        """An established connection."""
+        """A request whose connection to `target` is established."""
         pending = self.pending(number, **changes)
         self.requests.begin_attempt(pending, target)
         self.requests.establish(pending, target)
--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("zones", [1, 2, 5])
 @pytest.mark.parametrize("crossing_cost", [0.0, 0.014, 0.13])
 def test_remote_zone_share_follows_cross_zone_cost(crossing_cost: float, zones: int) -> None:
-    # A fixed share of a tenth, right for a fee of 0.13, cost a deployment with a fee of 0.014 a sixth of its
+    # A fixed share of a tenth, right for a cost of 0.13, lost a deployment with one of 0.014 a sixth of its
     # score.
     balancer = make_balancer(0, fees={"crossZone": crossing_cost})
     balancer.step(2 * S, [listed(*(entry(n, zone=n % zones) for n in range(30)))])
@@ -78,7 +78,7 @@
 
 
 def test_balancer_with_few_connections_of_group_follows_shared_ranking() -> None:
-    # With 3 of 600 connections each, 200 balancers would have kept to 200 choices of their own.
+    # With 3 of 600 connections each, 200 balancers would have used 200 choices of their own.
     balancer = make_balancer(8)
     (home,) = establish(balancer, 3, 1)[1]
     balancer.step(
@@ -186,7 +186,7 @@
 
 
 def test_slow_endpoints_in_slow_start_do_not_cause_load_shedding() -> None:
-    # In a deploy most endpoints are in slow start and late for some seconds: keys were rejected for ten
+    # In a deploy most endpoints are in slow start and slow for some seconds: keys were rejected for ten
     # seconds after it.
     balancer = make_balancer(8)
     establish(balancer, 40, 4)
--- a/tests/test_group_affinity.py
+++ b/tests/test_group_affinity.py
@@ -28,7 +28,7 @@
 
 
 def mean_endpoints_per_group(groups: int, balancer_count: int) -> float:
-    """Return the mean number of endpoints per group; balancers in three zones, with a high cross-zone fee."""
+    """Return the mean number of endpoints per group; balancers in three zones, crossing is expensive."""
     endpoints = tuple(entry(n) for n in range(24))
     fleet = SimulatedBalancers(balancer_count, endpoints, fees={"crossZone": 0.1}, perZone=True)
     draws = random.Random(groups)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: when one is sent, and what its answer changes."""
+"""Health checks: when one is sent, and what its result changes."""
 
 from __future__ import annotations
 
--- a/tests/test_many_balancers.py
+++ b/tests/test_many_balancers.py
@@ -48,7 +48,7 @@
         assert not overloaded_sends
         assert len({check.endpoint for check in fleet.health_checks}) == 8
     else:
-        # A balancer with more connections than endpoints hears from most of them and needs no checks.
+        # A balancer with more connections than endpoints learns from these and needs few checks.
         assert len(fleet.health_checks) < 40
         assert len(fleet.health_checks) <= sum(check.at < 2 * S for check in fleet.health_checks)
 
--- a/tests/test_message_latency.py
+++ b/tests/test_message_latency.py
@@ -1,4 +1,4 @@
-"""What a report of slow messages leads to."""
+"""Reports of slow messages: avoided endpoints, migrations, notices to peers."""
 
 from __future__ import annotations
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,4 +1,4 @@
-"""Which established connections move, and how many at once."""
+"""Which established connections migrate, and how many at once."""
 
 from __future__ import annotations
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -93,10 +93,10 @@
         )
 
     def check_slow_start(self, endpoint_id: bytes) -> None:
-        """Rule 4 as far as one balancer can keep it: its sends in any window, if every balancer sent as many.
+        """The slow-start budget as far as one balancer can keep it: its sends in any overload window.
 
-        A warm endpoint of this size receives at most what the balancer ever had or saw established, shared
-        over the listed weights; one token may be left from before.
+        All balancers are taken to send as many. A warm endpoint of this size gets at most what the balancer
+        ever had or saw established, shared over the listed weights; one token may be left from before.
         """
         total = sum(
             int(self.warm_up_factor(h) * 8) / 8 for h, s in self.state.items() if s != EndpointState.REMOVED
