--- a/tests/simulated_balancers.py
+++ b/tests/simulated_balancers.py
@@ -9,7 +9,7 @@
 import heapq
 from collections import Counter, deque
 from itertools import count
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from conftest import MS, S, listed, raw_settings
 
@@ -111,9 +111,8 @@
     def call_later(self, delay: int, balancer: int, event: Event) -> None:
         heapq.heappush(self.due, ScheduledEvent(self.now + delay, next(self.order), balancer, event))
 
-    def send_request(self, balancer: int, **changes: object) -> int:
+    def send_request(self, balancer: int, **changes: Any) -> int:
         request_id = next(self.request_ids)
-        # type: ignore[arg-type]
         self.send_event(balancer, Request(request_id, 0, 0, request_id, 0, 0, 0, 2 * S)._replace(**changes))
         return request_id
 
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -18,14 +18,14 @@
     parts = Parts(endpoints=3)
     pending = parts.pending(1)
     first, second, third = ranked(parts, pending)
-    assert parts.selection.choose(pending, False) is first
+    assert parts.selection.choose(pending, is_mid_flow=False) is first
     first.over_objective_until = 9 * S
-    assert parts.selection.choose(pending, False) is second
+    assert parts.selection.choose(pending, is_mid_flow=False) is second
     second.ejected_until = 9 * S
-    assert parts.selection.choose(pending, False) is third
+    assert parts.selection.choose(pending, is_mid_flow=False) is third
     third.ejected_until = 9 * S
     third.is_overloaded = True
-    assert parts.selection.choose(pending, False) is second
+    assert parts.selection.choose(pending, is_mid_flow=False) is second
 
 
 def test_tried_endpoint_comes_last_and_one_that_erred_not_at_all() -> None:
@@ -33,13 +33,13 @@
     pending = parts.pending(1)
     first, second = ranked(parts, pending)
     pending.endpoints_tried = [first]
-    assert parts.selection.choose(pending, False) is second
+    assert parts.selection.choose(pending, is_mid_flow=False) is second
     pending.endpoints_tried = [first, second]
-    assert parts.selection.choose(pending, False) is first
+    assert parts.selection.choose(pending, is_mid_flow=False) is first
     pending.endpoints_that_erred = [first]
-    assert parts.selection.choose(pending, False) is second
+    assert parts.selection.choose(pending, is_mid_flow=False) is second
     pending.endpoints_that_erred = [first, second]
-    assert parts.selection.choose(pending, False) is None
+    assert parts.selection.choose(pending, is_mid_flow=False) is None
 
 
 def test_endpoint_with_a_half_open_attempt_is_avoided_until_that_ends() -> None:
@@ -47,9 +47,9 @@
     pending = parts.pending(1)
     first, second, _ = ranked(parts, pending)
     first.half_open_request = 77
-    assert parts.selection.choose(pending, False) is second
+    assert parts.selection.choose(pending, is_mid_flow=False) is second
     first.half_open_request = -1
-    assert parts.selection.choose(pending, False) is first
+    assert parts.selection.choose(pending, is_mid_flow=False) is first
 
 
 def test_endpoint_due_for_a_recovery_attempt_goes_before_the_ranking() -> None:
@@ -57,7 +57,7 @@
     pending = parts.pending(1)
     last = ranked(parts, pending)[-1]
     last.is_recovery_due = True
-    assert parts.selection.choose(pending, False) is last
+    assert parts.selection.choose(pending, is_mid_flow=False) is last
 
 
 def test_packets_of_open_connections_go_to_a_draining_endpoint_within_its_grace() -> None:
@@ -65,10 +65,10 @@
     pending = parts.pending(1)
     parts.endpoints.apply(listed(entry(0, state=EndpointState.DRAINING), form=ListForm.DELTA))
     endpoint = parts.endpoint(0)
-    assert parts.selection.choose(pending, True) is endpoint
-    assert parts.selection.choose(pending, False) is None
+    assert parts.selection.choose(pending, is_mid_flow=True) is endpoint
+    assert parts.selection.choose(pending, is_mid_flow=False) is None
     parts.begin_step(1 * S + 496 * MS)  # the grace less one step of the clock
-    assert parts.selection.choose(pending, True) is None
+    assert parts.selection.choose(pending, is_mid_flow=True) is None
 
 
 def test_warming_endpoint_is_chosen_only_with_a_slow_start_token() -> None:
@@ -76,11 +76,11 @@
     parts.begin_step(100 * S)
     parts.endpoints.apply(listed(entry(0, started_ns=100 * S)))
     pending = parts.pending(1)
-    assert parts.selection.choose(pending, False) is None
+    assert parts.selection.choose(pending, is_mid_flow=False) is None
     parts.slow_start.token_bucket.level = 1.0
     parts.slow_start.tokens_per_s = 9.0
     parts.slow_start.token_bucket.refilled_at_ns = 100 * S
-    assert parts.selection.choose(pending, False) is parts.endpoint(0)
+    assert parts.selection.choose(pending, is_mid_flow=False) is parts.endpoint(0)
 
 
 def test_group_stays_where_it_is_established_unless_the_balancer_has_few_requests() -> None:
@@ -88,16 +88,16 @@
     first, second, _ = ranked(parts, parts.pending(1, group=5))
     parts.connection(2, second, group=5)
     pending = parts.pending(3, group=5)
-    assert parts.selection.choose(pending, False) is first  # three requests, three endpoints
+    assert parts.selection.choose(pending, is_mid_flow=False) is first  # three requests, three endpoints
     parts.pending(4)
-    assert parts.selection.choose(pending, False) is second
+    assert parts.selection.choose(pending, is_mid_flow=False) is second
 
 
 def test_returning_client_skips_its_best_ranks() -> None:
     parts = Parts(endpoints=4)
     pending = parts.pending(1)
     pending.skipped_ranks = 2
-    assert parts.selection.choose(pending, False) is ranked(parts, pending)[2]
+    assert parts.selection.choose(pending, is_mid_flow=False) is ranked(parts, pending)[2]
 
 
 def test_avoided_endpoint_is_an_alternative_only_to_one_that_is_about_to_stop() -> None:
@@ -132,7 +132,7 @@
     parts.slow_start.token_bucket.level = 1.0
     parts.slow_start.token_bucket.refilled_at_ns = 100 * S
     parts.slow_start.first_arrivals_per_s.add(100 * S, 100.0)
-    assert parts.selection.choose(parts.pending(1), False) is parts.endpoint(0)
+    assert parts.selection.choose(parts.pending(1), is_mid_flow=False) is parts.endpoint(0)
 
 
 def test_endpoint_is_no_longer_avoided_when_its_ejection_ends() -> None:
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -18,7 +18,7 @@
     endpoint = parts.endpoint(0)
     for number in range(1, 11):
         parts.connection(number, endpoint).load_ns_per_s = float(number)
-    parts.migration.migrate_excess(endpoint, False, lambda _: 0.2)
+    parts.migration.migrate_excess(endpoint, misses_objectives=False, share=lambda _: 0.2)
     assert migrated(parts) in ([10, 9], [10, 9, 8])
     assert len(endpoint.established) == 10 - len(migrated(parts))
 
@@ -28,7 +28,7 @@
     endpoint = parts.endpoint(0)
     parts.connection(1, endpoint)
     parts.endpoint(1).ejected_until = 9 * S
-    parts.migration.migrate_excess(endpoint, False, lambda _: 1.0)
+    parts.migration.migrate_excess(endpoint, misses_objectives=False, share=lambda _: 1.0)
     assert migrated(parts) == []
 
 
@@ -38,7 +38,7 @@
     parts.admission.load_shedding.admitted_share = 0.5
     connections = [parts.connection(number, endpoint) for number in range(1, 41)]
     admitted = {c.request.request_id for c in connections if parts.admission.admits(c.request)}
-    parts.migration.migrate_excess(endpoint, True, lambda _: 1.0)
+    parts.migration.migrate_excess(endpoint, misses_objectives=True, share=lambda _: 1.0)
     assert 10 <= len(migrated(parts)) <= 15
     assert not admitted & set(migrated(parts))
 
@@ -48,7 +48,7 @@
         parts = Parts()
         parts.connection(1, parts.endpoint(0))
         parts.admission.load_shedding.is_congested = is_congested
-        parts.migration.migrate_excess(parts.endpoint(0), True, lambda _: 1.0)
+        parts.migration.migrate_excess(parts.endpoint(0), misses_objectives=True, share=lambda _: 1.0)
         assert bool(migrated(parts)) is migrates
 
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -229,11 +229,10 @@
     assert balancer.requests.setups_in_flight == 0
 
 
-def establish(balancer: object, connections: int) -> list[ConnectionEstablished]:
-    # type: ignore[attr-defined]
+def establish(balancer: Balancer, connections: int) -> list[ConnectionEstablished]:
     sends = only(balancer.step(2 * S, [request(n, group=n + 1) for n in range(connections)]), Send)
     established = [ConnectionEstablished(s.request_id, 0, s.endpoint, MS) for s in sends]
-    balancer.step(2 * S + MS, established)  # type: ignore[attr-defined]
+    balancer.step(2 * S + MS, established)
     return established
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -4,13 +4,14 @@
 
 import math
 import random
+from typing import NamedTuple
 
 import pytest
 from conftest import MS, S, endpoint, entry, listed, only, request
 from conftest import balancer as make_balancer
 from hypothesis import given
 from hypothesis import strategies as st
-from simulated_balancers import SimulatedBalancers
+from simulated_balancers import SentAttempt, SimulatedBalancers
 
 from linnetshift.routing.actions import Reject
 from linnetshift.routing.concurrency_limit import INITIAL_LIMIT, MIN_LIMIT, ConcurrencyLimit
@@ -77,57 +78,74 @@
     assert slow_start.token_bucket.level == 3.0
 
 
-def restart_eight_endpoints(
-    balancer_count: int, uneven: bool, restarts: bool, seed: int
-) -> tuple[int, float, float]:
-    """Restart eight of twenty endpoints under 80 arrivals per second.
-
-    Returns how many connections these got, their slow-start capacity in connections, and the fullest window
-    as a share of what may overload an endpoint (1.0).
-    """
-    endpoints, warm_up_s, window, established = 20, 10, 2, 400
-    fleet = SimulatedBalancers(
-        balancer_count, tuple(entry(n, zone=0) for n in range(endpoints)), rules={"warmUpNs": warm_up_s * S}
-    )
-    rules, draws = fleet.balancers[0].settings, random.Random(seed)
-    arrival_weights = [1.0 / (1 + n % 10) if uneven else 1.0 for n in range(balancer_count)]
-
-    def send_request(balancer: int | None = None) -> None:
-        group = int(1 / (draws.random() + 0.02))  # few groups have most clients
-        chosen = draws.choices(range(balancer_count), arrival_weights)[0] if balancer is None else balancer
-        fleet.send_request(chosen, key=draws.getrandbits(60) | 1, group=group)
-
-    for _ in range(established):
-        send_request()
-        fleet.run(fleet.now + 2 * MS)
-    fleet.run(fleet.now + 300 * MS)
-    restarted_at, before = fleet.now, len(fleet.sends)
-    new_list = listed(*(entry(n, zone=0, started_ns=restarted_at if n < 8 else 0) for n in range(endpoints)))
-    fleet.send_to_all(new_list)
-    for number in range(warm_up_s * 80):
-        fleet.run(fleet.now + S // 80)
-        if restarts and number % 40 == 0:
-            fleet.restart(draws.randrange(balancer_count), new_list)
-        send_request()
-    fleet.run(fleet.now + S)
-
-    def allowed(age: float) -> float:
+ENDPOINTS = 20
+RESTARTED_ENDPOINTS = 8
+ESTABLISHED = 400  # connections before the restart
+ARRIVALS_PER_S = 80
+WARM_UP_S = 10
+WINDOW_S = 2  # overload window of the base settings
+
+
+class RestartFigures(NamedTuple):
+    """What the restarted endpoints got while they warmed up."""
+
+    sent: int
+    capacity: float  # connections that they could take in that time
+    fullest_window: float  # as a share of what may overload an endpoint (1.0)
+
+
+class EndpointRestart:
+    """Some endpoints restart under steady arrivals, while all balancers know of it at once."""
+
+    def __init__(self, balancer_count: int, uneven: bool, seed: int) -> None:
+        endpoints = tuple(entry(n, zone=0) for n in range(ENDPOINTS))
+        self.fleet = SimulatedBalancers(balancer_count, endpoints, rules={"warmUpNs": WARM_UP_S * S})
+        self.draws = random.Random(seed)
+        self.arrival_weights = [1.0 / (1 + n % 10) if uneven else 1.0 for n in range(balancer_count)]
+
+    def run(self, restarts_balancers: bool) -> RestartFigures:
+        fleet = self.fleet
+        for _ in range(ESTABLISHED):
+            self.send_request()
+            fleet.run(fleet.now + 2 * MS)
+        fleet.run(fleet.now + 300 * MS)
+        restarted_at = fleet.now
+        sends_before = len(fleet.sends)
+        starts = [restarted_at if n < RESTARTED_ENDPOINTS else 0 for n in range(ENDPOINTS)]
+        new_list = listed(*(entry(n, zone=0, started_ns=started) for n, started in enumerate(starts)))
+        fleet.send_to_all(new_list)
+        for number in range(WARM_UP_S * ARRIVALS_PER_S):
+            fleet.run(fleet.now + S // ARRIVALS_PER_S)
+            if restarts_balancers and number % 40 == 0:
+                fleet.restart(self.draws.randrange(len(fleet.balancers)), new_list)
+            self.send_request()
+        fleet.run(fleet.now + S)
+        return self.figures(restarted_at, fleet.sends[sends_before:])
+
+    def send_request(self) -> None:
+        group = int(1 / (self.draws.random() + 0.02))  # few groups have most clients
+        (balancer,) = self.draws.choices(range(len(self.fleet.balancers)), self.arrival_weights)
+        self.fleet.send_request(balancer, key=self.draws.getrandbits(60) | 1, group=group)
+
+    def figures(self, restarted_at: int, sends: list[SentAttempt]) -> RestartFigures:
+        sent = 0
+        fullest_window = 0.0
+        for number in range(RESTARTED_ENDPOINTS):
+            times = [send.at for send in sends if send.endpoint == endpoint(number)]
+            sent += len(times)
+            for at in times:
+                allowed = self.allowed_in_window((at - restarted_at) / S)
+                recent = sum(at - WINDOW_S * S < other <= at for other in times)
+                fullest_window = max(fullest_window, recent / (allowed + 2 * math.sqrt(allowed) + 2))
+        capacity_per_s = [self.allowed_in_window(second + 0.5) / WINDOW_S for second in range(WARM_UP_S)]
+        return RestartFigures(sent, RESTARTED_ENDPOINTS * sum(capacity_per_s), fullest_window)
+
+    def allowed_in_window(self, age_s: float) -> float:
         """Return the connections allowed in a window; a warm endpoint takes at least the present mean."""
-        warm_up_factor = min(
-            1.0, rules.initial_capacity_share + (1 - rules.initial_capacity_share) * age / warm_up_s
-        )
-        return rules.overload_multiple * established / endpoints / warm_up_s * warm_up_factor * window
-
-    worst = sent = 0.0
-    for restarted in range(8):
-        times = [send.at for send in fleet.sends[before:] if send.endpoint == endpoint(restarted)]
-        sent += len(times)
-        for at in times:
-            capacity = allowed((at - restarted_at) / S)
-            recent = sum(at - window * S < other <= at for other in times)
-            worst = max(worst, recent / (capacity + 2 * math.sqrt(capacity) + 2))
-    capacity = 8 * sum(allowed(second + 0.5) / window for second in range(warm_up_s))
-    return int(sent), capacity, worst
+        rules = self.fleet.balancers[0].settings
+        initial_share = rules.initial_capacity_share
+        warm_up_factor = min(1.0, initial_share + (1 - initial_share) * age_s / WARM_UP_S)
+        return rules.overload_multiple * ESTABLISHED / ENDPOINTS / WARM_UP_S * warm_up_factor * WINDOW_S
 
 
 @pytest.mark.parametrize(
@@ -148,9 +166,10 @@
     # Each balancer saved for a whole connection at each endpoint: 200 balancers sent 46 where the endpoints
     # in slow start have capacity for 300. In a release of half the servers the warm ones dropped clients for
     # the whole day beside idle restarted ones.
-    sent, capacity, worst = restart_eight_endpoints(balancer_count, uneven, restarts, balancer_count)
-    assert worst <= 1.0
-    assert sent >= capacity * (0.4 if restarts else 0.45)
+    restart = EndpointRestart(balancer_count, uneven, seed=balancer_count)
+    figures = restart.run(restarts_balancers=restarts)
+    assert figures.fullest_window <= 1.0
+    assert figures.sent >= figures.capacity * (0.4 if restarts else 0.45)
 
 
 @pytest.mark.parametrize(
@@ -196,7 +215,9 @@
         slow = sum(limit.limit for limit in limits) > 20.0
         for concurrency_limit in limits:
             for _ in range(8):
-                concurrency_limit.record_setup(second * S, S, 2 * S if slow else S // 4, False, 1000.0)
+                concurrency_limit.record_setup(
+                    second * S, S, 2 * S if slow else S // 4, has_failed=False, max_limit=1000.0
+                )
     assert all(MIN_LIMIT <= limit.limit <= 30.0 for limit in limits)
     assert limits[0].limit < 2.5 * limits[1].limit
     assert ConcurrencyLimit().limit == INITIAL_LIMIT
