--- a/linnetshift/routing/message_latency.py
+++ b/linnetshift/routing/message_latency.py
@@ -50,21 +50,16 @@
     def handle_report(self, endpoint: Endpoint, latency_ns: int) -> None:
         """A message to that endpoint took `latency_ns`, as the broker measured or estimated it."""
         context = self._context
+        report_valid_until = context.now + LATENCY_REPORT_TTL_NS
         is_slow = latency_ns * SLOW_DIVISOR >= context.message_latency_objective_ns
-        endpoint.over_objective_until = context.now + LATENCY_REPORT_TTL_NS if is_slow else 0
+        endpoint.over_objective_until = report_valid_until if is_slow else 0
         endpoint.message_latency_ns = latency_ns
         self._notify_peers(endpoint)
         misses_objectives = self._misses_most_objectives(endpoint, latency_ns)
-        endpoint.majority_over_objective_until = (
-            context.now + LATENCY_REPORT_TTL_NS if misses_objectives else 0
-        )
+        endpoint.majority_over_objective_until = report_valid_until if misses_objectives else 0
         self._admission.review()
-        if not is_slow:
-            return
-        if not self._health_checks.may_check_for_migration():
-            self._migration.migrate_excess(endpoint, misses_objectives, partial(share_to_migrate, latency_ns))
-        elif not self._health_checks.is_load_report_current(endpoint):
-            self._health_checks.check(endpoint)  # its result tells how much to migrate
+        if is_slow:
+            self._relieve(endpoint, latency_ns, misses_objectives)
 
     def handle_peer_report(self, endpoint: Endpoint) -> None:
         """Another balancer's connections there are slow; the message does not say by how much."""
@@ -72,12 +67,20 @@
         endpoint.over_objective_until = max(endpoint.over_objective_until, until)
         endpoint.message_latency_ns = 0
 
+    def _relieve(self, endpoint: Endpoint, latency_ns: int, misses_objectives: bool) -> None:
+        """Migrate connections, by the load of a health check where the endpoint reports it."""
+        if not self._health_checks.may_check_for_migration():
+            self._migration.migrate_excess(endpoint, misses_objectives, partial(share_to_migrate, latency_ns))
+        elif not self._health_checks.is_load_report_current(endpoint):
+            self._health_checks.check(endpoint)  # its result tells how much to migrate
+
     def _notify_peers(self, endpoint: Endpoint) -> None:
         """Balancers without a connection there learn nothing of it, and would send migrated clients back.
 
         Each sends with a probability, so that all together send about one message.
         """
         context = self._context
+        # Drawn for each report, needed or not: the order of draws is part of the recorded decisions.
         is_drawn = context.random.random() * context.settings.balancers < 1.0
         if endpoint.over_objective_until and context.settings.may_message_peers and is_drawn:
             context.emit(SendPeerMessage(ALL_PEERS, SLOW_MESSAGE + endpoint.id))
