--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -1,18 +1,13 @@
-"""Several real processes under faults between them; and the rig itself: links, invariants, scenarios."""
+"""Several real processes under faults between them; the rig's parts are tested in files of their own."""
 
 from __future__ import annotations
 
-import asyncio
-import random
 from pathlib import Path
 
 import pytest
 
-from rig.fleet.faulty_links import LinkProxy
-from rig.fleet.invariants import InvariantChecker
-from rig.fleet.observations import Answer, Attempt, ClientRequest, EndpointStart, Interval, Observations
 from rig.fleet.run import Report, run_scenario
-from rig.fleet.scenario import ScenarioError, parse
+from rig.fleet.scenario import parse
 
 BURST = """
         [endpoints]
@@ -143,143 +138,3 @@
     assert_invariants_hold(report)
     use = report.observations.slow_start_use()
     assert 0 < use.sent <= use.allowed
-
-
-FAULT_TIME = Interval(0.5, 9.0)
-
-
-def violated_rules(observations: Observations) -> set[str]:
-    return {violation.rule for violation in InvariantChecker(observations, 0.5).violations()}
-
-
-def one_request(*answers: Answer) -> Observations:
-    return Observations(requests={1: ClientRequest(1, 0, 1.0, 2.0, 7, list(answers))})
-
-
-def with_attempts(*attempts: Attempt) -> Observations:
-    observations = one_request(Answer(1.1, "UP"))
-    observations.attempts += attempts
-    return observations
-
-
-def warming_up(attempts: int) -> Observations:
-    observations = Observations(starts=[EndpointStart("s", 10.0, 10.0, 2.0, lambda age_s: 4.0)])
-    times = [11.0 + number * 0.01 for number in range(attempts)]
-    observations.attempts += [Attempt(number, 0, "s", at_s, at_s) for number, at_s in enumerate(times)]
-    return observations
-
-
-def after_drain_notice(at_s: float) -> Observations:
-    observations = with_attempts(Attempt(1, 0, "s", at_s, at_s))
-    observations.record_state(0, "s", "DRAINING", 5.0)
-    return observations
-
-
-def with_link_cut(observations: Observations) -> Observations:
-    observations.link_cuts[0, "a"].append(FAULT_TIME)
-    return observations
-
-
-def with_node_outage(observations: Observations) -> Observations:
-    observations.node_outages[0].append(FAULT_TIME)
-    return observations
-
-
-@pytest.mark.parametrize(
-    ("observations", "rules"),
-    [
-        (one_request(Answer(1.1, "UP")), set()),
-        (one_request(), {"unanswered"}),
-        (one_request(Answer(3.9, "BUSY")), {"unanswered"}),
-        (with_node_outage(one_request()), set()),
-        (one_request(Answer(1.1, "BUSY"), Answer(1.2, "UP")), {"answered-twice"}),
-        (with_attempts(Attempt(1, 0, "a", 1.0, 1.5), Attempt(1, 0, "b", 1.4, 1.6)), set()),
-        (with_attempts(Attempt(1, 0, "a", 1.0, None), Attempt(1, 0, "b", 1.4, 1.6)), {"parallel-attempts"}),
-        (with_link_cut(with_attempts(Attempt(1, 0, "a", 1.0, None), Attempt(1, 0, "b", 1.4, 1.6))), set()),
-        (after_drain_notice(5.4), set()),
-        (after_drain_notice(5.9), {"sent-to-draining"}),
-        (warming_up(10), set()),
-        (warming_up(11), {"slow-start-exceeded"}),
-    ],
-)
-def test_each_rule_reports_its_violations(observations: Observations, rules: set[str]) -> None:
-    assert violated_rules(observations) == rules
-
-
-@pytest.mark.parametrize(
-    ("text", "message"),
-    [
-        ('name = "x"\nnodes = 0', "`$.nodes`"),
-        ('name = "x"\n[traffic]\narrivals_per_s = "fast"', "`$.traffic.arrivals_per_s`"),
-        ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "flood"', "`$.faults[0].kind`"),
-        ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "kill"\nnodes = [9]', "`$.faults[0]`"),
-        ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "kill"', "needs nodes"),
-        ('name = "x"\ncolour = "red"', "colour"),
-        ("name = ", "nvalid"),
-    ],
-)
-def test_wrong_scenario_is_rejected_with_the_path(text: str, message: str) -> None:
-    with pytest.raises(ScenarioError) as caught:
-        parse(text)
-    assert message in str(caught.value)
-
-
-def test_streams_of_a_scenario_are_independent_and_reproducible() -> None:
-    one, other = parse('name = "x"\nseed = 4'), parse('name = "x"\nseed = 5')
-    assert one.stream("a").random() == one.stream("a").random() != one.stream("b").random()
-    assert one.stream("a").random() != other.stream("a").random()
-
-
-async def echo_through_link(fault: str) -> list[str]:
-    """What an echo server returns before and during a fault, and how many lines reached it."""
-
-    async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while line := await reader.readline():
-            received.append(line)
-            writer.write(line)
-        writer.close()
-
-    received: list[bytes] = []
-    server = await asyncio.start_server(echo, "127.0.0.1", 0)
-    link = LinkProxy(("127.0.0.1", server.sockets[0].getsockname()[1]))
-    await link.open()
-    reader, writer = await asyncio.open_connection("127.0.0.1", link.port)
-    writer.write(b"one\n")
-    results = [(await reader.readline()).decode().strip()]
-    link.is_cut_forward = fault in ("cut", "cut-forward")
-    link.is_cut_backward = fault in ("cut", "cut-backward")
-    if fault == "reset":
-        link.reset()
-    try:
-        writer.write(b"two\n")
-        results.append((await asyncio.wait_for(reader.readline(), 0.3)).decode().strip())
-    except TimeoutError:
-        results.append("silence")
-    except ConnectionResetError:
-        results.append("reset")
-    results.append(str(len(received)))
-    writer.close()
-    await link.close()
-    server.close()
-    return results
-
-
-@pytest.mark.parametrize(
-    ("fault", "results"),
-    [
-        ("none", ["one", "two", "2"]),
-        ("cut", ["one", "silence", "1"]),
-        ("cut-forward", ["one", "silence", "1"]),
-        ("cut-backward", ["one", "silence", "2"]),
-        ("reset", ["one", "reset", "1"]),
-    ],
-)
-def test_link_has_the_fault_that_is_set(fault: str, results: list[str]) -> None:
-    assert asyncio.run(echo_through_link(fault)) == results
-
-
-def test_streams_leave_the_global_generator_alone() -> None:
-    # The rig's own draws must not depend on the module-wide generator, which any import may move on.
-    state = random.getstate()
-    parse('name = "x"').stream("keys").random()
-    assert random.getstate() == state
--- /dev/null
+++ b/tests/test_fleet_scenario.py
@@ -0,0 +1,40 @@
+"""Scenarios of the fleet rig: their text, and their random streams."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from rig.fleet.scenario import ScenarioError, parse
+
+
+@pytest.mark.parametrize(
+    ("text", "message"),
+    [
+        ('name = "x"\nnodes = 0', "`$.nodes`"),
+        ('name = "x"\n[traffic]\narrivals_per_s = "fast"', "`$.traffic.arrivals_per_s`"),
+        ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "flood"', "`$.faults[0].kind`"),
+        ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "kill"\nnodes = [9]', "`$.faults[0]`"),
+        ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "kill"', "needs nodes"),
+        ('name = "x"\ncolour = "red"', "colour"),
+        ("name = ", "nvalid"),
+    ],
+)
+def test_wrong_scenario_is_rejected_with_the_path(text: str, message: str) -> None:
+    with pytest.raises(ScenarioError) as caught:
+        parse(text)
+    assert message in str(caught.value)
+
+
+def test_streams_of_a_scenario_are_independent_and_reproducible() -> None:
+    one, other = parse('name = "x"\nseed = 4'), parse('name = "x"\nseed = 5')
+    assert one.stream("a").random() == one.stream("a").random() != one.stream("b").random()
+    assert one.stream("a").random() != other.stream("a").random()
+
+
+def test_streams_leave_the_global_generator_alone() -> None:
+    # The rig's own draws must not depend on the module-wide generator, which any import may move on.
+    state = random.getstate()
+    parse('name = "x"').stream("keys").random()
+    assert random.getstate() == state
