--- a/tests/test_faulty_links.py
+++ b/tests/test_faulty_links.py
@@ -6,7 +6,9 @@
 
 import pytest
 
-from rig.fleet.faulty_links import LinkProxy
+from rig.fleet.fault_injection import disturb
+from rig.fleet.faulty_links import LinkProxy, reset_connection
+from rig.fleet.scenario import Fault, FaultKind
 
 
 async def echo_through_link(fault: str) -> list[str]:
@@ -55,3 +57,148 @@
 )
 def test_link_has_the_fault_that_is_set(fault: str, results: list[str]) -> None:
     assert asyncio.run(echo_through_link(fault)) == results
+
+
+class EchoThroughLink:
+    """An echo server with a link before it; `accepted` counts the server's connections."""
+
+    def __init__(self) -> None:
+        self.accepted = 0
+        self.client_writers: list[asyncio.StreamWriter] = []
+
+    async def __aenter__(self) -> EchoThroughLink:
+        self.server = await asyncio.start_server(self.echo, "127.0.0.1", 0)
+        self.link = LinkProxy(("127.0.0.1", self.server.sockets[0].getsockname()[1]))
+        await self.link.open()
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        for writer in self.client_writers:
+            writer.close()
+        await self.link.close()
+        self.server.close()
+
+    async def echo(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.accepted += 1
+        while line := await reader.readline():
+            if line == b"reset\n":
+                reset_connection(writer)
+                return
+            writer.write(line)
+        writer.write(b"end\n")
+        writer.close()
+
+    async def connect(self, *lines: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.link.port)
+        writer.writelines(lines)
+        self.client_writers.append(writer)
+        return reader, writer
+
+
+def test_refusing_link_resets_connections_until_it_is_healed() -> None:
+    async def run() -> None:
+        async with EchoThroughLink() as echo:
+            echo.link.refuses_connections = True
+            reader, _ = await echo.connect()
+            with pytest.raises(ConnectionResetError):
+                await reader.readline()
+            echo.link.heal()
+            reader, _ = await echo.connect(b"one\n")
+            assert await reader.readline() == b"one\n"
+            assert echo.accepted == 1
+
+    asyncio.run(run())
+
+
+def test_unresponsive_link_passes_nothing_on_and_resets_what_it_accepted_when_healed() -> None:
+    async def run() -> None:
+        async with EchoThroughLink() as echo:
+            echo.link.is_unresponsive = True
+            reader, _ = await echo.connect(b"one\n")
+            while not echo.link._writers:  # until the link has accepted
+                await asyncio.sleep(0)
+            echo.link.is_unresponsive = False
+            later_reader, _ = await echo.connect(b"two\n")
+            assert await later_reader.readline() == b"two\n"
+            assert echo.accepted == 1  # the first connection would have come before
+            echo.link.is_unresponsive = True
+            echo.link.heal()
+            with pytest.raises(ConnectionResetError):
+                await reader.readline()
+            later_reader, _ = await echo.connect(b"three\n")
+            assert await later_reader.readline() == b"three\n"
+
+    asyncio.run(run())
+
+
+def test_end_of_the_client_is_passed_on_without_ending_the_answers() -> None:
+    async def run() -> None:
+        async with EchoThroughLink() as echo:
+            reader, writer = await echo.connect(b"one\n")
+            writer.write_eof()
+            assert await reader.read() == b"one\nend\n"
+
+    asyncio.run(run())
+
+
+def test_reset_by_the_target_reaches_the_client() -> None:
+    async def run() -> None:
+        async with EchoThroughLink() as echo:
+            reader, _ = await echo.connect(b"reset\n")
+            with pytest.raises(ConnectionResetError):
+                await reader.readline()
+
+    asyncio.run(run())
+
+
+def test_connection_is_reset_when_the_target_does_not_listen() -> None:
+    async def run() -> None:
+        async with EchoThroughLink() as echo:
+            echo.server.close()
+            await echo.server.wait_closed()
+            reader, _ = await echo.connect()
+            with pytest.raises(ConnectionResetError):
+                await reader.readline()
+
+    asyncio.run(run())
+
+
+def test_delayed_line_comes_back_no_sooner_than_the_delay() -> None:
+    async def run() -> None:
+        async with EchoThroughLink() as echo:
+            reader, writer = await echo.connect(b"one\n")
+            await reader.readline()
+            echo.link.delay_s = 0.1
+            sent_s = asyncio.get_running_loop().time()
+            writer.write(b"two\n")
+            assert await reader.readline() == b"two\n"
+            assert asyncio.get_running_loop().time() - sent_s >= echo.link.delay_s  # delayed both ways
+
+    asyncio.run(run())
+
+
+def faults_of(link: LinkProxy) -> dict[str, object]:
+    """The public values of a link that differ from those of a new one."""
+    new = vars(LinkProxy(link.target))
+    return {name: value for name, value in vars(link).items() if name[0] != "_" and value != new[name]}
+
+
+@pytest.mark.parametrize(
+    ("kind", "faults"),
+    [
+        ("delay", {"delay_s": 0.5}),
+        ("cut", {"is_cut_forward": True, "is_cut_backward": True}),
+        ("cut-forward", {"is_cut_forward": True}),
+        ("cut-backward", {"is_cut_backward": True}),
+        ("refuse", {"refuses_connections": True}),
+        ("unresponsive", {"is_unresponsive": True}),
+    ],
+)
+def test_fault_of_a_scenario_disturbs_the_link_until_it_is_healed(
+    kind: FaultKind, faults: dict[str, object]
+) -> None:
+    link = LinkProxy(("127.0.0.1", 1))
+    disturb(link, Fault(at_s=0.0, kind=kind, delay_s=0.5))
+    assert faults_of(link) == faults
+    link.heal()
+    assert faults_of(link) == {}
--- a/tests/test_fleet_invariants.py
+++ b/tests/test_fleet_invariants.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rig.fleet.invariants import InvariantChecker
+from rig.fleet.invariants import InvariantChecker, Violation
 from rig.fleet.observations import Answer, Attempt, ClientRequest, EndpointStart, Interval, Observations
 
 FAULT_TIME = Interval(0.5, 9.0)
@@ -66,3 +66,79 @@
 )
 def test_each_rule_reports_its_violations(observations: Observations, rules: set[str]) -> None:
     assert violated_rules(observations) == rules
+
+
+TWO_OPEN_ATTEMPTS = (Attempt(1, 0, "a", 1.0, None), Attempt(1, 0, "b", 1.4, 1.6))
+
+
+def with_cut(node: int, endpoint: str, cut: Interval) -> Observations:
+    observations = with_attempts(*TWO_OPEN_ATTEMPTS)
+    observations.link_cuts[node, endpoint].append(cut)
+    return observations
+
+
+@pytest.mark.parametrize(
+    ("node", "endpoint", "cut"),
+    [(0, "b", FAULT_TIME), (1, "a", FAULT_TIME), (0, "a", Interval(0.1, 0.9)), (0, "a", Interval(1.5, 2.0))],
+    ids=["of the second endpoint", "from another node", "over before both", "after the second began"],
+)
+def test_parallel_attempts_are_not_excused_by_a_cut(node: int, endpoint: str, cut: Interval) -> None:
+    assert violated_rules(with_cut(node, endpoint, cut)) == {"parallel-attempts"}
+
+
+@pytest.mark.parametrize(
+    ("node", "outage", "rules"),
+    [
+        (1, FAULT_TIME, {"unanswered"}),
+        (0, Interval(0.0, 0.4), {"unanswered"}),  # over more than OUTAGE_SLACK_S before the request
+        (0, Interval(0.0, 0.6), set()),
+        (0, Interval(3.4, 3.6), set()),
+        (0, Interval(3.6, 9.0), {"unanswered"}),  # after the time for the answer
+    ],
+)
+def test_unanswered_request_is_excused_by_an_outage_of_its_node_meanwhile(
+    node: int, outage: Interval, rules: set[str]
+) -> None:
+    observations = one_request()
+    observations.node_outages[node].append(outage)
+    assert violated_rules(observations) == rules
+
+
+def test_drain_notice_counts_from_the_first_and_until_the_endpoint_is_ready_again() -> None:
+    observations = after_drain_notice(5.9)
+    observations.record_state(0, "s", "DRAINING", 5.8)
+    assert violated_rules(observations) == {"sent-to-draining"}
+    observations.record_state(0, "s", "SERVING", 5.85)
+    assert violated_rules(observations) == set()
+
+
+def test_drain_notice_counts_for_the_node_that_got_it() -> None:
+    observations = with_attempts(Attempt(1, 0, "s", 9.0, 9.0))
+    observations.record_state(1, "s", "DRAINING", 5.0)
+    assert violated_rules(observations) == set()
+
+
+@pytest.mark.parametrize(
+    ("first_s", "interval_s", "rules"),
+    [
+        (11.0, 0.01, {"slow-start-exceeded"}),
+        (11.0, 0.21, set()),  # no more than ten within any window of 2 s
+        (9.0, 0.01, set()),  # before the start
+        (20.0, 0.01, set()),  # once it is warm
+    ],
+)
+def test_slow_start_is_counted_in_windows_while_the_endpoint_warms_up(
+    first_s: float, interval_s: float, rules: set[str]
+) -> None:
+    observations = warming_up(0)
+    observations.attempts += [
+        Attempt(number, number % 2, "s", first_s + number * interval_s, first_s) for number in range(11)
+    ]
+    assert violated_rules(observations) == rules
+
+
+def test_violation_names_the_request_and_both_endpoints() -> None:
+    observations = with_attempts(*TWO_OPEN_ATTEMPTS)
+    assert InvariantChecker(observations, 0.5).violations() == [
+        Violation("parallel-attempts", "1 at a and b")
+    ]
--- a/tests/test_fleet_scenario.py
+++ b/tests/test_fleet_scenario.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 import random
+from pathlib import Path
 
 import pytest
 
-from rig.fleet.scenario import ScenarioError, parse
+from rig.fleet.scenario import Endpoints, Fault, ScenarioError, Traffic, load, parse
 
 
 @pytest.mark.parametrize(
@@ -17,6 +18,9 @@
         ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "flood"', "`$.faults[0].kind`"),
         ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "kill"\nnodes = [9]', "`$.faults[0]`"),
         ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "kill"', "needs nodes"),
+        ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "drain"', "needs endpoints"),
+        ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "pause"\nnodes = [-1]', "no number -1"),
+        ('name = "x"\n[[faults]]\nat_s = 1.0\nkind = "slow"\nendpoints = [6]', "no number 6"),
         ('name = "x"\ncolour = "red"', "colour"),
         ("name = ", "nvalid"),
     ],
@@ -27,6 +31,23 @@
     assert message in str(caught.value)
 
 
+def test_second_fault_is_named_by_its_position() -> None:
+    fault = "[[faults]]\nat_s = 1.0\nkind = 'kill'\nnodes = [{node}]\n"
+    with pytest.raises(ScenarioError, match=r"no number 3 - at `\$\.faults\[1\]`"):
+        parse('name = "x"\n' + fault.format(node=2) + fault.format(node=3))
+
+
+def test_scenario_file_is_read_with_defaults_for_what_it_leaves_out(tmp_path: Path) -> None:
+    path = tmp_path / "scenario.toml"
+    path.write_text(
+        'name = "x"\n[endpoints]\ncores = 2.0\n[[faults]]\nat_s = 1\nkind = "cut"\nendpoints = [5]'
+    )
+    scenario = load(path)
+    assert scenario.endpoints == Endpoints(cores=2.0)
+    assert scenario.traffic == Traffic()
+    assert scenario.faults == (Fault(at_s=1.0, kind="cut", endpoints=(5,)),)
+
+
 def test_streams_of_a_scenario_are_independent_and_reproducible() -> None:
     one, other = parse('name = "x"\nseed = 4'), parse('name = "x"\nseed = 5')
     assert one.stream("a").random() == one.stream("a").random() != one.stream("b").random()
