--- a/bench/fleet_log.py
+++ b/bench/fleet_log.py
@@ -18,15 +18,12 @@
 import statistics
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Iterator
-from itertools import pairwise
 from pathlib import Path
 from typing import NamedTuple
 
+from fleet_counts import FleetCounts
 from proxy_logs import LogLine, follow_client, read_logs
 
-WARM_UP_S = 10.0
-"""How long after its start an endpoint counts as cold, in seconds."""
-
 FAILED_ATTEMPTS = ("unreachable", "timed-out", "error", "endpoint-full", "endpoint-reset")
 """Reasons with which an attempt ends that has failed."""
 
@@ -59,154 +56,31 @@
 
 def class_table(lines: Iterable[LogLine], step_s: float) -> Iterator[str]:
     """For each step and class: clients that came, attempts that began, and why connections ended."""
-    came: Counter[ClassStep] = Counter()
+    arrivals: Counter[ClassStep] = Counter()
     attempts: Counter[ClassStep] = Counter()
     ended: dict[ClassStep, Counter[str]] = defaultdict(Counter)
     for line in lines:
         service_class = line.fields.get("class")
         if service_class is None:
             continue
-        place = ClassStep(int(line.at_s / step_s), service_class)
+        row = ClassStep(int(line.at_s / step_s), service_class)
         if line.event == "attempt-started":
-            attempts[place] += 1
+            attempts[row] += 1
         elif line.event == "connection-ended" and line.fields.get("side") == "client":
             reason = line.fields["reason"]
-            ended[place][reason if reason in CLIENT_END_REASONS else "other"] += 1
+            ended[row][reason if reason in CLIENT_END_REASONS else "other"] += 1
             arrival_s = line.at_s - line.number("ms") / 1000
-            came[ClassStep(int(arrival_s / step_s), service_class)] += 1
+            arrivals[ClassStep(int(arrival_s / step_s), service_class)] += 1
     reasons = " ".join(f"{reason:>14}" for reason in CLIENT_END_REASONS)
     yield f"   from class              came attempts {reasons}"
-    for place in sorted(came.keys() | attempts.keys() | ended.keys()):
-        counts = " ".join(f"{ended[place][reason]:14}" for reason in CLIENT_END_REASONS)
-        begin_s = place.step * step_s
-        yield f"{begin_s:7.1f} {place.service_class:<16} {came[place]:7} {attempts[place]:8} {counts}"
-
-
-class Rejection(NamedTuple):
-    """A rejected request: when, after how many attempts, and the delay that the client was asked for."""
-
-    at_s: float
-    attempts: int
-    retry_after_ms: int
-
-
-class DiscoveryCall(NamedTuple):
-    """When a call to discovery ended, and whether it was answered with a list."""
-
-    at_s: float
-    is_answered: bool
-
-
-class BusyStep(NamedTuple):
-    """A step in which an endpoint got many connections, and how many of those while it was cold."""
-
-    connections: int
-    at_s: float
-    endpoint: str
-    cold_count: int
-
-
-class FleetCounts:
-    """What all proxies did, together."""
-
-    def __init__(self, lines: Iterable[LogLine]) -> None:
-        self.proxies: set[str] = set()
-        self.end_s = 0.0
-        self.attempt_times: dict[str, list[float]] = defaultdict(list)
-        """When attempts at an endpoint began, in seconds."""
-
-        self.attempt_ends: dict[str, Counter[str]] = defaultdict(Counter)
-        """Why attempts and connections of an endpoint ended."""
-
-        self.health_check_ends: dict[str, Counter[str]] = defaultdict(Counter)
-        self.endpoint_starts: dict[str, float] = {}
-        self.attempts_per_request: Counter[int] = Counter()
-        self.migrations: Counter[str] = Counter()
-        self.rejections: list[Rejection] = []
-        self.discovery_calls: list[DiscoveryCall] = []
-        self.list_times: dict[str, list[float]] = defaultdict(list)
-        """When a proxy received a list, in seconds."""
-
-        self.start_durations: dict[str, list[float]] = defaultdict(list)
-        """How long a proxy took from its start until it was found ready, in seconds."""
-
-        self._starting: dict[str, float] = {}
-        for line in lines:
-            self.proxies.add(line.proxy)
-            self.end_s = max(self.end_s, line.at_s)
-            self._count(line)
-
-    def _count(self, line: LogLine) -> None:
-        match line.event:
-            case "process-started":
-                self._starting[line.proxy] = line.at_s - line.number("start_ms") / 1000
-            case "attempt-started":
-                self.attempt_times[line.fields["endpoint"]].append(line.at_s)
-            case "endpoint-list-received":
-                self._count_list(line)
-            case "discovery-call-failed":
-                self.discovery_calls.append(DiscoveryCall(line.at_s, is_answered=False))
-            case "connection-ended":
-                self._count_end(line)
-
-    def _count_list(self, line: LogLine) -> None:
-        self.list_times[line.proxy].append(line.at_s)
-        self.discovery_calls.append(DiscoveryCall(line.at_s, is_answered=True))
-        for item in line.fields.get("warming_up", "").split(","):
-            if item:
-                endpoint, age_ms = item.split("@")
-                self.endpoint_starts.setdefault(endpoint, line.at_s - float(age_ms) / 1000)
-
-    def _count_end(self, line: LogLine) -> None:
-        match line.fields.get("side"):
-            case "health-check":
-                self.health_check_ends[line.fields["endpoint"]][line.fields["reason"]] += 1
-            case "endpoint":
-                self.attempt_ends[line.fields["endpoint"]][line.fields["reason"]] += 1
-            case "client":
-                self._count_client(line)
-
-    def _count_client(self, line: LogLine) -> None:
-        reason = line.fields["reason"]
-        if reason == "probed":
-            if line.proxy in self._starting:
-                duration_s = line.at_s - self._starting.pop(line.proxy)
-                self.start_durations[line.proxy].append(duration_s)
-            return
-        attempts = line.number("attempts")
-        self.attempts_per_request[attempts] += 1
-        if reason == "rejected":
-            self.rejections.append(Rejection(line.at_s, attempts, line.number("wait_ms")))
-        elif reason in ("migrated", "unresponsive"):
-            self.migrations[reason] += 1
-
-    def is_cold(self, endpoint: str, at_s: float) -> bool:
-        """Whether the endpoint warmed up at that time."""
-        started_s = self.endpoint_starts.get(endpoint)
-        return started_s is not None and started_s <= at_s < started_s + WARM_UP_S
-
-    def busiest_steps(self, step_s: float, limit: int) -> list[BusyStep]:
-        """The steps in which one endpoint got most connections."""
-        counts: Counter[tuple[int, str]] = Counter()
-        for endpoint, times in self.attempt_times.items():
-            counts.update((int(at_s / step_s), endpoint) for at_s in times)
-        rows = []
-        for (step, endpoint), count in counts.most_common(limit):
-            times = [at_s for at_s in self.attempt_times[endpoint] if int(at_s / step_s) == step]
-            cold_count = sum(self.is_cold(endpoint, at_s) for at_s in times)
-            rows.append(BusyStep(count, step * step_s, endpoint, cold_count))
-        return rows
-
-    def list_ages_s(self) -> list[float]:
-        """How old each proxy's list was just before each new one, and at the end, in seconds."""
-        ages = []
-        for times in self.list_times.values():
-            ages += [after - before for before, after in pairwise([*times, self.end_s])]
-        return ages
+    for row in sorted(arrivals.keys() | attempts.keys() | ended.keys()):
+        counts = " ".join(f"{ended[row][reason]:14}" for reason in CLIENT_END_REASONS)
+        begin_s = row.step * step_s
+        yield f"{begin_s:7.1f} {row.service_class:<16} {arrivals[row]:7} {attempts[row]:8} {counts}"
 
 
 def max_in_a_second(times: Iterable[float]) -> int:
-    """Most of these times that are within one second of the run."""
+    """Most of these times that are in one whole second of the run."""
     return max(Counter(int(at_s) for at_s in times).values(), default=0)
 
 
@@ -245,12 +119,14 @@
 def report_connections(counts: FleetCounts, step_s: float, limit: int) -> Iterator[str]:
     """Attempts by endpoint and step, and why they ended."""
     opened = sum(map(len, counts.attempt_times.values()))
-    cold = sum(
-        counts.is_cold(endpoint, at_s) for endpoint, times in counts.attempt_times.items() for at_s in times
+    warming_up = sum(
+        counts.is_warming_up(endpoint, at_s)
+        for endpoint, times in counts.attempt_times.items()
+        for at_s in times
     )
-    yield f"connections opened {opened}  to cold endpoints {cold}"
+    yield f"connections opened {opened}  to cold endpoints {warming_up}"
     for step in counts.busiest_steps(step_s, limit):
-        within = f"opened {step.connections} within {step_s:g} s, {step.cold_count} of them cold"
+        within = f"opened {step.connections} within {step_s:g} s, {step.warming_up_count} of them cold"
         yield f"  {step.at_s:7.1f} s  {step.endpoint:<14} {within}"
     per_request = sorted(counts.attempts_per_request.items())
     yield "attempts per request " + " ".join(f"{attempts}:{count}" for attempts, count in per_request)
--- a/tests/test_bench_fleet_log.py
+++ b/tests/test_bench_fleet_log.py
@@ -2,14 +2,19 @@
 
 from __future__ import annotations
 
+import re
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT / "bench"))
 
+import fleet_counts  # noqa: E402
 import fleet_log  # noqa: E402
 import proxy_logs  # noqa: E402
+from logged_events import logged_events  # noqa: E402
+
+from linnetshift.observability.log import Reason  # noqa: E402
 
 STAMP = "ts=2026-01-01T00:00:{:06.3f}Z level=info event="
 LOGS = {
@@ -66,7 +71,7 @@
 
 def test_logs_of_all_proxies_are_joined_on_time_and_endpoint(tmp_path: Path) -> None:
     write_logs(tmp_path, LOGS)
-    counts = fleet_log.FleetCounts(proxy_logs.read_logs(tmp_path))
+    counts = fleet_counts.FleetCounts(proxy_logs.read_logs(tmp_path))
     rows = "\n".join(fleet_log.report(counts, 0.1, 2))
     assert counts.busiest_steps(0.1, 1) == [
         (2, 1.1, "s-3", 2)
@@ -137,3 +142,11 @@
         ("5.0", "bulk"): {"came": 2, "rejected": 1, "other": 1},
         ("5.0", "feed"): {"came": 1, "migrated": 2},
     }
+
+
+def test_tool_and_sample_logs_use_events_and_reasons_of_the_program() -> None:
+    texts = [text for logs in (LOGS, FOLLOWED) for lines in logs.values() for _, text in lines if "=" in text]
+    assert {text.split()[0] for text in texts} <= logged_events()
+    reasons = {reason for text in texts for reason in re.findall(r" reason=(\S+)", text)}
+    counted_reasons = {*fleet_log.FAILED_ATTEMPTS, *fleet_log.CLIENT_END_REASONS} - {"other"}
+    assert reasons | counted_reasons <= {reason.value for reason in Reason}
