--- a/bench/hostile_memory.py
+++ b/bench/hostile_memory.py
@@ -59,13 +59,13 @@
     return PeerInput(port, (data,), rng.choice(ENDINGS[frontend]))
 
 
-def measure(frontend: str, seed: int, steps: Sequence[int], **how: object) -> Iterator[Measurement]:
-    """Measure a new program at the start and after each step; `how` goes to the tests' `proxy`."""
+def measure(frontend: str, seed: int, steps: Sequence[int], **start_options: object) -> Iterator[Measurement]:
+    """Measure a new program at the start and after each step; `start_options` go to `started_proxy`."""
     rng = random.Random(seed)
     total = 0
     with (
         tempfile.TemporaryDirectory() as folder,
-        started_proxy(Path(folder), broker_toml=BROKER_FILE, **how) as running,  # type: ignore[arg-type]
+        started_proxy(Path(folder), broker_toml=BROKER_FILE, **start_options) as running,  # type: ignore[arg-type]
     ):
         port = running.channels_port if frontend == "channels" else running.port
         yield Measurement(0, running.resident_mib(), running.descriptors())
@@ -88,16 +88,15 @@
     parser.add_argument("--program", type=Path, default=ROOT)
     parser.add_argument("--steps", type=int, nargs="+", default=list(STEPS))
     options = parser.parse_args()
-    how: dict[str, object] = {"program": options.program}
+    start_options: dict[str, object] = {"program": options.program}
     if options.collector == "off":
-        how["command"] = command_without_collector()
+        start_options["command"] = command_without_collector()
     print(f"| front (collector {options.collector}) | connections | MiB | descriptors |")
     print("| --- | --- | --- | --- |")
     for frontend in ("platform", "channels"):
-        for at in measure(frontend, options.seed, options.steps, **how):
-            print(
-                f"| {frontend} | {at.connections:,} | {at.resident_mib:.1f} | {at.descriptors} |", flush=True
-            )
+        for measured in measure(frontend, options.seed, options.steps, **start_options):
+            figures = f"{measured.connections:,} | {measured.resident_mib:.1f} | {measured.descriptors}"
+            print(f"| {frontend} | {figures} |", flush=True)
     return 0
 
 
--- a/rig/hostile_run.py
+++ b/rig/hostile_run.py
@@ -25,20 +25,26 @@
 """Connections of a round that are open at once."""
 
 MAX_GROWTH_MIB = 4.0
-"""Growth of memory that is allowed between the round after which it is taken and any later one."""
+"""Growth of memory that is allowed after `take_baseline`, in MiB."""
 
 MAX_EXTRA_DESCRIPTORS = 2
-"""Descriptors beyond those of before that are allowed: a call to discovery, and the look itself."""
+"""Descriptors that are allowed beyond the baseline: a call to discovery, and the admin call of the check."""
 
 SETTLE_S = 8.0
 """Time until descriptors are back, in seconds: lingering connections and attempts end within that."""
 
+DESCRIPTORS_POLL_S = 0.05
+"""Time between two counts of the descriptors, in seconds."""
+
 ENDPOINT_POLL_S = 0.05
 """Longest wait of the endpoints for a connection, in seconds, so that they stop soon."""
 
 ENDPOINT_TIMEOUT_S = 0.2
 """How long an endpoint waits for a request line, in seconds."""
 
+MAX_REPORTED_CHARS = 2000
+"""Characters of a log line that a violation repeats."""
+
 TAKEOVER_TIMEOUT_S = 0.3
 """How long a peer process waits for an answer, in seconds."""
 
@@ -133,7 +139,7 @@
         self.inputs_sent = 0
 
     def take_baseline(self) -> None:
-        """Take the descriptors and the memory of now as what the program must return to."""
+        """Record the descriptors and the memory that the program must return to after each later round."""
         self.baseline_descriptors = self.running.descriptors()
         self.baseline_mib = self.running.resident_mib()
 
@@ -187,11 +193,14 @@
         self.check(inputs)
 
     def check(self, inputs: Sequence[PeerInput | bytes]) -> None:
-        """The program lives, answers, logged no fault, and holds no more than before and than its bounds."""
+        """Check that the program runs, answers, logged no fault, and is within its baseline and bounds.
+
+        Raises InvariantViolationError with the `inputs` of the round.
+        """
         self._check_alive(inputs)
         faults = [line for line in self.running.unread_lines() if "event=fault" in line]
         if faults:
-            raise InvariantViolationError(faults[0][:2000], inputs)
+            raise InvariantViolationError(faults[0][:MAX_REPORTED_CHARS], inputs)
         self._check_descriptors(inputs)
         self._check_memory(inputs)
 
@@ -213,7 +222,7 @@
             if time.monotonic() > until_s:
                 message = f"{self.running.descriptors()} descriptors, {self.baseline_descriptors} before"
                 raise InvariantViolationError(message, inputs)
-            time.sleep(0.05)
+            time.sleep(DESCRIPTORS_POLL_S)
 
     def _check_memory(self, inputs: Sequence[PeerInput | bytes]) -> None:
         resident_mib = self.running.resident_mib()
@@ -245,37 +254,37 @@
         tries_left -= 1
         return reproduces(candidate)
 
-    kept = drop_inputs(inputs, reproduces_within_tries)
-    return shorten_inputs(kept, reproduces_within_tries)
+    needed = drop_inputs(inputs, reproduces_within_tries)
+    return shorten_inputs(needed, reproduces_within_tries)
 
 
 def drop_inputs(inputs: Sequence[PeerInput], reproduces: Reproduces) -> list[PeerInput]:
     """Drop inputs that the failure does not need: halves first, then ever smaller runs."""
-    kept = list(inputs)
-    size = len(kept) // 2
+    remaining = list(inputs)
+    size = len(remaining) // 2
     while size:
         start = 0
-        while start < len(kept):
-            fewer = kept[:start] + kept[start + size :]
+        while start < len(remaining):
+            fewer = remaining[:start] + remaining[start + size :]
             if fewer and reproduces(fewer):
-                kept = fewer
+                remaining = fewer
             else:
                 start += size
         size //= 2
-    return kept
+    return remaining
 
 
 def shorten_inputs(inputs: Sequence[PeerInput], reproduces: Reproduces) -> list[PeerInput]:
     """Cut off the ends of inputs that the failure does not need."""
-    kept = list(inputs)
+    remaining = list(inputs)
     for position, original in enumerate(inputs):
         data = b"".join(original.pieces)
         cut = len(data) // 2
         while cut:
             shorter = PeerInput(original.port, (data[:-cut],), original.ending, original.origin)
-            if reproduces([*kept[:position], shorter, *kept[position + 1 :]]):
+            if reproduces([*remaining[:position], shorter, *remaining[position + 1 :]]):
                 data = data[:-cut]
-                kept[position] = shorter
+                remaining[position] = shorter
             else:
                 cut //= 2
-    return kept
+    return remaining
--- a/tests/connections.py
+++ b/tests/connections.py
@@ -4,6 +4,7 @@
 
 import socket
 import struct
+from typing import Literal
 
 WAIT_S = 20.0
 """Longest wait of a test, in seconds; all of them end with the event that is waited for."""
@@ -23,6 +24,10 @@
     return struct.pack(">I", len(text)) + text
 
 
+Ending = Literal["fin", "reset"]
+"""How a side ends a connection."""
+
+
 class PeerConnection:
     """One end of a connection, read line by line."""
 
@@ -52,7 +57,7 @@
         line, end, self._unread = self._unread.partition(b"\n")
         return line + end
 
-    def ended(self) -> str:
+    def ended(self) -> Ending:
         """How the other side ended the connection; a line that comes before that is an error."""
         try:
             rest = self.line()
@@ -61,9 +66,9 @@
         assert not rest
         return "fin"
 
-    def close(self, how: str = "fin") -> None:
-        """Close with a FIN or, as `how` says, a reset."""
-        if how == "reset":
+    def close(self, ending: Ending = "fin") -> None:
+        """Close with a FIN or a reset."""
+        if ending == "reset":
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.sock.close()
 
--- a/tests/emulated_peers.py
+++ b/tests/emulated_peers.py
@@ -83,11 +83,12 @@
 class DiscoveryServer:
     """Emulated discovery: answers calls with the list; a watch waits for a change.
 
-    `failing` answers every call with a 503, `silent` keeps it, `resets` resets one watch that waits.
+    `failing` answers every call with a 503, `silent` holds each call in `held_calls` until it is released,
+    `resets` resets one watch that waits.
     """
 
-    def __init__(self, listeners: list[EmulatedEndpoint], indent: int | None = None) -> None:
-        self.endpoints = listeners
+    def __init__(self, endpoints: list[EmulatedEndpoint], indent: int | None = None) -> None:
+        self.endpoints = endpoints
         self.indent = indent
         self.rev = 1
         self.failing = False
@@ -121,8 +122,8 @@
     def change(self, **changes: str) -> None:
         """Set new states by uid, and notify all watches."""
         with self.list_changed:
-            for listener in self.endpoints:
-                listener.state = changes.get(listener.uid, listener.state)
+            for endpoint in self.endpoints:
+                endpoint.state = changes.get(endpoint.uid, endpoint.state)
             self.rev += 1
             self.list_changed.notify_all()
 
@@ -175,10 +176,10 @@
         discovery = self.server.discovery
         discovery.calls.put(self.path)
         if discovery.silent:
-            kept = HeldCall(self.path, json.dumps(discovery.listing()).encode(), threading.Event())
-            discovery.held_calls.put(kept)
-            kept.release.wait()
-            self.answer(200, kept.body)
+            held = HeldCall(self.path, json.dumps(discovery.listing()).encode(), threading.Event())
+            discovery.held_calls.put(held)
+            held.release.wait()
+            self.answer(200, held.body)
             return
         query = parse_qs(urlsplit(self.path).query)
         with discovery.list_changed:
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -24,7 +24,7 @@
 """Length of a long list."""
 
 DESCRIPTORS = 60
-"""Limit of descriptors for a process that runs out of them."""
+"""Limit of descriptors for a process that is to run out of them."""
 
 
 class ListedEndpoint:
@@ -49,19 +49,21 @@
         }
 
 
-@pytest.mark.parametrize("how", ["down", "failing", "silent", "slow", "full"])
-def test_processes_that_start_together_are_ready_without_discovery(tmp_path: Path, how: str) -> None:
+@pytest.mark.parametrize("discovery_state", ["down", "failing", "silent", "slow", "full"])
+def test_processes_that_start_together_are_ready_without_discovery(
+    tmp_path: Path, discovery_state: str
+) -> None:
     # They all answer before discovery has answered any of them, and serve with the list of their file.
     with ExitStack() as stack:
-        made = stack.enter_context(
+        environment = stack.enter_context(
             proxy_environment(tmp_path, discovery="ask", rules={"mustAskInNs": 10 * S})
         )
-        discovery = made.discovery
-        if how == "down":
+        discovery = environment.discovery
+        if discovery_state == "down":
             discovery.server.server_close()
-        elif how == "failing":
+        elif discovery_state == "failing":
             discovery.fail(True)
-        elif how == "full":
+        elif discovery_state == "full":
             discovery.server.socket.listen(0)
             discovery.silent = True
         else:
@@ -72,20 +74,20 @@
             folder = tmp_path / str(number)
             folder.mkdir()
             config = folder / "config.json"
-            config.write_text(made.config.read_text().replace(f":{made.port}", f":{port}"))
-            process = launch_process(str(config), str(made.broker_file))
+            config.write_text(environment.config.read_text().replace(f":{environment.port}", f":{port}"))
+            process = launch_process(str(config), str(environment.broker_file))
             stack.callback(process.wait, WAIT_S)
             stack.callback(process.kill)
             running.append(RunningProxy(process, port, 0))
-        for one in running:
-            one.logged("event=process-started")
-            assert one.alive()
-        if how == "slow":  # it answers now, one call after the other
+        for proxy in running:
+            proxy.logged("event=process-started")
+            assert proxy.alive()
+        if discovery_state == "slow":  # it answers now, one call after the other
             discovery.silent = False
             discovery.held_calls.get(timeout=WAIT_S).release.set()
-        for number, one in enumerate(running):
-            client = one.client(OPEN_LINE % (number + 1, 2000))
-            made.endpoints[0].serve()
+        for number, proxy in enumerate(running):
+            client = proxy.client(OPEN_LINE % (number + 1, 2000))
+            environment.endpoints[0].serve()
             assert client.line() == b"UP r1\r\n"
 
 
@@ -95,11 +97,10 @@
 
 
 def test_idle_clients_that_use_all_descriptors_block_no_request(tmp_path: Path) -> None:
-    # Idle clients may fill them while discovery is down; its return, attempts and reloads need some.
+    # They may use all of them while discovery is down; its return, an attempt and a reload then need some.
     with started_proxy(tmp_path, endpoints=2, before=limit_descriptors, rules={"mustAskInNs": S}) as running:
         client = running.open()
-        served = running.next_attempted()
-        endpoint = served.serve()
+        endpoint = running.next_attempted().serve()
         assert client.line() == b"UP r1\r\n"
         running.discovery.fail(True)
         running.logged("event=discovery-call-failed")
@@ -108,41 +109,41 @@
         running.discovery.change()
         running.discovery.fail(False)
         running.logged("event=endpoint-list-received .*rev=2")
-        # An attempt has a descriptor, a reload reads its files, and what was served stays.
-        other = running.open()
-        _, another = running.serve_any()
-        assert other.line() == b"UP r1\r\n"
-        later = DiscoveryServer(running.endpoints)
-        later.rev = 7
-        running.reload("event=configuration-reloaded", discovery=later.address)
+        # An attempt gets a descriptor, a reload reads its files, and the established connection stays.
+        later_client = running.open()
+        _, later_endpoint = running.serve_any()
+        assert later_client.line() == b"UP r1\r\n"
+        other_discovery = DiscoveryServer(running.endpoints)
+        other_discovery.rev = 7
+        running.reload("event=configuration-reloaded", discovery=other_discovery.address)
         running.logged("event=endpoint-list-received .*rev=7")
         client.send(b"M 1\r\n")
         assert endpoint.line() == b"M 1\r\n"
         endpoint.send(b"R 1\r\n")
         assert client.line() == b"R 1\r\n"
         assert len(idle) == 120
-        assert another
+        assert later_endpoint
         running.process.send_signal(signal.SIGTERM)
-        assert {client.line(), other.line()} == {b"MOVE\r\n"}
+        assert {client.line(), later_client.line()} == {b"MOVE\r\n"}
         running.logged("event=shutdown-finished")
 
 
 @pytest.mark.parametrize("discovery", ["ask", "push"])
 def test_list_of_a_thousand_endpoints_is_complete(tmp_path: Path, discovery: str) -> None:
     with started_proxy(tmp_path, discovery=discovery, balancers=230) as running:
-        (there,) = running.endpoints
-        later = DiscoveryServer([])
-        later.indent = 4
-        listed: list[Any] = [there, *map(ListedEndpoint, range(ENDPOINTS - 1))]
-        later.endpoints = listed
-        later.rev = 5
-        running.reload("event=configuration-reloaded", discovery=later.address)
+        (endpoint,) = running.endpoints
+        other_discovery = DiscoveryServer([])
+        other_discovery.indent = 4
+        listed: list[Any] = [endpoint, *map(ListedEndpoint, range(ENDPOINTS - 1))]
+        other_discovery.endpoints = listed
+        other_discovery.rev = 5
+        running.reload("event=configuration-reloaded", discovery=other_discovery.address)
         assert f"entries={ENDPOINTS} " in running.logged("event=endpoint-list-received .*rev=5")
         client = running.open()
-        there.serve()
+        endpoint.serve()
         assert client.line() == b"UP r1\r\n"
         listed[7].state = "DRAINING"
-        later.change()
+        other_discovery.change()
         assert f"entries={ENDPOINTS} draining=1 " in running.logged("event=endpoint-list-received .*rev=6")
         assert not [
             line
@@ -150,4 +151,4 @@
             if "endpoint-limit-exceeded" in line or "endpoint-entries-invalid" in line
         ]
         assert isinstance(client, PeerConnection)
-        assert isinstance(there, EmulatedEndpoint)
+        assert isinstance(endpoint, EmulatedEndpoint)
