--- a/bench/fleet_rig.py
+++ b/bench/fleet_rig.py
@@ -67,17 +67,17 @@
 def row(scenario: Scenario, report: Report) -> list[str]:
     """One row of the table."""
     requests = report.observations.requests.values()
-    words = Counter(answer.word for request in requests for answer in request.answers)
+    answers = Counter(answer.keyword for request in requests for answer in request.answers)
     rules = Counter(violation.rule for violation in report.violations)
     use = report.observations.slow_start_use()
-    other_answers = sum(words.values()) - words["UP"] - words["BUSY"]
+    other_answers = answers.total() - answers["UP"] - answers["BUSY"]
     return [
         scenario.name,
         " ".join(f"{rule}:{count}" for rule, count in rules.items()) or "none",
         str(len(report.crashes)),
         f"{report.served_share:.2f}",
         f"{use.sent:.0f} of {use.allowed:.0f}",
-        f"{words['UP']} / {words['BUSY']} / {other_answers}",
+        f"{answers['UP']} / {answers['BUSY']} / {other_answers}",
     ]
 
 
--- a/bench/regress.py
+++ b/bench/regress.py
@@ -17,6 +17,7 @@
 import subprocess
 import sys
 from collections.abc import Iterable
+from enum import StrEnum
 from pathlib import Path
 from statistics import median
 from typing import Any, NamedTuple
@@ -28,7 +29,7 @@
 """A change of a score under this is noise, whatever the swing (the platform's description of the benches)."""
 
 LATEST = "9"
-"""A moment after every entry of a journal."""
+"""Sorts after the time of every journal entry, which begins with the year."""
 
 
 class Bench(NamedTuple):
@@ -64,14 +65,24 @@
     is_rule_broken: bool
 
 
+class Outcome(StrEnum):
+    """What a verdict says, as the table has it."""
+
+    GAIN = "gain"
+    FALL = "fall"
+    WITHIN_SWING = "within the swing"
+    UNKNOWN = "cannot tell"
+    RULE_BROKEN = "BROKEN"
+
+
 class Verdict(NamedTuple):
-    """A program's score on a day against the program before it; without a swing it is open."""
+    """A program's score on a day against the program before it; without a swing its outcome is unknown."""
 
     day: Day
     before: float | None
     now: float
     swing: float | None
-    word: str
+    outcome: Outcome
 
 
 def bench_of(entry: dict[str, Any]) -> str | None:
@@ -121,15 +132,15 @@
     return max(spans, default=None)
 
 
-def verdict_word(before: float | None, now: float, swing: float | None, is_rule_broken: bool) -> str:
-    """The verdict as the table has it."""
+def compare(before: float | None, now: float, swing: float | None, is_rule_broken: bool) -> Outcome:
+    """Compare two scores of a day: a change within the swing and the noise is neither gain nor fall."""
     if is_rule_broken:
-        return "BROKEN"
+        return Outcome.RULE_BROKEN
     if before is None or swing is None:
-        return "cannot tell"
+        return Outcome.UNKNOWN
     if abs(now - before) <= swing + NOISE:
-        return "within the swing"
-    return "gain" if now > before else "fall"
+        return Outcome.WITHIN_SWING
+    return Outcome.GAIN if now > before else Outcome.FALL
 
 
 def judge(day: Day, all_scores: list[DayScore], program: str, until: str = LATEST) -> Verdict | None:
@@ -147,7 +158,7 @@
     before = median(score.score for score in of_day if score.program == others[-1]) if others else None
     swing = swing_of(day, of_day)
     is_rule_broken = any(score.is_rule_broken for score in own)
-    return Verdict(day, before, now, swing, verdict_word(before, now, swing, is_rule_broken))
+    return Verdict(day, before, now, swing, compare(before, now, swing, is_rule_broken))
 
 
 def read_journal(journal: Path) -> list[dict[str, Any]]:
@@ -167,7 +178,7 @@
     """For each site and bench the newest scored program, on the days of its last score."""
     entries = list(entries)
     all_scores = day_scores(entries)
-    found = []
+    results = []
     for name, bench in BENCHES.items():
         for site in dict.fromkeys(entry.get("site", "") for entry in entries):
             scored = day_scores(
@@ -175,13 +186,13 @@
                 for entry in entries
                 if entry.get("cmd") == bench.command and entry.get("site", "") == site
             )
-            last = [score for score in scored if score.at == scored[-1].at]
-            found += [
+            last_scores = [score for score in scored if score.at == scored[-1].at]
+            results += [
                 judge(score.day, all_scores, score.program, until)
-                for score in last
+                for score in last_scores
                 if score.day.bench == name
             ]
-    return [verdict for verdict in found if verdict is not None]
+    return [verdict for verdict in results if verdict is not None]
 
 
 def make_table(rows: Iterable[Verdict]) -> Table:
@@ -194,7 +205,7 @@
     table.add_column("verdict", no_wrap=True)
     for row in rows:
         figures = ["-" if figure is None else f"{figure:.2f}" for figure in (row.before, row.now, row.swing)]
-        table.add_row(*row.day, *figures, row.word)
+        table.add_row(*row.day, *figures, row.outcome)
     return table
 
 
@@ -244,7 +255,7 @@
             return 2
     rows = verdicts(read_journal(options.journal), options.before)
     Console(width=120, highlight=False).print(make_table(rows))
-    return int(any(row.word in ("fall", "BROKEN") for row in rows))
+    return int(any(row.outcome in (Outcome.FALL, Outcome.RULE_BROKEN) for row in rows))
 
 
 if __name__ == "__main__":
--- a/rig/decision_recordings/notes.py
+++ b/rig/decision_recordings/notes.py
@@ -65,12 +65,12 @@
                 world.send_event(request.instance, note(NoteKind.LOAD, random.uniform(2e4, 1.5e5)))
             load = self.endpoint_model.load(endpoint)
             is_busy = endpoint.fault is Condition.BUSY
-            place = (request.instance, endpoint.address)
-            if (load > SLOW_MESSAGE_LOAD or is_busy) and place not in noted:
-                noted.add(place)
-                took_ms = BUSY_MESSAGE_MS if is_busy else FULL_LOAD_MESSAGE_MS * load**4
-                took_ms *= random.uniform(0.8, 1.2)
-                world.send_event(request.instance, note(NoteKind.MESSAGE_TIME, took_ms))
+            instance_and_endpoint = (request.instance, endpoint.address)
+            if (load > SLOW_MESSAGE_LOAD or is_busy) and instance_and_endpoint not in noted:
+                noted.add(instance_and_endpoint)
+                message_ms = BUSY_MESSAGE_MS if is_busy else FULL_LOAD_MESSAGE_MS * load**4
+                message_ms *= random.uniform(0.8, 1.2)
+                world.send_event(request.instance, note(NoteKind.MESSAGE_TIME, message_ms))
 
     def send_odd_event(self) -> None:
         """An event that fits nothing the instance knows or has a senseless value, and a known id again."""
--- a/rig/decision_recordings/scenario.py
+++ b/rig/decision_recordings/scenario.py
@@ -65,7 +65,7 @@
     endpoints: int = 12
     zones: int = 2
     cell_size: int = 3
-    cold: int = 0  # endpoints that have just started
+    warming_up: int = 0  # endpoints that have just started
     capacity: float = 16.0  # connections that fill an endpoint of weight 1
     arrivals_per_s: float = 25.0
     lifetime_s: float = 8.0
--- a/rig/decision_recordings/scenarios.py
+++ b/rig/decision_recordings/scenarios.py
@@ -204,7 +204,7 @@
         "overload",
         seed=108,
         endpoints=6,
-        cold=2,
+        warming_up=2,
         capacity=6.0,
         arrivals_per_s=22.0,
         columns=("utilization",),
--- a/rig/decision_recordings/world.py
+++ b/rig/decision_recordings/world.py
@@ -61,7 +61,7 @@
         self._batch: dict[int, list[bytes]] = {}
         self.list_version = 1
         self.endpoints = [self.new_endpoint() for _ in range(scenario.endpoints)]
-        for endpoint in self.endpoints[: scenario.cold]:
+        for endpoint in self.endpoints[: scenario.warming_up]:
             endpoint.started_ns = START_NS - SECOND
         self.instances = [Instance(number) for number in range(scenario.instances)]
         self.requests: dict[int, Request] = {}
--- a/rig/fleet/client_load.py
+++ b/rig/fleet/client_load.py
@@ -1,4 +1,4 @@
-"""Clients of a run: they arrive at random, send messages, and come again after a rejection or a break."""
+"""Clients of a run: they arrive at random, send messages, and return after a rejection or a break."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 """Time between two messages of a client, in seconds."""
 
 RETRY_DELAY_S = (0.05, 0.4)
-"""Shortest and longest time until a client comes again, in seconds."""
+"""Shortest and longest time until a client returns, in seconds."""
 
 ANSWER_TIMEOUT_S = 2.0
 """How long past its deadline a client waits for an answer, and for what may follow one, in seconds."""
@@ -105,9 +105,9 @@
         writer.write(request_line(request, client))
         try:
             line = await asyncio.wait_for(reader.readline(), deadline_s + ANSWER_TIMEOUT_S)
-            word = line.decode().split(" ")[0].strip() or "ended"
-            request.answers.append(Answer(self.clock(), word))
-            if word == "UP":
+            keyword = line.decode().split(" ")[0].strip() or "ended"
+            request.answers.append(Answer(self.clock(), keyword))
+            if keyword == "UP":
                 await self._send_messages(reader, writer, client.remaining_s)
             elif second_line := await asyncio.wait_for(reader.readline(), ANSWER_TIMEOUT_S):
                 request.answers.append(Answer(self.clock(), second_line.decode().strip()))
--- a/rig/fleet/deployment.py
+++ b/rig/fleet/deployment.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from rig.fleet.model_discovery import DiscoveryServer, ListEntries
-from rig.fleet.model_endpoint import SHED_INTERVAL_S, ModelEndpoint
+from rig.fleet.model_endpoint import DROP_INTERVAL_S, ModelEndpoint
 from rig.fleet.node_process import NodeProcess
 from rig.fleet.observations import Observations, RunClock
 from rig.fleet.scenario import Scenario
@@ -111,9 +111,9 @@
         """Have discovery send the list as it is now."""
         self.background.add(self.discovery.publish(self.list_entries))
 
-    async def shed_overload(self) -> None:
-        """Have endpoints that are overloaded shed load, until cancelled."""
+    async def drop_overload(self) -> None:
+        """Have overloaded endpoints drop connections, until cancelled."""
         while True:
-            await asyncio.sleep(SHED_INTERVAL_S)
+            await asyncio.sleep(DROP_INTERVAL_S)
             for endpoint in self.endpoints.values():
-                endpoint.shed()
+                endpoint.drop_overload()
--- a/rig/fleet/invariants.py
+++ b/rig/fleet/invariants.py
@@ -12,16 +12,16 @@
 from rig.fleet.observations import Attempt, EndpointStart, Observations
 
 ANSWER_SLACK_S = 0.5
-"""How late a final answer may be; the client then only pays for it."""
+"""How long after its deadline a final answer may come, in seconds."""
 
 OUTAGE_SLACK_S = 0.5
-"""An outage that ended up to so long before a request may still have hit it."""
+"""An outage that ended up to so many seconds before a request may still have affected it."""
 
 OVERLAP_SLACK_S = 0.25
-"""Attempts that overlap by less may be one that ends and one that begins, both still on their ways."""
+"""Two attempts may seem to overlap for so many seconds: the end of the first is still on its way."""
 
 NOTICE_SLACK_S = 0.25
-"""Time for the notice of a drain, and for a connection sent before it, to arrive."""
+"""Time for the notice of a drain, and for a connection sent before it, to arrive, in seconds."""
 
 
 class Violation(NamedTuple):
@@ -39,7 +39,7 @@
         self.drain_grace_s = drain_grace_s
 
     def violations(self) -> list[Violation]:
-        """All violations of all rules."""
+        """All violations of all rules, in the order of the rules."""
         rules = (
             self.unanswered,
             self.answered_twice,
@@ -63,8 +63,8 @@
         """No request gets a second final answer."""
         for request in self.observations.requests.values():
             if len(request.answers) > 1:
-                words = [answer.word for answer in request.answers]
-                yield Violation("answered-twice", f"{request.id:x}: {words}")
+                keywords = [answer.keyword for answer in request.answers]
+                yield Violation("answered-twice", f"{request.id:x}: {keywords}")
 
     def parallel_attempts(self) -> Iterator[Violation]:
         """No request has attempts at two endpoints at once, unless the first cannot learn of its end."""
@@ -86,9 +86,9 @@
             notified_s = self.observations.drain_notices.get((attempt.node, attempt.endpoint))
             if notified_s is None:
                 continue
-            late_s = attempt.began_s - notified_s
+            delay_s = attempt.began_s - notified_s
             if attempt.began_s > notified_s + self.drain_grace_s + NOTICE_SLACK_S:
-                detail = f"{attempt.id:x} to {attempt.endpoint} {late_s:.3f} s after the notice"
+                detail = f"{attempt.id:x} to {attempt.endpoint} {delay_s:.3f} s after the notice"
                 yield Violation("sent-to-draining", detail)
 
     def slow_start_exceeded(self) -> Iterator[Violation]:
--- a/rig/fleet/model_endpoint.py
+++ b/rig/fleet/model_endpoint.py
@@ -13,7 +13,7 @@
 from rig.fleet.observations import Attempt, EndpointStart, Observations, RunClock
 from rig.fleet.scenario import Scenario
 
-SHED_INTERVAL_S = 0.1
+DROP_INTERVAL_S = 0.1
 """How often an endpoint over its capacity drops its heaviest connection, in seconds."""
 
 ALWAYS_WARM_S = -1e9
@@ -115,8 +115,8 @@
         """Listen for each node."""
         await self.listeners.open(self.scenario.nodes, self._serve)
 
-    def shed(self) -> None:
-        """Reset the heaviest connection where it is overloaded."""
+    def drop_overload(self) -> None:
+        """Reset the heaviest connection where the endpoint is overloaded."""
         if self.is_overloaded and self._connections:
             heaviest = max(self._connections, key=lambda connection: connection.load)
             self._connections.discard(heaviest)
--- a/rig/fleet/observations.py
+++ b/rig/fleet/observations.py
@@ -25,10 +25,10 @@
 
 
 class Answer(NamedTuple):
-    """A line that a client received, by its first word, and when."""
+    """A line that a client received, by its keyword (`ended` where it received none), and when."""
 
     at_s: float
-    word: str
+    keyword: str
 
 
 class Interval(NamedTuple):
--- a/rig/fleet/run.py
+++ b/rig/fleet/run.py
@@ -50,10 +50,10 @@
 
 
 async def _run_traffic(deployment: Deployment) -> None:
-    shedding = asyncio.ensure_future(deployment.shed_overload())
+    dropping = asyncio.ensure_future(deployment.drop_overload())
     injector = FaultInjector(deployment)
     faults = [asyncio.ensure_future(injector.inject(fault)) for fault in deployment.scenario.faults]
     await ClientLoad(deployment).run()
     await asyncio.gather(*faults)
     await deployment.background.wait()
-    shedding.cancel()
+    dropping.cancel()
--- a/rig/fleet/scenario.py
+++ b/rig/fleet/scenario.py
@@ -67,7 +67,7 @@
 
     deadline_s: Seconds = 2.0
     max_retries: int = 2
-    """How often a client comes again after a rejection or a break."""
+    """How often a client retries or returns after a rejection or a broken connection."""
 
 
 FaultKind = Literal[
@@ -119,7 +119,7 @@
     traffic: Traffic = Traffic()
     faults: tuple[Fault, ...] = ()
     failure_detection_s: Seconds = 0.3
-    """How long clients are still led to a node that has ended."""
+    """How long clients are still sent to a node that has ended."""
 
     list_delay_s: tuple[Seconds, Seconds] = (0.05, 0.3)
     """Shortest and longest time until a change of the list reaches a node."""
@@ -135,8 +135,8 @@
         scenario = msgspec.toml.decode(text, type=Scenario)
     except msgspec.MsgspecError as error:
         raise ScenarioError(str(error)) from None
-    for place, fault in enumerate(scenario.faults):
-        _check_fault(scenario, fault, f"`$.faults[{place}]`")
+    for position, fault in enumerate(scenario.faults):
+        _check_fault(scenario, fault, f"`$.faults[{position}]`")
     return scenario
 
 
@@ -146,8 +146,8 @@
 
 
 def _check_fault(scenario: Scenario, fault: Fault, path: str) -> None:
-    unknown = [n for n in fault.nodes if not 0 <= n < scenario.nodes]
-    unknown += [n for n in fault.endpoints if not 0 <= n < scenario.endpoints.count]
+    unknown = [number for number in fault.nodes if not 0 <= number < scenario.nodes]
+    unknown += [number for number in fault.endpoints if not 0 <= number < scenario.endpoints.count]
     if unknown:
         raise ScenarioError(f"there is no number {unknown[0]} - at {path}")
     if fault.kind in ("kill", "pause", "restart") and not fault.nodes:
--- a/tests/test_bench_regress.py
+++ b/tests/test_bench_regress.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cmd", "before", "now", "word"),
+    ("cmd", "before", "now", "outcome"),
     [
         ("real-score", [0.5, 0.6], [0.75], "gain"),
         ("real-score", [0.5, 0.6], [0.65], "within the swing"),
@@ -41,30 +41,30 @@
     ],
 )
 def test_day_is_judged_by_its_last_run_and_its_swing(
-    cmd: str, before: list[float], now: list[float], word: str
+    cmd: str, before: list[float], now: list[float], outcome: str
 ) -> None:
-    entries = [entry(n, "old", score, cmd) for n, score in enumerate(before)]
-    entries += [entry(30 + n, "new", score, cmd) for n, score in enumerate(now)]
+    entries = [entry(second, "old", score, cmd) for second, score in enumerate(before)]
+    entries += [entry(30 + second, "new", score, cmd) for second, score in enumerate(now)]
     (row,) = regress.verdicts(entries)
-    assert row.word == word
+    assert row.outcome == outcome
     assert row.now == now[0]
 
 
 def test_other_seeds_other_sites_and_later_runs_are_not_compared() -> None:
     entries = [entry(1, "old", 0.9), entry(2, "old", 0.9), entry(5, "new", 0.2, seed=8)]
     entries.append({**entry(6, "other", 0.9, seed=8), "site": "two"})
-    assert {row.word for row in regress.verdicts(entries)} == {"cannot tell"}
+    assert {row.outcome for row in regress.verdicts(entries)} == {"cannot tell"}
 
 
 def test_earlier_program_is_selected_by_its_time() -> None:
     entries = [entry(1, "first", 0.1), entry(2, "first", 0.1), entry(5, "second", 0.9), entry(6, "new", 0.9)]
     (last,), (first,) = regress.verdicts(entries), regress.verdicts(entries, "2026-01-01T00:00:03")
-    assert (last.word, first.word) == ("within the swing", "gain")
+    assert (last.outcome, first.outcome) == ("within the swing", "gain")
 
 
 def test_broken_rule_is_no_gain() -> None:
     entries = [entry(1, "old", 0.1), entry(2, "old", 0.1), entry(3, "new", 0.9, rules={"drain": 1})]
-    assert [row.word for row in regress.verdicts(entries)] == ["BROKEN"]
+    assert [row.outcome for row in regress.verdicts(entries)] == ["BROKEN"]
 
 
 @pytest.mark.parametrize(("scores", "status"), [([0.5, 0.5, 0.9], 0), ([0.9, 0.9, 0.5], 1)])
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -102,12 +102,13 @@
     assert report.crashes == []
     requests = report.observations.requests.values()
     assert len(requests) > 30
-    assert any(answer.word == "UP" for request in requests for answer in request.answers)
+    assert any(answer.keyword == "UP" for request in requests for answer in request.answers)
 
 
 @pytest.mark.parametrize(
     ("name", "nodes"),
-    [(name, 3 if place % 2 else 8) for place, name in enumerate(SCENARIOS)] + [(list(SCENARIOS)[1], 24)],
+    [(name, 3 if position % 2 else 8) for position, name in enumerate(SCENARIOS)]
+    + [(list(SCENARIOS)[1], 24)],
 )
 def test_invariants_hold_for_processes_under_faults(tmp_path: Path, name: str, nodes: int) -> None:
     scenario = parse(f'name = "{name}"\nnodes = {nodes}\n{SCENARIOS[name]}')
