--- a/bench/fleet_log.py
+++ b/bench/fleet_log.py
@@ -4,12 +4,12 @@
     python bench/fleet_log.py DIRECTORY --follow ID
     python bench/fleet_log.py DIRECTORY --classes [--step 5]
 
-The second prints all lines about one client, at whichever proxy, in the order of time: ID is what an OPEN
-line began with, or the key after it, which stays the same when the client comes back. The third prints for
-each class and step how many clients came, and how their connections ended.
+`--follow` prints all lines about one client, at whichever proxy, in the order of time: ID is the id of an
+OPEN line or the key after it, which stays the same when the client returns. `--classes` prints for each class
+and step how many clients came, and how their connections ended.
 
-Each file of DIRECTORY is one proxy's log, named for it. Where a line has a time in seconds before it, that
-is taken; otherwise times count from the first line of all.
+Each file of DIRECTORY is the log of one proxy, whose name is the file's. Where a line has a time in seconds
+before it, that time is used; otherwise times count from the first line of all logs.
 """
 
 from __future__ import annotations
@@ -148,6 +148,13 @@
     )
 
 
+def client_history(lines: Iterable[LogLine], client_id: str) -> Iterator[str]:
+    """All lines about one client, in the order of time; `client_id` is an id or a key, in hexadecimal."""
+    for line in follow_client(lines, client_id):
+        fields = [f"{key}={value}" for key, value in line.fields.items() if key not in ("ts", "level")]
+        yield " ".join([f"{line.at_s:9.3f} {line.proxy:<6}", *fields])
+
+
 def main() -> None:
     """Print the report, or what the options choose."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
@@ -161,11 +168,8 @@
     options = parser.parse_args()
     lines = read_logs(options.directory)
     if options.follow is not None:
-        for line in follow_client(lines, options.follow):
-            fields = (f"{key}={value}" for key, value in line.fields.items() if key not in ("ts", "level"))
-            print(f"{line.at_s:9.3f} {line.proxy:<6}", *fields)
-        return
-    if options.classes:
+        rows = client_history(lines, options.follow)
+    elif options.classes:
         rows = class_table(lines, options.step or CLASS_STEP_S)
     else:
         rows = report(FleetCounts(lines), options.step or BUSIEST_STEP_S, options.busiest)
--- a/bench/proxy_logs.py
+++ b/bench/proxy_logs.py
@@ -69,7 +69,10 @@
 
 
 def follow_client(lines: Iterable[LogLine], client_id: str) -> list[LogLine]:
-    """The lines about one client: those with its key, and those of the requests that had the key."""
+    """The lines about one client: those of all requests that had its key, in the order of `lines`.
+
+    `client_id` is the id of one of its OPEN lines, or its key, in hexadecimal.
+    """
     lines = list(lines)
     wanted = f"{int(client_id, 16):x}"
     keys = {wanted}
@@ -80,7 +83,7 @@
     numbered = []
     requests = set()
     for line in lines:
-        if line.event == "process-started":  # each process counts its requests anew
+        if line.event == "process-started":  # the numbers of requests begin again in each process
             process_starts[line.proxy] += 1
         request = line.proxy, process_starts[line.proxy], line.fields.get("id", "0")
         numbered.append((request, line))
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,8 +1,9 @@
 """Ordinary connections by the ten thousand on both frontends: memory, objects, timers and descriptors.
 
 Run from the repository's root: .venv/bin/python bench/soak.py [--connections 100000] [--collector off]
-They are served to their end, left, reset by either side, rejected, timed out, asked to migrate by their
-endpoint, and migrated while endpoints drain in turns. The tenant's name tells the endpoint what to do.
+They are served to their end, left by the client, reset by the endpoint, rejected, timed out, asked to migrate
+by their endpoint, and migrated while endpoints drain in turns. The tenant's name tells the endpoint what to
+do.
 """
 
 from __future__ import annotations
@@ -20,6 +21,7 @@
 from collections import Counter
 from collections.abc import Iterator
 from contextlib import contextmanager, suppress
+from enum import Enum, auto
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
@@ -34,18 +36,18 @@
 """The program's own settings: with the channels frontend."""
 
 CASE_WEIGHTS = {
-    "served": 900,
-    "left": 40,
-    "broken": 20,
-    "dropped": 1,
-    "full": 1,
-    "silent": 1,
-    "sent": 30,
-    "moved": 7,
+    "served": 900,  # the endpoint ends it with BYE
+    "left": 40,  # the client leaves once it is established
+    "broken": 20,  # the same
+    "dropped": 1,  # the endpoint resets it once it is established
+    "full": 1,  # the endpoint answers BUSY
+    "silent": 1,  # the endpoint never answers
+    "sent": 30,  # the endpoint asks the client to migrate
+    "moved": 7,  # established until the proxy migrates it off a draining endpoint
 }
-"""What becomes of how many connections in a thousand.
+"""Cases by the tenant's name, with their share of the connections in thousandths.
 
-Those that are a sign of congestion are rare: the program would otherwise rightly lower its limit of requests,
+Cases that are a sign of congestion are rare: the program would otherwise rightly lower its concurrency limit,
 and most connections would only wait.
 """
 
@@ -83,7 +85,13 @@
 """Time until the next endpoint drains, in seconds."""
 
 SETTLE_S = 5.0
-"""Time in which the requests of a step end, in seconds."""
+"""Longest wait for the requests of a step to end, in seconds."""
+
+USAGE_POLL_S = 0.1
+"""Time between two looks at the resource usage, in seconds."""
+
+LINGER_S = 1.0
+"""Time for connections that linger (half a second) to be closed, in seconds."""
 
 OBJECT_COUNTER = """
 import gc, os, runpy, threading
@@ -98,6 +106,13 @@
 """Starts the program; whoever reads the pipe gets the number of objects that the collector knows of."""
 
 
+class SocketKind(Enum):
+    """What a socket of the endpoints is for."""
+
+    LISTENER = auto()
+    CONNECTION = auto()
+
+
 class EndpointThread(threading.Thread):
     """All endpoints of the program, in one thread."""
 
@@ -106,7 +121,7 @@
         self.selector = selectors.DefaultSelector()
         for listener in running.endpoints:
             listener.sock.setblocking(False)
-            self.selector.register(listener.sock, selectors.EVENT_READ, True)
+            self.selector.register(listener.sock, selectors.EVENT_READ, SocketKind.LISTENER)
 
     def run(self) -> None:
         """Serve for as long as the process lives."""
@@ -114,10 +129,9 @@
             for key, _ in self.selector.select():
                 sock = key.fileobj
                 assert isinstance(sock, socket.socket)
-                is_listener: bool = key.data
-                if is_listener:
+                if key.data is SocketKind.LISTENER:
                     with suppress(OSError):
-                        self.selector.register(sock.accept()[0], selectors.EVENT_READ, False)
+                        self.selector.register(sock.accept()[0], selectors.EVENT_READ, SocketKind.CONNECTION)
                 elif not self.serve(sock):
                     self.selector.unregister(sock)
                     sock.close()
@@ -192,10 +206,10 @@
 def drain_in_turns(running: RunningProxy, stop: threading.Event) -> None:
     """Drain one endpoint after the other, so that their connections are migrated."""
     uids = [listener.uid for listener in running.endpoints]
-    turn = 0
+    number = 0
     while not stop.wait(DRAIN_INTERVAL_S):
-        turn += 1
-        draining = uids[turn % len(uids)]
+        number += 1
+        draining = uids[number % len(uids)]
         running.discovery.change(**{uid: "DRAINING" if uid == draining else "SERVING" for uid in uids})
 
 
@@ -213,11 +227,11 @@
 
 
 def wait_until_settled(running: RunningProxy) -> None:
-    """Wait until the program has no request; lingering connections end within half a second more."""
+    """Wait until the program has no request and lingering connections are closed."""
     until_s = time.monotonic() + SETTLE_S
     while running.resource_usage()["broker.invocations"]["size"] and time.monotonic() < until_s:
-        time.sleep(0.1)
-    time.sleep(1.0)
+        time.sleep(USAGE_POLL_S)
+    time.sleep(LINGER_S)
 
 
 @contextmanager
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -18,9 +18,17 @@
 from urllib.parse import parse_qs, urlsplit
 
 DISCOVERY = ("127.0.0.1", 8500)
+"""Where the example's configuration expects discovery."""
+
 GATEWAYS = {"1": ("127.0.0.1", 8101), "2": ("127.0.0.1", 8102)}
+"""Addresses of the gateways by the number that is typed."""
+
 states = dict.fromkeys(GATEWAYS, "SERVING")
+"""State of each gateway as discovery lists it; `list_changed` is held to change it."""
+
 revision = 1
+"""Version of the list; `list_changed` is held to change it."""
+
 list_changed = threading.Condition()
 
 
