--- a/rig/fleet/client_load.py
+++ b/rig/fleet/client_load.py
@@ -35,7 +35,7 @@
     group: int
     is_at_first_node: bool
     remaining_s: float
-    is_retry: bool = False
+    is_return: bool = False
 
 
 class ClientLoad:
@@ -71,7 +71,7 @@
         """One client, through as many connections as it may open."""
         wanted_s = client.remaining_s
         for number in range(1 + self.traffic.max_retries):
-            client.is_retry = number > 0
+            client.is_return = number > 0
             began_s = self.clock()
             node = self._choose_node(client)
             if node is not None:
@@ -153,11 +153,11 @@
 
 def request_line(request: ClientRequest, client: Client) -> bytes:
     """The OPEN line of a request (the platform's protocol, "Clients to proxies")."""
-    retry = b",again=1" if client.is_retry else b""
+    return_mark = b",again=1" if client.is_return else b""
     return b"OPEN %016x %016x c=feed,t=acme,d=%d,g=%x%s\r\n" % (
         request.id,
         client.key,
         request.deadline_s * 1000,
         client.group,
-        retry,
+        return_mark,
     )
