--- a/tests/connections.py
+++ b/tests/connections.py
@@ -18,6 +18,12 @@
 MAX_PACKET_BYTES = 1 << 15
 """Largest packet that a channel is opened with."""
 
+CHANNEL_OPEN = 90
+"""Number of the message that opens a channel (RFC 4254, section 9)."""
+
+CHANNEL_OPEN_CONFIRMATION = 91
+"""Number of the message that confirms it."""
+
 
 def ssh_string(text: bytes) -> bytes:
     """A string of a binary message (RFC 4251, section 5)."""
@@ -88,7 +94,7 @@
         return cls(0, conn.sock)
 
     def send_message(self, *fields: int | bytes) -> None:
-        """Send a message of this number; integers are sent as uint32, bytes as strings."""
+        """Send a message: its number, then its fields, integers as uint32 and bytes as strings."""
         kind, *rest = fields
         assert isinstance(kind, int)
         payload = bytes([kind]) + b"".join(
@@ -112,7 +118,7 @@
         return payload[0], payload[1:]
 
     def expect(self, kind: int, *numbers: int) -> bytes:
-        """Read the next message, which must have this number and these first integers; the rest."""
+        """Read the next message, which must have this number and begin with these uint32; the rest of it."""
         received, rest = self.read()
         size = 4 * len(numbers)
         assert (received, struct.unpack(f">{len(numbers)}I", rest[:size])) == (kind, numbers), (
@@ -132,10 +138,12 @@
         tenant: bytes = b"acme",
     ) -> None:
         """Open a channel of this number with a request; `wait_ms` is its deadline."""
-        head = b"\x5a" + ssh_string(kind) + struct.pack(">III", number, window, MAX_PACKET_BYTES)
+        head = (
+            bytes([CHANNEL_OPEN]) + ssh_string(kind) + struct.pack(">III", number, window, MAX_PACKET_BYTES)
+        )
         names = ssh_string(klass) + ssh_string(tenant)
         self.send_payload(head + names + struct.pack(">QQI", key, 0, wait_ms))
 
     def expect_confirmation(self, number: int) -> int:
         """The proxy's number for a channel, whose confirmation is the next message."""
-        return int.from_bytes(self.expect(91, number)[:4], "big")
+        return int.from_bytes(self.expect(CHANNEL_OPEN_CONFIRMATION, number)[:4], "big")
--- a/tests/test_bench_fleet_log.py
+++ b/tests/test_bench_fleet_log.py
@@ -1,4 +1,4 @@
-"""The counts over all proxies' logs, on a small run written here: two proxies, three endpoints, one cold."""
+"""Counts over all proxies' logs, on a small run written here: two proxies, three endpoints, one new."""
 
 from __future__ import annotations
 
@@ -61,12 +61,12 @@
 
 
 def write_logs(directory: Path, logs: dict[str, list[tuple[float, str]]]) -> None:
+    """Write a file for each proxy; a text without fields stands for a line of another program."""
     for name, lines in logs.items():
         written = [
-            f"[{at:.2f}] {STAMP.format(at)}{text}\n" if " " in text and text[:2] != "no" else f"{text}\n"
-            for at, text in lines
+            f"[{at_s:.2f}] {STAMP.format(at_s)}{text}" if "=" in text else text for at_s, text in lines
         ]
-        (directory / f"{name}.log").write_text("".join(written))
+        (directory / f"{name}.log").write_text("\n".join(written))
 
 
 def test_logs_of_all_proxies_are_joined_on_time_and_endpoint(tmp_path: Path) -> None:
@@ -136,7 +136,7 @@
     head, *rows = (row.split() for row in fleet_log.class_table(proxy_logs.read_logs(tmp_path), 5.0))
     assert head[3:] == ["attempts", *fleet_log.CLIENT_END_REASONS]
     table = {(row[0], row[1]): dict(zip(head[2:], map(int, row[2:]), strict=True)) for row in rows}
-    assert {at: {k: n for k, n in row.items() if n} for at, row in table.items()} == {
+    assert {step: {name: count for name, count in row.items() if count} for step, row in table.items()} == {
         ("0.0", "bulk"): {"attempts": 1},
         ("0.0", "feed"): {"came": 1, "attempts": 1},
         ("5.0", "bulk"): {"came": 2, "rejected": 1, "other": 1},
