--- a/bench/soak.py
+++ b/bench/soak.py
@@ -27,6 +27,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
+from connections import CHANNEL_OPEN, MAX_PACKET_BYTES, ssh_packet, ssh_string  # noqa: E402
 from proxy_harness import started_proxy  # noqa: E402
 from running_proxy import RunningProxy  # noqa: E402
 
@@ -69,6 +70,9 @@
 CHANNEL_OPEN_FAILURE = b"\x5c\0\0\0\0"
 """Beginning of the message that the first channel could not be opened."""
 
+WINDOW_BYTES = 1 << 20
+"""Window that a channel is opened with."""
+
 STEPS = 10
 """Rows of the table; the frontends take turns."""
 
@@ -158,17 +162,6 @@
         return False
 
 
-def packet(payload: bytes) -> bytes:
-    """A packet without cipher and MAC (RFC 4253, section 6)."""
-    padding = 4 + -(len(payload) + 9) % 8
-    return struct.pack(">IB", len(payload) + padding + 1, padding) + payload + bytes(padding)
-
-
-def string(text: bytes) -> bytes:
-    """A string of a binary message (RFC 4251, section 5)."""
-    return struct.pack(">I", len(text)) + text
-
-
 def client_inputs(
     rng: random.Random, frontend: str, running: RunningProxy, count: int
 ) -> Iterator[PeerInput]:
@@ -196,10 +189,11 @@
 
 def channels_input(port: int, case: str, key: int, deadline_ms: int) -> PeerInput:
     """A session with one channel, which leaves when the channel is closed."""
-    message = b"\x5a" + string(b"invocation@linnetshift") + struct.pack(">III", 0, 1 << 20, 1 << 15)
-    message += string(b"feed") + string(case.encode()) + struct.pack(">QQI", key, 0, deadline_ms)
+    message = bytes([CHANNEL_OPEN]) + ssh_string(b"invocation@linnetshift")
+    message += struct.pack(">III", 0, WINDOW_BYTES, MAX_PACKET_BYTES)
+    message += ssh_string(b"feed") + ssh_string(case.encode()) + struct.pack(">QQI", key, 0, deadline_ms)
     until = answers_to_leave_at(case) or (CHANNEL_CLOSE,)
-    pieces = (b"SSH-2.0-x\r\n", packet(message))
+    pieces = (b"SSH-2.0-x\r\n", ssh_packet(message))
     return PeerInput(port, pieces, "wait", case, (*until, CHANNEL_OPEN_FAILURE))
 
 
--- a/rig/fleet/faulty_links.py
+++ b/rig/fleet/faulty_links.py
@@ -5,22 +5,18 @@
 import asyncio
 import contextlib
 import socket
-import struct
 from enum import Enum, auto
 from typing import NamedTuple
 
+from rig.connection_load import LINGER_RESET
+from rig.fleet.listeners import LISTEN_BACKLOG
+
 READ_BYTES = 16384
 """Most bytes that are passed on at once."""
 
 MAX_QUEUED_CHUNKS = 64
 """Chunks that a direction holds while they are delayed; beyond that it reads no more."""
 
-LISTEN_BACKLOG = 512
-"""Connections that may wait to be accepted: a burst of clients at one moment."""
-
-LINGER_RESET = struct.pack("ii", 1, 0)
-"""SO_LINGER with a time of zero: close sends a reset."""
-
 
 class Direction(Enum):
     """Which way data goes: FORWARD from whoever connects to the target."""
--- a/rig/fleet/listeners.py
+++ b/rig/fleet/listeners.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 
 LISTEN_BACKLOG = 512
-"""Connections that may wait to be accepted: a burst of attempts at one moment."""
+"""Connections that may wait to be accepted: a burst of clients or attempts at one moment."""
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[None]]
 """Serves one connection of the node with this number."""
--- a/tests/connections.py
+++ b/tests/connections.py
@@ -34,6 +34,12 @@
 """How a side ends a connection."""
 
 
+def ssh_packet(payload: bytes) -> bytes:
+    """A packet without cipher and MAC (RFC 4253, section 6)."""
+    padding = 4 + -(len(payload) + 9) % 8
+    return struct.pack(">IB", len(payload) + padding + 1, padding) + payload + bytes(padding)
+
+
 class PeerConnection:
     """One end of a connection, read line by line."""
 
@@ -104,8 +110,7 @@
 
     def send_payload(self, payload: bytes) -> None:
         """Send a payload in a packet without cipher and MAC."""
-        padding = 4 + -(len(payload) + 9) % 8
-        self.send(struct.pack(">IB", len(payload) + padding + 1, padding) + payload + bytes(padding))
+        self.send(ssh_packet(payload))
 
     def read(self) -> tuple[int, bytes]:
         """The next message's number, and the rest of its payload."""
