--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,8 +1,9 @@
 """Ordinary connections by the ten thousand on both frontends: memory, objects, timers and descriptors.
 
 Run from the repository's root: .venv/bin/python bench/soak.py [--connections 100000] [--collector off]
-They are served to their end, left, reset by either side, rejected, timed out, asked to migrate by their
-endpoint, and migrated while endpoints drain in turns. The tenant's name tells the endpoint what to do.
+They are served to their end, left by the client, reset by the endpoint, rejected, timed out, asked to migrate
+by their endpoint, and migrated while endpoints drain in turns. The tenant's name tells the endpoint what to
+do.
 """
 
 from __future__ import annotations
@@ -20,11 +21,13 @@
 from collections import Counter
 from collections.abc import Iterator
 from contextlib import contextmanager, suppress
+from enum import Enum, auto
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
+from connections import CHANNEL_OPEN, MAX_PACKET_BYTES, ssh_packet, ssh_string  # noqa: E402
 from proxy_harness import started_proxy  # noqa: E402
 from running_proxy import RunningProxy  # noqa: E402
 
@@ -34,18 +37,18 @@
 """The program's own settings: with the channels frontend."""
 
 CASE_WEIGHTS = {
-    "served": 900,
-    "left": 40,
-    "broken": 20,
-    "dropped": 1,
-    "full": 1,
-    "silent": 1,
-    "sent": 30,
-    "moved": 7,
+    "served": 900,  # the endpoint ends it with BYE
+    "left": 40,  # the client leaves once it is established
+    "broken": 20,  # the same
+    "dropped": 1,  # the endpoint resets it once it is established
+    "full": 1,  # the endpoint answers BUSY
+    "silent": 1,  # the endpoint never answers
+    "sent": 30,  # the endpoint asks the client to migrate
+    "moved": 7,  # established until the proxy migrates it off a draining endpoint
 }
-"""What becomes of how many connections in a thousand.
+"""Cases by the tenant's name, with their share of the connections in thousandths.
 
-Those that are a sign of congestion are rare: the program would otherwise rightly lower its limit of requests,
+Cases that are a sign of congestion are rare: the program would otherwise rightly lower its concurrency limit,
 and most connections would only wait.
 """
 
@@ -67,6 +70,9 @@
 CHANNEL_OPEN_FAILURE = b"\x5c\0\0\0\0"
 """Beginning of the message that the first channel could not be opened."""
 
+WINDOW_BYTES = 1 << 20
+"""Window that a channel is opened with."""
+
 STEPS = 10
 """Rows of the table; the frontends take turns."""
 
@@ -83,7 +89,13 @@
 """Time until the next endpoint drains, in seconds."""
 
 SETTLE_S = 5.0
-"""Time in which the requests of a step end, in seconds."""
+"""Longest wait for the requests of a step to end, in seconds."""
+
+USAGE_POLL_S = 0.1
+"""Time between two looks at the resource usage, in seconds."""
+
+LINGER_S = 1.0
+"""Time for connections that linger (half a second) to be closed, in seconds."""
 
 OBJECT_COUNTER = """
 import gc, os, runpy, threading
@@ -98,6 +110,13 @@
 """Starts the program; whoever reads the pipe gets the number of objects that the collector knows of."""
 
 
+class SocketKind(Enum):
+    """What a socket of the endpoints is for."""
+
+    LISTENER = auto()
+    CONNECTION = auto()
+
+
 class EndpointThread(threading.Thread):
     """All endpoints of the program, in one thread."""
 
@@ -106,7 +125,7 @@
         self.selector = selectors.DefaultSelector()
         for listener in running.endpoints:
             listener.sock.setblocking(False)
-            self.selector.register(listener.sock, selectors.EVENT_READ, True)
+            self.selector.register(listener.sock, selectors.EVENT_READ, SocketKind.LISTENER)
 
     def run(self) -> None:
         """Serve for as long as the process lives."""
@@ -114,10 +133,9 @@
             for key, _ in self.selector.select():
                 sock = key.fileobj
                 assert isinstance(sock, socket.socket)
-                is_listener: bool = key.data
-                if is_listener:
+                if key.data is SocketKind.LISTENER:
                     with suppress(OSError):
-                        self.selector.register(sock.accept()[0], selectors.EVENT_READ, False)
+                        self.selector.register(sock.accept()[0], selectors.EVENT_READ, SocketKind.CONNECTION)
                 elif not self.serve(sock):
                     self.selector.unregister(sock)
                     sock.close()
@@ -144,17 +162,6 @@
         return False
 
 
-def packet(payload: bytes) -> bytes:
-    """A packet without cipher and MAC (RFC 4253, section 6)."""
-    padding = 4 + -(len(payload) + 9) % 8
-    return struct.pack(">IB", len(payload) + padding + 1, padding) + payload + bytes(padding)
-
-
-def string(text: bytes) -> bytes:
-    """A string of a binary message (RFC 4251, section 5)."""
-    return struct.pack(">I", len(text)) + text
-
-
 def client_inputs(
     rng: random.Random, frontend: str, running: RunningProxy, count: int
 ) -> Iterator[PeerInput]:
@@ -182,20 +189,21 @@
 
 def channels_input(port: int, case: str, key: int, deadline_ms: int) -> PeerInput:
     """A session with one channel, which leaves when the channel is closed."""
-    message = b"\x5a" + string(b"invocation@linnetshift") + struct.pack(">III", 0, 1 << 20, 1 << 15)
-    message += string(b"feed") + string(case.encode()) + struct.pack(">QQI", key, 0, deadline_ms)
+    message = bytes([CHANNEL_OPEN]) + ssh_string(b"invocation@linnetshift")
+    message += struct.pack(">III", 0, WINDOW_BYTES, MAX_PACKET_BYTES)
+    message += ssh_string(b"feed") + ssh_string(case.encode()) + struct.pack(">QQI", key, 0, deadline_ms)
     until = answers_to_leave_at(case) or (CHANNEL_CLOSE,)
-    pieces = (b"SSH-2.0-x\r\n", packet(message))
+    pieces = (b"SSH-2.0-x\r\n", ssh_packet(message))
     return PeerInput(port, pieces, "wait", case, (*until, CHANNEL_OPEN_FAILURE))
 
 
 def drain_in_turns(running: RunningProxy, stop: threading.Event) -> None:
     """Drain one endpoint after the other, so that their connections are migrated."""
     uids = [listener.uid for listener in running.endpoints]
-    turn = 0
+    number = 0
     while not stop.wait(DRAIN_INTERVAL_S):
-        turn += 1
-        draining = uids[turn % len(uids)]
+        number += 1
+        draining = uids[number % len(uids)]
         running.discovery.change(**{uid: "DRAINING" if uid == draining else "SERVING" for uid in uids})
 
 
@@ -213,11 +221,11 @@
 
 
 def wait_until_settled(running: RunningProxy) -> None:
-    """Wait until the program has no request; lingering connections end within half a second more."""
+    """Wait until the program has no request and lingering connections are closed."""
     until_s = time.monotonic() + SETTLE_S
     while running.resource_usage()["broker.invocations"]["size"] and time.monotonic() < until_s:
-        time.sleep(0.1)
-    time.sleep(1.0)
+        time.sleep(USAGE_POLL_S)
+    time.sleep(LINGER_S)
 
 
 @contextmanager
--- a/rig/fleet/client_load.py
+++ b/rig/fleet/client_load.py
@@ -1,4 +1,4 @@
-"""Clients of a run: they arrive at random, send messages, and come again after a rejection or a break."""
+"""Clients of a run: they arrive at random, send messages, and return after a rejection or a break."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 """Time between two messages of a client, in seconds."""
 
 RETRY_DELAY_S = (0.05, 0.4)
-"""Shortest and longest time until a client comes again, in seconds."""
+"""Shortest and longest time until a client returns, in seconds."""
 
 ANSWER_TIMEOUT_S = 2.0
 """How long past its deadline a client waits for an answer, and for what may follow one, in seconds."""
@@ -35,7 +35,7 @@
     group: int
     is_at_first_node: bool
     remaining_s: float
-    is_retry: bool = False
+    is_return: bool = False
 
 
 class ClientLoad:
@@ -71,7 +71,7 @@
         """One client, through as many connections as it may open."""
         wanted_s = client.remaining_s
         for number in range(1 + self.traffic.max_retries):
-            client.is_retry = number > 0
+            client.is_return = number > 0
             began_s = self.clock()
             node = self._choose_node(client)
             if node is not None:
@@ -105,9 +105,9 @@
         writer.write(request_line(request, client))
         try:
             line = await asyncio.wait_for(reader.readline(), deadline_s + ANSWER_TIMEOUT_S)
-            word = line.decode().split(" ")[0].strip() or "ended"
-            request.answers.append(Answer(self.clock(), word))
-            if word == "UP":
+            keyword = line.decode().split(" ")[0].strip() or "ended"
+            request.answers.append(Answer(self.clock(), keyword))
+            if keyword == "UP":
                 await self._send_messages(reader, writer, client.remaining_s)
             elif second_line := await asyncio.wait_for(reader.readline(), ANSWER_TIMEOUT_S):
                 request.answers.append(Answer(self.clock(), second_line.decode().strip()))
@@ -153,11 +153,11 @@
 
 def request_line(request: ClientRequest, client: Client) -> bytes:
     """The OPEN line of a request (the platform's protocol, "Clients to proxies")."""
-    retry = b",again=1" if client.is_retry else b""
+    return_mark = b",again=1" if client.is_return else b""
     return b"OPEN %016x %016x c=feed,t=acme,d=%d,g=%x%s\r\n" % (
         request.id,
         client.key,
         request.deadline_s * 1000,
         client.group,
-        retry,
+        return_mark,
     )
--- a/tests/connections.py
+++ b/tests/connections.py
@@ -4,6 +4,7 @@
 
 import socket
 import struct
+from typing import Literal
 
 WAIT_S = 20.0
 """Longest wait of a test, in seconds; all of them end with the event that is waited for."""
@@ -17,12 +18,28 @@
 MAX_PACKET_BYTES = 1 << 15
 """Largest packet that a channel is opened with."""
 
+CHANNEL_OPEN = 90
+"""Number of the message that opens a channel (RFC 4254, section 9)."""
+
+CHANNEL_OPEN_CONFIRMATION = 91
+"""Number of the message that confirms it."""
+
 
 def ssh_string(text: bytes) -> bytes:
     """A string of a binary message (RFC 4251, section 5)."""
     return struct.pack(">I", len(text)) + text
 
 
+Ending = Literal["fin", "reset"]
+"""How a side ends a connection."""
+
+
+def ssh_packet(payload: bytes) -> bytes:
+    """A packet without cipher and MAC (RFC 4253, section 6)."""
+    padding = 4 + -(len(payload) + 9) % 8
+    return struct.pack(">IB", len(payload) + padding + 1, padding) + payload + bytes(padding)
+
+
 class PeerConnection:
     """One end of a connection, read line by line."""
 
@@ -52,7 +69,7 @@
         line, end, self._unread = self._unread.partition(b"\n")
         return line + end
 
-    def ended(self) -> str:
+    def ended(self) -> Ending:
         """How the other side ended the connection; a line that comes before that is an error."""
         try:
             rest = self.line()
@@ -61,9 +78,9 @@
         assert not rest
         return "fin"
 
-    def close(self, how: str = "fin") -> None:
-        """Close with a FIN or, as `how` says, a reset."""
-        if how == "reset":
+    def close(self, ending: Ending = "fin") -> None:
+        """Close with a FIN or a reset."""
+        if ending == "reset":
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.sock.close()
 
@@ -83,7 +100,7 @@
         return cls(0, conn.sock)
 
     def send_message(self, *fields: int | bytes) -> None:
-        """Send a message of this number; integers are sent as uint32, bytes as strings."""
+        """Send a message: its number, then its fields, integers as uint32 and bytes as strings."""
         kind, *rest = fields
         assert isinstance(kind, int)
         payload = bytes([kind]) + b"".join(
@@ -93,8 +110,7 @@
 
     def send_payload(self, payload: bytes) -> None:
         """Send a payload in a packet without cipher and MAC."""
-        padding = 4 + -(len(payload) + 9) % 8
-        self.send(struct.pack(">IB", len(payload) + padding + 1, padding) + payload + bytes(padding))
+        self.send(ssh_packet(payload))
 
     def read(self) -> tuple[int, bytes]:
         """The next message's number, and the rest of its payload."""
@@ -107,7 +123,7 @@
         return payload[0], payload[1:]
 
     def expect(self, kind: int, *numbers: int) -> bytes:
-        """Read the next message, which must have this number and these first integers; the rest."""
+        """Read the next message, which must have this number and begin with these uint32; the rest of it."""
         received, rest = self.read()
         size = 4 * len(numbers)
         assert (received, struct.unpack(f">{len(numbers)}I", rest[:size])) == (kind, numbers), (
@@ -127,10 +143,12 @@
         tenant: bytes = b"acme",
     ) -> None:
         """Open a channel of this number with a request; `wait_ms` is its deadline."""
-        head = b"\x5a" + ssh_string(kind) + struct.pack(">III", number, window, MAX_PACKET_BYTES)
+        head = (
+            bytes([CHANNEL_OPEN]) + ssh_string(kind) + struct.pack(">III", number, window, MAX_PACKET_BYTES)
+        )
         names = ssh_string(klass) + ssh_string(tenant)
         self.send_payload(head + names + struct.pack(">QQI", key, 0, wait_ms))
 
     def expect_confirmation(self, number: int) -> int:
         """The proxy's number for a channel, whose confirmation is the next message."""
-        return int.from_bytes(self.expect(91, number)[:4], "big")
+        return int.from_bytes(self.expect(CHANNEL_OPEN_CONFIRMATION, number)[:4], "big")
--- /dev/null
+++ b/tests/test_fleet_invariants.py
@@ -0,0 +1,144 @@
+"""The rules of the fleet rig, each on observations made for it."""
+
+from __future__ import annotations
+
+import pytest
+
+from rig.fleet.invariants import InvariantChecker, Violation
+from rig.fleet.observations import Answer, Attempt, ClientRequest, EndpointStart, Interval, Observations
+
+FAULT_TIME = Interval(0.5, 9.0)
+
+
+def violated_rules(observations: Observations) -> set[str]:
+    return {violation.rule for violation in InvariantChecker(observations, 0.5).violations()}
+
+
+def one_request(*answers: Answer) -> Observations:
+    return Observations(requests={1: ClientRequest(1, 0, 1.0, 2.0, 7, list(answers))})
+
+
+def with_attempts(*attempts: Attempt) -> Observations:
+    observations = one_request(Answer(1.1, "UP"))
+    observations.attempts += attempts
+    return observations
+
+
+def warming_up(attempts: int) -> Observations:
+    observations = Observations(starts=[EndpointStart("s", 10.0, 10.0, 2.0, lambda age_s: 4.0)])
+    times = [11.0 + number * 0.01 for number in range(attempts)]
+    observations.attempts += [Attempt(number, 0, "s", at_s, at_s) for number, at_s in enumerate(times)]
+    return observations
+
+
+def after_drain_notice(at_s: float) -> Observations:
+    observations = with_attempts(Attempt(1, 0, "s", at_s, at_s))
+    observations.record_state(0, "s", "DRAINING", 5.0)
+    return observations
+
+
+def with_link_cut(observations: Observations) -> Observations:
+    observations.link_cuts[0, "a"].append(FAULT_TIME)
+    return observations
+
+
+def with_node_outage(observations: Observations) -> Observations:
+    observations.node_outages[0].append(FAULT_TIME)
+    return observations
+
+
+@pytest.mark.parametrize(
+    ("observations", "rules"),
+    [
+        (one_request(Answer(1.1, "UP")), set()),
+        (one_request(), {"unanswered"}),
+        (one_request(Answer(3.9, "BUSY")), {"unanswered"}),
+        (with_node_outage(one_request()), set()),
+        (one_request(Answer(1.1, "BUSY"), Answer(1.2, "UP")), {"answered-twice"}),
+        (with_attempts(Attempt(1, 0, "a", 1.0, 1.5), Attempt(1, 0, "b", 1.4, 1.6)), set()),
+        (with_attempts(Attempt(1, 0, "a", 1.0, None), Attempt(1, 0, "b", 1.4, 1.6)), {"parallel-attempts"}),
+        (with_link_cut(with_attempts(Attempt(1, 0, "a", 1.0, None), Attempt(1, 0, "b", 1.4, 1.6))), set()),
+        (after_drain_notice(5.4), set()),
+        (after_drain_notice(5.9), {"sent-to-draining"}),
+        (warming_up(10), set()),
+        (warming_up(11), {"slow-start-exceeded"}),
+    ],
+)
+def test_each_rule_reports_its_violations(observations: Observations, rules: set[str]) -> None:
+    assert violated_rules(observations) == rules
+
+
+TWO_OPEN_ATTEMPTS = (Attempt(1, 0, "a", 1.0, None), Attempt(1, 0, "b", 1.4, 1.6))
+
+
+def with_cut(node: int, endpoint: str, cut: Interval) -> Observations:
+    observations = with_attempts(*TWO_OPEN_ATTEMPTS)
+    observations.link_cuts[node, endpoint].append(cut)
+    return observations
+
+
+@pytest.mark.parametrize(
+    ("node", "endpoint", "cut"),
+    [(0, "b", FAULT_TIME), (1, "a", FAULT_TIME), (0, "a", Interval(0.1, 0.9)), (0, "a", Interval(1.5, 2.0))],
+    ids=["of the second endpoint", "from another node", "over before both", "after the second began"],
+)
+def test_parallel_attempts_are_not_excused_by_a_cut(node: int, endpoint: str, cut: Interval) -> None:
+    assert violated_rules(with_cut(node, endpoint, cut)) == {"parallel-attempts"}
+
+
+@pytest.mark.parametrize(
+    ("node", "outage", "rules"),
+    [
+        (1, FAULT_TIME, {"unanswered"}),
+        (0, Interval(0.0, 0.4), {"unanswered"}),  # over more than OUTAGE_SLACK_S before the request
+        (0, Interval(0.0, 0.6), set()),
+        (0, Interval(3.4, 3.6), set()),
+        (0, Interval(3.6, 9.0), {"unanswered"}),  # after the time for the answer
+    ],
+)
+def test_unanswered_request_is_excused_by_an_outage_of_its_node_meanwhile(
+    node: int, outage: Interval, rules: set[str]
+) -> None:
+    observations = one_request()
+    observations.node_outages[node].append(outage)
+    assert violated_rules(observations) == rules
+
+
+def test_drain_notice_counts_from_the_first_and_until_the_endpoint_is_ready_again() -> None:
+    observations = after_drain_notice(5.9)
+    observations.record_state(0, "s", "DRAINING", 5.8)
+    assert violated_rules(observations) == {"sent-to-draining"}
+    observations.record_state(0, "s", "SERVING", 5.85)
+    assert violated_rules(observations) == set()
+
+
+def test_drain_notice_counts_for_the_node_that_got_it() -> None:
+    observations = with_attempts(Attempt(1, 0, "s", 9.0, 9.0))
+    observations.record_state(1, "s", "DRAINING", 5.0)
+    assert violated_rules(observations) == set()
+
+
+@pytest.mark.parametrize(
+    ("first_s", "interval_s", "rules"),
+    [
+        (11.0, 0.01, {"slow-start-exceeded"}),
+        (11.0, 0.21, set()),  # no more than ten within any window of 2 s
+        (9.0, 0.01, set()),  # before the start
+        (20.0, 0.01, set()),  # once it is warm
+    ],
+)
+def test_slow_start_is_counted_in_windows_while_the_endpoint_warms_up(
+    first_s: float, interval_s: float, rules: set[str]
+) -> None:
+    observations = warming_up(0)
+    observations.attempts += [
+        Attempt(number, number % 2, "s", first_s + number * interval_s, first_s) for number in range(11)
+    ]
+    assert violated_rules(observations) == rules
+
+
+def test_violation_names_the_request_and_both_endpoints() -> None:
+    observations = with_attempts(*TWO_OPEN_ATTEMPTS)
+    assert InvariantChecker(observations, 0.5).violations() == [
+        Violation("parallel-attempts", "1 at a and b")
+    ]
