--- a/linnetshift/broker/active_request.py
+++ b/linnetshift/broker/active_request.py
@@ -90,9 +90,9 @@
         self.attempt = None
         if attempt is None:
             return None
-        link = attempt.link
-        attempt.link = None
-        return link
+        upstream = attempt.upstream
+        attempt.upstream = None
+        return upstream
 
     def to_request_event(self, budget_ns: int) -> Request:
         """The event that asks the balancer to place it within `budget_ns`."""
@@ -130,7 +130,7 @@
     endpoint: bytes
     began: int  # in ns of the broker's clock, as is the deadline
     deadline: int
-    link: UpstreamConnection | None = None  # set by the connector; None again once the attempt is over
+    upstream: UpstreamConnection | None = None  # set by the connector; None again once the attempt is over
     is_established: bool = False
     is_sent: bool = False  # its request line has gone out, or part of it: from now on it may run
     load: float | None = None  # us of work a second, as the endpoint last reported for this connection
--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -173,17 +173,17 @@
             return
         attempt = request.attempt
         was_waiting = not request.is_answered
-        link = request.detach_connection()
+        upstream = request.detach_connection()
         self.table.remove(request)
         if was_waiting and not request.adopted_endpoint:
             self.inbox.post(RequestWithdrawn(request.id))
         if attempt is None:
             return
-        if link is not None:
+        if upstream is not None:
             if attempt.is_established:
-                link.handle_client_ended(reset)
+                upstream.handle_client_ended(reset)
             else:
-                link.abandon()
+                upstream.abandon()
         if attempt.is_established or not request.adopted_endpoint:
             self._report_ended(attempt, attempt.outcome_on_client_end)
 
@@ -193,8 +193,8 @@
         attempt = request.attempt if request is not None else None
         if attempt is None or attempt.number != number or attempt.is_established:
             return
-        if attempt.link is not None:
-            attempt.link.abandon()
+        if attempt.upstream is not None:
+            attempt.upstream.abandon()
         self.handle_ended(attempt, Outcome.CANCELLED, reset=False)
 
     def _report_ended(self, attempt: Attempt, outcome: int) -> None:
--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -226,9 +226,9 @@
         """Ask the client of an established connection to come back elsewhere; `reason` is for the log."""
         self.connection_review.migrate(request_id, reason)
 
-    def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
+    def upstream_connections(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
         """Established attempts with their connections, by endpoint."""
-        return self.connection_review.linked()
+        return self.connection_review.upstream_connections()
 
     def loads(self) -> dict[bytes, list[EstablishedConnection]]:
         """What established connections ask of each endpoint."""
--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -38,23 +38,23 @@
         self.inbox = inbox
         self.migrated = 0
 
-    def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
+    def upstream_connections(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
         """Established attempts with their connections, by endpoint."""
-        linked: dict[bytes, list[tuple[Attempt, UpstreamConnection]]] = {}
+        by_endpoint: dict[bytes, list[tuple[Attempt, UpstreamConnection]]] = {}
         for request in self.table.established():
             attempt = request.attempt
-            if attempt is not None and attempt.link is not None:
-                linked.setdefault(attempt.endpoint, []).append((attempt, attempt.link))
-        return linked
+            if attempt is not None and attempt.upstream is not None:
+                by_endpoint.setdefault(attempt.endpoint, []).append((attempt, attempt.upstream))
+        return by_endpoint
 
     def loads(self) -> dict[bytes, list[EstablishedConnection]]:
         """What established connections ask of each endpoint."""
         return {
             endpoint: [
-                EstablishedConnection(attempt.load, attempt.request.group, link.oldest_unanswered_ns())
-                for attempt, link in connections
+                EstablishedConnection(attempt.load, attempt.request.group, upstream.oldest_unanswered_ns())
+                for attempt, upstream in connections
             ]
-            for endpoint, connections in self.linked().items()
+            for endpoint, connections in self.upstream_connections().items()
         }
 
     def review_unresponsive_endpoints(self) -> None:
@@ -62,24 +62,24 @@
 
         Called several times a second: a machine that vanished neither answers nor resets.
         """
-        for connections in self.linked().values():
-            idle_ns = min(link.idle_ns() for _, link in connections)
-            longest_ns = max(link.oldest_unanswered_ns() for _, link in connections)
+        for connections in self.upstream_connections().values():
+            idle_ns = min(upstream.idle_ns() for _, upstream in connections)
+            longest_ns = max(upstream.oldest_unanswered_ns() for _, upstream in connections)
             has_vanished = longest_ns > UNRESPONSIVE_NS and idle_ns >= longest_ns
-            for attempt, link in connections:
+            for attempt, upstream in connections:
                 if attempt.outcome_on_client_end != Outcome.CANCELLED:
                     continue  # migrated before
-                if has_vanished or link.oldest_unanswered_ns() > STALLED_NS:
+                if has_vanished or upstream.oldest_unanswered_ns() > STALLED_NS:
                     attempt.outcome_on_client_end = Outcome.RESET
                     self.migrate(attempt.request.id, UNRESPONSIVE_REASON)
 
     def review_latency(self) -> None:
         """Notify the balancer of endpoints whose messages are slow, each on one connection; once a second."""
-        linked = self.linked()
-        self.endpoints.deployment_facts.review(linked.keys(), self.clock())
+        by_endpoint = self.upstream_connections()
+        self.endpoints.deployment_facts.review(by_endpoint.keys(), self.clock())
         if not self.table.settings.reports_message_time:
             return
-        first_attempts = {endpoint: connections[0][0] for endpoint, connections in linked.items()}
+        first_attempts = {endpoint: connections[0][0] for endpoint, connections in by_endpoint.items()}
         for endpoint, elapsed_ms in self.endpoints.latency_estimator.review(self.loads(), self.clock()):
             self._notify(first_attempts[endpoint], SLOW_NOTE, elapsed_ms)
 
--- a/linnetshift/broker/ports.py
+++ b/linnetshift/broker/ports.py
@@ -43,7 +43,7 @@
     """Opens connections to endpoints."""
 
     def open(self, attempt: Attempt) -> None:
-        """Start the attempt and set its `link`; its outcome is reported to the broker.
+        """Start the attempt and set its `upstream`; its outcome is reported to the broker.
 
         An endpoint whose address is unknown may be reported before this returns.
         """
--- a/linnetshift/broker/request_table.py
+++ b/linnetshift/broker/request_table.py
@@ -119,10 +119,10 @@
         if request is None or request.is_answered:
             return None
         attempt = request.attempt
-        link = request.detach_connection()
+        upstream = request.detach_connection()
         client = self.remove(request)
-        if link is not None:
-            link.abandon()
+        if upstream is not None:
+            upstream.abandon()
         if attempt is not None:
             self.inbox.post(attempt.to_ended_event(self.clock(), Outcome.CANCELLED))
         return client
--- a/linnetshift/frontends/channels/channel.py
+++ b/linnetshift/frontends/channels/channel.py
@@ -164,7 +164,7 @@
     @property
     def upstream_connection(self) -> UpstreamConnection | None:
         """The connection to the endpoint, while there is one."""
-        return self.request.attempt.link if self.request.attempt is not None else None
+        return self.request.attempt.upstream if self.request.attempt is not None else None
 
     def receive_data(self, data: memoryview) -> None:
         """Pass data on; window is granted again once half of it is used and the endpoint keeps up."""
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -116,7 +116,7 @@
 
     def run(self) -> ActorCoroutine:
         """Establish the connection, relay until one side ends, and report."""
-        self.attempt.link = self
+        self.attempt.upstream = self
         result = yield from self.establish()
         if result is None:
             result = yield from self.relay()
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize(
-    ("links", "migrated"),
+    ("waits", "migrated"),
     [
         ([(1200 * MS, 1300 * MS), (0, 1900 * MS)], 2),  # nothing came since on any connection: all migrate
         ([(1200 * MS, 1300 * MS), (0, 100 * MS)], 0),  # another connection was answered meanwhile
@@ -201,13 +201,13 @@
     ],
 )
 def test_clients_migrate_off_a_vanished_endpoint_and_off_stalled_connections(
-    links: list[tuple[int, int]], migrated: int
+    waits: list[tuple[int, int]], migrated: int
 ) -> None:
     # Each connection waited 4 s by itself, while a vanished machine's were all without service.
     around = FakeSurroundings()
-    for link in links:
+    for unanswered_ns, idle_ns in waits:
         around.submit()
-        around.attempts[-1].link = UnansweredConnection(*link)  # type: ignore[assignment]
+        around.attempts[-1].upstream = UnansweredConnection(unanswered_ns, idle_ns)  # type: ignore[assignment]
         around.broker.handle_established(around.attempts[-1], memoryview(b"UP\r\n"))
     around.broker.review_unresponsive_endpoints()
     assert around.client_calls.count(("migrate", "unresponsive")) == migrated
