--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -17,7 +17,7 @@
 from linnetshift.broker.endpoint_views import EndpointViews
 from linnetshift.broker.event_inbox import EventInbox
 from linnetshift.broker.latency_estimator import EstablishedConnection
-from linnetshift.broker.ports import Connector, Discovery, Timers, UpstreamConnection
+from linnetshift.broker.ports import Connector, Discovery, Timers
 from linnetshift.broker.request_table import RequestTable
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.actions import (
@@ -113,13 +113,13 @@
             case Send(request_id, endpoint, timeout_ns):
                 self.attempts.send(request_id, endpoint, timeout_ns)
             case Reject(request_id, retry_after_ns):
-                self.reject(request_id, retry_after_ns)
+                self.request_table.reject(request_id, retry_after_ns)
             case Fail(request_id):
-                self.fail(request_id)
+                self.request_table.fail(request_id)
             case Migrate(request_id):
                 self.migrate(request_id, MIGRATED_REASON)
             case Cancel(request_id, number):
-                self.cancel(request_id, number)
+                self.attempts.cancel(request_id, number)
             case SetTimer(delay_ns, token):
                 self.timers.set_balancer_timer(delay_ns, token)
             case Watch(on):
@@ -170,14 +170,6 @@
         """The client left, or has been migrated; no effect on a request that is over."""
         self.attempts.handle_client_ended(request, reset)
 
-    def reject(self, request_id: int, retry_after_ns: int = 0) -> None:
-        """Answer that nothing was done and a retry does no harm; no effect on an answered request."""
-        self.request_table.reject(request_id, retry_after_ns)
-
-    def fail(self, request_id: int) -> None:
-        """Answer that it is not served, which promises nothing; no effect on an answered request."""
-        self.request_table.fail(request_id)
-
     def answer_unserved(self, request: ActiveRequest) -> None:
         """Answer now, without the balancer: reject where a retry is harmless, else fail."""
         self.request_table.answer_unserved(request)
@@ -208,10 +200,6 @@
         """The attempt's connection is closed; `reset` tells how."""
         self.attempts.handle_ended(attempt, outcome, reset)
 
-    def cancel(self, request_id: int, number: int) -> None:
-        """End the attempt of that number, unless it is over or established."""
-        self.attempts.cancel(request_id, number)
-
     # ---- established connections ------------------------------------------------------------
 
     def record_response_time(self, attempt: Attempt, elapsed_ns: int) -> None:
@@ -226,10 +214,6 @@
         """Ask the client of an established connection to come back elsewhere; `reason` is for the log."""
         self.connection_review.migrate(request_id, reason)
 
-    def upstream_connections(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
-        """Established attempts with their connections, by endpoint."""
-        return self.connection_review.upstream_connections()
-
     def loads(self) -> dict[bytes, list[EstablishedConnection]]:
         """What established connections ask of each endpoint."""
         return self.connection_review.loads()
