--- a/linnetshift/config/names.py
+++ b/linnetshift/config/names.py
@@ -6,7 +6,7 @@
 
 from linnetshift.routing.settings import Settings
 
-UNKNOWN = -1  # the number of a name that the settings do not list
+UNKNOWN_NUMBER = -1  # the number of a name that the settings do not list
 
 # Of tenants, zones or kinds each, with those that are no longer listed: numbers are never reused, so that
 # without a limit every renaming would grow the tables for as long as the process lives.
--- a/linnetshift/discovery/endpoint_list.py
+++ b/linnetshift/discovery/endpoint_list.py
@@ -8,7 +8,7 @@
 import math
 from typing import Any, NamedTuple
 
-from linnetshift.config.names import UNKNOWN, NameRegistry
+from linnetshift.config.names import UNKNOWN_NUMBER, NameRegistry
 from linnetshift.event_loop.address import Address, parse_address
 from linnetshift.event_loop.timers import MS
 from linnetshift.observability import log
@@ -93,13 +93,13 @@
 def parse_entry(target: dict[str, Any], names: NameRegistry) -> tuple[EndpointEntry, Address]:
     """One entry and its address; raises one of ENTRY_ERRORS where it is invalid.
 
-    Zones and kinds that the configuration does not name become UNKNOWN.
+    Zones and kinds that the configuration does not name become UNKNOWN_NUMBER.
     """
     weight = float(target.get(WEIGHT_KEY, DEFAULT_WEIGHT))
     entry = EndpointEntry(
         endpoint=str(target[ENDPOINT_ID_KEY]).encode(),
-        zone=names.zones.get(str(target.get(ZONE_KEY)), UNKNOWN),
-        kind=names.kinds.get(str(target.get(KIND_KEY)), UNKNOWN),
+        zone=names.zones.get(str(target.get(ZONE_KEY)), UNKNOWN_NUMBER),
+        kind=names.kinds.get(str(target.get(KIND_KEY)), UNKNOWN_NUMBER),
         cell=int(target.get(CELL_KEY) or 0),
         state=STATES_BY_WIRE_NAME[target[STATE_KEY]],
         weight=weight if math.isfinite(weight) else DEFAULT_WEIGHT,
@@ -123,5 +123,5 @@
 
 
 def name_of(numbers_by_name: dict[str, int], number: int) -> str:
-    """The name that has the number; empty for UNKNOWN."""
+    """The name that has the number; empty for UNKNOWN_NUMBER."""
     return next((name for name, known in numbers_by_name.items() if known == number), "")
--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from linnetshift.broker.active_request import ActiveRequest
-from linnetshift.config.names import UNKNOWN
+from linnetshift.config.names import UNKNOWN_NUMBER
 from linnetshift.event_loop.connection_limits import MAX_WAIT_MS
 from linnetshift.event_loop.timers import MS
 from linnetshift.frontends.channels.channel import Channel
@@ -144,7 +144,7 @@
     return ActiveRequest(
         channel,
         class_number,
-        session.frontend.names.tenants.get(open_request.tenant, UNKNOWN),
+        session.frontend.names.tenants.get(open_request.tenant, UNKNOWN_NUMBER),
         open_request.key,
         open_request.group,
         open_request.routing_flags,
--- a/linnetshift/frontends/line_protocol/request_line.py
+++ b/linnetshift/frontends/line_protocol/request_line.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from linnetshift.config.names import UNKNOWN, NameRegistry
+from linnetshift.config.names import UNKNOWN_NUMBER, NameRegistry
 from linnetshift.event_loop.connection_limits import (
     MAX_WAIT_MS,
 )
@@ -64,7 +64,7 @@
     return RequestLine(
         id=_parse_hexadecimal(tokens[1]),
         klass=klass,
-        tenant=names.tenants.get(_decode(values.get(protocol.TENANT_FIELD, b"")), UNKNOWN),
+        tenant=names.tenants.get(_decode(values.get(protocol.TENANT_FIELD, b"")), UNKNOWN_NUMBER),
         key=_parse_hexadecimal(tokens[2]),
         group=_parse_hexadecimal(values.get(protocol.GROUP_FIELD, b"0")),
         flags=_parse_flags(values),
--- a/tests/test_request_line.py
+++ b/tests/test_request_line.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from linnetshift.config.names import UNKNOWN, NameRegistry
+from linnetshift.config.names import UNKNOWN_NUMBER, NameRegistry
 from linnetshift.event_loop.connection_limits import MAX_WAIT_MS
 from linnetshift.event_loop.timers import MS
 from linnetshift.frontends.line_protocol import protocol
@@ -26,7 +26,7 @@
 
 def test_absent_fields_have_defaults_and_unknown_ones_are_ignored() -> None:
     parsed = parse_request_line(b"OPEN 1 2 c=feed,r=0,zz\r\n", NAMES)
-    assert (parsed.tenant, parsed.flags, parsed.group) == (UNKNOWN, 0, 0)
+    assert (parsed.tenant, parsed.flags, parsed.group) == (UNKNOWN_NUMBER, 0, 0)
     assert (parsed.wait_ns, parsed.load_hint, parsed.adopted_endpoint) == (0, 0, b"")
 
 
