--- a/linnetshift/broker/latency_estimator.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -15,6 +15,7 @@
 from typing import Any, NamedTuple
 
 from linnetshift.broker.migration_balance import MigrationBalance
+from linnetshift.broker.reported_message_times import ReportedMessageTimes
 from linnetshift.observability.resource_usage import ResourceUsage
 
 NS_PER_S = 1_000_000_000
@@ -49,17 +50,6 @@
 MAX_PENALTY_LATENCY_NS = 40_000_000
 PENALTY_LATENCY_SHARE = 0.8
 
-# Some endpoints report their message time too, in a line of the same form as a connection's load: in ms, once
-# a second on one connection of each proxy while it is slow, and once more when it is not any longer. A usual
-# connection asks a hundred times as much as this in us/s, so a lower figure is surely such a time.
-CERTAIN_TIME_BELOW = 500.0
-# A figure up to this one is a time if it comes one interval after another small figure.
-POSSIBLE_TIME_BELOW = 10_000.0
-REPORT_INTERVAL_NS = NS_PER_S
-REPORT_JITTER_NS = 30_000_000
-# How long a reported time holds: two intervals, as one report may be lost.
-REPORTED_TIME_LIFETIME_NS = 2 * NS_PER_S
-
 # Heavy connections are the first to report their load. Before half have reported, their mean says nothing of
 # the rest, which count as usual for this kind of endpoint: 11 to 21 fill a core.
 TYPICAL_LOAD_US_PER_S = 70_000.0
@@ -80,16 +70,6 @@
     oldest_unanswered_ns: int  # how long its oldest message without a reply has waited; 0 when none waits
 
 
-class ReportedTime(NamedTuple):
-    """A message time that an endpoint reported itself."""
-
-    at_ns: int
-    elapsed_ns: float
-
-
-NEVER_REPORTED = ReportedTime(0, 0.0)
-
-
 class LatencyEstimator:
     """Finds the endpoints whose messages are slow. All times are in ns of the caller's clock.
 
@@ -113,8 +93,7 @@
         self.slow_endpoints: set[bytes] = set()
         self.peer_connections: dict[bytes, list[EstablishedConnection]] = {}
         self.reset_at_ns: dict[bytes, int] = {}
-        self.small_figure_at_ns: dict[bytes, int] = {}  # when a figure that may be a time was last reported
-        self.reported_times: dict[bytes, ReportedTime] = {}
+        self.reported_times = ReportedMessageTimes()
 
     def configure(self, latency_objective_ns: int, proxies: int, weights_are_sizes: bool = True) -> None:
         """Apply the settings, also while running.
@@ -144,15 +123,10 @@
 
     def record_if_message_time(self, endpoint: bytes, figure: float, now_ns: int) -> bool:
         """Record a reported figure if it is a message time in ms; False where it is a connection's load."""
-        if figure >= POSSIBLE_TIME_BELOW:
+        elapsed_ns = self.reported_times.record(endpoint, figure, now_ns)
+        if elapsed_ns is None:
             return False
-        since_last_ns = now_ns - self.small_figure_at_ns.get(endpoint, 0)
-        self.small_figure_at_ns[endpoint] = now_ns
-        if figure >= CERTAIN_TIME_BELOW and abs(since_last_ns - REPORT_INTERVAL_NS) > REPORT_JITTER_NS:
-            return False
-        reported = ReportedTime(now_ns, figure * NS_PER_MS)
-        self.reported_times[endpoint] = reported
-        if reported.elapsed_ns > self.slow_threshold_ns:
+        if elapsed_ns > self.slow_threshold_ns:
             self.slow_endpoints.add(endpoint)
         return True
 
@@ -164,8 +138,7 @@
         """The endpoint restarted: what was observed of the old process says nothing of the new one."""
         self.reset_at_ns.pop(endpoint, None)
         self.samples.pop(endpoint, None)
-        self.small_figure_at_ns.pop(endpoint, None)
-        self.reported_times.pop(endpoint, None)
+        self.reported_times.forget(endpoint)
 
     def forget(self, endpoint: bytes) -> None:
         """Drop everything kept under the name of an endpoint that is not known any more."""
@@ -196,7 +169,7 @@
             elapsed_ns = max(
                 self._measured_ns(endpoint, established, now_ns),
                 self._estimated_from_load_ns(endpoint, established, usual_load, fleet_multiple),
-                self._reported_ns(endpoint, now_ns),
+                self.reported_times.elapsed_ns(endpoint, now_ns),
                 self._penalty_latency_ns() if endpoint in self.reset_at_ns else 0.0,
             )
             was_slow = endpoint in self.slow_endpoints
@@ -213,9 +186,9 @@
     def _forget_all_but(self, connections: Mapping[bytes, list[EstablishedConnection]]) -> None:
         """Drop what is kept of endpoints without connections, but for their resets."""
         self.slow_endpoints &= connections.keys()
-        for observed in (self.samples, self.small_figure_at_ns, self.reported_times):
-            for endpoint in observed.keys() - connections.keys():
-                del observed[endpoint]
+        for endpoint in self.samples.keys() - connections.keys():
+            del self.samples[endpoint]
+        self.reported_times.forget_all_but(connections.keys())
 
     def _usual_load(self, everywhere: Iterable[list[EstablishedConnection]]) -> float:
         """The load in us/s of a connection that has not reported any; 0 while none has."""
@@ -287,11 +260,6 @@
         work_ns = min(MAX_MESSAGE_WORK_NS, MESSAGE_WORK_SHARE * self.latency_objective_ns)
         return work_ns * ENDPOINT_CORES / weight / (1.0 - utilization)
 
-    def _reported_ns(self, endpoint: bytes, now_ns: int) -> float:
-        """As the endpoint lately reported itself; 0 where it did not."""
-        reported = self.reported_times.get(endpoint, NEVER_REPORTED)
-        return reported.elapsed_ns if now_ns - reported.at_ns < REPORTED_TIME_LIFETIME_NS else 0.0
-
     def _penalty_latency_ns(self) -> float:
         """Slow, but short of the latency objective."""
         return min(MAX_PENALTY_LATENCY_NS, PENALTY_LATENCY_SHARE * self.latency_objective_ns)
@@ -325,8 +293,7 @@
             "gauge.weights": ResourceUsage(len(self.weights), max_names),
             "gauge.samples": ResourceUsage(len(self.samples), max_names),
             "gauge.shed_at": ResourceUsage(len(self.reset_at_ns), max_names),
-            "gauge.small_at": ResourceUsage(len(self.small_figure_at_ns), max_names),
-            "gauge.told_times": ResourceUsage(len(self.reported_times), max_names),
+            **self.reported_times.resource_usage(max_names),
             "gauge.slow": ResourceUsage(len(self.slow_endpoints), max_names),
             "gauge.nearest": ResourceUsage(len(self.zone_round_trip_ns), MAX_ZONES),
         }
--- a/tests/test_latency_estimator.py
+++ b/tests/test_latency_estimator.py
@@ -143,7 +143,8 @@
     made.review(connections(None, 1), 6 * S + 900 * MS)
     assert not made.review(connections(None, 1), 7 * S + 900 * MS)
     made.handle_restart(ENDPOINT)
-    assert not made.reported_times
+    assert not made.reported_times.latest
+    assert not made.reported_times.small_figure_at_ns
 
 
 @pytest.mark.parametrize(
