--- a/linnetshift/broker/latency_estimator.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -1,9 +1,12 @@
 """Estimates how long messages take at each endpoint: measured by replies, or estimated from reported loads.
 
 A slow endpoint may still return a line at once (seen on this platform: 777 replies, the longest after
-2 ms, while endpoints missed a 50 ms objective), so the replies alone would never show it. What the
-connections ask of it, over its size, does: time grows as 1 / (1 - utilization) towards the point where it is
-full.
+2 ms, while endpoints missed a 50 ms objective), so the replies alone would never show it. Its utilization,
+which is the load of its connections over its capacity, does: the time of a message is its work / (1 -
+utilization).
+
+An endpoint counts as slow from a third of the message latency objective on; the balancer decides what is over
+the objective.
 """
 
 from __future__ import annotations
@@ -31,30 +34,31 @@
 # An endpoint counts as slow above this fraction of the message latency objective.
 SLOW_DIVISOR = 3
 
-# Every endpoint that serves any client of a group pays so many mean connection loads for the group.
+# Serving a group costs an endpoint as much as this many usual connections, whatever its clients ask of it.
 GROUP_OVERHEAD_LOADS = 3.0
 # An endpoint's weight is its size in standard cores, and it has two of them.
 ENDPOINT_CORES = 2
 # A message's work on a standard core is reported nowhere: 7 ms where it was measured, and no more than a
-# share of the shortest objective, which is set with a view to it. Both are at the upper end: waiting for
-# certainty costs more than an early step aside.
+# share of the shortest objective, which is set with a view to it. Both are at the upper end: to avoid an
+# endpoint too early costs less than to wait for certainty.
 MAX_MESSAGE_WORK_NS = 7_000_000
 MESSAGE_WORK_SHARE = 0.14
 # Keeps the estimate finite at an endpoint that is full.
 MAX_UTILIZATION = 0.995
 
 # An endpoint that resets established connections has work piled up, which drains slowly and shows in no
-# reply. So long it counts as slow.
+# reply. It counts as slow for this long.
 RESET_PENALTY_NS = 10 * NS_PER_S
-# It counts as slow but short of late (40 ms, or a share of the objective): most of its peers may be fine.
+# The message time that it then counts with, at most, and at most this share of the objective: slow, but not
+# over the objective, as most other endpoints may be fine.
 MAX_PENALTY_LATENCY_NS = 40_000_000
 PENALTY_LATENCY_SHARE = 0.8
 
 # Heavy connections are the first to report their load. Before half have reported, their mean says nothing of
-# the rest, which count as usual for this kind of endpoint: 11 to 21 fill a core.
+# the rest, which count with this load: 11 to 21 usual connections fill a core.
 TYPICAL_LOAD_US_PER_S = 70_000.0
 MIN_REPORTED_SHARE = 0.5
-# Few reported loads are averaged with so many usual ones.
+# Reported loads are averaged with this many typical ones, which count for little once many have reported.
 PRIOR_CONNECTIONS = 4
 
 # Keys of the state that is handed over to another process.
@@ -87,8 +91,8 @@
         self.proxies = 1
         self.weights_are_sizes = True
         self.weights: dict[bytes, float] = {}
-        self.samples: dict[bytes, deque[tuple[int, int]]] = {}  # time and duration of late replies
-        self.zone_round_trip_ns: dict[int, int] = {}  # the shortest reply time seen for each remote zone
+        self.samples: dict[bytes, deque[tuple[int, int]]] = {}  # when latest replies came, and their time
+        self.zone_round_trip_ns: dict[int, int] = {}  # shortest reply time, by remote zone
         self.migrations = MigrationBalance()
         self.slow_endpoints: set[bytes] = set()
         self.peer_connections: dict[bytes, list[EstablishedConnection]] = {}
@@ -111,7 +115,11 @@
     def record_response_time(
         self, endpoint: bytes, remote_zone: int | None, elapsed_ns: int, now_ns: int
     ) -> None:
-        """A reply came after `elapsed_ns`; of a remote zone's, the round trip there is not counted."""
+        """Record that a reply came after `elapsed_ns`.
+
+        `remote_zone` is the endpoint's zone where that is not this proxy's own: the round trip there, which
+        is the shortest reply time seen, does not count.
+        """
         if remote_zone is not None and (
             remote_zone in self.zone_round_trip_ns or len(self.zone_round_trip_ns) < MAX_ZONES
         ):
@@ -223,7 +231,7 @@
         ]
         replies_ns = median(times) if times else 0
         # An endpoint that answers nothing is stalled or gone, which says nothing of how full the others are:
-        # it is left like a slow one, but does not count as late before a reply does.
+        # its clients migrate as from a slow one, but a wait alone does not put it over the objective.
         most_ns = int(self._penalty_latency_ns())
         for connection in established:
             if connection.oldest_unanswered_ns > replies_ns:
@@ -237,25 +245,16 @@
         usual_load: float,
         fleet_multiple: float,
     ) -> float:
-        """By the reported loads, the other proxies' connections being taken for as many as these.
+        """By the reported loads and the endpoint's capacity; 0 where either is unknown.
 
-        Only over weights that are sizes: a live weight is a tenth of the size where ten connections fill a
-        core, and any endpoint would look full.
+        A weight gives the capacity only where weights are sizes: a live weight is a tenth of the size where
+        ten connections fill a core, and any endpoint would look full.
         """
         if not usual_load or not self.weights_are_sizes:
             return 0.0
         weight = self.weights.get(endpoint, 1.0)
         established = established + self.peer_connections.get(endpoint, [])
-        loads = [usual_load if connection.load is None else connection.load for connection in established]
-        # As many as are here may be here by chance: a fortieth of the fleet has one heavy connection at an
-        # endpoint, and forty of those would fill any. What up to one standard deviation less would be counts;
-        # where there are two proxies, or this one's share is all there is, what is here counts.
-        own = sum(loads)
-        deviation = math.sqrt(sum(load * load for load in loads))
-        deviation *= max(0.0, 1.0 - 2.0 / fleet_multiple)
-        demand = own + max(0.0, own - deviation) * (fleet_multiple - 1.0)
-        groups = {connection.group for connection in established}
-        demand += GROUP_OVERHEAD_LOADS * usual_load * len(groups)
+        demand = _fleet_load(established, usual_load, fleet_multiple)
         utilization = min(demand / (weight * US_PER_S), MAX_UTILIZATION)
         work_ns = min(MAX_MESSAGE_WORK_NS, MESSAGE_WORK_SHARE * self.latency_objective_ns)
         return work_ns * ENDPOINT_CORES / weight / (1.0 - utilization)
@@ -297,3 +296,20 @@
             "gauge.slow": ResourceUsage(len(self.slow_endpoints), max_names),
             "gauge.nearest": ResourceUsage(len(self.zone_round_trip_ns), MAX_ZONES),
         }
+
+
+def _fleet_load(established: list[EstablishedConnection], usual_load: float, fleet_multiple: float) -> float:
+    """The load in us/s that all proxies together put on an endpoint, as far as is likely.
+
+    `established` are this proxy's connections there; each other proxy is taken to have as many.
+    """
+    loads = [usual_load if connection.load is None else connection.load for connection in established]
+    own = sum(loads)
+    # As many as are here may be here by chance: a fortieth of the fleet has one heavy connection at an
+    # endpoint, and forty of those would fill any. Of the other proxies, only the part that exceeds one
+    # standard deviation counts; where there are two proxies, or this one's share is all there is, all does.
+    deviation = math.sqrt(sum(load * load for load in loads))
+    deviation *= max(0.0, 1.0 - 2.0 / fleet_multiple)
+    demand = own + max(0.0, own - deviation) * (fleet_multiple - 1.0)
+    groups = {connection.group for connection in established}
+    return demand + GROUP_OVERHEAD_LOADS * usual_load * len(groups)
