--- a/linnetshift/broker/administrative_drains.py
+++ b/linnetshift/broker/administrative_drains.py
@@ -13,7 +13,7 @@
 from linnetshift.routing.events import EndpointEntry, EndpointList, EndpointState, ListForm
 
 # Operators restart an endpoint that they drained some 2 s after the call.
-LEAVE_NS = 1_700_000_000
+DRAIN_WITHIN_NS = 1_700_000_000
 # Machines are replaced under new names, and a discovery service may go wrong: without bounds, names would
 # pile up. So many endpoints may be listed at once; those beyond are left out.
 MAX_LISTED = 8192
@@ -71,14 +71,14 @@
             return event
         remaining = self._endpoints_listed_after(event)
         room = MAX_LISTED - len(remaining)
-        kept = []
+        accepted = []
         for entry in event.entries:
             if entry.endpoint in remaining or entry.state == EndpointState.REMOVED:
-                kept.append(entry)
+                accepted.append(entry)
             elif room > 0:
                 room -= 1
-                kept.append(entry)
-        return event._replace(entries=tuple(kept))
+                accepted.append(entry)
+        return event._replace(entries=tuple(accepted))
 
     def _endpoints_listed_after(self, event: EndpointList) -> set[bytes]:
         """Endpoints listed now that the event does not remove by leaving them out of a full list."""
@@ -115,7 +115,7 @@
             return entry
         if entry.state == EndpointState.READY:
             entry = entry._replace(state=EndpointState.DRAINING)
-        return entry._replace(drain_within_ns=LEAVE_NS)
+        return entry._replace(drain_within_ns=DRAIN_WITHIN_NS)
 
     def entry_update(self, endpoint: bytes) -> EndpointList:
         """What the balancer is to see of one known endpoint after a drain or restore."""
--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -101,8 +101,10 @@
         now_ns = self.clock()
         if now_ns >= attempt.deadline:
             return False
-        first_ns = request.possibly_executed_at
-        return not first_ns or self.table.settings.classes[request.klass].may_retry(first_ns, now_ns)
+        first_executed_ns = request.possibly_executed_at
+        return not first_executed_ns or self.table.settings.classes[request.klass].may_retry(
+            first_executed_ns, now_ns
+        )
 
     # ---- adoption ---------------------------------------------------------------------------
 
--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -234,7 +234,8 @@
         `connections` is the most that may be open or waiting at once.
         """
         names = max_names()
-        views, balancer = self.endpoint_views, self.balancer
+        views = self.endpoint_views
+        balancer = self.balancer
         max_events = MAX_EVENTS_PER_CONNECTION * connections + names
         max_classes = connections + 2 * len(self.settings.offered)
         return {
--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -64,8 +64,8 @@
         """
         for connections in self.upstream_connections().values():
             idle_ns = min(upstream.idle_ns() for _, upstream in connections)
-            longest_ns = max(upstream.oldest_unanswered_ns() for _, upstream in connections)
-            has_vanished = longest_ns > UNRESPONSIVE_NS and idle_ns >= longest_ns
+            longest_unanswered_ns = max(upstream.oldest_unanswered_ns() for _, upstream in connections)
+            has_vanished = longest_unanswered_ns > UNRESPONSIVE_NS and idle_ns >= longest_unanswered_ns
             for attempt, upstream in connections:
                 if attempt.outcome_on_client_end != Outcome.CANCELLED:
                     continue  # migrated before
--- a/linnetshift/broker/endpoint_views.py
+++ b/linnetshift/broker/endpoint_views.py
@@ -30,7 +30,7 @@
     def configure(self, settings: Settings) -> None:
         """Apply the settings, also while running."""
         self.settings = settings
-        objective_ns = min(offered.message_latency_objective_ns for offered in settings.offered)
+        objective_ns = min(service.message_latency_objective_ns for service in settings.offered)
         self.latency_estimator.configure(objective_ns, settings.balancers, settings.weights_are_sizes)
 
     # ---- the endpoint list and its administrative overlay -----------------------------------
--- a/linnetshift/broker/request_table.py
+++ b/linnetshift/broker/request_table.py
@@ -104,14 +104,14 @@
 
     def is_retry_safe(self, request: ActiveRequest) -> bool:
         """Whether the client may be told that a retry is harmless."""
-        first_ns = request.possibly_executed_at
+        first_executed_ns = request.possibly_executed_at
         attempt = request.attempt
-        if not first_ns and attempt is not None and attempt.is_sent:
-            first_ns = attempt.began
-        if not first_ns:
+        if not first_executed_ns and attempt is not None and attempt.is_sent:
+            first_executed_ns = attempt.began
+        if not first_executed_ns:
             return True
         retry_by_ns = self.clock() + self.settings.max_retry_after_ns
-        return self.settings.classes[request.klass].client_may_retry(first_ns, retry_by_ns)
+        return self.settings.classes[request.klass].client_may_retry(first_executed_ns, retry_by_ns)
 
     def _finish_unserved(self, request_id: int) -> Client | None:
         """End the request and its attempt; the client to be answered, or None where it has its answer."""
--- a/linnetshift/config/broker_file.py
+++ b/linnetshift/config/broker_file.py
@@ -124,7 +124,9 @@
     for name in service_names:
         _check_known("service", name, numbers)
     return Contract(
-        services=None if services is None else frozenset().union(*(numbers[str(s)] for s in services)),
+        services=None
+        if services is None
+        else frozenset().union(*(numbers[str(service)] for service in services)),
         rate=_parse_token_bucket(item, "rate_per_s", "rate_burst"),
         retries=_parse_token_bucket(item, "retries_per_s", "retries_burst"),
         concurrency=int(item["concurrency"]) if "concurrency" in item else None,
--- a/linnetshift/config/names.py
+++ b/linnetshift/config/names.py
@@ -39,13 +39,13 @@
 
         Raises ValueError where there would be more than `MAX_NAMES` of one kind.
         """
-        before = former.numbered_names() if former is not None else NumberedNames({}, {}, {})
+        former_numbers = former.numbered_names() if former is not None else NumberedNames({}, {}, {})
         self.classes = {
             parsed_settings.classes[number].name: number for number in parsed_settings.offered_numbers
         }
-        self.tenants = self._number(raw_settings.get("tenants"), before.tenants)
-        self.zones = self._number(raw_settings.get("zones"), before.zones)
-        self.kinds = self._number(raw_settings.get("models"), before.kinds)
+        self.tenants = self._number(raw_settings.get("tenants"), former_numbers.tenants)
+        self.zones = self._number(raw_settings.get("zones"), former_numbers.zones)
+        self.kinds = self._number(raw_settings.get("models"), former_numbers.kinds)
 
     def numbered_names(self) -> NumberedNames:
         """The tables themselves, not copies."""
@@ -76,9 +76,9 @@
         return [str(item.get("name") if isinstance(item, dict) else item) for item in items]
 
     @classmethod
-    def _number(cls, listed: object, before: dict[str, int]) -> dict[str, int]:
-        """The numbers in `before`, and the next ones for names that are new."""
-        numbers = dict(before)
+    def _number(cls, listed: object, former_numbers: dict[str, int]) -> dict[str, int]:
+        """The numbers in `former_numbers`, and the next ones for names that are new."""
+        numbers = dict(former_numbers)
         for name in cls.names_in(listed):
             numbers.setdefault(name, len(numbers))
         if len(numbers) > MAX_NAMES:
--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -127,7 +127,7 @@
 
     Such a file is a broken one, though it may be valid JSON and every missing key optional.
     """
-    for key, below in keys.items():
+    for key, nested_keys in keys.items():
         if not isinstance(document, dict) or key not in document:
             raise KeyError(path + key)
-        _check_keys(document[key], below, f"{path}{key}.")
+        _check_keys(document[key], nested_keys, f"{path}{key}.")
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -230,11 +230,11 @@
             if is_watch:
                 self.handle_watch_failed(timed_out)
             return
-        self.use(list_update)
+        self.accept(list_update)
         if is_watch:
             self.handle_watch_answered()
 
-    def use(self, list_update: EndpointListUpdate) -> None:
+    def accept(self, list_update: EndpointListUpdate) -> None:
         """Pass the list on, and fetch it again later where some of it was invalid."""
         event = list_update.event
         self.stale_lists.accept(event)
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -195,7 +195,7 @@
         if excess:
             log.info("endpoint-limit-exceeded", left_out=excess)
         addresses = {entry.endpoint: list_update.addresses[entry.endpoint] for entry in event.entries}
-        self.connector.listed(event, addresses)
+        self.connector.handle_endpoint_list(event, addresses)
         self.broker.handle_endpoint_list(event)
 
     def watch_signals(self, wakeup_pipe: int) -> None:
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -26,7 +26,7 @@
         self.addresses: dict[bytes, Address] = {}
         self.broker: Broker | None = None
 
-    def listed(self, event: EndpointList, addresses: dict[bytes, Address]) -> None:
+    def handle_endpoint_list(self, event: EndpointList, addresses: dict[bytes, Address]) -> None:
         """Keep the addresses of the listed endpoints and no others, or the map would grow for ever."""
         if event.form in (ListForm.FULL, ListForm.CACHED):
             self.addresses = {}
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -72,13 +72,13 @@
     def report(self, outcome: Outcome) -> None:
         """Log the end and notify who ordered the check."""
         elapsed_ns = self.loop.now() - self.started_at_ns
-        own: dict[str, object] = {
+        check_fields: dict[str, object] = {
             "endpoint": self.endpoint.decode("utf-8", "replace"),
             "ms": elapsed_ns // MS,
         }
         figures = dict(zip(self.columns, self.figures, strict=False))
         # A column may have any name, but replaces no field of the check's own.
-        log.connection_ended("health-check", REASONS[outcome], **(own | figures | own))
+        log.connection_ended("health-check", REASONS[outcome], **(check_fields | figures | check_fields))
         self.notify_result(outcome, elapsed_ns, self.figures)
 
     def await_answer(self, stream: Stream) -> Steps:
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -6,7 +6,7 @@
 from conftest import MS, S, balancer, effect, endpoint, entry, listed, only, raw_settings, request
 from simulated_balancers import SimulatedBalancers
 
-from linnetshift.broker.administrative_drains import LEAVE_NS
+from linnetshift.broker.administrative_drains import DRAIN_WITHIN_NS
 from linnetshift.lifecycle.graceful_shutdown import kill_after
 from linnetshift.routing.actions import Migrate, Send
 from linnetshift.routing.balancer import Balancer
@@ -49,9 +49,9 @@
 def test_all_connections_migrate_before_drained_endpoint_stops() -> None:
     # Migrating a share of the remaining ones at each tick left the last to be cut off two seconds later.
     decisions = balancer_with_loaded_endpoint()
-    draining_entry = entry(0, state=EndpointState.DRAINING, drain_within_ns=LEAVE_NS)
+    draining_entry = entry(0, state=EndpointState.DRAINING, drain_within_ns=DRAIN_WITHIN_NS)
     decisions.step(1 * S, [listed(draining_entry, form=ListForm.DELTA)])
-    per_tick = migrations_per_tick(decisions, int(LEAVE_NS / (50 * MS)) + 1)
+    per_tick = migrations_per_tick(decisions, int(DRAIN_WITHIN_NS / (50 * MS)) + 1)
     assert sum(per_tick) == CONNECTION_COUNT
     assert max(per_tick) <= 4
 
