--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -54,10 +54,10 @@
         together), is reported as moot; so is one whose client's end is about to be read.
         """
         request = self.table.requests.get(request_id)
-        if request is None or request.is_answered or request.attempt is not None:
-            self._report_moot(request_id, 0 if request is None else request.attempts, endpoint)
+        if request is None:
+            self._report_moot(request_id, 0, endpoint)
             return
-        if not request.client.is_present:
+        if request.is_answered or request.attempt is not None or not request.client.is_present:
             self._report_moot(request_id, request.attempts, endpoint)
             return
         remaining_ns = request.deadline - self.clock()
@@ -101,10 +101,10 @@
         now_ns = self.clock()
         if now_ns >= attempt.deadline:
             return False
-        first_executed_ns = request.possibly_executed_at
-        return not first_executed_ns or self.table.settings.classes[request.klass].may_retry(
-            first_executed_ns, now_ns
-        )
+        if not request.possibly_executed_at:
+            return True
+        request_class = self.table.settings.classes[request.klass]
+        return request_class.may_retry(request.possibly_executed_at, now_ns)
 
     # ---- adoption ---------------------------------------------------------------------------
 
--- a/linnetshift/config/broker_file.py
+++ b/linnetshift/config/broker_file.py
@@ -123,10 +123,11 @@
     _check_known("team", team, names.tenants)
     for name in service_names:
         _check_known("service", name, numbers)
+    classes: frozenset[int] | None = None
+    if services is not None:
+        classes = frozenset().union(*(numbers[str(service)] for service in services))
     return Contract(
-        services=None
-        if services is None
-        else frozenset().union(*(numbers[str(service)] for service in services)),
+        services=classes,
         rate=_parse_token_bucket(item, "rate_per_s", "rate_burst"),
         retries=_parse_token_bucket(item, "retries_per_s", "retries_burst"),
         concurrency=int(item["concurrency"]) if "concurrency" in item else None,
--- a/linnetshift/config/loader.py
+++ b/linnetshift/config/loader.py
@@ -7,9 +7,8 @@
 from typing import NamedTuple
 
 from linnetshift.config.broker_file import BrokerConfig, read_broker_file
-from linnetshift.config.proxy_file import ProxyConfig, read_config
+from linnetshift.config.proxy_file import PROXY_FILE_VARIABLE, ProxyConfig, read_config
 
-PROXY_FILE_VARIABLE = "GW_CONFIG"
 BROKER_FILE_VARIABLE = "LINNETSHIFT_BROKER"
 
 
--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -21,6 +21,7 @@
 from linnetshift.event_loop.address import Address, parse_address
 from linnetshift.routing.settings import Settings
 
+PROXY_FILE_VARIABLE = "GW_CONFIG"  # its path
 ADMIN_ADDRESS_VARIABLE = "GW_ADMIN_ADDR"  # takes precedence over the key `admin_addr`
 
 Keys = dict[str, Any]
@@ -52,7 +53,7 @@
     None where that is not known.
     """
     if not path:
-        raise EnvironmentVariableError("GW_CONFIG", "does not name a configuration file")
+        raise EnvironmentVariableError(PROXY_FILE_VARIABLE, "does not name a configuration file")
     document = _load_document(path)
     try:
         return _parse_document(document, former, classes_in_use)
--- a/linnetshift/discovery/http_call.py
+++ b/linnetshift/discovery/http_call.py
@@ -56,7 +56,8 @@
         deadline = self.loop.now() + self.limit_ns
         document = None
         error = UNREACHABLE
-        if (yield from self.connect(self.address, min(CONNECT_TIMEOUT_NS, self.limit_ns))):
+        is_connected = yield from self.connect(self.address, min(CONNECT_TIMEOUT_NS, self.limit_ns))
+        if is_connected:
             timer = self.set_timer(deadline - self.loop.now(), CALL_TIMER)
             try:
                 document = yield from self.exchange()
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -25,6 +25,10 @@
 
 LIST_PATH = "/catalog/members"
 
+# The timeouts for an agent on this machine follow from the drain grace period, between these bounds: even an
+# agent needs some time to answer, and a very long grace period must not hide that it fell silent.
+MIN_GRACE_NS = 100 * MS
+MAX_GRACE_NS = 4 * S
 # Before an agent on this machine is called again after it refused or failed a call.
 REOPEN_DELAY_NS = 50 * MS
 # How long the watch after a failed or silent one waits for news: its answer shows soon that all is well.
@@ -60,9 +64,11 @@
         drain grace period still lasts.
         """
         if settings.must_poll:
-            return cls(False, 10_000, 750 * MS, 2200 * MS)
-        grace_ns = max(100 * MS, min(settings.drain_grace_ns, 4 * S))
-        return cls(True, grace_ns // 2 // MS, grace_ns // 4, grace_ns // 2)
+            return cls(is_pushed=False, wait_ms=10_000, margin_ns=750 * MS, full_list_ns=2200 * MS)
+        grace_ns = max(MIN_GRACE_NS, min(settings.drain_grace_ns, MAX_GRACE_NS))
+        return cls(
+            is_pushed=True, wait_ms=grace_ns // 2 // MS, margin_ns=grace_ns // 4, full_list_ns=grace_ns // 2
+        )
 
 
 class SetWatch(NamedTuple):
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 from linnetshift.broker.active_request import Attempt
+from linnetshift.broker.administrative_drains import is_full_list
 from linnetshift.broker.broker import Broker
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.loop import Loop
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
-from linnetshift.routing.events import EndpointList, EndpointState, ListForm, Outcome
+from linnetshift.routing.events import EndpointList, EndpointState, Outcome
 from linnetshift.upstream.endpoint_connection import EndpointConnection
 from linnetshift.upstream.health_checker import HealthChecker
 
@@ -28,7 +29,7 @@
 
     def handle_endpoint_list(self, event: EndpointList, addresses: dict[bytes, Address]) -> None:
         """Keep the addresses of the listed endpoints and no others, or the map would grow for ever."""
-        if event.form in (ListForm.FULL, ListForm.CACHED):
+        if is_full_list(event):
             self.addresses = {}
         self.addresses.update(addresses)
         for entry in event.entries:
