--- a/linnetshift/broker/active_request.py
+++ b/linnetshift/broker/active_request.py
@@ -1,4 +1,4 @@
-"""A request asks for one connection; an attempt tries to have one endpoint serve it."""
+"""A client's request for one connection, and an attempt to have one endpoint serve it."""
 
 from __future__ import annotations
 
@@ -54,21 +54,22 @@
     client: Client
     klass: int  # number of its request class in `Settings.classes`
     tenant: int  # number of its tenant in the settings
-    key: int  # what it is placed by
+    key: int  # by which endpoints are ranked
     group: int  # clients of one group share state at an endpoint; 0: none given
     flags: int  # RETRY, MID_FLOW and RETURNED of `routing.events`
     load_hint: int  # as given in the request line; 0: none given
     deadline: int  # for the final answer, in ns of the broker's clock
-    # Makes the request line for an endpoint, given the milliseconds that its answer is waited for.
+    # The request line for an endpoint, given for how many milliseconds its answer is awaited.
     encode_request_line: Callable[[int], bytes]
     adopted_endpoint: bytes = b""  # the endpoint that held this connection before the proxy started
     id: int = 0  # unique in this process; 0 before the submission
     began: int = 0  # when it was submitted, in ns of the broker's clock
     attempts: int = 0  # how many have been started; the next one's number
-    possibly_executed_at: int = 0  # when the first attempt that may have run was begun; 0 while none may have
+    possibly_executed_at: int = 0  # when the first attempt that may have been executed began; 0: none
     attempt: Attempt | None = None  # the attempt that is under way or established
     is_answered: bool = False  # its client has its final answer, or is owed none
-    overdue_timer: TimerHandle | None = None  # answers in the balancer's place, unless it does so in time
+    # Answers in the balancer's place where it does not in time; for an adoption, starts its next attempt.
+    overdue_timer: TimerHandle | None = None
 
     def detach_client(self) -> Client:
         """Mark the request as over, and give up its client, which is returned for a last notification."""
@@ -123,7 +124,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try to have one endpoint serve a request, and the connection that comes of it."""
+    """The attempt to have one endpoint serve a request, and the connection that results from it."""
 
     request: ActiveRequest
     number: int  # counted from 0 within the request
@@ -132,7 +133,7 @@
     deadline: int
     upstream: UpstreamConnection | None = None  # set by the connector; None again once the attempt is over
     is_established: bool = False
-    is_sent: bool = False  # its request line has gone out, or part of it: from now on it may run
+    is_sent: bool = False  # its request line has gone out, or part of it: from now on it may be executed
     load: float | None = None  # us of work a second, as the endpoint last reported for this connection
     outcome_on_client_end: int = Outcome.CANCELLED  # how it ends when the client's side ends it
 
--- a/linnetshift/broker/administrative_drains.py
+++ b/linnetshift/broker/administrative_drains.py
@@ -12,14 +12,15 @@
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.events import EndpointEntry, EndpointList, EndpointState, ListForm
 
-# Operators restart an endpoint that they drained some 2 s after the call.
+# How soon connections must be gone: operators restart a drained endpoint some 2 s after their call.
 DRAIN_WITHIN_NS = 1_700_000_000
-# Machines are replaced under new names, and a discovery service may go wrong: without bounds, names would
-# pile up. So many endpoints may be listed at once; those beyond are left out.
+# The most endpoints that may be listed at once; those beyond are left out. Machines are replaced under new
+# names, and a discovery service may go wrong: without bounds, names would pile up.
 MAX_LISTED = 8192
-# Listed endpoints together with those that are removed, whose entries are still needed for a restore.
+# The most endpoints known: the listed ones, and removed ones, whose entries are needed for a restore.
 MAX_KNOWN = 2 * MAX_LISTED
-# A drain holds until the restore and is never dropped, so one more than these is refused.
+# The most endpoints drained at once. A drain holds until its restore and is never dropped, so one more is
+# rejected.
 MAX_DRAINED = 4096
 
 # Keys of the state that is handed over to another process.
@@ -66,7 +67,7 @@
     # ---- the endpoint list ------------------------------------------------------------------
 
     def limit_entries(self, event: EndpointList) -> EndpointList:
-        """The event without those new entries that would be more than MAX_LISTED."""
+        """The event without the new entries beyond MAX_LISTED."""
         if len(event.entries) + len(self.listed) <= MAX_LISTED:
             return event
         remaining = self._endpoints_listed_after(event)
@@ -123,7 +124,7 @@
         return EndpointList(ListForm.DELTA, self.version, (entry,))
 
     def forget_removed(self) -> list[bytes]:
-        """Drop the endpoints removed for longest, where more than MAX_KNOWN are known; their names."""
+        """Drop those removed for longest where more than MAX_KNOWN are known, and return which they were."""
         excess = len(self.listed) - MAX_KNOWN
         if excess <= 0:
             return []
@@ -139,7 +140,7 @@
         return forgotten
 
     def is_known(self, endpoint: bytes) -> bool:
-        """Whether it was ever listed, as far as is still remembered."""
+        """Whether it was ever listed and is not forgotten since."""
         return endpoint in self.listed
 
     def is_listed_ready(self, endpoint: bytes) -> bool:
--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: their start, what becomes of them, and the adoption of connections from before a start."""
+"""Attempts: their start and outcomes, and the adoption of connections opened before the proxy started."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
     RequestWithdrawn,
 )
 
-# Connections that were open before the proxy's start come back through it within 40 s of the start.
+# For how long after the proxy's start connections may be adopted: those that were open before it come back
+# within 40 s.
 ADOPTION_PERIOD_NS = 60_000_000_000
-# Pause before an endpoint that could not be reached is tried again for an adoption.
+# Pause before an adoption is attempted again whose endpoint could not be reached.
 ADOPTION_RETRY_NS = 200_000_000
 
 
@@ -50,8 +51,8 @@
     def send(self, request_id: int, endpoint: bytes, timeout_ns: int) -> None:
         """Start an attempt as the balancer decided; `timeout_ns` 0: until the request's deadline.
 
-        A request that is answered or withdrawn since, or has an attempt under way (two must never be out
-        together), is reported as moot; so is one whose client's end is about to be read.
+        The decision is reported as moot where the request was answered or withdrawn meanwhile, has an attempt
+        under way (there must never be two at a time), or has a client whose end is about to be read.
         """
         request = self.table.requests.get(request_id)
         if request is None:
@@ -86,9 +87,9 @@
     def may_send(self, attempt: Attempt) -> bool:
         """Whether the attempt's request line may go out now; asked at that very moment by whoever sends it.
 
-        Its connection took a while to come up since the balancer decided. Meanwhile the list may have
-        reported that the endpoint drains, operators may have drained it, the client may have left, its
-        deadline or the idempotency window may be over.
+        While the connection came up, much may have changed since the balancer decided: the list may report
+        the endpoint as draining, operators may have drained it, the client may have left, and the deadline or
+        the idempotency window may have passed.
         """
         request = attempt.request
         if request.attempt is not attempt or request.is_answered or not request.client.is_present:
@@ -111,7 +112,8 @@
     def begin_adoption(self, request: ActiveRequest) -> None:
         """Reconnect the request with the endpoint that served it before the proxy's start.
 
-        Later than that the request fails: it would choose its endpoint past the balancer, a draining one too.
+        After the adoption period it fails: adoptions bypass the balancer, and a client could choose any
+        endpoint by them, even a draining one.
         """
         if request.began - self._started_ns > ADOPTION_PERIOD_NS:
             self.table.fail(request.id)
@@ -126,7 +128,7 @@
             self._open(request, request.adopted_endpoint, request.deadline)
 
     def _retry_adoption(self, request: ActiveRequest, outcome: Outcome) -> None:
-        """No other endpoint will do: while it cannot be reached, it is tried again until the deadline."""
+        """Try the same endpoint again until the deadline while it cannot be reached: no other one will do."""
         if outcome not in NEVER_RAN or self.clock() + ADOPTION_RETRY_NS >= request.deadline:
             self.table.fail(request.id)
             return
@@ -151,7 +153,7 @@
         request.client.handle_established(receipt)
 
     def handle_ended(self, attempt: Attempt, outcome: Outcome, reset: bool) -> None:
-        """The attempt's connection is closed: over if it was established, else the balancer may retry."""
+        """The attempt's connection is closed: an established request ends, another one may be retried."""
         request = attempt.request
         if request.attempt is not attempt:
             return
--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -42,7 +42,7 @@
 
 
 class Broker:
-    """Joins frontends, connections to endpoints, discovery and the balancer; the parts' common surface.
+    """Connects frontends, upstream connections, discovery and the balancer with each other.
 
     Attributes:
         settings, contracts: as last configured.
@@ -100,7 +100,7 @@
     # ---- the balancer -----------------------------------------------------------------------
 
     def process_events(self) -> None:
-        """Let the balancer decide on all that has come in, and do what it says."""
+        """Let the balancer decide on all events that have come in, and carry out its actions."""
         events = self.inbox.take()
         if not events:
             return
@@ -197,13 +197,13 @@
         self.attempts.handle_established(attempt, receipt)
 
     def handle_attempt_ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
-        """The attempt's connection is closed; `reset` tells how."""
+        """The attempt's connection is closed; `reset`: not in order."""
         self.attempts.handle_ended(attempt, outcome, reset)
 
     # ---- established connections ------------------------------------------------------------
 
     def record_response_time(self, attempt: Attempt, elapsed_ns: int) -> None:
-        """The endpoint's reply to a client's message took so long."""
+        """Record how long the endpoint took to reply to a client's message."""
         self.endpoint_views.record_response_time(attempt, elapsed_ns)
 
     def record_load_report(self, attempt: Attempt, figure: float) -> None:
--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -13,10 +13,11 @@
 from linnetshift.broker.request_table import RequestTable
 from linnetshift.routing.events import LOAD_NOTE, SLOW_NOTE, ConnectionNote, Outcome
 
-# A connection that brings nothing back must be ended or migrated within 7 s.
+# A message without a reply for this long is enough to migrate its client: a connection on which nothing comes
+# back must be ended or migrated within 7 s.
 STALLED_NS = 4_000_000_000
-# A healthy endpoint answers a line at once, and so does an overloaded one. One that owes an answer for so
-# long, and from which nothing has come on any connection since, has vanished: all of its clients migrate.
+# A healthy endpoint replies to a line at once, and so does an overloaded one. An endpoint that has owed a
+# reply for this long, and has sent nothing on any connection since, has vanished: all of its clients migrate.
 UNRESPONSIVE_NS = 400_000_000
 UNRESPONSIVE_REASON = "unresponsive"
 
--- a/linnetshift/broker/deployment_facts.py
+++ b/linnetshift/broker/deployment_facts.py
@@ -1,6 +1,7 @@
-"""Facts about the deployment that no setting states, as far as they have been observed.
+"""Facts about the deployment that no setting states, as observed of its endpoints.
 
-They are for operators and their log: decisions rest on the settings and on what single endpoints show.
+They are logged for operators. No decision depends on them: decisions follow the settings and what each
+endpoint itself shows.
 """
 
 from __future__ import annotations
@@ -69,7 +70,7 @@
     ) -> None:
         """Record which endpoints drain by themselves; `is_full_list`: those without an entry are not listed.
 
-        An entry with a leave time is an administrative drain, which shows nothing of how endpoints drain.
+        An entry with `drain_within_ns` is an administrative drain, which does not show how endpoints drain.
         """
         listed_now = {entry.endpoint for entry in entries}
         draining = {
@@ -85,7 +86,10 @@
         self.draining_since_ns.update(dict.fromkeys(draining - self.draining_since_ns.keys(), now_ns))
 
     def review(self, connected: Collection[bytes], now_ns: int) -> None:
-        """Judge drains by the endpoints that still have established connections."""
+        """Observe that endpoints keep serving while they drain, where one has and is still connected.
+
+        `connected` are the endpoints with established connections.
+        """
         for endpoint, since_ns in self.draining_since_ns.items():
             if now_ns - since_ns > DRAIN_SETTLING_NS and endpoint in connected:
                 self.observe(Fact.DRAIN, DrainBehaviour.KEEPS_SERVING)
--- a/linnetshift/broker/endpoint_views.py
+++ b/linnetshift/broker/endpoint_views.py
@@ -1,4 +1,4 @@
-"""What the broker knows of endpoints besides the balancer: zones, starts, drains, latency and facts."""
+"""What the broker itself knows of endpoints: zones, start times, drains, latency and observed facts."""
 
 from __future__ import annotations
 
@@ -62,6 +62,7 @@
         return drains.is_known(endpoint)
 
     def _apply(self, event: EndpointList) -> None:
+        """Update every view by a list with its overlay, and post it to the balancer."""
         is_full = is_full_list(event)
         if is_full:
             self.zones = {}
@@ -93,7 +94,7 @@
         self.inbox.post(HealthCheckResult(endpoint, outcome, elapsed_ns, report))
 
     def record_response_time(self, attempt: Attempt, elapsed_ns: int) -> None:
-        """Record that the endpoint's reply to a message took so long."""
+        """Record how long the endpoint took to reply to a message."""
         endpoint = attempt.endpoint
         if not self.administrative_drains.is_known(endpoint):
             return  # forgotten: nothing is kept under its name any more
--- a/linnetshift/broker/ports.py
+++ b/linnetshift/broker/ports.py
@@ -17,7 +17,7 @@
 
 
 class Timers(Protocol):
-    """Timers and turns of the event loop."""
+    """Timers, and processing at the end of a turn of the event loop."""
 
     def set_balancer_timer(self, delay_ns: int, token: int) -> None:
         """Have `Broker.timer_fired` called with the token after the delay."""
@@ -65,7 +65,7 @@
 
     @property
     def is_present(self) -> bool:
-        """Whether it has not left, as read from its socket at this very moment."""
+        """Whether it is still there, by a look at its socket at this very moment."""
 
     def handle_established(self, receipt: memoryview) -> None:
         """Final answer: the endpoint serves it; `receipt` is the endpoint's line that says so."""
@@ -80,7 +80,7 @@
         """Final answer: not done, a retry does no harm; `breach` names a contract's limit or is empty."""
 
     def fail(self) -> None:
-        """Final answer: not served, without a promise as to effects."""
+        """Final answer: not served, and the request may have had effects."""
 
     def migrate(self, reason: str) -> None:
         """Ask the client to come back on a new connection, between two messages; `reason` is for the log."""
--- a/linnetshift/broker/request_table.py
+++ b/linnetshift/broker/request_table.py
@@ -75,7 +75,7 @@
         self.inbox.post(request.to_request_event(budget_ns))
 
     def _answer_overdue(self, request_id: int) -> None:
-        """Whatever keeps the balancer from it, an answer is owed before the client gives up."""
+        """Answer in place of a balancer that has not, before the client gives up."""
         client = self._finish_unserved(request_id)
         if client is not None:
             self.inbox.post(RequestWithdrawn(request_id))
@@ -90,7 +90,7 @@
             client.reject(retry_after_ns, "")
 
     def fail(self, request_id: int) -> None:
-        """Answer that it is not served, which promises nothing; no effect on an answered request."""
+        """Answer that it is not served, without a promise as to effects; nothing where it is answered."""
         client = self._finish_unserved(request_id)
         if client is not None:
             client.fail()
--- a/linnetshift/broker/snapshot.py
+++ b/linnetshift/broker/snapshot.py
@@ -1,7 +1,7 @@
 """What a proxy has observed of its endpoints, in a form that the process which replaces it can take over.
 
-Without it the new process would send clients back to the endpoints that the old one had just moved them off,
-and would find each overload anew.
+Without it the new process would send clients back to the endpoints that the old one had just migrated them
+from, and would have to detect each overload again.
 """
 
 from __future__ import annotations
--- a/linnetshift/config/errors.py
+++ b/linnetshift/config/errors.py
@@ -14,7 +14,7 @@
     """An environment variable is missing or names something that cannot be used."""
 
     def __init__(self, variable: str, reason: str) -> None:
-        """`reason` continues a sentence that begins with the name of the variable."""
+        """The message is the name of the variable followed by `reason`."""
         super().__init__(f"{variable} {reason}")
         self.variable = variable
 
--- a/linnetshift/config/names.py
+++ b/linnetshift/config/names.py
@@ -8,8 +8,8 @@
 
 UNKNOWN_NUMBER = -1  # the number of a name that the settings do not list
 
-# Of tenants, zones or kinds each, with those that are no longer listed: numbers are never reused, so that
-# without a limit every renaming would grow the tables for as long as the process lives.
+# The most names of one kind, with those that are no longer listed. Numbers are never reused, so without a
+# limit the tables would grow with every renaming for as long as the process lives.
 MAX_NAMES = 4096
 
 
@@ -35,7 +35,7 @@
         parsed_settings: Settings,
         former: NameRegistry | None = None,
     ) -> None:
-        """Number what the settings list, on from the numbers that `former` has given.
+        """Number what the settings list, after the numbers that `former` has given.
 
         Raises ValueError where there would be more than `MAX_NAMES` of one kind.
         """
--- a/linnetshift/config/platform_listener.py
+++ b/linnetshift/config/platform_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket that the platform holds for clients and passes to the process."""
+"""The listening socket for clients that the platform holds and passes to the process."""
 
 from __future__ import annotations
 
--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -25,7 +25,7 @@
 ADMIN_ADDRESS_VARIABLE = "GW_ADMIN_ADDR"  # takes precedence over the key `admin_addr`
 
 Keys = dict[str, Any]
-"""The keys of an object, each with the `Keys` of its value; empty where that is no object."""
+"""The keys of an object, each with the `Keys` of its value, which are empty where that is no object."""
 
 
 class ProxyConfig(NamedTuple):
@@ -126,7 +126,7 @@
 def _check_keys(document: Any, keys: Keys, path: str = "") -> None:
     """Raise KeyError with the dotted path of a key that the former file had and this one lacks.
 
-    Such a file is a broken one, though it may be valid JSON and every missing key optional.
+    Such a file counts as broken, even where it is valid JSON and the missing key optional.
     """
     for key, nested_keys in keys.items():
         if not isinstance(document, dict) or key not in document:
--- a/linnetshift/discovery/endpoint_list.py
+++ b/linnetshift/discovery/endpoint_list.py
@@ -84,7 +84,7 @@
 
 
 def list_form(is_cached: bool, is_full: bool) -> ListForm:
-    """Which endpoints the decisions may take as gone: only a full list from discovery says so."""
+    """The form for the decisions: only a full list from discovery shows which endpoints are removed."""
     if is_cached:
         return ListForm.CACHED
     return ListForm.FULL if is_full else ListForm.DELTA
--- a/linnetshift/discovery/http_call.py
+++ b/linnetshift/discovery/http_call.py
@@ -18,9 +18,9 @@
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS
 
-# A change counts as known here 6 s after discovery had it and could be reached, whatever a failed or silent
-# call may still be waiting for. Connecting, waiting for news and the answer of the next call stay well under
-# that together, and so does each back-off.
+# A change must be known here 6 s after discovery had it and could be reached, whatever a failed or silent
+# call may still be waiting for. Connecting, waiting for a change and the answer of the next call together
+# take well under that, and so does each back-off.
 CONNECT_TIMEOUT_NS = 1 * S
 # Room for thousands of endpoints; once parsed, a list takes some ten times as much memory.
 MAX_BODY_BYTES = 1 << 20
--- a/linnetshift/discovery/stale_list.py
+++ b/linnetshift/discovery/stale_list.py
@@ -1,4 +1,4 @@
-"""Which lists contradict what is known, and for how long they are held back."""
+"""Holds back endpoint lists that contradict the one in use, until they are confirmed."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 class StaleListFilter:
     """Holds back a list that is older than the one in use, and a full list that is suddenly empty.
 
-    Either may be a slip of discovery's: an empty list would end every connection at once, an old one would
-    send new connections to endpoints that are known to drain. It is used only if it stays so for
-    CONFIRMATION_NS. Lives as long as the watch; `accept` moves it on.
+    Either may be an error of discovery: an empty list would end every connection at once, an old one would
+    send new connections to endpoints that are known to drain. Such a list is used only once the answers have
+    been like that for CONFIRMATION_NS. Lives as long as the watch; `accept` records each list that is used.
     """
 
     def __init__(self, known: EndpointList) -> None:
@@ -44,7 +44,7 @@
         self.contradicted_since_ns = 0
 
     def accept(self, event: EndpointList) -> None:
-        """The list is in use from now on."""
+        """Record that the list is in use from now on."""
         self.version = event.version
         if event.form == ListForm.FULL:
             self.has_endpoints = bool(event.entries)
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch of discovery's list of endpoints: fetched whole, then polled for changes over HTTP."""
+"""The watch on discovery's endpoint list over HTTP: the full list first, then a long poll for each change."""
 
 from __future__ import annotations
 
@@ -31,13 +31,14 @@
 MAX_GRACE_NS = 4 * S
 # Before an agent on this machine is called again after it refused or failed a call.
 REOPEN_DELAY_NS = 50 * MS
-# How long the watch after a failed or silent one waits for news: its answer shows soon that all is well.
+# How long the watch after a failed or silent one waits for a change: its answer soon shows that all is well.
 WAIT_AFTER_FAILURE_MS = 1000
 # The most that a call for the full list may take, however often the limit was doubled.
 MAX_FULL_LIST_CALL_NS = 4 * S
-# How often the time limits for a silent discovery are doubled.
+# The most often that the time limits for a silent discovery are doubled.
 MAX_TIMEOUT_DOUBLINGS = 2
-# Waits are drawn from this share up: proxies whose watches ended together call one by one.
+# Waits are drawn between this share and the whole, so that proxies whose watches ended together do not all
+# call together again.
 MIN_WAIT_SHARE = 0.75
 # When the list is fetched anew after an answer with invalid entries.
 REFETCH_DELAY_NS = 2 * S
@@ -47,10 +48,10 @@
 
 
 class WatchTimeouts(NamedTuple):
-    """How long discovery is waited for: some time after it falls silent, its news counts as known here."""
+    """How long discovery is waited for, as its changes must be known here soon after it falls silent."""
 
-    is_pushed: bool  # the lists come to an agent on this machine, which answers at once and at no cost
-    wait_ms: int  # how long a watch may stay without news; discovery answers by then
+    is_pushed: bool  # lists are pushed to an agent on this machine, which answers at once and at no cost
+    wait_ms: int  # how long a watch may stay without a change; discovery answers by then
     margin_ns: int  # and how much longer its answer may take
     full_list_ns: int  # for a call for the full list
 
@@ -58,10 +59,10 @@
     def of(cls, settings: Settings) -> WatchTimeouts:
         """The timeouts for how these settings have the lists delivered.
 
-        Polled from a shared discovery, its news counts as known 2 s past the wait, at the soonest after 6 s
-        of silence. One call there costs as much as tens of request lines, so watches are long. An agent's
-        news counts from the moment it has it, watch or no watch, so a silent agent is called again while the
-        drain grace period still lasts.
+        The changes of a shared discovery must be known here 2 s past the wait, or after 6 s of silence where
+        that is later. One call there costs as much as tens of request lines, so watches are long. The changes
+        of an agent count from the moment it has them, watch or no watch, so a silent agent is called again
+        while the drain grace period still lasts.
         """
         if settings.must_poll:
             return cls(is_pushed=False, wait_ms=10_000, margin_ns=750 * MS, full_list_ns=2200 * MS)
@@ -72,7 +73,7 @@
 
 
 class SetWatch(NamedTuple):
-    """Open the watch unless it is open, or let it end unheeded."""
+    """Open the watch unless it is open, or ignore its answer."""
 
     is_on: bool
 
@@ -89,11 +90,11 @@
 
 
 class Discovery(Actor):
-    """Keeps the watch that the decisions asked for and reports lists, changes and failures.
+    """Keeps a watch open while the decisions want one, and reports lists, changes and failures.
 
-    It alone knows how old the list is: a watch that fell silent is opened anew at once, and so is one that
-    failed where the lists are pushed. Where they are polled, the decisions are notified of failures and say
-    when to call again.
+    A watch that fell silent is reopened at once, as only this class knows how old the list is. A watch that
+    failed is reopened soon where lists are pushed; where they are polled, the decisions are notified of the
+    failure and say when to call again.
     """
 
     def __init__(
@@ -125,15 +126,15 @@
 
     @property
     def version(self) -> int:
-        """Of the list in use."""
+        """Version of the list in use."""
         return self.stale_lists.version
 
     # ---- called by other parts --------------------------------------------------------------
 
     def relocate(self, address: Address, timeouts: WatchTimeouts) -> None:
-        """Watch there from now on. It is called at once, whether or not the address is another.
+        """Watch at this address from now on, with a call at once even if the address is the same.
 
-        What it has counts as known soon after a reload.
+        A change that discovery had at a reload must be known here soon after.
         """
         self.post(Relocate(address, timeouts))
 
@@ -153,7 +154,7 @@
             self.handle((yield))
 
     def handle(self, message: object) -> None:
-        """Handle one message; a timer may ring after its purpose is gone."""
+        """Handle one message; a timer may fire after its purpose is gone."""
         match message:
             case SetWatch(is_on=True) if self.watch_call is None:
                 self.open_watch()
@@ -176,8 +177,8 @@
         """Open the watch at the address at once."""
         self.timeouts = timeouts
         if address != self.address:
-            # The old address may be silent: nothing may wait for the watch there to end. Its last answer
-            # still counts, if it comes before one of the new address.
+            # The old address may be silent, so nothing may wait for the watch there to end. Its last answer
+            # still counts if it comes before one of the new address.
             self.previous_watch_call = self.watch_call or self.previous_watch_call
             self.address = address
             self.needs_full_list = True
@@ -207,7 +208,7 @@
         self.watch_call = self.call(path, wait_ms * MS + (self.timeouts.margin_ns << doublings))
 
     def draw_wait_ms(self) -> int:
-        """How long discovery is to hold the next watch open without news."""
+        """How long discovery is to hold the next watch open without a change."""
         # An agent serves this proxy alone.
         share = 1.0 if self.timeouts.is_pushed else self.random.uniform(MIN_WAIT_SHARE, 1.0)
         wait_ms = self.timeouts.wait_ms
@@ -244,7 +245,7 @@
         """Pass the list on, and fetch it again later where some of it was invalid."""
         event = list_update.event
         self.stale_lists.accept(event)
-        # An agent is called some times a second, and mostly has no news.
+        # An agent may be called several times a second, mostly without a change.
         if event.entries or event.form == ListForm.FULL or not self.timeouts.is_pushed:
             self.notify_update(list_update)
         if list_update.invalid_entries and not self.is_refetch_scheduled:
@@ -254,15 +255,15 @@
     def handle_watch_answered(self) -> None:
         """Open the next watch."""
         self.needs_full_list = False
-        self.previous_watch_call = None  # what the address left behind says is older
+        self.previous_watch_call = None  # the former address has nothing newer
         self.last_watch_failed = False
         self.open_watch()
 
     def handle_watch_failed(self, timed_out: bool) -> None:
-        """Open the watch anew, or leave it to the decisions when."""
+        """Reopen the watch, or leave it to the decisions when to."""
         self.last_watch_failed = True
         if timed_out:
-            self.open_watch()  # that was wait enough
+            self.open_watch()  # without a back-off: the time-out was one
         elif self.timeouts.is_pushed:
             self.set_timer(REOPEN_DELAY_NS, REOPEN_TIMER)
         else:
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -17,8 +17,8 @@
 class EndpointConnector:
     """Opens attempts and health checks; implements the broker's `Connector`.
 
-    Owns the addresses of the endpoints in the list that is in use. Who creates it sets `broker` before the
-    first list or attempt, as each refers to the other.
+    Owns the addresses of the endpoints in the list that is in use. Its creator sets `broker` before the first
+    list or attempt, as each refers to the other.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -28,7 +28,7 @@
         self.broker: Broker | None = None
 
     def handle_endpoint_list(self, event: EndpointList, addresses: dict[bytes, Address]) -> None:
-        """Keep the addresses of the listed endpoints and no others, or the map would grow for ever."""
+        """Keep the addresses of the listed endpoints and of no others, or they would pile up."""
         if is_full_list(event):
             self.addresses = {}
         self.addresses.update(addresses)
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -67,7 +67,7 @@
         self.last_received_ns = loop.now()
         self.outcome_at_end = Outcome.RESET  # what the end of the connection means, by the last line
         self.is_established = False
-        self.is_released = False  # the broker expects nothing more of it
+        self.is_released = False  # the broker has given it up, or has the report of its end
 
     # ---- called by the broker and the client's side -----------------------------------------
 
@@ -187,7 +187,7 @@
         return result
 
     def handle_io_before_answer(self, stream: Stream, mask: int) -> AttemptResult | None:
-        """Write and read what can be; the result if the attempt failed."""
+        """Write and read as far as possible; the result if the attempt failed."""
         if mask & select.EPOLLOUT:
             stream.flush()
         is_unsent = stream.is_congested or stream.broken
@@ -202,7 +202,7 @@
         return AttemptResult(reason, Outcome.CONNECT_FAILED if is_unsent else Outcome.RESET)
 
     def receive_answer(self, stream: Stream) -> AttemptResult | None:
-        """Read the answer once it is whole; the result if it is not that the request is accepted."""
+        """Read the answer once it is complete; the result unless it accepts the request."""
         try:
             line = stream.line()
         except LineTooLongError:
@@ -243,7 +243,7 @@
         return result_of_end(end, self.outcome_at_end)
 
     def handle_io(self, stream: Stream, client: Client, mask: int) -> End | None:
-        """Write and read what can be; how the endpoint ended the connection, if it did."""
+        """Write and read as far as possible; how the endpoint ended the connection, if it did."""
         end: End | None = None
         if mask & select.EPOLLOUT:
             stream.flush()
@@ -275,7 +275,7 @@
         return None
 
     def inspect_line(self, line: memoryview) -> None:
-        """Take note of what a line means to the proxy; it is passed on all the same."""
+        """Record what a line means to the proxy; it is passed on all the same."""
         self.last_received_ns = self.loop.now()
         text = bytes(line[:MAX_INSPECTED_BYTES]).strip()
         if text.startswith(LOAD_REPORT):
@@ -287,9 +287,9 @@
             self.awaiting_reply_since_ns = 0
 
     def record_load_report(self, figure: bytes) -> None:
-        """Notify the broker of the figure: the connection's load, or the time that messages take now.
+        """Notify the broker of a reported figure.
 
-        The broker tells which: us of work a second, or ms.
+        It is the connection's load in us/s or the endpoint's message time in ms; the broker finds out which.
         """
         try:
             self.broker.record_load_report(self.attempt, float(figure))
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -34,7 +34,7 @@
 
 
 class HealthChecker(OutboundConnection):
-    """One health check of an endpoint; where `columns` are named, it requests the report of them too."""
+    """One health check of an endpoint, which requests a load report too where `columns` names any."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         is_connected = yield from self.connect(address, HEALTH_CHECK_TIMEOUT_NS)
         stream = self.stream
         if is_connected and stream is not None:
-            # Connecting takes two ways through the network, which say nothing of the endpoint's speed.
+            # The round trip of connecting does not show how fast the endpoint is.
             self.started_at_ns = self.loop.now()
             stream.send(LOAD_REPORT_REQUEST if self.columns else PING)
             outcome = yield from self.await_answer(stream)
@@ -70,14 +70,14 @@
         self.report(Outcome.ERROR)
 
     def report(self, outcome: Outcome) -> None:
-        """Log the end and notify who ordered the check."""
+        """Log the end and pass on the result."""
         elapsed_ns = self.loop.now() - self.started_at_ns
         check_fields: dict[str, object] = {
             "endpoint": self.endpoint.decode("utf-8", "replace"),
             "ms": elapsed_ns // MS,
         }
         figures = dict(zip(self.columns, self.figures, strict=False))
-        # A column may have any name, but replaces no field of the check's own.
+        # A column may have the name of one of the check's own fields, which keep their places and values.
         log.connection_ended("health-check", REASONS[outcome], **(check_fields | figures | check_fields))
         self.notify_result(outcome, elapsed_ns, self.figures)
 
@@ -95,7 +95,7 @@
         return outcome
 
     def handle_io(self, stream: Stream, mask: int) -> Outcome | None:
-        """Write and read what can be; the outcome once it is known."""
+        """Write and read as far as possible; the outcome once it is known."""
         if mask & select.EPOLLOUT:
             stream.flush()
         end = stream.fill()
--- a/linnetshift/util/decaying_counter.py
+++ b/linnetshift/util/decaying_counter.py
@@ -9,7 +9,7 @@
 class DecayingCounter:
     """Counts events over about the last `window_ns`.
 
-    Whatever was counted is scaled by the share of the window that has not passed yet, at each update anew.
+    At each update the value is scaled by the share of the window that has not passed since the last update.
     Times are nanoseconds of the caller's clock and must not decrease.
     """
 
--- a/linnetshift/util/token_bucket.py
+++ b/linnetshift/util/token_bucket.py
@@ -29,7 +29,7 @@
         self.refilled_at_ns = now_ns
 
     def wait_ns(self, now_ns: int) -> int:
-        """Refill, and tell how long until a whole token is there; 0 when one is there now.
+        """Refill, and return how long it is until a whole token is there; 0 when one is there now.
 
         The rate must be above 0.
         """
@@ -41,8 +41,8 @@
     def take(self) -> float:
         """Take one token, or what is left of one; how much was taken.
 
-        A caller that admits with probability `taken` keeps to the rate on average also while the level is
-        below one.
+        A caller that admits with the returned amount as probability keeps to the rate on average, also while
+        the level is below one.
         """
         taken = min(1.0, self.level)
         self.level -= taken
