--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -29,16 +29,34 @@
         self.timers: list[tuple[int, Callable[[], None]]] = []
         self.attempts: list[Attempt] = []
         settings = Settings.parse(raw_settings())
-        made = contracts or Contracts()
-        self.broker = Broker(settings, 1, lambda: self.now, self, self, self, made)
+        self.broker = Broker(settings, 1, lambda: self.now, self, self, self, contracts or Contracts())
         self.broker.handle_endpoint_list(listed(*(entry(n) for n in range(4))))
         self.broker.process_events()
 
     def submit(self, wait_ns: int = 1 * S, flags: int = 0) -> ActiveRequest:
-        made = ActiveRequest(self, 0, 0, 7, 0, flags, 0, self.now + wait_ns, lambda ms: b"%d" % ms)
-        self.broker.submit(made)
+        request = self.make_request(wait_ns, flags)
+        self.broker.submit(request)
         self.broker.process_events()
-        return made
+        return request
+
+    def submit_adoption(self, adopted_endpoint: bytes) -> ActiveRequest:
+        request = self.make_request(1 * S, 0, adopted_endpoint)
+        self.broker.submit(request)
+        return request
+
+    def make_request(self, wait_ns: int, flags: int, adopted_endpoint: bytes = b"") -> ActiveRequest:
+        return ActiveRequest(
+            client=self,
+            klass=0,
+            tenant=0,
+            key=7,
+            group=0,
+            flags=flags,
+            load_hint=0,
+            deadline=self.now + wait_ns,
+            encode_request_line=lambda ms: b"%d" % ms,
+            adopted_endpoint=adopted_endpoint,
+        )
 
     def set_balancer_timer(self, delay_ns: int, token: int) -> None:
         self.call_later(delay_ns, lambda: self.broker.timer_fired(token))
@@ -76,70 +94,70 @@
     def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
         self.client_calls.append(("ended", outcome, reset))
 
-    def pass_time(self, until: int) -> None:
-        self.now = until
-        due = [fire for at, fire in self.timers if at <= until]
-        self.timers = [(at, fire) for at, fire in self.timers if at > until]
+    def advance_to(self, now: int) -> None:
+        self.now = now
+        due = [fire for at, fire in self.timers if at <= now]
+        self.timers = [(at, fire) for at, fire in self.timers if at > now]
         for fire in due:
             fire()
         self.broker.process_events()
 
 
 def test_request_that_the_balancer_forgets_fails_after_its_deadline() -> None:
-    around = FakeSurroundings()
-    around.broker.balancer.step = lambda now, events: []  # type: ignore[method-assign]
-    around.submit(1 * S)
-    around.pass_time(2 * S)
-    assert around.client_calls == []
-    around.pass_time(2 * S + 20 * MS)
-    assert around.client_calls == ["fail"]
+    surroundings = FakeSurroundings()
+    surroundings.broker.balancer.step = lambda now, events: []  # type: ignore[method-assign]
+    surroundings.submit(1 * S)
+    surroundings.advance_to(2 * S)
+    assert surroundings.client_calls == []
+    surroundings.advance_to(2 * S + 20 * MS)
+    assert surroundings.client_calls == ["fail"]
 
 
 def test_established_request_gets_no_second_attempt_and_no_second_answer() -> None:
-    around = FakeSurroundings()
-    request = around.submit()
-    (attempt,) = around.attempts
-    around.broker.perform(Send(request.id, endpoint(2), 0))
-    assert around.attempts == [attempt]  # a fault of the balancer must not break the rule
-    around.broker.handle_established(attempt, memoryview(b"UP\r\n"))
-    around.broker.perform(Fail(request.id))
-    around.broker.perform(Reject(request.id, 0))
-    around.pass_time(9 * S)
-    assert around.client_calls == ["up"]
+    surroundings = FakeSurroundings()
+    request = surroundings.submit()
+    (attempt,) = surroundings.attempts
+    surroundings.broker.perform(Send(request.id, endpoint(2), 0))
+    assert surroundings.attempts == [attempt]  # a fault of the balancer must not break the rule
+    surroundings.broker.handle_established(attempt, memoryview(b"UP\r\n"))
+    surroundings.broker.perform(Fail(request.id))
+    surroundings.broker.perform(Reject(request.id, 0))
+    surroundings.advance_to(9 * S)
+    assert surroundings.client_calls == ["up"]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR])
 def test_failed_attempt_is_followed_by_another(outcome: Outcome) -> None:
-    around = FakeSurroundings()
-    around.submit()
-    around.broker.handle_attempt_ended(around.attempts[0], outcome)
-    around.broker.process_events()
-    assert [attempt.number for attempt in around.attempts] == [0, 1]
+    surroundings = FakeSurroundings()
+    surroundings.submit()
+    surroundings.broker.handle_attempt_ended(surroundings.attempts[0], outcome)
+    surroundings.broker.process_events()
+    assert [attempt.number for attempt in surroundings.attempts] == [0, 1]
 
 
 def test_attempt_that_ends_after_its_request_changes_nothing() -> None:
-    around = FakeSurroundings()
-    request = around.submit()
-    around.broker.handle_client_ended(request, False)
-    around.broker.handle_attempt_ended(around.attempts[0], Outcome.RESET)
-    around.broker.process_events()
-    assert around.client_calls == []
-    assert len(around.attempts) == 1
+    surroundings = FakeSurroundings()
+    request = surroundings.submit()
+    surroundings.broker.handle_client_ended(request, False)
+    surroundings.broker.handle_attempt_ended(surroundings.attempts[0], Outcome.RESET)
+    surroundings.broker.process_events()
+    assert surroundings.client_calls == []
+    assert len(surroundings.attempts) == 1
 
 
 def test_ended_request_releases_its_contract() -> None:
     # A request that is over but still counts would in time lock its team out.
-    around = FakeSurroundings(Contracts({0: Contract(concurrency=1)}))
-    first = around.submit()
-    around.submit()
-    assert around.client_calls == [("reject", 1 * S, "concurrency")]
-    around.broker.handle_client_ended(first, False)
-    around.submit()
-    assert len(around.client_calls) == 1
+    surroundings = FakeSurroundings(Contracts({0: Contract(concurrency=1)}))
+    first = surroundings.submit()
+    surroundings.submit()
+    assert surroundings.client_calls == [("reject", 1 * S, "concurrency")]
+    surroundings.broker.handle_client_ended(first, False)
+    surroundings.submit()
+    assert len(surroundings.client_calls) == 1
 
 
 @pytest.mark.parametrize(
-    ("contract", "flags", "limit", "wait"),
+    ("contract", "flags", "limit", "wait_ns"),
     [
         (Contract(services=frozenset()), 0, "service", 60 * S),
         (Contract(rate=TokenBucket(2.0, 1.0)), 0, "rate", S // 2),
@@ -147,8 +165,8 @@
         (Contract(retries=TokenBucket(4.0, 1.0)), 0, "", 0),
     ],
 )
-def test_breach_tells_its_limit_and_when_a_retry_is_admitted(
-    contract: Contract, flags: int, limit: str, wait: int
+def test_breach_names_its_limit_and_when_a_retry_is_admitted(
+    contract: Contract, flags: int, limit: str, wait_ns: int
 ) -> None:
     contracts = Contracts({0: contract})
     if limit != "service":
@@ -156,24 +174,21 @@
     breach = contracts.admit(0, 0, flags, 1 * S)
     assert (breach is None) is (not limit)
     if breach is not None:
-        assert (breach.limit, breach.wait_ns) == (limit, wait)
-        assert limit == "service" or contracts.admit(0, 0, flags, 1 * S + wait) is None
+        assert (breach.limit, breach.wait_ns) == (limit, wait_ns)
+        assert limit == "service" or contracts.admit(0, 0, flags, 1 * S + wait_ns) is None
 
 
 def test_adoption_is_retried_while_its_endpoint_cannot_be_reached() -> None:
     # A proxy that was stalled at its start mistook connections that had come up for refused ones.
-    around = FakeSurroundings()
-    made = ActiveRequest(
-        around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopted_endpoint=endpoint(1)
-    )
-    around.broker.submit(made)
+    surroundings = FakeSurroundings()
+    request = surroundings.submit_adoption(endpoint(1))
     for _ in range(3):
-        around.broker.handle_attempt_ended(around.attempts[-1], Outcome.CONNECT_FAILED)
-        around.pass_time(around.now + 200 * MS)
-    assert [attempt.endpoint for attempt in around.attempts] == [endpoint(1)] * 4
-    assert not made.is_answered
-    around.broker.handle_attempt_ended(around.attempts[-1], Outcome.ERROR)
-    assert around.client_calls == ["fail"]
+        surroundings.broker.handle_attempt_ended(surroundings.attempts[-1], Outcome.CONNECT_FAILED)
+        surroundings.advance_to(surroundings.now + 200 * MS)
+    assert [attempt.endpoint for attempt in surroundings.attempts] == [endpoint(1)] * 4
+    assert not request.is_answered
+    surroundings.broker.handle_attempt_ended(surroundings.attempts[-1], Outcome.ERROR)
+    assert surroundings.client_calls == ["fail"]
 
 
 class UnansweredConnection:
@@ -204,23 +219,20 @@
     waits: list[tuple[int, int]], migrated: int
 ) -> None:
     # Each connection waited 4 s by itself, while a vanished machine's were all without service.
-    around = FakeSurroundings()
+    surroundings = FakeSurroundings()
     for unanswered_ns, idle_ns in waits:
-        around.submit()
-        around.attempts[-1].upstream = UnansweredConnection(unanswered_ns, idle_ns)  # type: ignore[assignment]
-        around.broker.handle_established(around.attempts[-1], memoryview(b"UP\r\n"))
-    around.broker.review_unresponsive_endpoints()
-    assert around.client_calls.count(("migrate", "unresponsive")) == migrated
+        surroundings.submit()
+        surroundings.attempts[-1].upstream = UnansweredConnection(unanswered_ns, idle_ns)  # type: ignore[assignment]
+        surroundings.broker.handle_established(surroundings.attempts[-1], memoryview(b"UP\r\n"))
+    surroundings.broker.review_unresponsive_endpoints()
+    assert surroundings.client_calls.count(("migrate", "unresponsive")) == migrated
 
 
 def test_adoption_after_the_adoption_period_fails() -> None:
     # An adoption bypasses the balancer: any client could choose one that drains or is still warming up.
-    around = FakeSurroundings()
-    around.now += attempts.ADOPTION_PERIOD_NS + 1
-    made = ActiveRequest(
-        around, 0, 0, 7, 0, 0, 0, around.now + S, lambda ms: b"", adopted_endpoint=endpoint(1)
-    )
-    around.broker.submit(made)
-    assert made.is_answered
-    assert not around.attempts
-    assert around.client_calls == ["fail"]
+    surroundings = FakeSurroundings()
+    surroundings.now += attempts.ADOPTION_PERIOD_NS + 1
+    request = surroundings.submit_adoption(endpoint(1))
+    assert request.is_answered
+    assert not surroundings.attempts
+    assert surroundings.client_calls == ["fail"]
--- a/tests/test_broker_parts.py
+++ b/tests/test_broker_parts.py
@@ -26,8 +26,8 @@
 from linnetshift.util.token_bucket import TokenBucket
 
 
-def inbox_of(around: FakeSurroundings) -> EventInbox:
-    return EventInbox(around)
+def inbox_of(surroundings: FakeSurroundings) -> EventInbox:
+    return EventInbox(surroundings)
 
 
 def test_inbox_gives_endpoint_lists_first_and_keeps_the_order_of_the_rest() -> None:
@@ -41,10 +41,10 @@
 
 
 def test_inbox_schedules_processing_once_a_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    around = FakeSurroundings()
+    surroundings = FakeSurroundings()
     scheduled: list[None] = []
-    monkeypatch.setattr(around, "schedule_processing", lambda: scheduled.append(None))
-    inbox = inbox_of(around)
+    monkeypatch.setattr(surroundings, "schedule_processing", lambda: scheduled.append(None))
+    inbox = inbox_of(surroundings)
     for _ in range(2):
         inbox.post(TimerFired(1))
         inbox.post(TimerFired(2))
@@ -54,10 +54,12 @@
 
 @pytest.fixture
 def views() -> EndpointViews:
-    made = EndpointViews(Settings.parse(raw_settings()), lambda: 5 * S, inbox_of(FakeSurroundings()))
-    made.handle_endpoint_list(listed(entry(1, started_ns=S), entry(2)))
-    made.inbox.take()
-    return made
+    endpoint_views = EndpointViews(
+        Settings.parse(raw_settings()), lambda: 5 * S, inbox_of(FakeSurroundings())
+    )
+    endpoint_views.handle_endpoint_list(listed(entry(1, started_ns=S), entry(2)))
+    endpoint_views.inbox.take()
+    return endpoint_views
 
 
 def test_drained_endpoint_is_shown_as_draining_until_it_is_restored(views: EndpointViews) -> None:
@@ -121,16 +123,16 @@
 
 @pytest.mark.parametrize("answer", ["reject", "fail", "overdue"])
 def test_final_answer_releases_the_request_and_its_client(answer: str) -> None:
-    around = FakeSurroundings()
-    request = around.submit(1 * S)
-    table = around.broker.request_table
+    surroundings = FakeSurroundings()
+    request = surroundings.submit(1 * S)
+    table = surroundings.broker.request_table
     if answer == "overdue":
-        around.broker.balancer.step = lambda now, events: []  # type: ignore[method-assign]
-        around.pass_time(2 * S + OVERDUE_NS)
+        surroundings.broker.balancer.step = lambda now, events: []  # type: ignore[method-assign]
+        surroundings.advance_to(2 * S + OVERDUE_NS)
     else:
         getattr(table, answer)(request.id)
     table.fail(request.id)  # has its answer
-    assert len(around.client_calls) == 1
+    assert len(surroundings.client_calls) == 1
     assert request.client is DETACHED_CLIENT
     assert not table.requests
     assert not table.unanswered()
