--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -33,14 +33,14 @@
 }
 
 
-def written(folder: Path, document: object) -> Path:
-    """A proxy file with this content."""
+def write_proxy_file(folder: Path, document: object) -> Path:
+    """Write a proxy file with this content; its path."""
     file = folder / "config.json"
     file.write_text(document if isinstance(document, str) else json.dumps(document))
     return file
 
 
-def without(key: str) -> dict[str, Any]:
+def document_without(key: str) -> dict[str, Any]:
     return {name: value for name, value in DOCUMENT.items() if name != key}
 
 
@@ -49,15 +49,15 @@
     [
         ("{", FileSyntaxError, " is not JSON: "),
         ([], MissingSettingsError, " holds no settings"),
-        (without("listen"), MissingKeyError, ": key 'listen' is missing"),
+        (document_without("listen"), MissingKeyError, ": key 'listen' is missing"),
         ({**DOCUMENT, "discovery": "nowhere"}, InvalidValueError, ": 'nowhere' is not ADDRESS:PORT"),
         ({**DOCUMENT, "seed": "x"}, InvalidValueError, "invalid literal"),
     ],
 )
-def test_unusable_proxy_file_is_named_with_the_reason(
+def test_error_of_unusable_proxy_file_names_the_file_and_the_reason(
     tmp_path: Path, document: object, error_type: type[ConfigurationFileError], text: str
 ) -> None:
-    file = written(tmp_path, document)
+    file = write_proxy_file(tmp_path, document)
     with pytest.raises(error_type) as caught:
         read_config(str(file))
     assert str(caught.value).startswith(str(file))
@@ -66,14 +66,14 @@
     assert isinstance(caught.value, ConfigurationError)
 
 
-def test_unreadable_proxy_file_gives_the_systems_reason(tmp_path: Path) -> None:
+def test_error_of_unreadable_proxy_file_gives_the_systems_reason(tmp_path: Path) -> None:
     with pytest.raises(UnreadableFileError, match=r"^cannot read .*none.json: No such file or directory$"):
         read_config(str(tmp_path / "none.json"))
 
 
-def test_key_that_the_former_file_had_is_named_by_its_path(tmp_path: Path) -> None:
-    former = read_config(str(written(tmp_path, {**DOCUMENT, "limits": {"sockets": 9, "cores": 1}})))
-    file = written(tmp_path, {**DOCUMENT, "limits": {"sockets": 9}})
+def test_missing_key_that_the_former_file_had_is_named_by_its_path(tmp_path: Path) -> None:
+    former = read_config(str(write_proxy_file(tmp_path, {**DOCUMENT, "limits": {"sockets": 9, "cores": 1}})))
+    file = write_proxy_file(tmp_path, {**DOCUMENT, "limits": {"sockets": 9}})
     with pytest.raises(MissingKeyError) as caught:
         read_config(str(file), former)
     assert caught.value.key == "limits.cores"
@@ -101,7 +101,7 @@
 def test_admin_address_of_the_environment_takes_precedence(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    file = str(written(tmp_path, {**DOCUMENT, "admin_addr": "127.0.0.1:3"}))
+    file = str(write_proxy_file(tmp_path, {**DOCUMENT, "admin_addr": "127.0.0.1:3"}))
     monkeypatch.delenv("GW_ADMIN_ADDR", raising=False)
     assert read_config(file).admin == ("127.0.0.1", 3)
     monkeypatch.setenv("GW_ADMIN_ADDR", "127.0.0.1:4")
@@ -122,8 +122,10 @@
         ('[[contract]]\nteam = "acme"\nrate_per_s = 0\n', ": rate_per_s must be above 0 and rate_burst 1"),
     ],
 )
-def test_unusable_broker_file_is_named_with_the_reason(tmp_path: Path, content: str, text: str) -> None:
-    config = read_config(str(written(tmp_path, DOCUMENT)))
+def test_error_of_unusable_broker_file_names_the_file_and_the_reason(
+    tmp_path: Path, content: str, text: str
+) -> None:
+    config = read_config(str(write_proxy_file(tmp_path, DOCUMENT)))
     file = tmp_path / "broker.toml"
     file.write_text(content)
     with pytest.raises(ConfigurationFileError) as caught:
@@ -132,12 +134,12 @@
 
 
 def test_disabled_tables_of_the_broker_file_turn_nothing_on(tmp_path: Path) -> None:
-    config = read_config(str(written(tmp_path, DOCUMENT)))
+    config = read_config(str(write_proxy_file(tmp_path, DOCUMENT)))
     file = tmp_path / "broker.toml"
     file.write_text("[channels]\nenabled = false\n[vrrp]\nenabled = false\n")
-    read = read_broker_file(str(file), config.names, config.settings)
-    assert (read.channels, read.vrrp, read.contracts.teams) == (None, None, {})
-    assert isinstance(read, BrokerConfig)
+    broker_config = read_broker_file(str(file), config.names, config.settings)
+    assert (broker_config.channels, broker_config.vrrp, broker_config.contracts.teams) == (None, None, {})
+    assert isinstance(broker_config, BrokerConfig)
     assert isinstance(config, ProxyConfig)
 
 
@@ -146,7 +148,7 @@
     return NameRegistry(raw, Settings.parse(raw), former)
 
 
-def test_number_stays_with_its_name_in_whatever_order_later_lists_have_it() -> None:
+def test_name_keeps_its_number_when_later_lists_have_another_order() -> None:
     first = registry(zones=["a", "b"], models=[{"name": "m"}])
     later = registry(first, zones=["c", "b"], models=["n", "m"])
     assert later.zones == {"a": 0, "b": 1, "c": 2}
@@ -164,18 +166,18 @@
 
 def test_discontinued_class_is_known_until_it_is_forgotten() -> None:
     names, later = registry(), registry()
-    (name, number) = next(iter(names.classes.items()))
-    later.classes = {"late": number + 1}
+    name, number = next(iter(names.classes.items()))
+    later.classes = {"later": number + 1}
     discontinued = names.adopt(later)
     assert discontinued == {name: number}
-    assert names.classes == {name: number, "late": number + 1}
+    assert names.classes == {name: number, "later": number + 1}
     names.forget_classes(discontinued, (number, number + 1))  # it has been offered again since
     assert name in names.classes
     names.forget_classes(discontinued, (number + 1,))
-    assert names.classes == {"late": number + 1}
+    assert names.classes == {"later": number + 1}
 
 
-def test_names_of_one_kind_have_a_limit() -> None:
+def test_names_of_one_kind_beyond_the_limit_are_rejected() -> None:
     full = registry(zones=[str(number) for number in range(MAX_NAMES)])
     assert len(full.zones) == MAX_NAMES
     with pytest.raises(ValueError, match="more names of one kind since the start than can be kept"):
--- a/tests/test_deployment_facts.py
+++ b/tests/test_deployment_facts.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("entries", "is_full_list", "connected", "after", "facts"),
+    ("entries", "is_full_list", "connected", "after_ns", "facts"),
     [
         ([DRAINING], False, [endpoint(1)], 2 * S, [("drain", "serves-on")]),
         ([DRAINING], False, [endpoint(1)], S // 2, []),  # it may be migrating them at this moment
@@ -24,14 +24,18 @@
         ([DRAINING._replace(drain_within_ns=S)], False, [endpoint(1)], 2 * S, []),  # operators drained it
     ],
 )
-def test_drain_is_judged_by_the_connections_still_established(
-    entries: list[Any], is_full_list: bool, connected: list[bytes], after: int, facts: list[tuple[str, str]]
+def test_drain_behaviour_follows_from_connections_that_stay_established(
+    entries: list[Any],
+    is_full_list: bool,
+    connected: list[bytes],
+    after_ns: int,
+    facts: list[tuple[str, str]],
 ) -> None:
     deployment_facts = DeploymentFacts()
     deployment_facts.handle_endpoint_list(entries, is_full_list, 5 * S)
     # A delta that does not name it changes nothing.
     deployment_facts.handle_endpoint_list([entry(3)], False, 5 * S + 1)
-    deployment_facts.review(connected, 5 * S + after)
+    deployment_facts.review(connected, 5 * S + after_ns)
     assert deployment_facts.take_unreported() == facts
 
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("report_settings", "probe_line", "answer", "log_pattern"),
+    ("report_settings", "request_line", "answer", "log_pattern"),
     [
         ({}, b"PING\r\n", b"PONG\r\n", r"reason=answered endpoint=s-0 ms=\d+$"),
         (
@@ -62,12 +62,12 @@
     ],
 )
 def test_health_check_requests_the_configured_report(
-    tmp_path: Path, report_settings: dict[str, object], probe_line: bytes, answer: bytes, log_pattern: str
+    tmp_path: Path, report_settings: dict[str, object], request_line: bytes, answer: bytes, log_pattern: str
 ) -> None:
     with started_proxy(tmp_path, 1, allowed={"probing": True}, **report_settings) as running:
         client = running.open()
         connection = running.endpoints[0].accept()
-        assert connection.line() == probe_line
+        assert connection.line() == request_line
         connection.send(answer)
         running.logged(log_pattern)
         if answer != b"ERR\r\n":
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -21,7 +21,7 @@
 
 
 def ready(balancer: Balancer) -> set[bytes]:
-    return {h.id for h in balancer.endpoints.values() if h.state == EndpointState.READY}
+    return {known.id for known in balancer.endpoints.values() if known.state == EndpointState.READY}
 
 
 def test_full_list_removes_absent_endpoints_and_delta_does_not() -> None:
@@ -46,7 +46,7 @@
     )
     sends = only(balancer.step(2 * S + MS, [request(n) for n in range(200)]), Send)
     assert len(sends) == 200
-    assert not {s.endpoint for s in sends} & {endpoint(1), endpoint(2)}
+    assert not {send.endpoint for send in sends} & {endpoint(1), endpoint(2)}
 
 
 def test_relisted_endpoint_is_ready_and_restart_begins_warm_up() -> None:
@@ -148,12 +148,12 @@
 
 
 def test_restarted_endpoint_is_no_longer_avoided() -> None:
-    # Back after a crash, it went on being avoided while the others were overloaded.
+    # An endpoint that had restarted after a crash went on being avoided while the others were overloaded.
     balancer = make_balancer(3)
     (first,) = only(balancer.step(2 * S, [request(1, key=5)]), Send)
     balancer.step(2 * S, [ended(first, 0, Outcome.CONNECT_FAILED)])
-    assert balancer.selection.is_avoided(balancer.endpoints[first.endpoint], balancer.settings.classes[0])
-    back = balancer.endpoints[first.endpoint]
-    restarted = EndpointEntry(back.id, back.zone, 0, back.cell, EndpointState.READY, 1.0, 2 * S)
+    failed = balancer.endpoints[first.endpoint]
+    assert balancer.selection.is_avoided(failed, balancer.settings.classes[0])
+    restarted = EndpointEntry(failed.id, failed.zone, 0, failed.cell, EndpointState.READY, 1.0, 2 * S)
     balancer.step(2 * S + MS, [listed(restarted, form=ListForm.DELTA)])
-    assert not balancer.selection.is_avoided(back, balancer.settings.classes[0])
+    assert not balancer.selection.is_avoided(failed, balancer.settings.classes[0])
--- a/tests/test_discovery_poller.py
+++ b/tests/test_discovery_poller.py
@@ -9,7 +9,7 @@
 from linnetshift.routing.discovery_poller import DiscoveryPoller
 
 
-def test_poll_goes_out_once_and_only_where_the_list_is_not_pushed() -> None:
+def test_poll_is_sent_once_and_only_where_the_list_is_not_pushed() -> None:
     for discovery, actions in (("ask", [Watch(True)]), ("push", [])):
         parts = Parts(discovery=discovery)
         poller = DiscoveryPoller(parts.context)
@@ -18,16 +18,16 @@
         assert parts.context.actions == actions
 
 
-def test_back_off_doubles_to_its_maximum_and_starts_anew_after_an_answer() -> None:
+def test_back_off_doubles_to_its_maximum_and_restarts_after_an_answer() -> None:
     parts = Parts(discovery="ask")
     poller = DiscoveryPoller(parts.context)
     for _ in range(2):
-        for longest in (200, 400, 800, 1000, 1000):
+        for longest_ms in (200, 400, 800, 1000, 1000):
             parts.at(2 * S)
             poller.handle_list_failed()
             (timer,) = parts.context.actions
             assert isinstance(timer, SetTimer)
-            assert longest * MS // 2 <= timer.delay_ns <= longest * MS
+            assert longest_ms * MS // 2 <= timer.delay_ns <= longest_ms * MS
         poller.handle_list_received()
 
 
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -213,7 +213,7 @@
             for _ in clients:
                 assert running.next_attempted() is other
                 endpoints.append(other.serve())
-            assert {each.line() for each in clients} == {b"UP r1\r\n"}
+            assert {client.line() for client in clients} == {b"UP r1\r\n"}
         finally:
             process.kill()
             process.wait(WAIT_S)
@@ -276,7 +276,7 @@
         other.serve()
         assert client.line() == b"UP r1\r\n"
         running.discovery.silent = False
-        assert not [entry for entry in running.unread_lines() if "event=endpoint-list-received" in entry]
+        assert not [line for line in running.unread_lines() if "event=endpoint-list-received" in line]
 
 
 def test_silent_new_address_is_called_again(tmp_path: Path) -> None:
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Connections migrate off a draining endpoint at a limited rate, lower where the target is cold."""
+"""Connections migrate off a draining endpoint at a limited rate, lower where the target is warming up."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     """Two endpoints with all connections on the first, as the second was listed later."""
     decisions = balancer(endpoints=1)
     for number in range(CONNECTION_COUNT):
-        (sent,) = only(decisions.step(1 * S, [request(number)]), Send)
-        decisions.step(1 * S, [ConnectionEstablished(number, 0, sent.endpoint, 5 * MS)])
+        (send,) = only(decisions.step(1 * S, [request(number)]), Send)
+        decisions.step(1 * S, [ConnectionEstablished(number, 0, send.endpoint, 5 * MS)])
     decisions.step(1 * S, [listed(entry(0), entry(1, **second_entry))])
     return decisions
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_connections_migrate_at_limited_rate_from_leaving_endpoint(state: EndpointState) -> None:
+def test_connections_migrate_at_limited_rate_off_draining_or_removed_endpoint(state: EndpointState) -> None:
     decisions = balancer_with_loaded_endpoint()
     immediate_actions = decisions.step(1 * S, [listed(entry(0, state=state), form=ListForm.DELTA)])
     assert not only(immediate_actions, Migrate)  # not all at once when the list arrives
@@ -62,17 +62,17 @@
     decisions.step(1 * S, [listed(entry(3, state=EndpointState.DRAINING), form=ListForm.DELTA)])
     decisions.step(2 * S, [listed(entry(3, started_ns=2 * S), form=ListForm.DELTA)])
     sends = [only(decisions.step(2 * S, [request(number)]), Send)[0].endpoint for number in range(6)]
-    assert sends[0] == endpoint(3)  # one only: the next are placed by key, and it is cold
+    assert sends[0] == endpoint(3)  # one only: the next are placed by key, and it is warming up
     assert endpoint(3) not in sends[1:]
 
 
-def test_migration_rate_is_lower_with_cold_target() -> None:
+def test_migration_rate_is_lower_with_warming_target() -> None:
     # A wave of migrated clients would overload an endpoint that has just started.
     with_warm_target = balancer_with_loaded_endpoint()
-    with_cold_target = balancer_with_loaded_endpoint(started_ns=1 * S)
-    for decisions in (with_warm_target, with_cold_target):
+    with_warming_target = balancer_with_loaded_endpoint(started_ns=1 * S)
+    for decisions in (with_warm_target, with_warming_target):
         decisions.step(1 * S, [listed(entry(0, state=EndpointState.DRAINING), form=ListForm.DELTA)])
-    assert sum(migrations_per_tick(with_cold_target, 20)) < sum(migrations_per_tick(with_warm_target, 20))
+    assert sum(migrations_per_tick(with_warming_target, 20)) < sum(migrations_per_tick(with_warm_target, 20))
 
 
 def test_no_connection_migrates_without_ready_target() -> None:
@@ -83,11 +83,11 @@
 
 def test_connection_established_after_drain_migrates() -> None:
     decisions = balancer(endpoints=2)
-    (sent,) = only(decisions.step(1 * S, [request(1)]), Send)
-    number = 0 if sent.endpoint == endpoint(0) else 1
+    (send,) = only(decisions.step(1 * S, [request(1)]), Send)
+    number = 0 if send.endpoint == endpoint(0) else 1
     draining = entry(number, state=EndpointState.DRAINING)
     decisions.step(1 * S, [listed(draining, form=ListForm.DELTA)])
-    decisions.step(1 * S, [ConnectionEstablished(1, 0, sent.endpoint, 5 * MS)])
+    decisions.step(1 * S, [ConnectionEstablished(1, 0, send.endpoint, 5 * MS)])
     assert sum(migrations_per_tick(decisions, 200)) == 1
 
 
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("nodes", [2, 40, 200])
 def test_few_proxies_of_a_fleet_send_to_restored_endpoint_at_once(nodes: int) -> None:
-    # Each of 200 sent its next connection there, where a cold endpoint could take two or three.
+    # Each of 200 sent its next connection there, where an endpoint that warms up could take two or three.
     sent_to_restored = 0
     for seed in range(0, 10 * nodes, nodes):
         fleet = SimulatedBalancers(nodes, tuple(entry(number) for number in range(8)), seed)
--- a/tests/test_latency_objectives.py
+++ b/tests/test_latency_objectives.py
@@ -1,4 +1,4 @@
-"""Two classes with latency objectives far apart: each is placed, migrated and shed by its own objective."""
+"""Two classes with latency objectives far apart: each is placed and migrated, and sheds load, by its own."""
 
 from __future__ import annotations
 
@@ -29,15 +29,16 @@
 
 
 @pytest.mark.parametrize(
-    ("ms", "strict_placed", "loose_placed"), [(5.0, True, True), (30.0, False, True), (300.0, False, False)]
+    ("message_time_ms", "strict_placed", "loose_placed"),
+    [(5.0, True, True), (30.0, False, True), (300.0, False, False)],
 )
-def test_late_endpoint_is_avoided_by_objective_of_requesting_class(
-    ms: float, strict_placed: bool, loose_placed: bool
+def test_slow_endpoint_is_avoided_by_classes_whose_objective_it_misses(
+    message_time_ms: float, strict_placed: bool, loose_placed: bool
 ) -> None:
     # A loose class was kept off endpoints that served it well, by the objective of a strict one.
     balancer = two_classes()
     home = establish(balancer, 1, LOOSE)
-    balancer.step(3 * S, [ConnectionNote(1, 0, home, SLOW_NOTE, ms)])
+    balancer.step(3 * S, [ConnectionNote(1, 0, home, SLOW_NOTE, message_time_ms)])
     assert (establish(balancer, 2, STRICT) == home) is strict_placed
     assert (establish(balancer, 3, LOOSE) == home) is loose_placed
 
@@ -48,29 +49,28 @@
     for number in range(2, 40):
         establish(balancer, number, STRICT if number % 10 == 0 else LOOSE)
     migrated = set()
-    for turn in range(12):  # 30 ms is over the strict objective and far below the loose one
-        for migration in only(
-            balancer.step((3 + turn) * S, [ConnectionNote(1, 0, home, SLOW_NOTE, 30.0)]), Migrate
-        ):
-            migrated.add(migration.request_id)
+    for second in range(3, 15):
+        # 30 ms is over the strict objective and far below the loose one.
+        actions = balancer.step(second * S, [ConnectionNote(1, 0, home, SLOW_NOTE, 30.0)])
+        migrated.update(migration.request_id for migration in only(actions, Migrate))
     assert migrated
     assert all(number % 10 == 0 for number in migrated)
     assert balancer.admission.load_shedding.admitted_share == 1.0
     assert endpoint(0) in balancer.endpoints
 
 
-def test_most_endpoints_over_objective_start_load_shedding() -> None:
+def test_load_is_shed_once_most_endpoints_are_over_the_objective() -> None:
     balancer = two_classes()
-    numbers = {}
+    request_ids = {}
     for key in range(200):
         (send,) = only(balancer.step(2 * S, [request(key + 1, klass=LOOSE, key=key + 1)]), Send)
         balancer.step(2 * S, [ConnectionEstablished(key + 1, 0, send.endpoint, MS)])
-        numbers[send.endpoint] = key + 1
-    for ms, admits_all in ((300.0, True), (500.0, False)):
+        request_ids[send.endpoint] = key + 1
+    for message_time_ms, admits_all in ((300.0, True), (500.0, False)):
         for _ in range(3):
             notes = [
-                ConnectionNote(number, 0, endpoint_id, SLOW_NOTE, ms)
-                for endpoint_id, number in numbers.items()
+                ConnectionNote(request_id, 0, endpoint_id, SLOW_NOTE, message_time_ms)
+                for endpoint_id, request_id in request_ids.items()
             ]
             balancer.step(balancer.now + S, list(notes))
         assert (balancer.admission.load_shedding.admitted_share == 1.0) is admits_all
--- a/tests/test_token_bucket.py
+++ b/tests/test_token_bucket.py
@@ -23,7 +23,7 @@
     assert bucket.level == 2.0
 
 
-def test_empty_bucket_fills_from_the_time_of_its_making() -> None:
+def test_empty_bucket_fills_from_the_time_of_its_creation() -> None:
     bucket = TokenBucket(rate_per_s=4.0, capacity=2.0, level=0.0, refilled_at_ns=5 * S)
     bucket.refill(5 * S + 125 * MS)
     assert bucket.take() == 0.5
