--- a/linnetshift/admin/operations.py
+++ b/linnetshift/admin/operations.py
@@ -20,8 +20,10 @@
     def is_drain_limit_reached(self, endpoint: bytes) -> bool:
         """Whether so many endpoints are drained that this one cannot be drained too."""
 
-    def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
-        """Drain an endpoint, or restore it when `out` is false.
+    def set_administrative_drain(
+        self, endpoint: bytes, is_drained: bool, done: Callable[[bool], None]
+    ) -> None:
+        """Drain an endpoint, or restore it when `is_drained` is false.
 
         `done` is called once the change is in effect, with whether the endpoint was ever listed.
         """
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -128,7 +128,7 @@
             self.operations.yield_to_successor(False)
 
     def apply_administrative_drain(
-        self, endpoint: bytes, out: bool, done: Callable[[], None], source: PeerProcess | None = None
+        self, endpoint: bytes, is_drained: bool, done: Callable[[], None], source: PeerProcess | None = None
     ) -> None:
         """Take the endpoint out or restore it in every process but `source`, from which the drain came.
 
@@ -136,9 +136,9 @@
         """
         peers = [peer_process for peer_process in self.peer_processes if peer_process is not source]
         counter = CompletionCounter(1 + len(peers), done)
-        self.operations.apply_administrative_drain(endpoint, out, counter.complete_one)
+        self.operations.apply_administrative_drain(endpoint, is_drained, counter.complete_one)
         for peer_process in peers:
-            peer_process.apply_administrative_drain(endpoint, out, counter.complete_one)
+            peer_process.apply_administrative_drain(endpoint, is_drained, counter.complete_one)
 
     def end(self) -> None:
         """Report the last migrations to the peers and leave the takeover socket."""
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -74,13 +74,15 @@
         else:
             self.shutdown.cancel()
 
-    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+    def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
         """Drain the endpoint in this process, or restore it; `done` is called once that is acted on."""
-        is_known = self.broker.drain_endpoint(endpoint) if out else self.broker.restore_endpoint(endpoint)
+        is_known = (
+            self.broker.drain_endpoint(endpoint) if is_drained else self.broker.restore_endpoint(endpoint)
+        )
         log.info(
             "administrative-drain-changed",
             endpoint=endpoint.decode(errors="replace"),
-            out=out,
+            out=is_drained,
             known=is_known,
         )
         self.decision_loop.when_processed(done)
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -62,7 +62,7 @@
         """Go on without the process."""
 
     def apply_administrative_drain(
-        self, endpoint: bytes, out: bool, done: Callable[[], None], source: PeerProcess | None = None
+        self, endpoint: bytes, is_drained: bool, done: Callable[[], None], source: PeerProcess | None = None
     ) -> None:
         """Apply the drain everywhere but at its source; `done` is called once all have it."""
 
@@ -113,7 +113,7 @@
         """Report what this process holds."""
         self.send(Heartbeat(self.operations.peer_resources()))
 
-    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+    def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
         """Have the other process apply the drain; `done` is called once it has, or is gone."""
         is_connected = self.coroutine is not None and self.has_exchanged_state
         if not is_connected or len(self.unconfirmed_drains) >= MAX_UNCONFIRMED_DRAINS:
@@ -121,7 +121,7 @@
             return
         number = next(self.drain_numbers)
         self.unconfirmed_drains[number] = done
-        self.send(AdministrativeDrain(endpoint, out, number))
+        self.send(AdministrativeDrain(endpoint, is_drained, number))
 
     def _handle_ready(self, mask: int) -> None:
         self.post(Io(mask))
@@ -170,9 +170,9 @@
                 self.send(Stopped())
             case Stopped() if self.is_predecessor:
                 self.coordinator.handle_predecessor_stopped()
-            case AdministrativeDrain(endpoint, is_out, number):
+            case AdministrativeDrain(endpoint, is_drained, number):
                 confirm = partial(self.send, AdministrativeDrainConfirmed(number))
-                self.coordinator.apply_administrative_drain(endpoint, is_out, confirm, self)
+                self.coordinator.apply_administrative_drain(endpoint, is_drained, confirm, self)
             case AdministrativeDrainConfirmed(number):
                 done = self.unconfirmed_drains.pop(number, None)
                 if done is not None:
--- a/linnetshift/lifecycle/restart_operations.py
+++ b/linnetshift/lifecycle/restart_operations.py
@@ -17,7 +17,7 @@
     def yield_to_successor(self, yielding: bool, /) -> None:
         """Stop accepting and migrate clients away, or accept again where the successor is gone."""
 
-    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
+    def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
         """Take the endpoint out or restore it in this process alone; `done` is called once that is done."""
 
     def peer_resources(self) -> PeerResources:
--- a/linnetshift/lifecycle/takeover_messages.py
+++ b/linnetshift/lifecycle/takeover_messages.py
@@ -167,7 +167,7 @@
     """An operator took an endpoint out or restored it at the sender; the receiver is to do the same."""
 
     endpoint: bytes
-    is_out: bool
+    is_drained: bool
     number: int  # the confirmation repeats it
 
     def to_json(self) -> dict[str, object]:
@@ -175,7 +175,7 @@
         return {
             KIND_KEY: DRAIN_KIND,
             ENDPOINT_KEY: self.endpoint.decode(),
-            IS_OUT_KEY: self.is_out,
+            IS_OUT_KEY: self.is_drained,
             NUMBER_KEY: self.number,
         }
 
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -245,7 +245,9 @@
         drains = self.broker.administrative_drains
         return drains.is_full() and not drains.is_drained(endpoint)
 
-    def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
+    def set_administrative_drain(
+        self, endpoint: bytes, is_drained: bool, done: Callable[[bool], None]
+    ) -> None:
         """Drain an endpoint or restore it, here and in every other process of this proxy.
 
         `done` is called once that is acted on, with whether the endpoint is known.
@@ -253,4 +255,4 @@
         if not self.broker.administrative_drains.is_known(endpoint):
             done(False)
             return
-        self.hot_restart.apply_administrative_drain(endpoint, out, lambda: done(True))
+        self.hot_restart.apply_administrative_drain(endpoint, is_drained, lambda: done(True))
--- a/tests/test_admin_routes.py
+++ b/tests/test_admin_routes.py
@@ -24,7 +24,9 @@
     def is_drain_limit_reached(self, endpoint: bytes) -> bool:
         return endpoint == b"full"
 
-    def set_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[bool], None]) -> None:
+    def set_administrative_drain(
+        self, endpoint: bytes, is_drained: bool, done: Callable[[bool], None]
+    ) -> None:
         raise AssertionError("only the connection carries a change out")
 
 
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -34,8 +34,8 @@
     def yield_to_successor(self, yielding: bool) -> None:
         self.yields.append(yielding)
 
-    def apply_administrative_drain(self, endpoint: bytes, out: bool, done: Callable[[], None]) -> None:
-        self.drains.append((endpoint, out))
+    def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
+        self.drains.append((endpoint, is_drained))
         done()
 
     def peer_resources(self) -> PeerResources:
