--- a/linnetshift/config/broker_file.py
+++ b/linnetshift/config/broker_file.py
@@ -10,6 +10,7 @@
 
 from linnetshift.broker.contracts import Contract, Contracts
 from linnetshift.config.errors import (
+    INVALID_VALUE_ERRORS,
     FileSyntaxError,
     InvalidValueError,
     MissingKeyError,
@@ -58,7 +59,7 @@
         return _parse_document(document, names, settings)
     except KeyError as error:
         raise MissingKeyError(file, error.args[0]) from None
-    except (ValueError, TypeError, AttributeError, OverflowError) as error:
+    except INVALID_VALUE_ERRORS as error:
         raise InvalidValueError(file, error) from None
 
 
--- a/linnetshift/config/errors.py
+++ b/linnetshift/config/errors.py
@@ -5,6 +5,10 @@
 
 from __future__ import annotations
 
+# What reading a value of a wrong type or out of its range raises; the files' readers report it as
+# InvalidValueError.
+INVALID_VALUE_ERRORS = (ValueError, TypeError, AttributeError, OverflowError)
+
 
 class ConfigurationError(Exception):
     """The configuration cannot be used; the text says which value is wrong and why."""
--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -9,6 +9,7 @@
 from typing import Any, NamedTuple
 
 from linnetshift.config.errors import (
+    INVALID_VALUE_ERRORS,
     EnvironmentVariableError,
     FileSyntaxError,
     InvalidValueError,
@@ -59,7 +60,7 @@
         return _parse_document(document, former, classes_in_use)
     except KeyError as error:
         raise MissingKeyError(path, error.args[0]) from None
-    except (ValueError, TypeError, AttributeError, OverflowError) as error:
+    except INVALID_VALUE_ERRORS as error:
         raise InvalidValueError(path, error) from None
 
 
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from functools import partial
+
 from linnetshift.broker.active_request import Attempt
 from linnetshift.broker.administrative_drains import is_full_list
 from linnetshift.broker.broker import Broker
@@ -77,8 +79,6 @@
             self.loop,
             endpoint,
             broker.settings.report_columns,
-            lambda outcome, elapsed_ns, figures: broker.handle_health_check_result(
-                endpoint, outcome, elapsed_ns, figures
-            ),
+            partial(broker.handle_health_check_result, endpoint),
         )
         checker.start(checker.run(address))
