--- a/linnetshift/broker/ports.py
+++ b/linnetshift/broker/ports.py
@@ -32,7 +32,7 @@
 class Discovery(Protocol):
     """The source of the endpoint list; results arrive through `Broker.handle_endpoint_list`."""
 
-    def watch(self, on: bool) -> None:
+    def watch(self, is_on: bool) -> None:
         """Start to watch the list for changes, or stop."""
 
     def fetch(self) -> None:
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -29,7 +29,7 @@
 # agent needs some time to answer, and a very long grace period must not hide that it fell silent.
 MIN_GRACE_NS = 100 * MS
 MAX_GRACE_NS = 4 * S
-# Before an agent on this machine is called again after it refused or failed a call.
+# Pause before an agent on this machine is called again after it refused or failed a call.
 REOPEN_DELAY_NS = 50 * MS
 # How long the watch after a failed or silent one waits for a change: its answer soon shows that all is well.
 WAIT_AFTER_FAILURE_MS = 1000
@@ -40,7 +40,7 @@
 # Waits are drawn between this share and the whole, so that proxies whose watches ended together do not all
 # call together again.
 MIN_WAIT_SHARE = 0.75
-# When the list is fetched anew after an answer with invalid entries.
+# Pause before the list is fetched again after an answer with invalid entries.
 REFETCH_DELAY_NS = 2 * S
 
 REFETCH_TIMER = "refetch"
@@ -138,9 +138,9 @@
         """
         self.post(Relocate(address, timeouts))
 
-    def watch(self, on: bool) -> None:
+    def watch(self, is_on: bool) -> None:
         """Open the watch, or end it."""
-        self.post(SetWatch(on))
+        self.post(SetWatch(is_on))
 
     def fetch(self) -> None:
         """Fetch the full list once."""
