--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -16,7 +16,7 @@
 from linnetshift.broker.contracts import Contracts
 from linnetshift.broker.endpoint_views import EndpointViews
 from linnetshift.broker.event_inbox import EventInbox
-from linnetshift.broker.latency_estimator import EstablishedConnection
+from linnetshift.broker.latency_estimator import ConnectionLoad
 from linnetshift.broker.ports import Connector, Discovery, Timers
 from linnetshift.broker.request_table import RequestTable
 from linnetshift.observability.resource_usage import ResourceUsage
@@ -214,7 +214,7 @@
         """Ask the client of an established connection to come back elsewhere; `reason` is for the log."""
         self.connection_review.migrate(request_id, reason)
 
-    def loads(self) -> dict[bytes, list[EstablishedConnection]]:
+    def loads(self) -> dict[bytes, list[ConnectionLoad]]:
         """What established connections ask of each endpoint."""
         return self.connection_review.loads()
 
--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -8,7 +8,7 @@
 from linnetshift.broker.deployment_facts import Fact, MessageTimes
 from linnetshift.broker.endpoint_views import EndpointViews
 from linnetshift.broker.event_inbox import EventInbox
-from linnetshift.broker.latency_estimator import EstablishedConnection
+from linnetshift.broker.latency_estimator import ConnectionLoad
 from linnetshift.broker.ports import UpstreamConnection
 from linnetshift.broker.request_table import RequestTable
 from linnetshift.routing.events import LOAD_NOTE, SLOW_NOTE, ConnectionNote, Outcome
@@ -48,11 +48,11 @@
                 by_endpoint.setdefault(attempt.endpoint, []).append((attempt, attempt.upstream))
         return by_endpoint
 
-    def loads(self) -> dict[bytes, list[EstablishedConnection]]:
+    def loads(self) -> dict[bytes, list[ConnectionLoad]]:
         """What established connections ask of each endpoint."""
         return {
             endpoint: [
-                EstablishedConnection(attempt.load, attempt.request.group, upstream.oldest_unanswered_ns())
+                ConnectionLoad(attempt.load, attempt.request.group, upstream.oldest_unanswered_ns())
                 for attempt, upstream in connections
             ]
             for endpoint, connections in self.upstream_connections().items()
--- a/linnetshift/broker/latency_estimator.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -66,8 +66,8 @@
 _RESETS_KEY = "shed"
 
 
-class EstablishedConnection(NamedTuple):
-    """One established connection at an endpoint, as far as it matters for the endpoint's load."""
+class ConnectionLoad(NamedTuple):
+    """What one established connection asks of its endpoint."""
 
     load: float | None  # in us of work a second, once reported
     group: int
@@ -95,7 +95,7 @@
         self.zone_round_trip_ns: dict[int, int] = {}  # shortest reply time, by remote zone
         self.migrations = MigrationBalance()
         self.slow_endpoints: set[bytes] = set()
-        self.peer_connections: dict[bytes, list[EstablishedConnection]] = {}
+        self.peer_connections: dict[bytes, list[ConnectionLoad]] = {}
         self.reset_at_ns: dict[bytes, int] = {}
         self.reported_times = ReportedMessageTimes()
 
@@ -157,7 +157,7 @@
     # ---- review -----------------------------------------------------------------------------
 
     def review(
-        self, connections: Mapping[bytes, list[EstablishedConnection]], now_ns: int
+        self, connections: Mapping[bytes, list[ConnectionLoad]], now_ns: int
     ) -> list[tuple[bytes, float]]:
         """The endpoints to notify the balancer of, with the ms that a message takes there; once a second.
 
@@ -191,14 +191,14 @@
         self._forget_all_but(connections)
         return notes
 
-    def _forget_all_but(self, connections: Mapping[bytes, list[EstablishedConnection]]) -> None:
+    def _forget_all_but(self, connections: Mapping[bytes, list[ConnectionLoad]]) -> None:
         """Drop what is kept of endpoints without connections, but for their resets."""
         self.slow_endpoints &= connections.keys()
         for endpoint in self.samples.keys() - connections.keys():
             del self.samples[endpoint]
         self.reported_times.forget_all_but(connections.keys())
 
-    def _usual_load(self, everywhere: Iterable[list[EstablishedConnection]]) -> float:
+    def _usual_load(self, everywhere: Iterable[list[ConnectionLoad]]) -> float:
         """The load in us/s of a connection that has not reported any; 0 while none has."""
         total = 0
         reported = []
@@ -221,9 +221,7 @@
         own_share = 1.0 - self.migrations.net_in(now_ns) / max(1, own_connections)
         return min(max(1.0, self.proxies * own_share), float(self.proxies))
 
-    def _measured_ns(
-        self, endpoint: bytes, established: Iterable[EstablishedConnection], now_ns: int
-    ) -> float:
+    def _measured_ns(self, endpoint: bytes, established: Iterable[ConnectionLoad], now_ns: int) -> float:
         """By recent replies, and by the messages that already wait longer than those took."""
         oldest_ns = now_ns - SAMPLE_LIFETIME_NS
         times: list[float] = [
@@ -241,7 +239,7 @@
     def _estimated_from_load_ns(
         self,
         endpoint: bytes,
-        established: list[EstablishedConnection],
+        established: list[ConnectionLoad],
         usual_load: float,
         fleet_multiple: float,
     ) -> float:
@@ -298,7 +296,7 @@
         }
 
 
-def _fleet_load(established: list[EstablishedConnection], usual_load: float, fleet_multiple: float) -> float:
+def _fleet_load(established: list[ConnectionLoad], usual_load: float, fleet_multiple: float) -> float:
     """The load in us/s that all proxies together put on an endpoint, as far as is likely.
 
     `established` are this proxy's connections there; each other proxy is taken to have as many.
--- a/linnetshift/lifecycle/takeover_messages.py
+++ b/linnetshift/lifecycle/takeover_messages.py
@@ -13,7 +13,7 @@
 from types import MappingProxyType
 from typing import Any, NamedTuple
 
-from linnetshift.broker.latency_estimator import EstablishedConnection
+from linnetshift.broker.latency_estimator import ConnectionLoad
 from linnetshift.observability import log
 
 KIND_KEY = "say"
@@ -65,7 +65,7 @@
     streams: int = 0  # open descriptors
     moved: int = 0  # clients migrated since the process started
     # Established connections by endpoint.
-    loads: Mapping[bytes, list[EstablishedConnection]] = MappingProxyType({})
+    loads: Mapping[bytes, list[ConnectionLoad]] = MappingProxyType({})
 
     def to_json(self) -> dict[str, object]:
         """Return the keys shared by the heartbeat and the exported state.
@@ -93,7 +93,7 @@
         moved = int(document.get(MIGRATED_KEY, 0))
         loads = {
             endpoint.encode(): [
-                EstablishedConnection(None if load is None else float(load), int(group), 0)
+                ConnectionLoad(None if load is None else float(load), int(group), 0)
                 for load, group in connections
             ]
             for endpoint, connections in document.get(LOADS_KEY, {}).items()
@@ -105,7 +105,7 @@
         return cls(streams, moved, loads)
 
 
-def _is_possible(connections: list[EstablishedConnection]) -> bool:
+def _is_possible(connections: list[ConnectionLoad]) -> bool:
     """Whether all reported loads are finite and not negative."""
     loads = [connection.load for connection in connections if connection.load is not None]
     return all(math.isfinite(load) and load >= 0.0 for load in loads)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -13,7 +13,7 @@
 from test_admin_interface import DRAIN_CALL, RESTORE_CALL, establish_on
 from test_line_protocol import ranked
 
-from linnetshift.broker.latency_estimator import EstablishedConnection, LatencyEstimator
+from linnetshift.broker.latency_estimator import ConnectionLoad, LatencyEstimator
 from linnetshift.broker.snapshot import export_state, import_state
 from linnetshift.routing.actions import Send
 from linnetshift.routing.events import Outcome
@@ -154,7 +154,7 @@
     latency_estimator = LatencyEstimator()
     latency_estimator.configure(50 * MS, 1)
     latency_estimator.weights[b"s-1"] = 2.0
-    few = {b"s-1": [EstablishedConnection(80_000.0, 1, 0)] * 5}
+    few = {b"s-1": [ConnectionLoad(80_000.0, 1, 0)] * 5}
     assert not latency_estimator.review(few, 1 * S)
-    latency_estimator.peer_connections = {b"s-1": [EstablishedConnection(80_000.0, 2, 0)] * 15}
+    latency_estimator.peer_connections = {b"s-1": [ConnectionLoad(80_000.0, 2, 0)] * 15}
     assert latency_estimator.review(few, 2 * S)
--- a/tests/test_latency_estimator.py
+++ b/tests/test_latency_estimator.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import MS, S, raw_settings
 
-from linnetshift.broker.latency_estimator import EstablishedConnection, LatencyEstimator
+from linnetshift.broker.latency_estimator import ConnectionLoad, LatencyEstimator
 from linnetshift.routing.settings import Settings
 
 ENDPOINT = b"s-1"
@@ -20,8 +20,8 @@
 
 def connections(
     load: float | None, count: int, oldest_unanswered_ns: int = 0
-) -> dict[bytes, list[EstablishedConnection]]:
-    return {ENDPOINT: [EstablishedConnection(load, 1, oldest_unanswered_ns) for _ in range(count)]}
+) -> dict[bytes, list[ConnectionLoad]]:
+    return {ENDPOINT: [ConnectionLoad(load, 1, oldest_unanswered_ns) for _ in range(count)]}
 
 
 @pytest.mark.parametrize(
@@ -107,8 +107,8 @@
 def test_loads_of_the_first_connections_to_report_are_not_assumed_for_the_rest() -> None:
     # After a restart the first to report were the heavy ones; every endpoint looked overloaded.
     estimator = configured_estimator(weight=4.0)
-    heavy = [EstablishedConnection(400_000.0, 1, 0)] * 2
-    assert not estimator.review({ENDPOINT: heavy + [EstablishedConnection(None, 1, 0)] * 10}, 1 * S)
+    heavy = [ConnectionLoad(400_000.0, 1, 0)] * 2
+    assert not estimator.review({ENDPOINT: heavy + [ConnectionLoad(None, 1, 0)] * 10}, 1 * S)
     assert estimator.review({ENDPOINT: heavy * 6}, 1 * S)
 
 
@@ -168,7 +168,7 @@
 ) -> None:
     # At 40 proxies 47 of 95 clients were migrated in the first 2 s, off endpoints that were healthy.
     estimator = configured_estimator(proxies=proxies)
-    established = {ENDPOINT: [EstablishedConnection(load, 1, 0) for load in loads]}
+    established = {ENDPOINT: [ConnectionLoad(load, 1, 0) for load in loads]}
     assert bool(estimator.review(established, 1 * S)) is expected_slow
 
 
--- a/tests/test_takeover_messages.py
+++ b/tests/test_takeover_messages.py
@@ -5,7 +5,7 @@
 import pytest
 
 from linnetshift.broker.contracts import Contract, Contracts
-from linnetshift.broker.latency_estimator import EstablishedConnection
+from linnetshift.broker.latency_estimator import ConnectionLoad
 from linnetshift.lifecycle.hot_restart import CompletionCounter
 from linnetshift.lifecycle.takeover_messages import (
     AdministrativeDrain,
@@ -26,9 +26,7 @@
 from linnetshift.lifecycle.token_bucket_state import export_token_buckets, restore_token_bucket
 from linnetshift.util.token_bucket import TokenBucket
 
-RESOURCES = PeerResources(
-    3, 2, {b"s-0": [EstablishedConnection(5.0, 1, 0), EstablishedConnection(None, 2, 0)]}
-)
+RESOURCES = PeerResources(3, 2, {b"s-0": [ConnectionLoad(5.0, 1, 0), ConnectionLoad(None, 2, 0)]})
 RESOURCES_JSON = '"streams": 3, "loads": {"s-0": [[5.0, 1], [null, 2]]}, "moved": 2'
 EXCHANGED: list[tuple[SentMessage, str]] = [
     (Hello(), '{"say": "hello"}'),
