--- a/linnetshift/broker/latency_estimator.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -169,9 +169,9 @@
             for endpoint, at_ns in self.reset_at_ns.items()
             if now_ns - at_ns < RESET_PENALTY_NS
         }
-        everywhere = (*connections.values(), *self.peer_connections.values())
-        usual_load = self._usual_load(everywhere)
-        fleet_multiple = self._fleet_multiple(sum(map(len, everywhere)), now_ns)
+        connection_lists = (*connections.values(), *self.peer_connections.values())
+        usual_load = self._usual_load(connection_lists)
+        fleet_multiple = self._fleet_multiple(sum(map(len, connection_lists)), now_ns)
         notes = []
         for endpoint, established in connections.items():
             elapsed_ns = max(
@@ -180,17 +180,21 @@
                 self.reported_times.elapsed_ns(endpoint, now_ns),
                 self._penalty_latency_ns() if endpoint in self.reset_at_ns else 0.0,
             )
-            was_slow = endpoint in self.slow_endpoints
-            if elapsed_ns > self.slow_threshold_ns:
-                self.slow_endpoints.add(endpoint)
-            elif was_slow:
-                self.slow_endpoints.discard(endpoint)
-            else:
-                continue
-            notes.append((endpoint, elapsed_ns / NS_PER_MS))
+            if self._update_slow(endpoint, elapsed_ns):
+                notes.append((endpoint, elapsed_ns / NS_PER_MS))
         self._forget_all_but(connections)
         return notes
 
+    def _update_slow(self, endpoint: bytes, elapsed_ns: float) -> bool:
+        """Record whether the endpoint is slow now; whether it is, or was until now."""
+        was_slow = endpoint in self.slow_endpoints
+        is_slow = elapsed_ns > self.slow_threshold_ns
+        if is_slow:
+            self.slow_endpoints.add(endpoint)
+        else:
+            self.slow_endpoints.discard(endpoint)
+        return is_slow or was_slow
+
     def _forget_all_but(self, connections: Mapping[bytes, list[ConnectionLoad]]) -> None:
         """Drop what is kept of endpoints without connections, but for their resets."""
         self.slow_endpoints &= connections.keys()
@@ -198,11 +202,11 @@
             del self.samples[endpoint]
         self.reported_times.forget_all_but(connections.keys())
 
-    def _usual_load(self, everywhere: Iterable[list[ConnectionLoad]]) -> float:
+    def _usual_load(self, connection_lists: Iterable[list[ConnectionLoad]]) -> float:
         """The load in us/s of a connection that has not reported any; 0 while none has."""
         total = 0
         reported = []
-        for established in everywhere:
+        for established in connection_lists:
             total += len(established)
             reported += [connection.load for connection in established if connection.load is not None]
         if not reported:
@@ -222,18 +226,18 @@
         return min(max(1.0, self.proxies * own_share), float(self.proxies))
 
     def _measured_ns(self, endpoint: bytes, established: Iterable[ConnectionLoad], now_ns: int) -> float:
-        """By recent replies, and by the messages that already wait longer than those took."""
+        """The median of recent reply times and of waits that are longer already; 0 where there is neither."""
         oldest_ns = now_ns - SAMPLE_LIFETIME_NS
         times: list[float] = [
             elapsed_ns for at_ns, elapsed_ns in self.samples.get(endpoint, ()) if at_ns >= oldest_ns
         ]
-        replies_ns = median(times) if times else 0
+        median_reply_ns = median(times) if times else 0
         # An endpoint that answers nothing is stalled or gone, which says nothing of how full the others are:
         # its clients migrate as from a slow one, but a wait alone does not put it over the objective.
-        most_ns = int(self._penalty_latency_ns())
+        max_wait_ns = int(self._penalty_latency_ns())
         for connection in established:
-            if connection.oldest_unanswered_ns > replies_ns:
-                times.append(min(connection.oldest_unanswered_ns, most_ns))
+            if connection.oldest_unanswered_ns > median_reply_ns:
+                times.append(min(connection.oldest_unanswered_ns, max_wait_ns))
         return median(times) if times else 0.0
 
     def _estimated_from_load_ns(
@@ -243,7 +247,7 @@
         usual_load: float,
         fleet_multiple: float,
     ) -> float:
-        """By the reported loads and the endpoint's capacity; 0 where either is unknown.
+        """The message time by the reported loads and the endpoint's capacity; 0 where either is unknown.
 
         A weight gives the capacity only where weights are sizes: a live weight is a tenth of the size where
         ten connections fill a core, and any endpoint would look full.
@@ -258,7 +262,7 @@
         return work_ns * ENDPOINT_CORES / weight / (1.0 - utilization)
 
     def _penalty_latency_ns(self) -> float:
-        """Slow, but short of the latency objective."""
+        """The message time of a slow endpoint that is not over the objective."""
         return min(MAX_PENALTY_LATENCY_NS, PENALTY_LATENCY_SHARE * self.latency_objective_ns)
 
     # ---- state and usage --------------------------------------------------------------------
