--- a/tests/test_latency_estimator.py
+++ b/tests/test_latency_estimator.py
@@ -154,6 +154,19 @@
     assert not estimator.reported_times.small_figure_at_ns
 
 
+def test_observations_of_endpoint_without_connections_are_dropped_but_for_its_reset() -> None:
+    estimator = configured_estimator()
+    assert estimator.record_if_message_time(ENDPOINT, 89.5, 5 * S)
+    estimator.record_response_time(ENDPOINT, None, 90 * MS, 5 * S)
+    estimator.record_reset(ENDPOINT, 5 * S)
+    estimator.review({}, 5 * S)
+    assert not estimator.reported_times.latest
+    assert not estimator.reported_times.small_figure_at_ns
+    assert not estimator.samples
+    assert not estimator.slow_endpoints
+    assert estimator.reset_at_ns == {ENDPOINT: 5 * S}
+
+
 @pytest.mark.parametrize(
     ("proxies", "loads", "expected_slow"),
     [
