--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from functools import partial
 
 from linnetshift.broker.active_request import ActiveRequest, Attempt
 from linnetshift.broker.endpoint_views import EndpointViews
@@ -132,7 +133,7 @@
         if outcome not in NEVER_RAN or self.clock() + ADOPTION_RETRY_NS >= request.deadline:
             self.table.fail(request.id)
             return
-        request.overdue_timer = self.timers.call_later(ADOPTION_RETRY_NS, lambda: self._adopt(request))
+        request.overdue_timer = self.timers.call_later(ADOPTION_RETRY_NS, partial(self._adopt, request))
 
     # ---- outcomes ---------------------------------------------------------------------------
 
