--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -1,8 +1,9 @@
-"""Attempts: their start, what becomes of them, and the adoption of connections from before a start."""
+"""Attempts: their start and outcomes, and the adoption of connections opened before the proxy started."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from functools import partial
 
 from linnetshift.broker.active_request import ActiveRequest, Attempt
 from linnetshift.broker.endpoint_views import EndpointViews
@@ -18,9 +19,10 @@
     RequestWithdrawn,
 )
 
-# Connections that were open before the proxy's start come back through it within 40 s of the start.
+# For how long after the proxy's start connections may be adopted: those that were open before it come back
+# within 40 s.
 ADOPTION_PERIOD_NS = 60_000_000_000
-# Pause before an endpoint that could not be reached is tried again for an adoption.
+# Pause before an adoption is attempted again whose endpoint could not be reached.
 ADOPTION_RETRY_NS = 200_000_000
 
 
@@ -50,14 +52,14 @@
     def send(self, request_id: int, endpoint: bytes, timeout_ns: int) -> None:
         """Start an attempt as the balancer decided; `timeout_ns` 0: until the request's deadline.
 
-        A request that is answered or withdrawn since, or has an attempt under way (two must never be out
-        together), is reported as moot; so is one whose client's end is about to be read.
+        The decision is reported as moot where the request was answered or withdrawn meanwhile, has an attempt
+        under way (there must never be two at a time), or has a client whose end is about to be read.
         """
         request = self.table.requests.get(request_id)
-        if request is None or request.is_answered or request.attempt is not None:
-            self._report_moot(request_id, 0 if request is None else request.attempts, endpoint)
+        if request is None:
+            self._report_moot(request_id, 0, endpoint)
             return
-        if not request.client.is_present:
+        if request.is_answered or request.attempt is not None or not request.client.is_present:
             self._report_moot(request_id, request.attempts, endpoint)
             return
         remaining_ns = request.deadline - self.clock()
@@ -86,9 +88,9 @@
     def may_send(self, attempt: Attempt) -> bool:
         """Whether the attempt's request line may go out now; asked at that very moment by whoever sends it.
 
-        Its connection took a while to come up since the balancer decided. Meanwhile the list may have
-        reported that the endpoint drains, operators may have drained it, the client may have left, its
-        deadline or the idempotency window may be over.
+        While the connection came up, much may have changed since the balancer decided: the list may report
+        the endpoint as draining, operators may have drained it, the client may have left, and the deadline or
+        the idempotency window may have passed.
         """
         request = attempt.request
         if request.attempt is not attempt or request.is_answered or not request.client.is_present:
@@ -101,15 +103,18 @@
         now_ns = self.clock()
         if now_ns >= attempt.deadline:
             return False
-        first_ns = request.possibly_executed_at
-        return not first_ns or self.table.settings.classes[request.klass].may_retry(first_ns, now_ns)
+        if not request.possibly_executed_at:
+            return True
+        request_class = self.table.settings.classes[request.klass]
+        return request_class.may_retry(request.possibly_executed_at, now_ns)
 
     # ---- adoption ---------------------------------------------------------------------------
 
     def begin_adoption(self, request: ActiveRequest) -> None:
         """Reconnect the request with the endpoint that served it before the proxy's start.
 
-        Later than that the request fails: it would choose its endpoint past the balancer, a draining one too.
+        After the adoption period it fails: adoptions bypass the balancer, and a client could choose any
+        endpoint by them, even a draining one.
         """
         if request.began - self._started_ns > ADOPTION_PERIOD_NS:
             self.table.fail(request.id)
@@ -124,11 +129,11 @@
             self._open(request, request.adopted_endpoint, request.deadline)
 
     def _retry_adoption(self, request: ActiveRequest, outcome: Outcome) -> None:
-        """No other endpoint will do: while it cannot be reached, it is tried again until the deadline."""
+        """Try the same endpoint again until the deadline while it cannot be reached: no other one will do."""
         if outcome not in NEVER_RAN or self.clock() + ADOPTION_RETRY_NS >= request.deadline:
             self.table.fail(request.id)
             return
-        request.overdue_timer = self.timers.call_later(ADOPTION_RETRY_NS, lambda: self._adopt(request))
+        request.overdue_timer = self.timers.call_later(ADOPTION_RETRY_NS, partial(self._adopt, request))
 
     # ---- outcomes ---------------------------------------------------------------------------
 
@@ -149,7 +154,7 @@
         request.client.handle_established(receipt)
 
     def handle_ended(self, attempt: Attempt, outcome: Outcome, reset: bool) -> None:
-        """The attempt's connection is closed: over if it was established, else the balancer may retry."""
+        """The attempt's connection is closed: an established request ends, another one may be retried."""
         request = attempt.request
         if request.attempt is not attempt:
             return
@@ -173,17 +178,17 @@
             return
         attempt = request.attempt
         was_waiting = not request.is_answered
-        link = request.detach_connection()
+        upstream = request.detach_connection()
         self.table.remove(request)
         if was_waiting and not request.adopted_endpoint:
             self.inbox.post(RequestWithdrawn(request.id))
         if attempt is None:
             return
-        if link is not None:
+        if upstream is not None:
             if attempt.is_established:
-                link.handle_client_ended(reset)
+                upstream.handle_client_ended(reset)
             else:
-                link.abandon()
+                upstream.abandon()
         if attempt.is_established or not request.adopted_endpoint:
             self._report_ended(attempt, attempt.outcome_on_client_end)
 
@@ -193,8 +198,8 @@
         attempt = request.attempt if request is not None else None
         if attempt is None or attempt.number != number or attempt.is_established:
             return
-        if attempt.link is not None:
-            attempt.link.abandon()
+        if attempt.upstream is not None:
+            attempt.upstream.abandon()
         self.handle_ended(attempt, Outcome.CANCELLED, reset=False)
 
     def _report_ended(self, attempt: Attempt, outcome: int) -> None:
--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -16,8 +16,8 @@
 from linnetshift.broker.contracts import Contracts
 from linnetshift.broker.endpoint_views import EndpointViews
 from linnetshift.broker.event_inbox import EventInbox
-from linnetshift.broker.latency_estimator import EstablishedConnection
-from linnetshift.broker.ports import Connector, Discovery, Timers, UpstreamConnection
+from linnetshift.broker.latency_estimator import ConnectionLoad
+from linnetshift.broker.ports import Connector, Discovery, Timers
 from linnetshift.broker.request_table import RequestTable
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.actions import (
@@ -42,7 +42,7 @@
 
 
 class Broker:
-    """Joins frontends, connections to endpoints, discovery and the balancer; the parts' common surface.
+    """Connects frontends, upstream connections, discovery and the balancer with each other.
 
     Attributes:
         settings, contracts: as last configured.
@@ -100,7 +100,7 @@
     # ---- the balancer -----------------------------------------------------------------------
 
     def process_events(self) -> None:
-        """Let the balancer decide on all that has come in, and do what it says."""
+        """Let the balancer decide on all events that have come in, and carry out its actions."""
         events = self.inbox.take()
         if not events:
             return
@@ -113,13 +113,13 @@
             case Send(request_id, endpoint, timeout_ns):
                 self.attempts.send(request_id, endpoint, timeout_ns)
             case Reject(request_id, retry_after_ns):
-                self.reject(request_id, retry_after_ns)
+                self.request_table.reject(request_id, retry_after_ns)
             case Fail(request_id):
-                self.fail(request_id)
+                self.request_table.fail(request_id)
             case Migrate(request_id):
                 self.migrate(request_id, MIGRATED_REASON)
             case Cancel(request_id, number):
-                self.cancel(request_id, number)
+                self.attempts.cancel(request_id, number)
             case SetTimer(delay_ns, token):
                 self.timers.set_balancer_timer(delay_ns, token)
             case Watch(on):
@@ -170,14 +170,6 @@
         """The client left, or has been migrated; no effect on a request that is over."""
         self.attempts.handle_client_ended(request, reset)
 
-    def reject(self, request_id: int, retry_after_ns: int = 0) -> None:
-        """Answer that nothing was done and a retry does no harm; no effect on an answered request."""
-        self.request_table.reject(request_id, retry_after_ns)
-
-    def fail(self, request_id: int) -> None:
-        """Answer that it is not served, which promises nothing; no effect on an answered request."""
-        self.request_table.fail(request_id)
-
     def answer_unserved(self, request: ActiveRequest) -> None:
         """Answer now, without the balancer: reject where a retry is harmless, else fail."""
         self.request_table.answer_unserved(request)
@@ -205,17 +197,13 @@
         self.attempts.handle_established(attempt, receipt)
 
     def handle_attempt_ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
-        """The attempt's connection is closed; `reset` tells how."""
+        """The attempt's connection is closed; `reset`: not in order."""
         self.attempts.handle_ended(attempt, outcome, reset)
 
-    def cancel(self, request_id: int, number: int) -> None:
-        """End the attempt of that number, unless it is over or established."""
-        self.attempts.cancel(request_id, number)
-
     # ---- established connections ------------------------------------------------------------
 
     def record_response_time(self, attempt: Attempt, elapsed_ns: int) -> None:
-        """The endpoint's reply to a client's message took so long."""
+        """Record how long the endpoint took to reply to a client's message."""
         self.endpoint_views.record_response_time(attempt, elapsed_ns)
 
     def record_load_report(self, attempt: Attempt, figure: float) -> None:
@@ -226,11 +214,7 @@
         """Ask the client of an established connection to come back elsewhere; `reason` is for the log."""
         self.connection_review.migrate(request_id, reason)
 
-    def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
-        """Established attempts with their connections, by endpoint."""
-        return self.connection_review.linked()
-
-    def loads(self) -> dict[bytes, list[EstablishedConnection]]:
+    def loads(self) -> dict[bytes, list[ConnectionLoad]]:
         """What established connections ask of each endpoint."""
         return self.connection_review.loads()
 
@@ -250,7 +234,8 @@
         `connections` is the most that may be open or waiting at once.
         """
         names = max_names()
-        views, balancer = self.endpoint_views, self.balancer
+        views = self.endpoint_views
+        balancer = self.balancer
         max_events = MAX_EVENTS_PER_CONNECTION * connections + names
         max_classes = connections + 2 * len(self.settings.offered)
         return {
--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -8,15 +8,16 @@
 from linnetshift.broker.deployment_facts import Fact, MessageTimes
 from linnetshift.broker.endpoint_views import EndpointViews
 from linnetshift.broker.event_inbox import EventInbox
-from linnetshift.broker.latency_estimator import EstablishedConnection
+from linnetshift.broker.latency_estimator import ConnectionLoad
 from linnetshift.broker.ports import UpstreamConnection
 from linnetshift.broker.request_table import RequestTable
 from linnetshift.routing.events import LOAD_NOTE, SLOW_NOTE, ConnectionNote, Outcome
 
-# A connection that brings nothing back must be ended or migrated within 7 s.
+# A message without a reply for this long is enough to migrate its client: a connection on which nothing comes
+# back must be ended or migrated within 7 s.
 STALLED_NS = 4_000_000_000
-# A healthy endpoint answers a line at once, and so does an overloaded one. One that owes an answer for so
-# long, and from which nothing has come on any connection since, has vanished: all of its clients migrate.
+# A healthy endpoint replies to a line at once, and so does an overloaded one. An endpoint that has owed a
+# reply for this long, and has sent nothing on any connection since, has vanished: all of its clients migrate.
 UNRESPONSIVE_NS = 400_000_000
 UNRESPONSIVE_REASON = "unresponsive"
 
@@ -38,23 +39,23 @@
         self.inbox = inbox
         self.migrated = 0
 
-    def linked(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
+    def upstream_connections(self) -> dict[bytes, list[tuple[Attempt, UpstreamConnection]]]:
         """Established attempts with their connections, by endpoint."""
-        linked: dict[bytes, list[tuple[Attempt, UpstreamConnection]]] = {}
+        by_endpoint: dict[bytes, list[tuple[Attempt, UpstreamConnection]]] = {}
         for request in self.table.established():
             attempt = request.attempt
-            if attempt is not None and attempt.link is not None:
-                linked.setdefault(attempt.endpoint, []).append((attempt, attempt.link))
-        return linked
+            if attempt is not None and attempt.upstream is not None:
+                by_endpoint.setdefault(attempt.endpoint, []).append((attempt, attempt.upstream))
+        return by_endpoint
 
-    def loads(self) -> dict[bytes, list[EstablishedConnection]]:
+    def loads(self) -> dict[bytes, list[ConnectionLoad]]:
         """What established connections ask of each endpoint."""
         return {
             endpoint: [
-                EstablishedConnection(attempt.load, attempt.request.group, link.oldest_unanswered_ns())
-                for attempt, link in connections
+                ConnectionLoad(attempt.load, attempt.request.group, upstream.oldest_unanswered_ns())
+                for attempt, upstream in connections
             ]
-            for endpoint, connections in self.linked().items()
+            for endpoint, connections in self.upstream_connections().items()
         }
 
     def review_unresponsive_endpoints(self) -> None:
@@ -62,24 +63,24 @@
 
         Called several times a second: a machine that vanished neither answers nor resets.
         """
-        for connections in self.linked().values():
-            idle_ns = min(link.idle_ns() for _, link in connections)
-            longest_ns = max(link.oldest_unanswered_ns() for _, link in connections)
-            has_vanished = longest_ns > UNRESPONSIVE_NS and idle_ns >= longest_ns
-            for attempt, link in connections:
+        for connections in self.upstream_connections().values():
+            idle_ns = min(upstream.idle_ns() for _, upstream in connections)
+            longest_unanswered_ns = max(upstream.oldest_unanswered_ns() for _, upstream in connections)
+            has_vanished = longest_unanswered_ns > UNRESPONSIVE_NS and idle_ns >= longest_unanswered_ns
+            for attempt, upstream in connections:
                 if attempt.outcome_on_client_end != Outcome.CANCELLED:
                     continue  # migrated before
-                if has_vanished or link.oldest_unanswered_ns() > STALLED_NS:
+                if has_vanished or upstream.oldest_unanswered_ns() > STALLED_NS:
                     attempt.outcome_on_client_end = Outcome.RESET
                     self.migrate(attempt.request.id, UNRESPONSIVE_REASON)
 
     def review_latency(self) -> None:
         """Notify the balancer of endpoints whose messages are slow, each on one connection; once a second."""
-        linked = self.linked()
-        self.endpoints.deployment_facts.review(linked.keys(), self.clock())
+        by_endpoint = self.upstream_connections()
+        self.endpoints.deployment_facts.review(by_endpoint.keys(), self.clock())
         if not self.table.settings.reports_message_time:
             return
-        first_attempts = {endpoint: connections[0][0] for endpoint, connections in linked.items()}
+        first_attempts = {endpoint: connections[0][0] for endpoint, connections in by_endpoint.items()}
         for endpoint, elapsed_ms in self.endpoints.latency_estimator.review(self.loads(), self.clock()):
             self._notify(first_attempts[endpoint], SLOW_NOTE, elapsed_ms)
 
--- a/linnetshift/broker/latency_estimator.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -1,9 +1,12 @@
 """Estimates how long messages take at each endpoint: measured by replies, or estimated from reported loads.
 
 A slow endpoint may still return a line at once (seen on this platform: 777 replies, the longest after
-2 ms, while endpoints missed a 50 ms objective), so the replies alone would never show it. What the
-connections ask of it, over its size, does: time grows as 1 / (1 - utilization) towards the point where it is
-full.
+2 ms, while endpoints missed a 50 ms objective), so the replies alone would never show it. Its utilization,
+which is the load of its connections over its capacity, does: the time of a message is its work / (1 -
+utilization).
+
+An endpoint counts as slow from a third of the message latency objective on; the balancer decides what is over
+the objective.
 """
 
 from __future__ import annotations
@@ -15,6 +18,7 @@
 from typing import Any, NamedTuple
 
 from linnetshift.broker.migration_balance import MigrationBalance
+from linnetshift.broker.reported_message_times import ReportedMessageTimes
 from linnetshift.observability.resource_usage import ResourceUsage
 
 NS_PER_S = 1_000_000_000
@@ -30,41 +34,31 @@
 # An endpoint counts as slow above this fraction of the message latency objective.
 SLOW_DIVISOR = 3
 
-# Every endpoint that serves any client of a group pays so many mean connection loads for the group.
+# Serving a group costs an endpoint as much as this many usual connections, whatever its clients ask of it.
 GROUP_OVERHEAD_LOADS = 3.0
 # An endpoint's weight is its size in standard cores, and it has two of them.
 ENDPOINT_CORES = 2
 # A message's work on a standard core is reported nowhere: 7 ms where it was measured, and no more than a
-# share of the shortest objective, which is set with a view to it. Both are at the upper end: waiting for
-# certainty costs more than an early step aside.
+# share of the shortest objective, which is set with a view to it. Both are at the upper end: to avoid an
+# endpoint too early costs less than to wait for certainty.
 MAX_MESSAGE_WORK_NS = 7_000_000
 MESSAGE_WORK_SHARE = 0.14
 # Keeps the estimate finite at an endpoint that is full.
 MAX_UTILIZATION = 0.995
 
 # An endpoint that resets established connections has work piled up, which drains slowly and shows in no
-# reply. So long it counts as slow.
+# reply. It counts as slow for this long.
 RESET_PENALTY_NS = 10 * NS_PER_S
-# It counts as slow but short of late (40 ms, or a share of the objective): most of its peers may be fine.
+# The message time that it then counts with, at most, and at most this share of the objective: slow, but not
+# over the objective, as most other endpoints may be fine.
 MAX_PENALTY_LATENCY_NS = 40_000_000
 PENALTY_LATENCY_SHARE = 0.8
 
-# Some endpoints report their message time too, in a line of the same form as a connection's load: in ms, once
-# a second on one connection of each proxy while it is slow, and once more when it is not any longer. A usual
-# connection asks a hundred times as much as this in us/s, so a lower figure is surely such a time.
-CERTAIN_TIME_BELOW = 500.0
-# A figure up to this one is a time if it comes one interval after another small figure.
-POSSIBLE_TIME_BELOW = 10_000.0
-REPORT_INTERVAL_NS = NS_PER_S
-REPORT_JITTER_NS = 30_000_000
-# How long a reported time holds: two intervals, as one report may be lost.
-REPORTED_TIME_LIFETIME_NS = 2 * NS_PER_S
-
 # Heavy connections are the first to report their load. Before half have reported, their mean says nothing of
-# the rest, which count as usual for this kind of endpoint: 11 to 21 fill a core.
+# the rest, which count with this load: 11 to 21 usual connections fill a core.
 TYPICAL_LOAD_US_PER_S = 70_000.0
 MIN_REPORTED_SHARE = 0.5
-# Few reported loads are averaged with so many usual ones.
+# Reported loads are averaged with this many typical ones, which count for little once many have reported.
 PRIOR_CONNECTIONS = 4
 
 # Keys of the state that is handed over to another process.
@@ -72,24 +66,14 @@
 _RESETS_KEY = "shed"
 
 
-class EstablishedConnection(NamedTuple):
-    """One established connection at an endpoint, as far as it matters for the endpoint's load."""
+class ConnectionLoad(NamedTuple):
+    """What one established connection asks of its endpoint."""
 
     load: float | None  # in us of work a second, once reported
     group: int
     oldest_unanswered_ns: int  # how long its oldest message without a reply has waited; 0 when none waits
 
 
-class ReportedTime(NamedTuple):
-    """A message time that an endpoint reported itself."""
-
-    at_ns: int
-    elapsed_ns: float
-
-
-NEVER_REPORTED = ReportedTime(0, 0.0)
-
-
 class LatencyEstimator:
     """Finds the endpoints whose messages are slow. All times are in ns of the caller's clock.
 
@@ -107,14 +91,13 @@
         self.proxies = 1
         self.weights_are_sizes = True
         self.weights: dict[bytes, float] = {}
-        self.samples: dict[bytes, deque[tuple[int, int]]] = {}  # time and duration of late replies
-        self.zone_round_trip_ns: dict[int, int] = {}  # the shortest reply time seen for each remote zone
+        self.samples: dict[bytes, deque[tuple[int, int]]] = {}  # when latest replies came, and their time
+        self.zone_round_trip_ns: dict[int, int] = {}  # shortest reply time, by remote zone
         self.migrations = MigrationBalance()
         self.slow_endpoints: set[bytes] = set()
-        self.peer_connections: dict[bytes, list[EstablishedConnection]] = {}
+        self.peer_connections: dict[bytes, list[ConnectionLoad]] = {}
         self.reset_at_ns: dict[bytes, int] = {}
-        self.small_figure_at_ns: dict[bytes, int] = {}  # when a figure that may be a time was last reported
-        self.reported_times: dict[bytes, ReportedTime] = {}
+        self.reported_times = ReportedMessageTimes()
 
     def configure(self, latency_objective_ns: int, proxies: int, weights_are_sizes: bool = True) -> None:
         """Apply the settings, also while running.
@@ -132,7 +115,11 @@
     def record_response_time(
         self, endpoint: bytes, remote_zone: int | None, elapsed_ns: int, now_ns: int
     ) -> None:
-        """A reply came after `elapsed_ns`; of a remote zone's, the round trip there is not counted."""
+        """Record that a reply came after `elapsed_ns`.
+
+        `remote_zone` is the endpoint's zone where that is not this proxy's own: the round trip there, which
+        is the shortest reply time seen, does not count.
+        """
         if remote_zone is not None and (
             remote_zone in self.zone_round_trip_ns or len(self.zone_round_trip_ns) < MAX_ZONES
         ):
@@ -144,15 +131,10 @@
 
     def record_if_message_time(self, endpoint: bytes, figure: float, now_ns: int) -> bool:
         """Record a reported figure if it is a message time in ms; False where it is a connection's load."""
-        if figure >= POSSIBLE_TIME_BELOW:
+        elapsed_ns = self.reported_times.record(endpoint, figure, now_ns)
+        if elapsed_ns is None:
             return False
-        since_last_ns = now_ns - self.small_figure_at_ns.get(endpoint, 0)
-        self.small_figure_at_ns[endpoint] = now_ns
-        if figure >= CERTAIN_TIME_BELOW and abs(since_last_ns - REPORT_INTERVAL_NS) > REPORT_JITTER_NS:
-            return False
-        reported = ReportedTime(now_ns, figure * NS_PER_MS)
-        self.reported_times[endpoint] = reported
-        if reported.elapsed_ns > self.slow_threshold_ns:
+        if elapsed_ns > self.slow_threshold_ns:
             self.slow_endpoints.add(endpoint)
         return True
 
@@ -164,8 +146,7 @@
         """The endpoint restarted: what was observed of the old process says nothing of the new one."""
         self.reset_at_ns.pop(endpoint, None)
         self.samples.pop(endpoint, None)
-        self.small_figure_at_ns.pop(endpoint, None)
-        self.reported_times.pop(endpoint, None)
+        self.reported_times.forget(endpoint)
 
     def forget(self, endpoint: bytes) -> None:
         """Drop everything kept under the name of an endpoint that is not known any more."""
@@ -176,7 +157,7 @@
     # ---- review -----------------------------------------------------------------------------
 
     def review(
-        self, connections: Mapping[bytes, list[EstablishedConnection]], now_ns: int
+        self, connections: Mapping[bytes, list[ConnectionLoad]], now_ns: int
     ) -> list[tuple[bytes, float]]:
         """The endpoints to notify the balancer of, with the ms that a message takes there; once a second.
 
@@ -188,40 +169,44 @@
             for endpoint, at_ns in self.reset_at_ns.items()
             if now_ns - at_ns < RESET_PENALTY_NS
         }
-        everywhere = (*connections.values(), *self.peer_connections.values())
-        usual_load = self._usual_load(everywhere)
-        fleet_multiple = self._fleet_multiple(sum(map(len, everywhere)), now_ns)
+        connection_lists = (*connections.values(), *self.peer_connections.values())
+        usual_load = self._usual_load(connection_lists)
+        fleet_multiple = self._fleet_multiple(sum(map(len, connection_lists)), now_ns)
         notes = []
         for endpoint, established in connections.items():
             elapsed_ns = max(
                 self._measured_ns(endpoint, established, now_ns),
                 self._estimated_from_load_ns(endpoint, established, usual_load, fleet_multiple),
-                self._reported_ns(endpoint, now_ns),
+                self.reported_times.elapsed_ns(endpoint, now_ns),
                 self._penalty_latency_ns() if endpoint in self.reset_at_ns else 0.0,
             )
-            was_slow = endpoint in self.slow_endpoints
-            if elapsed_ns > self.slow_threshold_ns:
-                self.slow_endpoints.add(endpoint)
-            elif was_slow:
-                self.slow_endpoints.discard(endpoint)
-            else:
-                continue
-            notes.append((endpoint, elapsed_ns / NS_PER_MS))
+            if self._update_slow(endpoint, elapsed_ns):
+                notes.append((endpoint, elapsed_ns / NS_PER_MS))
         self._forget_all_but(connections)
         return notes
 
-    def _forget_all_but(self, connections: Mapping[bytes, list[EstablishedConnection]]) -> None:
+    def _update_slow(self, endpoint: bytes, elapsed_ns: float) -> bool:
+        """Record whether the endpoint is slow now; whether it is, or was until now."""
+        was_slow = endpoint in self.slow_endpoints
+        is_slow = elapsed_ns > self.slow_threshold_ns
+        if is_slow:
+            self.slow_endpoints.add(endpoint)
+        else:
+            self.slow_endpoints.discard(endpoint)
+        return is_slow or was_slow
+
+    def _forget_all_but(self, connections: Mapping[bytes, list[ConnectionLoad]]) -> None:
         """Drop what is kept of endpoints without connections, but for their resets."""
         self.slow_endpoints &= connections.keys()
-        for observed in (self.samples, self.small_figure_at_ns, self.reported_times):
-            for endpoint in observed.keys() - connections.keys():
-                del observed[endpoint]
+        for endpoint in self.samples.keys() - connections.keys():
+            del self.samples[endpoint]
+        self.reported_times.forget_all_but(connections.keys())
 
-    def _usual_load(self, everywhere: Iterable[list[EstablishedConnection]]) -> float:
+    def _usual_load(self, connection_lists: Iterable[list[ConnectionLoad]]) -> float:
         """The load in us/s of a connection that has not reported any; 0 while none has."""
         total = 0
         reported = []
-        for established in everywhere:
+        for established in connection_lists:
             total += len(established)
             reported += [connection.load for connection in established if connection.load is not None]
         if not reported:
@@ -240,60 +225,44 @@
         own_share = 1.0 - self.migrations.net_in(now_ns) / max(1, own_connections)
         return min(max(1.0, self.proxies * own_share), float(self.proxies))
 
-    def _measured_ns(
-        self, endpoint: bytes, established: Iterable[EstablishedConnection], now_ns: int
-    ) -> float:
-        """By recent replies, and by the messages that already wait longer than those took."""
+    def _measured_ns(self, endpoint: bytes, established: Iterable[ConnectionLoad], now_ns: int) -> float:
+        """The median of recent reply times and of waits that are longer already; 0 where there is neither."""
         oldest_ns = now_ns - SAMPLE_LIFETIME_NS
         times: list[float] = [
             elapsed_ns for at_ns, elapsed_ns in self.samples.get(endpoint, ()) if at_ns >= oldest_ns
         ]
-        replies_ns = median(times) if times else 0
+        median_reply_ns = median(times) if times else 0
         # An endpoint that answers nothing is stalled or gone, which says nothing of how full the others are:
-        # it is left like a slow one, but does not count as late before a reply does.
-        most_ns = int(self._penalty_latency_ns())
+        # its clients migrate as from a slow one, but a wait alone does not put it over the objective.
+        max_wait_ns = int(self._penalty_latency_ns())
         for connection in established:
-            if connection.oldest_unanswered_ns > replies_ns:
-                times.append(min(connection.oldest_unanswered_ns, most_ns))
+            if connection.oldest_unanswered_ns > median_reply_ns:
+                times.append(min(connection.oldest_unanswered_ns, max_wait_ns))
         return median(times) if times else 0.0
 
     def _estimated_from_load_ns(
         self,
         endpoint: bytes,
-        established: list[EstablishedConnection],
+        established: list[ConnectionLoad],
         usual_load: float,
         fleet_multiple: float,
     ) -> float:
-        """By the reported loads, the other proxies' connections being taken for as many as these.
+        """The message time by the reported loads and the endpoint's capacity; 0 where either is unknown.
 
-        Only over weights that are sizes: a live weight is a tenth of the size where ten connections fill a
-        core, and any endpoint would look full.
+        A weight gives the capacity only where weights are sizes: a live weight is a tenth of the size where
+        ten connections fill a core, and any endpoint would look full.
         """
         if not usual_load or not self.weights_are_sizes:
             return 0.0
         weight = self.weights.get(endpoint, 1.0)
         established = established + self.peer_connections.get(endpoint, [])
-        loads = [usual_load if connection.load is None else connection.load for connection in established]
-        # As many as are here may be here by chance: a fortieth of the fleet has one heavy connection at an
-        # endpoint, and forty of those would fill any. What up to one standard deviation less would be counts;
-        # where there are two proxies, or this one's share is all there is, what is here counts.
-        own = sum(loads)
-        deviation = math.sqrt(sum(load * load for load in loads))
-        deviation *= max(0.0, 1.0 - 2.0 / fleet_multiple)
-        demand = own + max(0.0, own - deviation) * (fleet_multiple - 1.0)
-        groups = {connection.group for connection in established}
-        demand += GROUP_OVERHEAD_LOADS * usual_load * len(groups)
+        demand = _fleet_load(established, usual_load, fleet_multiple)
         utilization = min(demand / (weight * US_PER_S), MAX_UTILIZATION)
         work_ns = min(MAX_MESSAGE_WORK_NS, MESSAGE_WORK_SHARE * self.latency_objective_ns)
         return work_ns * ENDPOINT_CORES / weight / (1.0 - utilization)
 
-    def _reported_ns(self, endpoint: bytes, now_ns: int) -> float:
-        """As the endpoint lately reported itself; 0 where it did not."""
-        reported = self.reported_times.get(endpoint, NEVER_REPORTED)
-        return reported.elapsed_ns if now_ns - reported.at_ns < REPORTED_TIME_LIFETIME_NS else 0.0
-
     def _penalty_latency_ns(self) -> float:
-        """Slow, but short of the latency objective."""
+        """The message time of a slow endpoint that is not over the objective."""
         return min(MAX_PENALTY_LATENCY_NS, PENALTY_LATENCY_SHARE * self.latency_objective_ns)
 
     # ---- state and usage --------------------------------------------------------------------
@@ -325,8 +294,24 @@
             "gauge.weights": ResourceUsage(len(self.weights), max_names),
             "gauge.samples": ResourceUsage(len(self.samples), max_names),
             "gauge.shed_at": ResourceUsage(len(self.reset_at_ns), max_names),
-            "gauge.small_at": ResourceUsage(len(self.small_figure_at_ns), max_names),
-            "gauge.told_times": ResourceUsage(len(self.reported_times), max_names),
+            **self.reported_times.resource_usage(max_names),
             "gauge.slow": ResourceUsage(len(self.slow_endpoints), max_names),
             "gauge.nearest": ResourceUsage(len(self.zone_round_trip_ns), MAX_ZONES),
         }
+
+
+def _fleet_load(established: list[ConnectionLoad], usual_load: float, fleet_multiple: float) -> float:
+    """The load in us/s that all proxies together put on an endpoint, as far as is likely.
+
+    `established` are this proxy's connections there; each other proxy is taken to have as many.
+    """
+    loads = [usual_load if connection.load is None else connection.load for connection in established]
+    own = sum(loads)
+    # As many as are here may be here by chance: a fortieth of the fleet has one heavy connection at an
+    # endpoint, and forty of those would fill any. Of the other proxies, only the part that exceeds one
+    # standard deviation counts; where there are two proxies, or this one's share is all there is, all does.
+    deviation = math.sqrt(sum(load * load for load in loads))
+    deviation *= max(0.0, 1.0 - 2.0 / fleet_multiple)
+    demand = own + max(0.0, own - deviation) * (fleet_multiple - 1.0)
+    groups = {connection.group for connection in established}
+    return demand + GROUP_OVERHEAD_LOADS * usual_load * len(groups)
--- a/linnetshift/broker/ports.py
+++ b/linnetshift/broker/ports.py
@@ -17,7 +17,7 @@
 
 
 class Timers(Protocol):
-    """Timers and turns of the event loop."""
+    """Timers, and processing at the end of a turn of the event loop."""
 
     def set_balancer_timer(self, delay_ns: int, token: int) -> None:
         """Have `Broker.timer_fired` called with the token after the delay."""
@@ -32,7 +32,7 @@
 class Discovery(Protocol):
     """The source of the endpoint list; results arrive through `Broker.handle_endpoint_list`."""
 
-    def watch(self, on: bool) -> None:
+    def watch(self, is_on: bool) -> None:
         """Start to watch the list for changes, or stop."""
 
     def fetch(self) -> None:
@@ -43,7 +43,7 @@
     """Opens connections to endpoints."""
 
     def open(self, attempt: Attempt) -> None:
-        """Start the attempt and set its `link`; its outcome is reported to the broker.
+        """Start the attempt and set its `upstream`; its outcome is reported to the broker.
 
         An endpoint whose address is unknown may be reported before this returns.
         """
@@ -65,7 +65,7 @@
 
     @property
     def is_present(self) -> bool:
-        """Whether it has not left, as read from its socket at this very moment."""
+        """Whether it is still there, by a look at its socket at this very moment."""
 
     def handle_established(self, receipt: memoryview) -> None:
         """Final answer: the endpoint serves it; `receipt` is the endpoint's line that says so."""
@@ -80,7 +80,7 @@
         """Final answer: not done, a retry does no harm; `breach` names a contract's limit or is empty."""
 
     def fail(self) -> None:
-        """Final answer: not served, without a promise as to effects."""
+        """Final answer: not served, and the request may have had effects."""
 
     def migrate(self, reason: str) -> None:
         """Ask the client to come back on a new connection, between two messages; `reason` is for the log."""
--- a/linnetshift/broker/request_table.py
+++ b/linnetshift/broker/request_table.py
@@ -75,7 +75,7 @@
         self.inbox.post(request.to_request_event(budget_ns))
 
     def _answer_overdue(self, request_id: int) -> None:
-        """Whatever keeps the balancer from it, an answer is owed before the client gives up."""
+        """Answer in place of a balancer that has not, before the client gives up."""
         client = self._finish_unserved(request_id)
         if client is not None:
             self.inbox.post(RequestWithdrawn(request_id))
@@ -90,7 +90,7 @@
             client.reject(retry_after_ns, "")
 
     def fail(self, request_id: int) -> None:
-        """Answer that it is not served, which promises nothing; no effect on an answered request."""
+        """Answer that it is not served, without a promise as to effects; nothing where it is answered."""
         client = self._finish_unserved(request_id)
         if client is not None:
             client.fail()
@@ -104,14 +104,14 @@
 
     def is_retry_safe(self, request: ActiveRequest) -> bool:
         """Whether the client may be told that a retry is harmless."""
-        first_ns = request.possibly_executed_at
+        first_executed_ns = request.possibly_executed_at
         attempt = request.attempt
-        if not first_ns and attempt is not None and attempt.is_sent:
-            first_ns = attempt.began
-        if not first_ns:
+        if not first_executed_ns and attempt is not None and attempt.is_sent:
+            first_executed_ns = attempt.began
+        if not first_executed_ns:
             return True
         retry_by_ns = self.clock() + self.settings.max_retry_after_ns
-        return self.settings.classes[request.klass].client_may_retry(first_ns, retry_by_ns)
+        return self.settings.classes[request.klass].client_may_retry(first_executed_ns, retry_by_ns)
 
     def _finish_unserved(self, request_id: int) -> Client | None:
         """End the request and its attempt; the client to be answered, or None where it has its answer."""
@@ -119,10 +119,10 @@
         if request is None or request.is_answered:
             return None
         attempt = request.attempt
-        link = request.detach_connection()
+        upstream = request.detach_connection()
         client = self.remove(request)
-        if link is not None:
-            link.abandon()
+        if upstream is not None:
+            upstream.abandon()
         if attempt is not None:
             self.inbox.post(attempt.to_ended_event(self.clock(), Outcome.CANCELLED))
         return client
--- a/linnetshift/config/broker_file.py
+++ b/linnetshift/config/broker_file.py
@@ -10,6 +10,7 @@
 
 from linnetshift.broker.contracts import Contract, Contracts
 from linnetshift.config.errors import (
+    INVALID_VALUE_ERRORS,
     FileSyntaxError,
     InvalidValueError,
     MissingKeyError,
@@ -58,7 +59,7 @@
         return _parse_document(document, names, settings)
     except KeyError as error:
         raise MissingKeyError(file, error.args[0]) from None
-    except (ValueError, TypeError, AttributeError, OverflowError) as error:
+    except INVALID_VALUE_ERRORS as error:
         raise InvalidValueError(file, error) from None
 
 
@@ -123,8 +124,11 @@
     _check_known("team", team, names.tenants)
     for name in service_names:
         _check_known("service", name, numbers)
+    classes: frozenset[int] | None = None
+    if services is not None:
+        classes = frozenset().union(*(numbers[str(service)] for service in services))
     return Contract(
-        services=None if services is None else frozenset().union(*(numbers[str(s)] for s in services)),
+        services=classes,
         rate=_parse_token_bucket(item, "rate_per_s", "rate_burst"),
         retries=_parse_token_bucket(item, "retries_per_s", "retries_burst"),
         concurrency=int(item["concurrency"]) if "concurrency" in item else None,
--- a/linnetshift/config/errors.py
+++ b/linnetshift/config/errors.py
@@ -5,6 +5,10 @@
 
 from __future__ import annotations
 
+# What reading a value of a wrong type or out of its range raises; the files' readers report it as
+# InvalidValueError.
+INVALID_VALUE_ERRORS = (ValueError, TypeError, AttributeError, OverflowError)
+
 
 class ConfigurationError(Exception):
     """The configuration cannot be used; the text says which value is wrong and why."""
@@ -14,7 +18,7 @@
     """An environment variable is missing or names something that cannot be used."""
 
     def __init__(self, variable: str, reason: str) -> None:
-        """`reason` continues a sentence that begins with the name of the variable."""
+        """The message is the name of the variable followed by `reason`."""
         super().__init__(f"{variable} {reason}")
         self.variable = variable
 
--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -9,6 +9,7 @@
 from typing import Any, NamedTuple
 
 from linnetshift.config.errors import (
+    INVALID_VALUE_ERRORS,
     EnvironmentVariableError,
     FileSyntaxError,
     InvalidValueError,
@@ -21,10 +22,11 @@
 from linnetshift.event_loop.address import Address, parse_address
 from linnetshift.routing.settings import Settings
 
+PROXY_FILE_VARIABLE = "GW_CONFIG"  # its path
 ADMIN_ADDRESS_VARIABLE = "GW_ADMIN_ADDR"  # takes precedence over the key `admin_addr`
 
 Keys = dict[str, Any]
-"""The keys of an object, each with the `Keys` of its value; empty where that is no object."""
+"""The keys of an object, each with the `Keys` of its value, which are empty where that is no object."""
 
 
 class ProxyConfig(NamedTuple):
@@ -52,13 +54,13 @@
     None where that is not known.
     """
     if not path:
-        raise EnvironmentVariableError("GW_CONFIG", "does not name a configuration file")
+        raise EnvironmentVariableError(PROXY_FILE_VARIABLE, "does not name a configuration file")
     document = _load_document(path)
     try:
         return _parse_document(document, former, classes_in_use)
     except KeyError as error:
         raise MissingKeyError(path, error.args[0]) from None
-    except (ValueError, TypeError, AttributeError, OverflowError) as error:
+    except INVALID_VALUE_ERRORS as error:
         raise InvalidValueError(path, error) from None
 
 
@@ -125,9 +127,9 @@
 def _check_keys(document: Any, keys: Keys, path: str = "") -> None:
     """Raise KeyError with the dotted path of a key that the former file had and this one lacks.
 
-    Such a file is a broken one, though it may be valid JSON and every missing key optional.
+    Such a file counts as broken, even where it is valid JSON and the missing key optional.
     """
-    for key, below in keys.items():
+    for key, nested_keys in keys.items():
         if not isinstance(document, dict) or key not in document:
             raise KeyError(path + key)
-        _check_keys(document[key], below, f"{path}{key}.")
+        _check_keys(document[key], nested_keys, f"{path}{key}.")
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
+from functools import partial
+
 from linnetshift.broker.active_request import Attempt
+from linnetshift.broker.administrative_drains import is_full_list
 from linnetshift.broker.broker import Broker
 from linnetshift.event_loop.address import Address
 from linnetshift.event_loop.loop import Loop
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
-from linnetshift.routing.events import EndpointList, EndpointState, ListForm, Outcome
+from linnetshift.routing.events import EndpointList, EndpointState, Outcome
 from linnetshift.upstream.endpoint_connection import EndpointConnection
 from linnetshift.upstream.health_checker import HealthChecker
 
@@ -16,8 +19,8 @@
 class EndpointConnector:
     """Opens attempts and health checks; implements the broker's `Connector`.
 
-    Owns the addresses of the endpoints in the list that is in use. Who creates it sets `broker` before the
-    first list or attempt, as each refers to the other.
+    Owns the addresses of the endpoints in the list that is in use. Its creator sets `broker` before the first
+    list or attempt, as each refers to the other.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -26,9 +29,9 @@
         self.addresses: dict[bytes, Address] = {}
         self.broker: Broker | None = None
 
-    def listed(self, event: EndpointList, addresses: dict[bytes, Address]) -> None:
-        """Keep the addresses of the listed endpoints and no others, or the map would grow for ever."""
-        if event.form in (ListForm.FULL, ListForm.CACHED):
+    def handle_endpoint_list(self, event: EndpointList, addresses: dict[bytes, Address]) -> None:
+        """Keep the addresses of the listed endpoints and of no others, or they would pile up."""
+        if is_full_list(event):
             self.addresses = {}
         self.addresses.update(addresses)
         for entry in event.entries:
@@ -76,8 +79,6 @@
             self.loop,
             endpoint,
             broker.settings.report_columns,
-            lambda outcome, elapsed_ns, figures: broker.handle_health_check_result(
-                endpoint, outcome, elapsed_ns, figures
-            ),
+            partial(broker.handle_health_check_result, endpoint),
         )
         checker.start(checker.run(address))
