--- a/linnetshift/admin/connection.py
+++ b/linnetshift/admin/connection.py
@@ -202,7 +202,7 @@
                 case DrainApplied(is_known):
                     return change.response(is_known)
                 case Io():
-                    self.stream.want(False)  # whatever else the peer sends belongs to no call
+                    self.stream.set_reading(False)  # whatever else the peer sends belongs to no call
                 case Timeout(tag="drain"):
                     text = "acted on here, but no word from the process beside this one"
                     return Response(HTTPStatus.GATEWAY_TIMEOUT, text)
--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -19,10 +19,10 @@
 REQUEST_LINE_TIMEOUT_NS = 2800 * MS
 # What is still received after an answer is read and dropped, since a close with bytes unread would reset the
 # answer away; 60 MB may be on their way, and the close is promised within 6 s.
-DRAIN_NS = 5500 * MS
+DISCARD_TIMEOUT_NS = 5500 * MS
 # How long a client may leave everything unread.
 STALL_NS = 7 * S
-# No client waits so long for its answer.
+# The longest that a request may wait for its answer; no client waits for so long.
 MAX_WAIT_MS = 600_000
 
 # Descriptors that no connection without a request gets: they are for endpoints, discovery, listeners and the
@@ -35,16 +35,16 @@
 class StallDetector(Actor):
     """An actor whose peer is to read what it is sent: detects that it has not for STALL_NS.
 
-    Contract: subclasses call `look_for_stall` after each write and flush of `stream`, and end the connection
-    on `Timeout(tag="stalled")` if `stalled()` holds then. At most one timer is armed for that, however often
-    the peer stops and goes on.
+    Contract: subclasses call `update_stall_timer` after each write and flush of `stream`, and end the
+    connection on `Timeout(tag="stalled")` if `is_stalled()` holds then. At most one timer is armed for that,
+    however often the peer stops and goes on.
     """
 
     stream: Stream
     congested_at = 0  # since when bytes have waited for the peer, in ns of the loop's clock; 0: none wait
     stall_timer: Timer | None = None
 
-    def look_for_stall(self) -> None:
+    def update_stall_timer(self) -> None:
         """Arm the timer when bytes begin to wait, cancel it once none do."""
         if self.stream.is_congested and not self.congested_at:
             self.congested_at = self.loop.now()
@@ -54,8 +54,8 @@
             if self.stall_timer is not None:
                 self.stall_timer.cancel()
 
-    def stalled(self) -> bool:
-        """Whether the peer has read too little for STALL_NS; a timer may ring from before it went on."""
+    def is_stalled(self) -> bool:
+        """Whether the peer has read too little for STALL_NS; the timer may have fired just as it read on."""
         return bool(self.congested_at) and self.loop.now() - self.congested_at >= STALL_NS
 
 
@@ -107,19 +107,19 @@
 
     def count(self) -> int:
         """How many connections have no request."""
-        return self.idle() + len(self.sending_connections)
+        return self.idle_count() + len(self.sending_connections)
 
-    def idle(self) -> int:
-        """How many of them are not sending one either, as far as can be seen."""
+    def idle_count(self) -> int:
+        """How many of these are not sending a request either, as far as can be seen."""
         return len(self.answered_connections) + len(self.silent_connections)
 
-    def answered(self, connection: EvictableConnection) -> None:
+    def handle_answered(self, connection: EvictableConnection) -> None:
         """Its readiness check is answered; it may be evicted at any time."""
         self.remove(connection)
         self.answered_connections[connection] = None
 
-    def handle_partial_line(self, connection: EvictableConnection) -> None:
-        """More of its request line came after a pause."""
+    def handle_partial_request(self, connection: EvictableConnection) -> None:
+        """More of its request came after a pause."""
         if connection in self.silent_connections or connection in self.sending_connections:
             self.remove(connection)
             self.sending_connections[connection] = None
@@ -130,12 +130,12 @@
             group.pop(connection, None)
 
     def resource_usage(self, max_connections: int) -> dict[str, ResourceUsage]:
-        """Its containers together, under their name in `/ops/census`."""
+        """The size of its three groups together, under their name in `/ops/census`."""
         return {"strangers": ResourceUsage(self.count(), max_connections)}
 
     def make_room(self) -> bool:
         """Evict the connection that matters least; whether there was one."""
-        connection = next((one for group in self.eviction_order() for one in group), None)
+        connection = next((candidate for group in self.eviction_order() for candidate in group), None)
         if connection is None:
             return False
         self.remove(connection)
@@ -143,5 +143,5 @@
         return True
 
     def eviction_order(self) -> tuple[dict[EvictableConnection, None], ...]:
-        """The groups of connections, the first to be evicted first."""
+        """The three groups, the one that is evicted from first at the front."""
         return self.answered_connections, self.silent_connections, self.sending_connections
--- a/linnetshift/event_loop/loop.py
+++ b/linnetshift/event_loop/loop.py
@@ -49,7 +49,7 @@
         self.make_room: Callable[[], bool] = lambda: False
         # From when on the descriptors that the last poll returned may have been ready: the start of the poll
         # where that returned at once, else its end.
-        self.since = self.now()
+        self.ready_since = self.now()
 
     def now(self) -> int:
         """The loop's clock: nanoseconds since the epoch."""
@@ -113,10 +113,11 @@
             wait_s = 0.0
         elif self.timers:
             wait_s = max(0.0, (self.timers[0][0] - self.now()) / S)
-        before = self.now()
+        poll_began_at = self.now()
         events = self.epoll.poll(wait_s)
-        after = self.now()
-        self.since = after if after - before > MS else before
+        poll_ended_at = self.now()
+        has_waited = poll_ended_at - poll_began_at > MS
+        self.ready_since = poll_ended_at if has_waited else poll_began_at
         # A handler may close the descriptor of a later event, and the number may be given to a new socket:
         # the event is not that one's. So the handlers are looked up before any of them is called.
         for fd, mask, handler in [(fd, mask, self.handlers.get(fd)) for fd, mask in events]:
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -99,32 +99,32 @@
     return True
 
 
-def linger(actor: Actor, stream: Stream, until: int = 0) -> Steps:
+def linger(actor: Actor, stream: Stream, receive_until: int = 0) -> Steps:
     """Read on until the peer ends too: closing with bytes unread would reset what is still on its way.
 
     A peer that is silent is waited for LINGER_NS, from when it has taken all that was sent; one that keeps
-    sending, until the time given (ns of the loop's clock); one that takes nothing, for STALL_NS.
+    sending, until `receive_until` (ns of the loop's clock); one that takes nothing, for STALL_NS.
     """
     timer = actor.set_timer(LINGER_NS, LINGER_TIMER)
     has_received = False
-    taken_by = actor.loop.now() + STALL_NS
-    stream.want(True)
+    write_deadline = actor.loop.now() + STALL_NS
+    stream.set_reading(True)
     while not stream.broken:
         match (yield):
             case Io(mask):
                 if mask & select.EPOLLOUT:
                     stream.flush()
                 if mask & ~select.EPOLLOUT:
-                    received_bytes = stream.drain()
+                    received_bytes = stream.discard_input()
                     has_received = has_received or received_bytes > 0
                     if received_bytes < 0:
                         break
-            case Timeout(tag="linger") if stream.is_congested and actor.loop.now() < taken_by:
+            case Timeout(tag="linger") if stream.is_congested and actor.loop.now() < write_deadline:
                 timer = actor.set_timer(LINGER_NS, LINGER_TIMER)  # a close now would drop what is unsent
             case Timeout(tag="linger"):
-                if not has_received or actor.loop.now() >= until:
+                if not has_received or actor.loop.now() >= receive_until:
                     break
-                timer = actor.set_timer(min(LINGER_NS, until - actor.loop.now()), LINGER_TIMER)
+                timer = actor.set_timer(min(LINGER_NS, receive_until - actor.loop.now()), LINGER_TIMER)
                 has_received = False
             case Stop():
                 break
--- a/linnetshift/event_loop/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -119,7 +119,7 @@
             else:
                 self.loop.unwatch(self.fd)
 
-    def want(self, reading: bool) -> None:
+    def set_reading(self, reading: bool) -> None:
         """Read on, or leave what the peer sends to the kernel's buffer and TCP's flow control."""
         self.reading = reading
         self.arm()
@@ -184,7 +184,7 @@
         except OSError:
             return False
 
-    def drain(self) -> int:
+    def discard_input(self) -> int:
         """Read once and discard; how many bytes there were, -1 once the peer has ended."""
         self.start = 0
         self.stop = 0
@@ -267,14 +267,14 @@
         except OSError:
             self.broken = True
 
-    def close(self, how: End = End.FIN) -> None:
+    def close(self, end: End = End.FIN) -> None:
         """Close the socket and release buffers and callback; unread bytes make the kernel send RST anyway."""
         if self.closed:
             return
         self.closed = True
         self.loop.streams -= 1
         self.loop.unwatch(self.fd)
-        if how is End.RESET:
+        if end is End.RESET:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
         self.sock.close()
         self.io_callback = ignore_io
--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -149,6 +149,6 @@
         open_request.group,
         open_request.routing_flags,
         0,
-        session.loop.since + wait_ns - ANSWER_RESERVE_NS,
+        session.loop.ready_since + wait_ns - ANSWER_RESERVE_NS,
         open_request.request_line_encoder(),
     )
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -15,7 +15,11 @@
 
 from linnetshift.event_loop.actor import ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.connection_limits import DRAIN_NS, REQUEST_LINE_TIMEOUT_NS, StallDetector
+from linnetshift.event_loop.connection_limits import (
+    DISCARD_TIMEOUT_NS,
+    REQUEST_LINE_TIMEOUT_NS,
+    StallDetector,
+)
 from linnetshift.event_loop.outbound_connection import Steps, Stop, linger
 from linnetshift.event_loop.stream import End, Stream
 from linnetshift.event_loop.timers import S, Timeout, Timer
@@ -50,7 +54,7 @@
 MAX_UNSENT_BYTES = 65_536
 
 
-class TimerTag(Enum):
+class SessionTimer(Enum):
     """What a session's own timers are for."""
 
     IDENTIFICATION = "identification"
@@ -110,7 +114,7 @@
         if not self.stream.broken and not self.stream.closed and self.end_reason is not Reason.STALLED:
             self.stream.finish()
             self.frontend.connection_limiter.add(self)
-            yield from linger(self, self.stream, self.began_at + DRAIN_NS)
+            yield from linger(self, self.stream, self.began_at + DISCARD_TIMEOUT_NS)
         self.stream.close()
         self._report_end()
 
@@ -143,7 +147,7 @@
     def _identify(self) -> Steps:
         """Send this side's identification and wait for the client's."""
         self.stream.send(IDENTIFICATION)
-        timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, TimerTag.IDENTIFICATION)
+        timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, SessionTimer.IDENTIFICATION)
         while self.end_reason is None:
             match (yield):
                 case Io(mask):
@@ -151,14 +155,14 @@
                     if read_identification(self.stream):
                         timer.cancel()
                         return
-                case Timeout(tag=TimerTag.IDENTIFICATION):
+                case Timeout(tag=SessionTimer.IDENTIFICATION):
                     self.end_reason = Reason.REQUEST_TIMEOUT
                 case DrainStarted() if self.frontend.is_draining:
                     self._shut_down()
 
     def _serve(self) -> Steps:
         """Exchange packets until the session ends."""
-        self.set_timer(KEEPALIVE_NS, TimerTag.KEEPALIVE)
+        self.set_timer(KEEPALIVE_NS, SessionTimer.KEEPALIVE)
         self._read_packets()
         while self.end_reason is None:
             match (yield):
@@ -167,11 +171,11 @@
                     self._read_packets()
                 case Timeout(tag=CloseTimeout(channel)):
                     channel.finish_close()
-                case Timeout(tag=TimerTag.KEEPALIVE):
+                case Timeout(tag=SessionTimer.KEEPALIVE):
                     self._send_keepalive()
-                case Timeout(tag=TimerTag.PACKET):
+                case Timeout(tag=SessionTimer.PACKET):
                     self._handle_packet_timeout()
-                case Timeout(tag="stalled") if self.stalled():
+                case Timeout(tag="stalled") if self.is_stalled():
                     self.end_reason = Reason.STALLED
             if self.frontend.is_draining and not self.channels and self.end_reason is None:
                 self._shut_down()
@@ -185,13 +189,13 @@
             buffered = self.stream.stop - self.stream.start
             end = self.stream.fill()
             if self.stream.stop > buffered:
-                self.frontend.connection_limiter.handle_partial_line(self)
+                self.frontend.connection_limiter.handle_partial_request(self)
             self.unanswered_keepalives = 0
             if end is not None:
                 self.end_reason = Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
         if self.stream.broken:
             self.end_reason = Reason.CLIENT_RESET
-        self.stream.want(len(self.stream.unsent) < MAX_UNSENT_BYTES)
+        self.stream.set_reading(len(self.stream.unsent) < MAX_UNSENT_BYTES)
 
     def _send_keepalive(self) -> None:
         """Ask for any answer, even a refusal: a half-open connection gives none."""
@@ -200,7 +204,7 @@
             self.end_reason = Reason.UNRESPONSIVE
             return
         self.write(encode_global_request(KEEPALIVE_REQUEST))
-        self.set_timer(KEEPALIVE_NS, TimerTag.KEEPALIVE)
+        self.set_timer(KEEPALIVE_NS, SessionTimer.KEEPALIVE)
 
     def _shut_down(self) -> None:
         self.end_reason = Reason.SHUT_DOWN
@@ -233,7 +237,7 @@
     def write(self, payload: bytes) -> None:
         """Send one payload as a packet."""
         self.stream.send(encode_packet(payload))
-        self.look_for_stall()
+        self.update_stall_timer()
 
     def enqueue_write(self, channel: Channel) -> None:
         """Give a channel with pending data a place in the round of writing."""
@@ -244,7 +248,7 @@
 
     def write_queued(self) -> None:
         """Round robin, one packet a channel; a channel without window leaves until it is granted some."""
-        self.look_for_stall()
+        self.update_stall_timer()
         while self.write_queue and not self.stream.is_congested:
             channel = self.write_queue.popleft()
             channel.is_in_write_queue = False
@@ -266,7 +270,7 @@
             self._arm_packet_timer()
 
     def _arm_packet_timer(self) -> None:
-        self.packet_timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, TimerTag.PACKET)
+        self.packet_timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, SessionTimer.PACKET)
         self.packet_timer_armed_at = self.loop.now()
 
     def _handle_packet_timeout(self) -> None:
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -8,7 +8,7 @@
 from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.event_loop.actor import ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.connection_limits import DRAIN_NS, StallDetector
+from linnetshift.event_loop.connection_limits import DISCARD_TIMEOUT_NS, StallDetector
 from linnetshift.event_loop.outbound_connection import Resume, Steps, Stop, linger
 from linnetshift.event_loop.stream import End, Stream
 from linnetshift.event_loop.timers import MS
@@ -50,10 +50,10 @@
         self.broker = frontend.broker
         self.peer = peer
         self.stream = Stream(self.loop, sock, self.ready)
-        self.began = self.loop.now()
+        self.began_at = self.loop.now()
         self.request: ActiveRequest | None = None
         self.endpoint = b""  # that accepted the request
-        self.id: int | None = None  # kept in the frontend's set while this is open
+        self.client_request_id: int | None = None  # from the request line; unique among open connections
         self.error = ""  # what was wrong with the client's input, for the log
         self.retry_after_ms = 0
 
@@ -63,7 +63,7 @@
 
     def evict(self) -> None:
         """Answer and close at once, for want of descriptors; the connection has sent no request yet."""
-        self.stream.drain()  # a close over bytes unread would reset the answer away
+        self.stream.discard_input()  # a close over bytes unread would reset the answer away
         self.stream.send(b"" if self.stream.ending else protocol.ERROR_LINE)
         self.stream.close()
         self.post(Stop())
@@ -90,7 +90,7 @@
     def deliver(self, message: memoryview) -> None:
         """Send a line from the endpoint."""
         self.stream.send(message)
-        self.look_for_stall()
+        self.update_stall_timer()
 
     def resume(self) -> None:
         """Go on relaying, since the endpoint takes lines again."""
@@ -129,7 +129,7 @@
             assert request is not None
             reason = yield from MessageRelay(self, request).run()
         yield from self._close(reason)
-        self._report(reason)
+        self._report_end(reason)
 
     def faulted(self, error: Exception) -> None:
         """Contain a fault of this program: other clients must not pay for one met on this connection."""
@@ -137,7 +137,7 @@
         if self.request is not None:
             self.broker.handle_client_ended(self.request, True)
         self.stream.close(End.RESET)
-        self._report(Reason.FAULT)
+        self._report_end(Reason.FAULT)
 
     def submit(self, request_line: RequestLine, arrived_ns: int) -> None:
         """Submit the request to the broker; raises `RequestLineError` where the protocol forbids it.
@@ -146,11 +146,11 @@
         """
         if self.stream.stop > self.stream.start:
             raise RequestLineError(EARLY_INPUT)
-        if request_line.id in self.frontend.ids:
+        if request_line.id in self.frontend.open_request_ids:
             # An endpoint takes it for a copy of the other request and answers ERR; so would each retry's.
             raise RequestLineError("the id of an open invocation")
-        self.id = request_line.id
-        self.frontend.ids.add(request_line.id)
+        self.client_request_id = request_line.id
+        self.frontend.open_request_ids.add(request_line.id)
         wait_ns = request_line.wait_ns or self.broker.settings.classes[request_line.klass].deadline_ns
         self.request = ActiveRequest(
             client=self,
@@ -207,7 +207,7 @@
             # Left unread, it would hide the end of the client's side; an endpoint could not use it.
             self.broker.handle_client_ended(request, False)
             return self.answer_bad_line(EARLY_INPUT)
-        self.stream.want(end is None)
+        self.stream.set_reading(end is None)
         return None
 
     def _close(self, reason: Reason) -> Steps:
@@ -218,21 +218,21 @@
         elif reason is not Reason.STALLED and not self.stream.broken and not self.stream.closed:
             self.stream.finish()
             self.frontend.connection_limiter.add(self)
-            yield from linger(self, self.stream, self.began + DRAIN_NS)
+            yield from linger(self, self.stream, self.began_at + DISCARD_TIMEOUT_NS)
         self.stream.close(end)
 
-    def _report(self, reason: Reason) -> None:
+    def _report_end(self, reason: Reason) -> None:
         """Remove this connection from the frontend's sets and log its end."""
         self.frontend.clients.discard(self)
         self.frontend.connection_limiter.remove(self)
-        if self.id is not None:
-            self.frontend.ids.discard(self.id)
+        if self.client_request_id is not None:
+            self.frontend.open_request_ids.discard(self.client_request_id)
         fields: dict[str, object] = {}
         if self.error:
             fields["error"] = self.error[:MAX_LOGGED_CHARS]
         fields["id"] = self.request.id if self.request is not None else 0
-        if self.id is not None:
-            fields["open"] = f"{self.id:x}"
+        if self.client_request_id is not None:
+            fields["open"] = f"{self.client_request_id:x}"
         if self.request is not None:
             fields["key"] = f"{self.request.key:x}"
             fields["class"] = self.broker.settings.classes[self.request.klass].name
@@ -241,5 +241,5 @@
         fields["attempts"] = self.request.attempts if self.request is not None else 0
         if reason is Reason.REJECTED:
             fields["wait_ms"] = self.retry_after_ms
-        fields["ms"] = (self.loop.now() - self.began) // MS
+        fields["ms"] = (self.loop.now() - self.began_at) // MS
         log.connection_ended("client", reason, **fields)
--- a/linnetshift/frontends/line_protocol/frontend.py
+++ b/linnetshift/frontends/line_protocol/frontend.py
@@ -25,7 +25,7 @@
         """Create a frontend that listens nowhere yet."""
         super().__init__(loop, broker, names, connection_limiter)
         self.clients: set[ClientConnection] = set()
-        self.ids: set[int] = set()  # of open requests, as their clients gave them
+        self.open_request_ids: set[int] = set()  # as their clients gave them
 
     def handle_connection(self, sock: socket.socket, peer: Address) -> None:
         """Serve a connection that was accepted; owns the socket from now on."""
@@ -41,7 +41,7 @@
         """Return the sizes of the containers here; `connections` bounds how many may be open at once."""
         return {
             "platform.consumers": ResourceUsage(len(self.clients), connections),
-            "platform.ids": ResourceUsage(len(self.ids), connections),
+            "platform.ids": ResourceUsage(len(self.open_request_ids), connections),
         }
 
     def answer_query(self, query: bytes) -> bytes:
--- a/linnetshift/frontends/line_protocol/message_relay.py
+++ b/linnetshift/frontends/line_protocol/message_relay.py
@@ -64,23 +64,23 @@
         False once a line is longer than the protocol allows: both sides end.
         """
         attempt = self.request.attempt
-        link = attempt.link if attempt is not None else None
-        if link is None:
+        upstream = attempt.link if attempt is not None else None
+        if upstream is None:
             return True
         try:
-            while not link.is_congested and (line := self.stream.line()) is not None:
-                link.deliver(line)
+            while not upstream.is_congested and (line := self.stream.line()) is not None:
+                upstream.deliver(line)
         except LineTooLongError:
             self.connection.set_line_too_long()
             self.broker.handle_client_ended(self.request, False)
             return False
-        self.stream.want(not link.is_congested)
+        self.stream.set_reading(not upstream.is_congested)
         return True
 
     def _flush(self) -> None:
         """Write what the client left unread, and have the endpoint go on once there is nothing left."""
         self.stream.flush()
-        self.connection.look_for_stall()
+        self.connection.update_stall_timer()
         attempt = self.request.attempt
         if not self.stream.is_congested and attempt is not None and attempt.link is not None:
             attempt.link.resume()
@@ -94,7 +94,7 @@
                 self.stream.send(protocol.MOVE_LINE)  # what was sent before it were whole lines
                 self.broker.handle_client_ended(self.request, False)
                 return Reason(reason)
-            case Timeout(tag="stalled") if self.connection.stalled():
+            case Timeout(tag="stalled") if self.connection.is_stalled():
                 self.broker.handle_client_ended(self.request, False)
                 return Reason.STALLED
         return None
@@ -102,9 +102,9 @@
     def _handle_client_end(self, end: End) -> Reason:
         """End the endpoint's side as the client ended its own; an unfinished line goes before a plain end."""
         attempt = self.request.attempt
-        link = attempt.link if attempt is not None else None
-        if end is End.FIN and link is not None and (rest := self.stream.rest()):
-            link.deliver(rest)
+        upstream = attempt.link if attempt is not None else None
+        if end is End.FIN and upstream is not None and (rest := self.stream.rest()):
+            upstream.deliver(rest)
         self.broker.handle_client_ended(self.request, end is End.RESET)
         return Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
 
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -32,7 +32,7 @@
         self.connection = connection
         self.stream = connection.stream
         self.frontend = connection.frontend
-        self.arrived_ns = connection.loop.since  # when the loop saw what was read last
+        self.arrived_ns = connection.loop.ready_since  # when the loop saw what was read last
         self.was_queried = False
         self.end: End | None = None
 
@@ -49,7 +49,7 @@
                 timer.cancel()
                 return None
             # Without this, answers to a client that queries on and reads nothing would fill memory.
-            self.stream.want(not self.stream.is_congested)
+            self.stream.set_reading(not self.stream.is_congested)
             if self.end is not None:
                 return Reason.PROBED if self.was_queried else Reason.EMPTY
             reason = self._handle((yield))
@@ -65,7 +65,7 @@
                 self.connection.submit(request_line, self.arrived_ns)
                 return True
             self.stream.send(self.frontend.answer_query(prefix))
-            self.frontend.connection_limiter.answered(self.connection)
+            self.frontend.connection_limiter.handle_answered(self.connection)
             self.was_queried = True
         return False
 
@@ -89,8 +89,8 @@
     def _handle_io(self, mask: int) -> None:
         if mask & select.EPOLLOUT:
             self.stream.flush()
-        self.arrived_ns = self.connection.loop.since
+        self.arrived_ns = self.connection.loop.ready_since
         unread_before = self.stream.stop - self.stream.start
         self.end = self.stream.fill()
         if self.stream.stop > unread_before:
-            self.frontend.connection_limiter.handle_partial_line(self.connection)
+            self.frontend.connection_limiter.handle_partial_request(self.connection)
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -23,8 +23,8 @@
 # How long before the client gives up its answer is sent. The deadline counts from when the client sent the
 # request, which was before the loop saw it.
 ANSWER_RESERVE_NS = 4 * MS
-DESCRIPTOR_SHORTAGE = frozenset({errno.EMFILE, errno.ENFILE})
-SHORTAGE = DESCRIPTOR_SHORTAGE | {errno.ENOBUFS, errno.ENOMEM}
+DESCRIPTOR_SHORTAGE_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE})
+SHORTAGE_ERRNOS = DESCRIPTOR_SHORTAGE_ERRNOS | {errno.ENOBUFS, errno.ENOMEM}
 
 
 class Acceptor:
@@ -62,10 +62,10 @@
         """Whether the socket is not closed yet."""
         return self.listener.fileno() >= 0
 
-    def set_paused(self, paused: bool) -> None:
+    def set_paused(self, is_paused: bool) -> None:
         """Leave new connections to another process that shares the socket, or accept them again."""
-        self.is_paused = paused
-        if paused and self.is_open:
+        self.is_paused = is_paused
+        if is_paused and self.is_open:
             self.loop.unwatch(self.listener.fileno())
         self._watch()
 
@@ -95,9 +95,9 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno in DESCRIPTOR_SHORTAGE and self.make_room():
+                if error.errno in DESCRIPTOR_SHORTAGE_ERRNOS and self.make_room():
                     continue
-                if error.errno in SHORTAGE:
+                if error.errno in SHORTAGE_ERRNOS:
                     self._pause_for(ACCEPT_PAUSE_NS)
                     log.info("accept-paused", error=error.strerror)
                     return
@@ -151,11 +151,11 @@
         if address != self.address:
             self.use_acceptor(Acceptor(self.loop, address, self.handle_connection, inherited))
 
-    def set_paused(self, paused: bool) -> None:
+    def set_paused(self, is_paused: bool) -> None:
         """Leave new connections to the process that takes this one's place, or accept them again."""
-        self.is_draining = paused
+        self.is_draining = is_paused
         if self.acceptor is not None:
-            self.acceptor.set_paused(paused)
+            self.acceptor.set_paused(is_paused)
 
     def use_acceptor(self, acceptor: Acceptor) -> None:
         """Own this acceptor in place of the present one, which is closed; accepted connections go on."""
--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -175,5 +175,5 @@
         """Discard what is unread and close what is still open."""
         log.info("shutdown-finished", held=self.clients.connections_in_use())
         for stream in self.clients.open_streams():
-            stream.drain()
+            stream.discard_input()
             stream.close()
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -107,7 +107,7 @@
     def send(self, message: SentMessage) -> None:
         """Send one message; a peer that leaves everything unread is given up after a while."""
         self.stream.send(encode_message(message))
-        self.look_for_stall()
+        self.update_stall_timer()
 
     def send_heartbeat(self) -> None:
         """Report what this process holds."""
@@ -138,13 +138,13 @@
             case Timeout(tag=PeerTimer.HELLO):
                 self.has_ended = not self.has_exchanged_state
             case Timeout(tag="stalled"):
-                self.has_ended = self.stalled()
+                self.has_ended = self.is_stalled()
 
     def _transfer(self, mask: int) -> None:
         """Write what is buffered and read once."""
         if mask & select.EPOLLOUT:
             self.stream.flush()
-            self.look_for_stall()
+            self.update_stall_timer()
         end = self.stream.fill()
         self.received += self.stream.rest()
         self.has_ended = end is not None or len(self.received) > MAX_MESSAGE_BYTES
--- a/linnetshift/lifecycle/shutdown_coordinator.py
+++ b/linnetshift/lifecycle/shutdown_coordinator.py
@@ -70,7 +70,7 @@
 
     def connections_in_use(self) -> int:
         """Connections that await something; one that is silent must not delay the shutdown."""
-        return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle()
+        return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle_count()
 
     def open_streams(self) -> list[Stream]:
         """The streams of all connections of both frontends."""
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -271,7 +271,7 @@
                 client.deliver(line)
         except LineTooLongError:
             return End.RESET
-        stream.want(not client.is_congested)
+        stream.set_reading(not client.is_congested)
         return None
 
     def inspect_line(self, line: memoryview) -> None:
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -83,7 +83,7 @@
 
     def open_streams(self) -> list[Any]:
         return [
-            SimpleNamespace(drain=lambda: self.note("drain"), close=lambda: self.note("close"))
+            SimpleNamespace(discard_input=lambda: self.note("drain"), close=lambda: self.note("close"))
             for _ in range(self.streams)
         ]
 
