--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import resource
+from enum import Enum
 from typing import Protocol
 
 from linnetshift.event_loop.actor import Actor
@@ -32,12 +33,21 @@
 NO_LIMIT = 1 << 30  # stands for the number of descriptors where neither settings nor system limit it
 
 
+class ConnectionTimer(Enum):
+    """Tags of the timers by which any kind of connection bounds how long it waits for its peer."""
+
+    REQUEST_LINE = "request line"  # from accept until the request line is whole
+    CONNECT = "connect"
+    STALL = "stall"  # since when the peer has left sent bytes unread
+    LINGER = "linger"  # from this side's end until the peer's
+
+
 class StallDetector(Actor):
     """An actor whose peer is to read what it is sent: detects that it has not for STALL_NS.
 
     Contract: subclasses call `update_stall_timer` after each write and flush of `stream`, and end the
-    connection on `Timeout(tag="stalled")` if `is_stalled()` holds then. At most one timer is armed for that,
-    however often the peer stops and goes on.
+    connection on `Timeout(ConnectionTimer.STALL)` if `is_stalled()` holds then. At most one timer is armed
+    for that, however often the peer stops and goes on.
     """
 
     stream: Stream
@@ -48,7 +58,7 @@
         """Arm the timer when bytes begin to wait, cancel it once none do."""
         if self.stream.is_congested and not self.congested_at:
             self.congested_at = self.loop.now()
-            self.stall_timer = self.set_timer(STALL_NS, "stalled")
+            self.stall_timer = self.set_timer(STALL_NS, ConnectionTimer.STALL)
         elif self.congested_at and not self.stream.is_congested:
             self.congested_at = 0
             if self.stall_timer is not None:
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -10,14 +10,12 @@
 
 from linnetshift.event_loop.actor import Actor, Io
 from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.connection_limits import STALL_NS
+from linnetshift.event_loop.connection_limits import STALL_NS, ConnectionTimer
 from linnetshift.event_loop.stream import End, Stream
 from linnetshift.event_loop.timers import S, Timeout
 from linnetshift.observability import log
 
 LINGER_NS = S // 2  # how long an ended connection waits for the peer's own end
-CONNECT_TIMER = "connect"
-LINGER_TIMER = "linger"
 
 Steps = Generator[None, Any, Any]
 """A part of an actor's coroutine: receives the actor's messages, and returns a result."""
@@ -61,7 +59,7 @@
         self.stream = stream = Stream(self.loop, sock, self.ready)
         if not start_connecting(stream, sock, address):
             return False
-        timer = self.set_timer(limit_ns, CONNECT_TIMER)
+        timer = self.set_timer(limit_ns, ConnectionTimer.CONNECT)
         while stream.connecting:
             match (yield):
                 case Io():
@@ -70,7 +68,7 @@
                         return False
                     stream.connecting = False
                     stream.arm()
-                case Timeout(tag="connect") | Stop():
+                case Timeout(tag=ConnectionTimer.CONNECT) | Stop():
                     return False
         timer.cancel()
         return True
@@ -105,7 +103,7 @@
     A peer that is silent is waited for LINGER_NS, from when it has taken all that was sent; one that keeps
     sending, until `receive_until` (ns of the loop's clock); one that takes nothing, for STALL_NS.
     """
-    timer = actor.set_timer(LINGER_NS, LINGER_TIMER)
+    timer = actor.set_timer(LINGER_NS, ConnectionTimer.LINGER)
     has_received = False
     write_deadline = actor.loop.now() + STALL_NS
     stream.set_reading(True)
@@ -119,13 +117,16 @@
                     has_received = has_received or received_bytes > 0
                     if received_bytes < 0:
                         break
-            case Timeout(tag="linger") if stream.is_congested and actor.loop.now() < write_deadline:
-                timer = actor.set_timer(LINGER_NS, LINGER_TIMER)  # a close now would drop what is unsent
-            case Timeout(tag="linger"):
-                if not has_received or actor.loop.now() >= receive_until:
+            case Timeout(tag=ConnectionTimer.LINGER):
+                now = actor.loop.now()
+                if stream.is_congested and now < write_deadline:
+                    delay_ns = LINGER_NS  # a close now would drop what is unsent
+                elif has_received and now < receive_until:
+                    delay_ns = min(LINGER_NS, receive_until - now)
+                    has_received = False
+                else:
                     break
-                timer = actor.set_timer(min(LINGER_NS, receive_until - actor.loop.now()), LINGER_TIMER)
-                has_received = False
+                timer = actor.set_timer(delay_ns, ConnectionTimer.LINGER)
             case Stop():
                 break
     timer.cancel()
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -18,6 +18,7 @@
 from linnetshift.event_loop.connection_limits import (
     DISCARD_TIMEOUT_NS,
     REQUEST_LINE_TIMEOUT_NS,
+    ConnectionTimer,
     StallDetector,
 )
 from linnetshift.event_loop.outbound_connection import Steps, Stop, linger
@@ -175,7 +176,7 @@
                     self._send_keepalive()
                 case Timeout(tag=SessionTimer.PACKET):
                     self._handle_packet_timeout()
-                case Timeout(tag="stalled") if self.is_stalled():
+                case Timeout(tag=ConnectionTimer.STALL) if self.is_stalled():
                     self.end_reason = Reason.STALLED
             if self.frontend.is_draining and not self.channels and self.end_reason is None:
                 self._shut_down()
--- a/linnetshift/frontends/line_protocol/message_relay.py
+++ b/linnetshift/frontends/line_protocol/message_relay.py
@@ -7,6 +7,7 @@
 
 from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.event_loop.actor import Io
+from linnetshift.event_loop.connection_limits import ConnectionTimer
 from linnetshift.event_loop.outbound_connection import Resume, Steps
 from linnetshift.event_loop.stream import End, LineTooLongError
 from linnetshift.event_loop.timers import Timeout
@@ -94,7 +95,7 @@
                 self.stream.send(protocol.MOVE_LINE)  # what was sent before it were whole lines
                 self.broker.handle_client_ended(self.request, False)
                 return Reason(reason)
-            case Timeout(tag="stalled") if self.connection.is_stalled():
+            case Timeout(tag=ConnectionTimer.STALL) if self.connection.is_stalled():
                 self.broker.handle_client_ended(self.request, False)
                 return Reason.STALLED
         return None
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from linnetshift.event_loop.actor import Io
-from linnetshift.event_loop.connection_limits import REQUEST_LINE_TIMEOUT_NS
+from linnetshift.event_loop.connection_limits import REQUEST_LINE_TIMEOUT_NS, ConnectionTimer
 from linnetshift.event_loop.outbound_connection import Steps, Stop
 from linnetshift.event_loop.stream import End, LineTooLongError
 from linnetshift.event_loop.timers import Timeout
@@ -18,8 +18,6 @@
 if TYPE_CHECKING:
     from linnetshift.frontends.line_protocol.client_connection import ClientConnection
 
-REQUEST_LINE_TIMER = "request-line"
-
 
 class RequestReader:
     """Answers queries on one connection until its request line has come and is with the broker.
@@ -38,7 +36,7 @@
 
     def run(self) -> Steps:
         """Return None once a request is with the broker, else the `Reason` why the connection ends."""
-        timer = self.connection.set_timer(REQUEST_LINE_TIMEOUT_NS, REQUEST_LINE_TIMER)
+        timer = self.connection.set_timer(REQUEST_LINE_TIMEOUT_NS, ConnectionTimer.REQUEST_LINE)
         self.end = self.stream.fill()  # the line mostly comes with the connection
         while True:
             try:
@@ -81,7 +79,7 @@
                 self.stream.fill()
                 self.stream.send(protocol.BUSY_LINE)
                 return Reason.SHUT_DOWN
-            case Timeout(tag=tag) if tag == REQUEST_LINE_TIMER:
+            case Timeout(tag=ConnectionTimer.REQUEST_LINE):
                 self.stream.send(protocol.ERROR_LINE)
                 return Reason.REQUEST_TIMEOUT
         return None
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from linnetshift.event_loop.actor import ActorCoroutine, Io
-from linnetshift.event_loop.connection_limits import StallDetector
+from linnetshift.event_loop.connection_limits import ConnectionTimer, StallDetector
 from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.stream import Stream
 from linnetshift.event_loop.timers import MS, S, Timeout
@@ -137,7 +137,7 @@
                 self.set_timer(HEARTBEAT_INTERVAL_NS, PeerTimer.HEARTBEAT)
             case Timeout(tag=PeerTimer.HELLO):
                 self.has_ended = not self.has_exchanged_state
-            case Timeout(tag="stalled"):
+            case Timeout(tag=ConnectionTimer.STALL):
                 self.has_ended = self.is_stalled()
 
     def _transfer(self, mask: int) -> None:
--- a/tests/test_memory_after_connections_end.py
+++ b/tests/test_memory_after_connections_end.py
@@ -21,6 +21,7 @@
 from linnetshift.broker.active_request import ActiveRequest, Attempt
 from linnetshift.discovery.http_call import DiscoveryCall
 from linnetshift.event_loop.actor import Actor, ActorCoroutine
+from linnetshift.event_loop.connection_limits import ConnectionTimer
 from linnetshift.event_loop.loop import MAX_CANCELLED_TIMERS, Loop
 from linnetshift.event_loop.stream import INITIAL_BUFFER_BYTES, MAX_LINE_BYTES, End, Stream
 from linnetshift.event_loop.timers import MS, ActorTimer, S
@@ -426,4 +427,4 @@
             left -= got
         sender.join(WAIT_S)
     timers = [each for each in gc.get_objects() if type(each) is ActorTimer]
-    assert sum(timer.tag == "stalled" for timer in timers) <= 1
+    assert sum(timer.tag is ConnectionTimer.STALL for timer in timers) <= 1
