--- a/linnetshift/event_loop/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -45,6 +45,14 @@
     RESET = "reset"
 
 
+class Unread(Enum):
+    """What a socket has for the next read, as far as a peek shows."""
+
+    NOTHING = "nothing"
+    BYTES = "bytes"
+    END = "end"  # the peer has ended its side, or the connection is gone
+
+
 class LineTooLongError(ValueError):
     """A line longer than the protocol allows."""
 
@@ -57,7 +65,8 @@
     """A socket with a read buffer and a buffer of unsent data.
 
     What is read stays in the read buffer, `view[start:stop]`, until the next `fill`. The buffer starts small
-    and has its full size once a read has filled it. What can't be written yet is copied to `unsent`.
+    and has its full size, `max_buffer_bytes`, once a read has filled it. What can't be written yet is copied
+    to `unsent`.
 
     Whoever feeds `send` stops reading its own peer while `is_congested`, so that neither buffer outgrows a
     few lines.
@@ -71,9 +80,9 @@
         loop: Loop,
         sock: socket.socket,
         io_callback: Callable[[int], None],
-        size: int = 2 * MAX_LINE_BYTES,
+        max_buffer_bytes: int = 2 * MAX_LINE_BYTES,
     ) -> None:
-        """Take over the socket; `io_callback` gets epoll's mask, `size` bounds the read buffer in bytes."""
+        """Take over the socket; `io_callback` gets epoll's mask when it is ready."""
         self.loop = loop
         self.sock = sock
         self.io_callback = io_callback
@@ -84,13 +93,13 @@
             for level, option, value in KEEPALIVE_OPTIONS:
                 sock.setsockopt(level, option, value)
         self.fd = sock.fileno()
-        self.size = size
-        self.buffer = bytearray(min(INITIAL_BUFFER_BYTES, size))
+        self.max_buffer_bytes = max_buffer_bytes
+        self.buffer = bytearray(min(INITIAL_BUFFER_BYTES, max_buffer_bytes))
         self.view = memoryview(self.buffer)
-        self.start = 0  # of what has been read and not been taken
-        self.stop = 0  # its end
+        self.start = 0  # where in `view` the bytes begin that have been read and not been taken
+        self.stop = 0  # where they end
         self.unsent = bytearray()
-        self.reading = True  # whether the owner wants more
+        self.reading = True  # the owner takes what comes; see `set_reading`
         self.connecting = False  # connect has not finished
         self.broken = False  # a write failed: the connection is gone
         self.ending = False  # nothing more will be sent: FIN follows what is in `unsent`
@@ -100,11 +109,14 @@
 
     @property
     def is_congested(self) -> bool:
-        """Whether data waits because the socket's send buffer is full."""
+        """Whether sent data waits in `unsent`, as the socket's send buffer is full."""
         return bool(self.unsent)
 
     def arm(self) -> None:
-        """Watch for what is wanted now; with nothing wanted, even a hang-up must not wake the loop."""
+        """Have epoll watch for what can be handled now: input, room for output, both or nothing.
+
+        Where it is nothing the descriptor is unwatched, as a hang-up would wake the loop on every turn.
+        """
         if self.closed:
             return
         mask = 0
@@ -130,18 +142,18 @@
         """Read once, and return how the peer ended if it did; slices given out before are void after this."""
         if self.closed:
             return End.RESET
-        kept = self.stop - self.start
-        if self.stop == len(self.view) < self.size:  # the last read filled the initial buffer
-            grown = bytearray(self.size)
-            grown[:kept] = self.view[self.start : self.stop]
-            self.buffer = grown
-            self.view = memoryview(grown)
+        remaining = self.stop - self.start  # bytes that have been read and not been taken
+        if self.stop == len(self.view) < self.max_buffer_bytes:  # the last read filled the initial buffer
+            full_size_buffer = bytearray(self.max_buffer_bytes)
+            full_size_buffer[:remaining] = self.view[self.start : self.stop]
+            self.buffer = full_size_buffer
+            self.view = memoryview(full_size_buffer)
         elif self.start:
-            self.view[:kept] = self.view[self.start : self.stop]
+            self.view[:remaining] = self.view[self.start : self.stop]
         self.start = 0
-        self.stop = kept
+        self.stop = remaining
         if self.stop == len(self.view):
-            return None
+            return None  # no room until the owner takes something
         try:
             received = self.sock.recv_into(self.view[self.stop :])
         except BlockingIOError:
@@ -159,9 +171,9 @@
 
         Behind unread bytes a FIN shows only in the connection's TCP state.
         """
-        has_unread = self._has_unread()
-        if not has_unread:
-            return has_unread is None
+        unread = self._peek()
+        if unread is not Unread.BYTES:
+            return unread is Unread.NOTHING
         try:
             info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_STATE_BYTES)
         except OSError:
@@ -170,22 +182,21 @@
 
     @property
     def has_nothing_unread(self) -> bool:
-        """Whether the peer is there and nothing that it sent is unread; a FIN may lie behind unread bytes."""
-        return self._has_unread() is None
+        """Whether the peer has not ended and nothing that it sent waits to be read."""
+        return self._peek() is Unread.NOTHING
 
-    def _has_unread(self) -> bool | None:
-        """True for unread bytes, False where the peer has ended, None for neither."""
+    def _peek(self) -> Unread:
         if self.closed or self.broken:
-            return False
+            return Unread.END
         try:
-            return bool(self.sock.recv(1, socket.MSG_PEEK))
+            return Unread.BYTES if self.sock.recv(1, socket.MSG_PEEK) else Unread.END
         except BlockingIOError:
-            return None
+            return Unread.NOTHING
         except OSError:
-            return False
+            return Unread.END
 
     def discard_input(self) -> int:
-        """Read once and discard; how many bytes there were, -1 once the peer has ended."""
+        """Read once and discard; returns how many bytes there were, -1 once the peer has ended."""
         self.start = 0
         self.stop = 0
         try:
@@ -207,10 +218,11 @@
 
         Raises LineTooLongError as soon as more than MAX_LINE_BYTES have come without an end.
         """
-        size = self.buffer.find(b"\n", self.start, self.stop) + 1 - self.start
-        if max(size, self.stop - self.start if size <= 0 else 0) > MAX_LINE_BYTES:
+        end = self.buffer.find(b"\n", self.start, self.stop) + 1  # 0 while the line is not whole
+        size = (end or self.stop) - self.start
+        if size > MAX_LINE_BYTES:
             raise LineTooLongError
-        return self.take(size) if size > 0 else None
+        return self.take(size) if end else None
 
     def lines(self) -> Iterator[memoryview]:
         """All lines that have been read; raises LineTooLongError."""
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -76,7 +76,7 @@
         self.frontend = frontend
         self.broker = frontend.broker
         self.peer = peer
-        self.stream = Stream(self.loop, sock, self._post_io, size=MAX_PACKET_BYTES + BLOCK_BYTES)
+        self.stream = Stream(self.loop, sock, self._post_io, max_buffer_bytes=MAX_PACKET_BYTES + BLOCK_BYTES)
         self.channels: dict[int, Channel] = {}
         self.channel_numbers = count()
         self.channels_opened = 0
