--- a/linnetshift/admin/connection.py
+++ b/linnetshift/admin/connection.py
@@ -68,9 +68,7 @@
         self.operations = operations
         self.owner = owner
         self.peer = peer
-        self.stream = Stream(
-            self.loop, sock, lambda mask: self.post(Io(mask)), max_buffer_bytes=MAX_HEAD_BYTES
-        )
+        self.stream = Stream(self.loop, sock, self.post_io, max_buffer_bytes=MAX_HEAD_BYTES)
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: AdminRequest | None = None
         self.body_bytes = 0
--- a/linnetshift/event_loop/actor.py
+++ b/linnetshift/event_loop/actor.py
@@ -16,9 +16,9 @@
 
 
 class Io(NamedTuple):
-    """Message to an actor: its socket is ready, as epoll's event mask says."""
+    """Message to an actor: its socket is ready."""
 
-    mask: int
+    mask: int  # epoll's event mask
 
 
 class Closable(Protocol):
@@ -59,15 +59,19 @@
             self.is_scheduled = True
             self.loop.ready_actors.append(self)
 
+    def post_io(self, mask: int) -> None:
+        """Post that the socket is ready: the callback for `Stream` and `Loop.watch`."""
+        self.post(Io(mask))
+
     def set_timer(self, delay_ns: int, tag: object) -> Timer:
-        """Have `Timeout(tag)` posted after `delay_ns`; cancelling is too late for one in the mailbox."""
+        """Have `Timeout(tag)` posted after `delay_ns`; one that is in the mailbox can't be cancelled."""
         timer = ActorTimer(self, tag)
         self.timers.add(timer)
         self.loop.schedule(delay_ns, timer)
         return timer
 
     def process_mailbox(self) -> None:
-        """Pass all messages to the coroutine, those it posts to itself meanwhile included."""
+        """Pass all messages to the coroutine, also those that it posts to itself meanwhile."""
         self.is_scheduled = False
         while self.mailbox and self.coroutine is not None:
             self._resume(self.mailbox.popleft())
@@ -78,7 +82,7 @@
             self.coroutine.send(message)
         except StopIteration:
             self.end()
-        # One of the edges that contain faults: `faulted` decides whether the program goes on.
+        # Faults are contained here or end the program, as `faulted` decides.
         except Exception as error:  # noqa: BLE001
             self.coroutine = None  # first, so that it receives nothing that its fault sets off
             try:
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -37,10 +37,6 @@
 
     stream: Stream | None = None
 
-    def ready(self, mask: int) -> None:
-        """Epoll's callback: the socket is ready."""
-        self.post(Io(mask))
-
     def faulted(self, error: Exception) -> None:
         """Contain a fault on one connection: it must not end the process."""
         log.exception(error)
@@ -56,7 +52,7 @@
         sock = self.create_socket(address)
         if sock is None:
             return False
-        self.stream = stream = Stream(self.loop, sock, self.ready)
+        self.stream = stream = Stream(self.loop, sock, self.post_io)
         if not start_connecting(stream, sock, address):
             return False
         timer = self.set_timer(limit_ns, ConnectionTimer.CONNECT)
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -76,7 +76,7 @@
         self.frontend = frontend
         self.broker = frontend.broker
         self.peer = peer
-        self.stream = Stream(self.loop, sock, self._post_io, max_buffer_bytes=MAX_PACKET_BYTES + BLOCK_BYTES)
+        self.stream = Stream(self.loop, sock, self.post_io, max_buffer_bytes=MAX_PACKET_BYTES + BLOCK_BYTES)
         self.channels: dict[int, Channel] = {}
         self.channel_numbers = count()
         self.channels_opened = 0
@@ -94,9 +94,6 @@
         self.end_reason = self.end_reason or Reason.EVICTED
         self.post(Stop())
 
-    def _post_io(self, mask: int) -> None:
-        self.post(Io(mask))
-
     # ---- the coroutine ----------------------------------------------------------------------
 
     def run(self) -> ActorCoroutine:
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -49,7 +49,7 @@
         self.frontend = frontend
         self.broker = frontend.broker
         self.peer = peer
-        self.stream = Stream(self.loop, sock, self.ready)
+        self.stream = Stream(self.loop, sock, self.post_io)
         self.began_at = self.loop.now()
         self.request: ActiveRequest | None = None
         self.endpoint = b""  # that accepted the request
@@ -57,10 +57,6 @@
         self.error = ""  # what was wrong with the client's input, for the log
         self.retry_after_ms = 0
 
-    def ready(self, mask: int) -> None:
-        """Post the epoll mask of the socket; the loop's callback."""
-        self.post(Io(mask))
-
     def evict(self) -> None:
         """Answer and close at once, for want of descriptors; the connection has sent no request yet."""
         self.stream.discard_input()  # a close over bytes unread would reset the answer away
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -83,7 +83,7 @@
         self.operations = operations
         self.coordinator = coordinator
         self.is_predecessor = predecessor is not None
-        self.stream = Stream(loop, sock, self._handle_ready)
+        self.stream = Stream(loop, sock, self.post_io)
         self.received = bytearray(predecessor.rest if predecessor is not None else b"")
         self.has_exchanged_state = self.is_predecessor
         self.has_ended = False  # the peer closed, broke the rules or hangs
@@ -123,9 +123,6 @@
         self.unconfirmed_drains[number] = done
         self.send(AdministrativeDrain(endpoint, out, number))
 
-    def _handle_ready(self, mask: int) -> None:
-        self.post(Io(mask))
-
     def _process_event(self, event: Any) -> None:
         match event:
             case Io(mask):
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -52,10 +52,7 @@
         self._watch_socket()
 
     def _watch_socket(self) -> None:
-        self.loop.watch(self.sock.fileno(), select.EPOLLIN, self._post_io)
-
-    def _post_io(self, mask: int) -> None:
-        self.post(Io(mask))
+        self.loop.watch(self.sock.fileno(), select.EPOLLIN, self.post_io)
 
     def run(self) -> ActorCoroutine:
         """Pass timers and advertisements to the router until the actor is ended."""
