--- a/linnetshift/event_loop/address.py
+++ b/linnetshift/event_loop/address.py
@@ -8,6 +8,11 @@
 """An IPv4 address or a host name, and a port, as the socket module takes them."""
 
 
+def format_address(address: Address) -> str:
+    """The address as `ADDRESS:PORT`, for the log."""
+    return f"{address[0]}:{address[1]}"
+
+
 def parse_address(text: str) -> Address:
     """The address that `ADDRESS:PORT` names; raises ValueError for any other text or port."""
     address, _, port = text.rpartition(":")
--- a/linnetshift/event_loop/timers.py
+++ b/linnetshift/event_loop/timers.py
@@ -16,6 +16,11 @@
 S = 1_000_000_000  # nanoseconds in a second
 
 
+def ceil_ms(duration_ns: int) -> int:
+    """The duration in whole milliseconds, rounded up: who waits that long has waited long enough."""
+    return -(-duration_ns // MS)
+
+
 class Timeout(NamedTuple):
     """Message to an actor: a timer that it set has fired; the tag says which."""
 
--- a/linnetshift/frontends/channels/channel.py
+++ b/linnetshift/frontends/channels/channel.py
@@ -6,7 +6,7 @@
 
 from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.broker.ports import UpstreamConnection
-from linnetshift.event_loop.timers import MS, S
+from linnetshift.event_loop.timers import MS, S, ceil_ms
 from linnetshift.frontends.channels.messages import (
     OpenFailureReason,
     encode_channel_close,
@@ -19,9 +19,9 @@
     retry_after_text,
 )
 from linnetshift.frontends.channels.packets import ProtocolError
+from linnetshift.frontends.listener import endpoint_end_reason
 from linnetshift.observability import log
 from linnetshift.observability.log import Reason
-from linnetshift.routing.events import Outcome
 
 if TYPE_CHECKING:
     from linnetshift.frontends.channels.session import Session
@@ -73,8 +73,8 @@
         self.is_endpoint_paused = False
         self.is_confirmed = False
         self.is_close_sent = False
-        # Set once the channel ends: the request that is sent before CLOSE, b"" for none.
-        self.closing_request: bytes | None = None
+        self.is_closing = False  # this side ends the channel once its pending data is sent
+        self.closing_request: bytes | None = None  # sent before CLOSE in place of EOF
         self.end_reason = Reason.CHANNEL_CLOSED
         self.began_at = session.loop.now()
         self.endpoint = b""
@@ -127,7 +127,7 @@
 
     def reject(self, retry_after_ns: int, breach: str) -> None:
         """Answer that the request was not done and may be sent again; `breach` names a contract's limit."""
-        text = retry_after_text(-(-retry_after_ns // MS))
+        text = retry_after_text(ceil_ms(retry_after_ns))
         if breach:
             reason = OpenFailureReason.ADMINISTRATIVELY_PROHIBITED
             self._fail_open(reason, f"{breach}: {text}", Reason.REJECTED)
@@ -150,14 +150,7 @@
 
     def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
         """End the channel as the endpoint ended its connection."""
-        if reset:
-            self.close(Reason.ENDPOINT_RESET, RESET_REQUEST)
-        elif outcome == Outcome.OK:
-            self.close(Reason.SERVED, b"")
-        elif outcome == Outcome.CANCELLED:
-            self.close(Reason.ENDPOINT_MIGRATED, b"")
-        else:
-            self.close(Reason.ENDPOINT_LEFT, b"")
+        self.close(endpoint_end_reason(outcome, reset), RESET_REQUEST if reset else None)
 
     # ---- the client's side ----------------------------------------------------------------
 
@@ -215,7 +208,7 @@
             self.send_window -= size
         if self.pending:
             return
-        if self.closing_request is not None:
+        if self.is_closing:
             self.finish_close()
         elif self.is_endpoint_paused:
             upstream = self.upstream_connection
@@ -223,11 +216,15 @@
                 self.is_endpoint_paused = False
                 upstream.resume()
 
-    def close(self, reason: Reason, channel_request: bytes) -> None:
-        """Close between two messages: pending data goes first, if the client takes it in time."""
-        if self.closing_request is not None or self.is_close_sent:
+    def close(self, reason: Reason, channel_request: bytes | None) -> None:
+        """Close between two messages: pending data goes first, if the client takes it in time.
+
+        The client is sent `channel_request` before CLOSE, or EOF where it is None.
+        """
+        if self.is_closing or self.is_close_sent:
             return
         self.end_reason = reason
+        self.is_closing = True
         self.closing_request = channel_request
         if self.pending:
             self.session.set_timer(CLOSE_TIMEOUT_NS, CloseTimeout(self))
@@ -235,12 +232,12 @@
             self.finish_close()
 
     def finish_close(self) -> None:
-        """Send what ends the channel; data that is still pending is dropped."""
+        """Send what ends a closing channel; data that is still pending is dropped."""
         if self.is_close_sent:
             return
-        if self.closing_request:
+        if self.closing_request is not None:
             self.session.write(encode_channel_request(self.recipient_channel, self.closing_request))
-        elif self.closing_request is not None:
+        else:
             self.session.write(encode_channel_eof(self.recipient_channel))
         self.is_close_sent = True
         self.pending.clear()
--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -142,13 +142,13 @@
     session = channel.session
     wait_ns = open_request.wait_ms * MS or session.broker.settings.classes[class_number].deadline_ns
     return ActiveRequest(
-        channel,
-        class_number,
-        session.frontend.names.tenants.get(open_request.tenant, UNKNOWN),
-        open_request.key,
-        open_request.group,
-        open_request.routing_flags,
-        0,
-        session.loop.ready_since + wait_ns - ANSWER_RESERVE_NS,
-        open_request.request_line_encoder(),
+        client=channel,
+        klass=class_number,
+        tenant=session.frontend.names.tenants.get(open_request.tenant, UNKNOWN),
+        key=open_request.key,
+        group=open_request.group,
+        flags=open_request.routing_flags,
+        load_hint=0,
+        deadline=session.loop.ready_since + wait_ns - ANSWER_RESERVE_NS,
+        encode_request_line=open_request.request_line_encoder(),
     )
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from linnetshift.event_loop.actor import ActorCoroutine, Io
-from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.address import Address, format_address
 from linnetshift.event_loop.connection_limits import (
     DISCARD_TIMEOUT_NS,
     REQUEST_LINE_TIMEOUT_NS,
@@ -126,7 +126,7 @@
 
     def _end_channels(self, reset: bool) -> None:
         for channel in list(self.channels.values()):
-            if channel.closing_request is None and not channel.is_close_sent:
+            if not channel.is_closing and not channel.is_close_sent:
                 channel.end_reason = self.end_reason or Reason.CLIENT_LEFT
             self.broker.handle_client_ended(channel.request, reset)
             self.remove_channel(channel)
@@ -138,7 +138,7 @@
         log.connection_ended(
             "session",
             self.end_reason or Reason.CLIENT_LEFT,
-            peer=f"{self.peer[0]}:{self.peer[1]}",
+            peer=format_address(self.peer),
             channels=self.channels_opened,
         )
 
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -7,11 +7,11 @@
 
 from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.event_loop.actor import ActorCoroutine, Io
-from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.address import Address, format_address
 from linnetshift.event_loop.connection_limits import DISCARD_TIMEOUT_NS, StallDetector
 from linnetshift.event_loop.outbound_connection import Resume, Steps, Stop, linger
 from linnetshift.event_loop.stream import End, Stream
-from linnetshift.event_loop.timers import MS
+from linnetshift.event_loop.timers import MS, ceil_ms
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.message_relay import MessageRelay
 from linnetshift.frontends.line_protocol.messages import (
@@ -179,7 +179,7 @@
                 case Resume():
                     return None
                 case Rejected(retry_after_ns):
-                    self.retry_after_ms = -(-retry_after_ns // MS)
+                    self.retry_after_ms = ceil_ms(retry_after_ns)
                     self.stream.send(protocol.encode_busy(self.retry_after_ms))
                     return Reason.REJECTED
                 case Failed():
@@ -191,7 +191,7 @@
                         return reason
 
     def _handle_early_input(self, request: ActiveRequest) -> Reason | None:
-        """Read before the answer was sent: a client that ends or sends on withdraws its request."""
+        """Read before the answer is sent: a client that ends its side or sends more withdraws its request."""
         end = self.stream.fill()
         if end is not None and not request.is_answered:
             is_retry_safe = self.broker.is_retry_safe(request)
@@ -232,7 +232,7 @@
         if self.request is not None:
             fields["key"] = f"{self.request.key:x}"
             fields["class"] = self.broker.settings.classes[self.request.klass].name
-        fields["peer"] = f"{self.peer[0]}:{self.peer[1]}"
+        fields["peer"] = format_address(self.peer)
         fields["endpoint"] = self.endpoint.decode("utf-8", "replace")
         fields["attempts"] = self.request.attempts if self.request is not None else 0
         if reason is Reason.REJECTED:
--- a/linnetshift/frontends/line_protocol/message_relay.py
+++ b/linnetshift/frontends/line_protocol/message_relay.py
@@ -13,8 +13,8 @@
 from linnetshift.event_loop.timers import Timeout
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.messages import EndpointEnded, MigrationRequested
+from linnetshift.frontends.listener import endpoint_end_reason
 from linnetshift.observability.log import Reason
-from linnetshift.routing.events import Outcome
 
 if TYPE_CHECKING:
     from linnetshift.frontends.line_protocol.client_connection import ClientConnection
@@ -90,7 +90,7 @@
         """Handle what is neither input nor output; a reason if the connection ends with it."""
         match message:
             case EndpointEnded(outcome, was_reset):
-                return _endpoint_end_reason(outcome, was_reset)
+                return endpoint_end_reason(outcome, was_reset)
             case MigrationRequested(reason):
                 self.stream.send(protocol.MOVE_LINE)  # what was sent before it were whole lines
                 self.broker.handle_client_ended(self.request, False)
@@ -108,11 +108,3 @@
             upstream.deliver(rest)
         self.broker.handle_client_ended(self.request, end is End.RESET)
         return Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
-
-
-def _endpoint_end_reason(outcome: int, was_reset: bool) -> Reason:
-    if was_reset:
-        return Reason.ENDPOINT_RESET
-    if outcome == Outcome.OK:
-        return Reason.SERVED
-    return Reason.ENDPOINT_MIGRATED if outcome == Outcome.CANCELLED else Reason.ENDPOINT_LEFT
--- a/linnetshift/frontends/line_protocol/request_line.py
+++ b/linnetshift/frontends/line_protocol/request_line.py
@@ -5,9 +5,7 @@
 from typing import NamedTuple
 
 from linnetshift.config.names import UNKNOWN, NameRegistry
-from linnetshift.event_loop.connection_limits import (
-    MAX_WAIT_MS,
-)
+from linnetshift.event_loop.connection_limits import MAX_WAIT_MS
 from linnetshift.event_loop.timers import MS
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.routing.events import RETRY, RETURNED
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -15,13 +15,15 @@
 from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.timers import MS
 from linnetshift.observability import log
+from linnetshift.observability.log import Reason
+from linnetshift.routing.events import Outcome
 
 BACKLOG = 1024  # connections that the kernel keeps for a listening socket
 MAX_ACCEPTS_PER_WAKEUP = 64  # so that a flood leaves time for established connections
 # How long nothing is accepted while descriptors or buffers are short.
 ACCEPT_PAUSE_NS = 50 * MS
-# How long before the client gives up its answer is sent. The deadline counts from when the client sent the
-# request, which was before the loop saw it.
+# How long before the deadline the answer is due: the client counts from when it sent the request, which was
+# before the loop saw it.
 ANSWER_RESERVE_NS = 4 * MS
 DESCRIPTOR_SHORTAGE_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE})
 SHORTAGE_ERRNOS = DESCRIPTOR_SHORTAGE_ERRNOS | {errno.ENOBUFS, errno.ENOMEM}
@@ -30,8 +32,8 @@
 class Acceptor:
     """Owns a listening socket, passes each connection on and survives a shortage of descriptors.
 
-    An inherited socket is shared with other processes: it is only watched, never bound, shut down or told to
-    listen anew.
+    An inherited socket is shared with other processes: it is only watched, never bound or shut down, and
+    `listen` is not called on it again.
     """
 
     def __init__(
@@ -74,7 +76,7 @@
         if not self.is_open:
             return
         if not self.is_inherited and not self.is_paused:
-            # Those in the queue were accepted by this machine, and a close would reset them.
+            # The kernel has accepted those in the queue for their clients; a close would reset them.
             self._accept(2 * BACKLOG)
         # First: closing does not end epoll's interest in a socket that other processes hold too.
         self.loop.unwatch(self.listener.fileno())
@@ -88,7 +90,7 @@
         self._accept(MAX_ACCEPTS_PER_WAKEUP)
 
     def _accept(self, limit: int) -> None:
-        """Accept what is in the queue, at most `limit` connections; pause when resources are short."""
+        """Accept at most `limit` connections from the queue; pause while descriptors or buffers are short."""
         for _ in range(limit):
             try:
                 sock, peer = self.listener.accept()
@@ -105,7 +107,7 @@
             self.on_accept(sock, peer)
 
     def _pause_for(self, delay_ns: int) -> None:
-        """Stop watching for a while: the queue stays readable, and the loop would spin until some end."""
+        """Stop watching for a while: the queue stays readable, and the loop would spin on it."""
         self.loop.unwatch(self.listener.fileno())
         self.loop.call_later(delay_ns, self._watch)
 
@@ -123,6 +125,15 @@
     return listener
 
 
+def endpoint_end_reason(outcome: int, is_reset: bool) -> Reason:
+    """Why an established connection is over that its endpoint ended with this `Outcome`."""
+    if is_reset:
+        return Reason.ENDPOINT_RESET
+    if outcome == Outcome.OK:
+        return Reason.SERVED
+    return Reason.ENDPOINT_MIGRATED if outcome == Outcome.CANCELLED else Reason.ENDPOINT_LEFT
+
+
 class Frontend(ABC):
     """Accepts clients of one protocol, at an address that may change while the program runs."""
 
@@ -152,7 +163,7 @@
             self.use_acceptor(Acceptor(self.loop, address, self.handle_connection, inherited))
 
     def set_paused(self, is_paused: bool) -> None:
-        """Leave new connections to the process that takes this one's place, or accept them again."""
+        """Leave new connections to this process's successor, or accept them again."""
         self.is_draining = is_paused
         if self.acceptor is not None:
             self.acceptor.set_paused(is_paused)
