--- a/tests/test_admin_interface.py
+++ b/tests/test_admin_interface.py
@@ -9,7 +9,7 @@
 from connections import PeerConnection
 from proxy_harness import settings, started_proxy
 from running_proxy import RunningProxy
-from test_connections_without_a_request import few
+from test_connections_without_a_request import limit_descriptors
 from test_line_protocol import ranked
 
 from linnetshift.broker.administrative_drains import AdministrativeDrains
@@ -58,7 +58,7 @@
 
 def test_admin_calls_succeed_when_clients_exhaust_descriptors(tmp_path: Path) -> None:
     # Clients waiting for their answer are not closed under pressure, and could use every descriptor.
-    with started_proxy(tmp_path, admin_server=True, before=few) as running:
+    with started_proxy(tmp_path, admin_server=True, before=limit_descriptors) as running:
         waiting_clients = [running.open(60_000) for _ in range(60)]
         running.logged("event=accept-paused")
         for _ in range(3):
--- a/tests/test_channel_packets.py
+++ b/tests/test_channel_packets.py
@@ -1,4 +1,4 @@
-"""The channels frontend's packets, messages and CHANNEL_OPEN fields by themselves."""
+"""Encoding and decoding of the channels frontend's packets, messages and CHANNEL_OPEN fields."""
 
 from __future__ import annotations
 
@@ -31,24 +31,29 @@
 from linnetshift.routing.events import RETRY, RETURNED
 
 
+class PeerStream(Stream):
+    """A stream that holds its peer's socket too: what is sent there arrives in it."""
+
+    def __init__(self) -> None:
+        ours, self.peer = socket.socketpair()
+        super().__init__(Loop(), ours, lambda _: None)
+
+
 @pytest.fixture
-def stream() -> Iterator[Stream]:
-    """A stream; what is sent to `peer` arrives in it."""
-    ours, theirs = socket.socketpair()
-    stream = Stream(Loop(), ours, lambda _: None)
-    stream.peer = theirs  # type: ignore[attr-defined]
-    yield stream
-    stream.close()
-    theirs.close()
-
-
-def receive(stream: Stream, data: bytes) -> None:
-    stream.peer.send(data)  # type: ignore[attr-defined]
+def stream() -> Iterator[PeerStream]:
+    peer_stream = PeerStream()
+    yield peer_stream
+    peer_stream.close()
+    peer_stream.peer.close()
+
+
+def receive(stream: PeerStream, data: bytes) -> None:
+    stream.peer.send(data)
     assert stream.fill() is None
 
 
 @pytest.mark.parametrize("size", range(1, 40))
-def test_packet_is_padded_to_blocks_and_read_back(stream: Stream, size: int) -> None:
+def test_packet_is_padded_to_blocks_and_read_back(stream: PeerStream, size: int) -> None:
     payload = bytes(range(size))
     packet = encode_packet(payload)
     assert len(packet) % 8 == 0
@@ -71,26 +76,26 @@
     ],
 )
 def test_impossible_packet_is_rejected_before_it_is_complete(
-    stream: Stream, header: bytes, text: str
+    stream: PeerStream, header: bytes, text: str
 ) -> None:
     receive(stream, header)
-    with pytest.raises(ProtocolError, match=text) as caught:
+    with pytest.raises(ProtocolError, match=text) as raised:
         read_packet(stream)
-    assert caught.value.reason is DisconnectReason.PROTOCOL_ERROR
+    assert raised.value.reason is DisconnectReason.PROTOCOL_ERROR
 
 
-def test_lines_before_the_identification_are_ignored(stream: Stream) -> None:
+def test_lines_before_the_identification_are_ignored(stream: PeerStream) -> None:
     receive(stream, b"hello\r\nSSH-2.0-cl")
     assert not read_identification(stream)
     receive(stream, b"ient\r\n")
     assert read_identification(stream)
 
 
-def test_older_version_is_not_supported(stream: Stream) -> None:
+def test_older_version_is_not_supported(stream: PeerStream) -> None:
     receive(stream, b"SSH-1.5-old\r\n")
-    with pytest.raises(ProtocolError) as caught:
+    with pytest.raises(ProtocolError) as raised:
         read_identification(stream)
-    assert caught.value.reason is DisconnectReason.PROTOCOL_VERSION_NOT_SUPPORTED
+    assert raised.value.reason is DisconnectReason.PROTOCOL_VERSION_NOT_SUPPORTED
 
 
 def test_message_encodings_match_rfc_4254() -> None:
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -1,4 +1,4 @@
-"""The channels frontend: stand-in terminals and gateways around the real program."""
+"""The channels frontend of the running proxy, between emulated terminals and endpoints."""
 
 from __future__ import annotations
 
@@ -13,49 +13,64 @@
 from running_proxy import RunningProxy
 
 CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-DATA, WINDOW_ADJUST, EOF, CLOSE, CHANNEL_REQUEST = 94, 93, 96, 97, 98
+
+# Message numbers of RFC 4250, section 4.1.2, independent of the program's.
+DISCONNECT = 1
+IGNORE = 2
+UNIMPLEMENTED = 3
+GLOBAL_REQUEST = 80
+REQUEST_FAILURE = 82
+OPEN_FAILURE = 92
+WINDOW_ADJUST = 93
+DATA = 94
+EOF = 96
+CLOSE = 97
+CHANNEL_REQUEST = 98
+CHANNEL_FAILURE = 100
+UNKNOWN_MESSAGE = 200
 
 
 @pytest.fixture
-def one(tmp_path: Path) -> Iterator[RunningProxy]:
+def proxy(tmp_path: Path) -> Iterator[RunningProxy]:
     with started_proxy(tmp_path, broker_toml=CHANNELS_ENABLED) as running:
         yield running
 
 
-def served(
-    running: RunningProxy, terminal: ChannelsClient, number: int, **how: int
+def open_channel(
+    running: RunningProxy, terminal: ChannelsClient, number: int, **options: int
 ) -> tuple[int, EmulatedEndpoint, PeerConnection]:
-    """The proxy's number for a new channel, its endpoint and the endpoint's end."""
-    terminal.open(number, **how)  # type: ignore[arg-type]
+    """A channel that is served: the proxy's number for it, its endpoint and the endpoint's connection."""
+    terminal.open(number, **options)  # type: ignore[arg-type]
     listener, endpoint = running.serve_any()
     return terminal.expect_confirmation(number), listener, endpoint
 
 
-def data(terminal: ChannelsClient, number: int) -> bytes:
+def receive_data(terminal: ChannelsClient, number: int) -> bytes:
+    """The data in the next message, which must be for the channel of this number."""
     rest = terminal.expect(DATA, number)
     assert int.from_bytes(rest[:4], "big") == len(rest) - 4
     return rest[4:]
 
 
-def test_channel_is_served_to_its_end(one: RunningProxy) -> None:
-    terminal = ChannelsClient(one.channels_port)
-    channel, _, endpoint = served(one, terminal, 5)
+def test_channel_ends_with_eof_when_its_endpoint_ends_in_order(proxy: RunningProxy) -> None:
+    terminal = ChannelsClient(proxy.channels_port)
+    channel, _, endpoint = open_channel(proxy, terminal, 5)
     assert b" c=feed,t=acme,d=" in endpoint.first_line
     terminal.send_message(DATA, channel, b"M 1 x\r\n")
     assert endpoint.line() == b"M 1 x\r\n"
     endpoint.send(b"M 1 x\r\nBYE\r\n")
-    assert data(terminal, 5) == b"M 1 x\r\n"
-    assert data(terminal, 5) == b"BYE\r\n"
+    assert receive_data(terminal, 5) == b"M 1 x\r\n"
+    assert receive_data(terminal, 5) == b"BYE\r\n"
     endpoint.close()
     terminal.expect(EOF, 5)
     terminal.expect(CLOSE, 5)
     terminal.send_message(CLOSE, channel)
-    one.logged("side=channel reason=served")
+    proxy.logged("side=channel reason=served")
 
 
-def test_endpoint_reset_sends_a_reset_request(one: RunningProxy) -> None:
-    terminal = ChannelsClient(one.channels_port)
-    _, _, endpoint = served(one, terminal, 5)
+def test_endpoint_reset_sends_a_reset_request(proxy: RunningProxy) -> None:
+    terminal = ChannelsClient(proxy.channels_port)
+    _, _, endpoint = open_channel(proxy, terminal, 5)
     endpoint.close("reset")
     assert b"reset@linnetshift" in terminal.expect(CHANNEL_REQUEST, 5)
     terminal.expect(CLOSE, 5)
@@ -78,7 +93,7 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "gateway", "code", "text"),
+    ("open_options", "act_as_endpoint", "reason_code", "text"),
     [
         ({}, reject_all_attempts, 4, b"come again after 1000 ms"),
         ({"wait_ms": 300}, accept_without_answer, None, b""),
@@ -88,56 +103,57 @@
     ],
 )
 def test_failure_to_open_has_its_reason_code(
-    one: RunningProxy,
-    how: dict[str, int],
-    gateway: Callable[[EmulatedEndpoint], None],
-    code: int | None,
+    proxy: RunningProxy,
+    open_options: dict[str, int],
+    act_as_endpoint: Callable[[EmulatedEndpoint], None],
+    reason_code: int | None,
     text: bytes,
 ) -> None:
-    # Each way of not being served has its own code, and a deadline is kept whatever the gateway does.
-    terminal = ChannelsClient(one.channels_port)
-    terminal.open(3, **how)  # type: ignore[arg-type]
-    gateway(one.endpoints[0])
-    rest = terminal.expect(92, 3)
-    assert int.from_bytes(rest[:4], "big") in ((2, 4) if code is None else (code,))
+    # Each cause has a reason code of its own, and the deadline holds whatever the endpoint does.
+    terminal = ChannelsClient(proxy.channels_port)
+    terminal.open(3, **open_options)  # type: ignore[arg-type]
+    act_as_endpoint(proxy.endpoints[0])
+    rest = terminal.expect(OPEN_FAILURE, 3)
+    received_code = int.from_bytes(rest[:4], "big")
+    assert received_code in ((2, 4) if reason_code is None else (reason_code,))
     assert text in rest
 
 
-def test_endpoint_that_stalls_one_channel_does_not_delay_others(one: RunningProxy) -> None:
-    # What one gateway does not read may fill that channel's window and nothing else.
-    terminal = ChannelsClient(one.channels_port)
-    slow, _, stalled = served(one, terminal, 1)
-    quick, _, endpoint = served(one, terminal, 2)
+def test_endpoint_that_stalls_one_channel_does_not_delay_others(proxy: RunningProxy) -> None:
+    # What one endpoint does not read may fill that channel's window and nothing else.
+    terminal = ChannelsClient(proxy.channels_port)
+    stalled_channel, _, stalled_endpoint = open_channel(proxy, terminal, 1)
+    other_channel, _, endpoint = open_channel(proxy, terminal, 2)
     line = b"z" * 1022 + b"\r\n"
     for _ in range(32):
-        terminal.send_message(DATA, slow, line)
+        terminal.send_message(DATA, stalled_channel, line)
     for _ in range(100):
-        terminal.send_message(DATA, quick, b"M 1 x\r\n")
+        terminal.send_message(DATA, other_channel, b"M 1 x\r\n")
         assert endpoint.line() == b"M 1 x\r\n"
         endpoint.send(b"M 1 x\r\n")
-        while (got := terminal.read())[0] == WINDOW_ADJUST:
+        while (message := terminal.read())[0] == WINDOW_ADJUST:
             pass
-        assert got[0] == DATA
-        assert got[1].endswith(b"M 1 x\r\n")
+        assert message[0] == DATA
+        assert message[1].endswith(b"M 1 x\r\n")
     for _ in range(32):
-        assert stalled.line() == line  # held back by its gateway, not lost
+        assert stalled_endpoint.line() == line  # held back by its endpoint, not lost
 
 
-def test_client_that_stalls_one_channel_does_not_delay_others(one: RunningProxy) -> None:
-    # Lines without window wait on their own channel; the endpoint is read no further meanwhile.
-    terminal = ChannelsClient(one.channels_port)
-    stalled, _, flood = served(one, terminal, 1, window=10)
-    _, _, endpoint = served(one, terminal, 2)
-    flood.send(b"0123456789ab\r\n" * 3)
-    assert data(terminal, 1) == b"0123456789"
+def test_client_that_stalls_one_channel_does_not_delay_others(proxy: RunningProxy) -> None:
+    # Lines for which there is no window wait on their channel; its endpoint is not read meanwhile.
+    terminal = ChannelsClient(proxy.channels_port)
+    stalled_channel, _, stalled_endpoint = open_channel(proxy, terminal, 1, window=10)
+    _, _, endpoint = open_channel(proxy, terminal, 2)
+    stalled_endpoint.send(b"0123456789ab\r\n" * 3)
+    assert receive_data(terminal, 1) == b"0123456789"
     for _ in range(50):
         endpoint.send(b"quick\r\n")
-        assert data(terminal, 2) == b"quick\r\n"
-    terminal.send_message(WINDOW_ADJUST, stalled, 32)
-    got = b""
-    while len(got) < 32:
-        got += data(terminal, 1)
-    assert got == (b"0123456789ab\r\n" * 3)[10:]
+        assert receive_data(terminal, 2) == b"quick\r\n"
+    terminal.send_message(WINDOW_ADJUST, stalled_channel, 32)
+    received = b""
+    while len(received) < 32:
+        received += receive_data(terminal, 1)
+    assert received == (b"0123456789ab\r\n" * 3)[10:]
 
 
 def test_draining_endpoint_migrates_only_its_channels(tmp_path: Path) -> None:
@@ -145,39 +161,39 @@
         terminal = ChannelsClient(running.channels_port)
         established: dict[str, list[tuple[int, int, PeerConnection]]] = {"s-0": [], "s-1": []}
         for number in range(12):
-            channel, listener, endpoint = served(running, terminal, number, key=number + 1)
+            channel, listener, endpoint = open_channel(running, terminal, number, key=number + 1)
             established[listener.uid].append((number, channel, endpoint))
         assert established["s-0"]
         assert established["s-1"]
         running.discovery.change(**{"s-0": "DRAINING"})
-        moved = set()
+        migrated = set()
         for _ in established["s-0"]:
-            kind, rest = terminal.read()
-            assert kind == CHANNEL_REQUEST
+            message_number, rest = terminal.read()
+            assert message_number == CHANNEL_REQUEST
             assert b"move@linnetshift" in rest
             number = int.from_bytes(rest[:4], "big")
             terminal.expect(CLOSE, number)
-            moved.add(number)
-        assert moved == {number for number, _, _ in established["s-0"]}
+            migrated.add(number)
+        assert migrated == {number for number, _, _ in established["s-0"]}
         for number, channel, endpoint in established["s-1"]:
             terminal.send_message(DATA, channel, b"still here\r\n")
             assert endpoint.line() == b"still here\r\n"
             endpoint.send(b"yes\r\n")
-            assert data(terminal, number) == b"yes\r\n"
+            assert receive_data(terminal, number) == b"yes\r\n"
 
 
-@pytest.mark.parametrize("how", ["close", "disconnect", "fin", "reset"])
-def test_client_end_is_passed_on_to_its_endpoints(one: RunningProxy, how: str) -> None:
-    terminal = ChannelsClient(one.channels_port)
-    channel, _, endpoint = served(one, terminal, 1)
-    if how == "close":
+@pytest.mark.parametrize("end", ["close", "disconnect", "fin", "reset"])
+def test_client_end_is_passed_on_to_its_endpoints(proxy: RunningProxy, end: str) -> None:
+    terminal = ChannelsClient(proxy.channels_port)
+    channel, _, endpoint = open_channel(proxy, terminal, 1)
+    if end == "close":
         terminal.send_message(CLOSE, channel)
         terminal.expect(CLOSE, 1)
-    elif how == "disconnect":
-        terminal.send_message(1, 11, b"done", b"")
+    elif end == "disconnect":
+        terminal.send_message(DISCONNECT, 11, b"done", b"")
     else:
-        terminal.close(how)
-    assert endpoint.ended() == ("reset" if how == "reset" else "fin")
+        terminal.close(end)
+    assert endpoint.ended() == ("reset" if end == "reset" else "fin")
 
 
 @pytest.mark.parametrize(
@@ -192,57 +208,56 @@
         struct.pack(">IB", 28, 10) + bytes([91]) + bytes(26),
     ],
 )
-def test_malformed_packet_ends_only_its_session(one: RunningProxy, sent: bytes) -> None:
-    other = ChannelsClient(one.channels_port)
-    terminal = ChannelsClient(one.channels_port)
+def test_malformed_packet_ends_only_its_session(proxy: RunningProxy, sent: bytes) -> None:
+    other = ChannelsClient(proxy.channels_port)
+    terminal = ChannelsClient(proxy.channels_port)
     terminal.send(sent)
-    assert terminal.expect(1, 2)
+    assert terminal.expect(DISCONNECT, 2)
     assert terminal.ended() == "fin"
-    one.logged("side=session reason=protocol-error")
-    assert served(one, other, 1)
+    proxy.logged("side=session reason=protocol-error")
+    assert open_channel(proxy, other, 1)
 
 
-def test_data_beyond_the_window_ends_the_session(one: RunningProxy) -> None:
-    terminal = ChannelsClient(one.channels_port)
-    channel, _, _ = served(one, terminal, 1)
+def test_data_beyond_the_window_ends_the_session(proxy: RunningProxy) -> None:
+    terminal = ChannelsClient(proxy.channels_port)
+    channel, _, _ = open_channel(proxy, terminal, 1)
     terminal.send_message(DATA, channel, bytes(32768 + 1))
-    assert b"window" in terminal.expect(1, 2)
+    assert b"window" in terminal.expect(DISCONNECT, 2)
 
 
 @pytest.mark.parametrize("line", [b"SSH-1.5-old\r\n", b"x" * 6000])
-def test_other_protocol_version_is_disconnected(one: RunningProxy, line: bytes) -> None:
-    conn = one.client(line, one.channels_port)
+def test_other_protocol_version_is_disconnected(proxy: RunningProxy, line: bytes) -> None:
+    conn = proxy.client(line, proxy.channels_port)
     assert conn.line().startswith(b"SSH-2.0-")
     conn.read_exactly(5)
     assert conn.read_exactly(1) == b"\x01"
 
 
-def test_unknown_messages_are_answered_as_rfc_4254_requires(one: RunningProxy) -> None:
-    terminal = ChannelsClient(one.channels_port)
-    channel, _, endpoint = served(one, terminal, 1)
-    terminal.send_message(
-        80, b"keepalive@example", 1 << 24
-    )  # a want-reply of 1 and three bytes that are ignored
-    terminal.expect(82)
-    terminal.send_payload(bytes([98]) + struct.pack(">II", channel, 3) + b"env\x01")
-    terminal.expect(100, 1)
-    terminal.send_message(2, b"ignored")
+def test_unknown_messages_are_answered_as_rfc_4254_requires(proxy: RunningProxy) -> None:
+    terminal = ChannelsClient(proxy.channels_port)
+    channel, _, endpoint = open_channel(proxy, terminal, 1)
+    # As a uint32 this is want-reply, 1, and three bytes that are ignored.
+    terminal.send_message(GLOBAL_REQUEST, b"keepalive@example", 1 << 24)
+    terminal.expect(REQUEST_FAILURE)
+    terminal.send_payload(bytes([CHANNEL_REQUEST]) + struct.pack(">II", channel, 3) + b"env\x01")
+    terminal.expect(CHANNEL_FAILURE, 1)
+    terminal.send_message(IGNORE, b"ignored")
     terminal.send_message(EOF, channel)
-    terminal.send_message(200)
-    terminal.expect(3, 5)  # the sixth packet, counted from 0
+    terminal.send_message(UNKNOWN_MESSAGE)
+    terminal.expect(UNIMPLEMENTED, 5)  # the sixth packet, counted from 0
     endpoint.send(b"still served\r\n")
-    assert data(terminal, 1) == b"still served\r\n"
+    assert receive_data(terminal, 1) == b"still served\r\n"
 
 
-def test_channels_migrate_before_a_planned_stop(one: RunningProxy) -> None:
-    terminal = ChannelsClient(one.channels_port)
-    channel, _, _ = served(one, terminal, 1)
-    one.terminate()
+def test_channels_are_migrated_at_a_graceful_shutdown(proxy: RunningProxy) -> None:
+    terminal = ChannelsClient(proxy.channels_port)
+    channel, _, _ = open_channel(proxy, terminal, 1)
+    proxy.terminate()
     assert b"move@linnetshift" in terminal.expect(CHANNEL_REQUEST, 1)
     terminal.expect(CLOSE, 1)
     terminal.send_message(CLOSE, channel)
-    terminal.expect(1, 11)
-    assert one.process.wait(20) == 0
+    terminal.expect(DISCONNECT, 11)
+    assert proxy.process.wait(20) == 0
 
 
 CONTRACT = '[[contract]]\nteam = "acme"\n'
@@ -262,9 +277,10 @@
 ) -> None:
     with started_proxy(tmp_path, broker_toml=CHANNELS_ENABLED + contract) as running:
         terminal = ChannelsClient(running.channels_port)
-        established = served(running, terminal, 1) if b"concurrency" in limit or b"rate" in limit else None
+        uses_up_limit = b"concurrency" in limit or b"rate" in limit
+        established = open_channel(running, terminal, 1) if uses_up_limit else None
         terminal.open(2, tenant=tenant)
-        assert limit in terminal.expect(92, 2, 1)
+        assert limit in terminal.expect(OPEN_FAILURE, 2, 1)
         client = running.client(b"OPEN 1 2 c=feed,t=%s,d=2000\r\n" % tenant)
         assert client.line().startswith(b"BUSY ")
         del established
--- a/tests/test_connections_without_a_request.py
+++ b/tests/test_connections_without_a_request.py
@@ -12,18 +12,19 @@
 from connections import WAIT_S, ChannelsClient
 from proxy_harness import launch_process, started_proxy
 from running_proxy import OPEN_LINE, RunningProxy
-from test_line_protocol import answer
+from test_line_protocol import answer_attempt
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 
 
 @pytest.fixture
-def one(tmp_path: Path) -> Iterator[RunningProxy]:
+def proxy(tmp_path: Path) -> Iterator[RunningProxy]:
     with started_proxy(tmp_path) as running:
         yield running
 
 
-def few() -> None:
+def limit_descriptors() -> None:
+    """Leave this process 40 descriptors; called in the child before the program starts."""
     resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
 
 
@@ -52,60 +53,60 @@
         b"x" * 5000,
     ],
 )
-def test_bad_request_line_fails_alone(one: RunningProxy, line: bytes) -> None:
+def test_bad_request_line_fails_alone(proxy: RunningProxy, line: bytes) -> None:
     # What one client sends must neither be passed on (it voids the run) nor hurt the others.
-    client = one.client(line)
+    client = proxy.client(line)
     assert client.line() == b"ERR\r\n"
     client.close()
-    one.logged("side=client reason=bad-line")
-    assert one.alive()
+    proxy.logged("side=client reason=bad-line")
+    assert proxy.alive()
 
 
-def test_second_request_with_an_open_id_fails(one: RunningProxy) -> None:
+def test_second_request_with_an_open_id_fails(proxy: RunningProxy) -> None:
     # Sent on, one endpoint after the other took it for a copy: six attempts for each.
     line = OPEN_LINE % (7, 2000)
-    client = one.client(line)
-    endpoint = one.endpoints[0].serve()
+    client = proxy.client(line)
+    endpoint = proxy.endpoints[0].serve()
     assert client.line() == b"UP r1\r\n"
-    assert one.client(line).line() == b"ERR\r\n"
+    assert proxy.client(line).line() == b"ERR\r\n"
     client.close()
     assert endpoint.ended() in ("fin", "reset")
-    one.logged("side=client reason=client-left")
-    again = one.client(line)
-    one.endpoints[0].serve()
-    assert again.line() == b"UP r1\r\n"
+    proxy.logged("side=client reason=client-left")
+    later_client = proxy.client(line)
+    proxy.endpoints[0].serve()
+    assert later_client.line() == b"UP r1\r\n"
 
 
 def test_error_of_two_endpoints_fails_the_request(tmp_path: Path) -> None:
     with started_proxy(tmp_path, endpoints=3) as running:
         client = running.open()
         for _ in range(2):
-            answer(running.next_attempted(), b"ERR\r\n", "fin")
+            answer_attempt(running.next_attempted(), b"ERR\r\n", "fin")
         assert client.line() == b"ERR\r\n"
         running.logged("side=client reason=failed .*attempts=2")
 
 
-def test_client_that_sends_before_its_answer_is_closed(one: RunningProxy) -> None:
+def test_client_that_sends_before_its_answer_is_closed(proxy: RunningProxy) -> None:
     # Its lines filled the buffer, and that it ended was not seen any more.
-    client = one.open()
-    endpoint = one.endpoints[0].accept()
+    client = proxy.open()
+    endpoint = proxy.endpoints[0].accept()
     endpoint.line()
     client.send(b"M 1\r\n" * 4000)
     assert client.line() == b"ERR\r\n"
     assert endpoint.ended() in ("fin", "reset")
 
 
-def test_overlong_line_ends_an_established_connection(one: RunningProxy) -> None:
-    client, endpoint = one.establish()
+def test_overlong_line_ends_an_established_connection(proxy: RunningProxy) -> None:
+    client, endpoint = proxy.establish()
     client.send(b"x" * 5000)
     assert endpoint.ended() == "fin"
     assert client.ended() == "fin"
-    assert "reason=bad-line" in one.logged("side=client")
+    assert "reason=bad-line" in proxy.logged("side=client")
 
 
-def test_input_after_a_bad_line_is_discarded_until_the_answer_arrives(one: RunningProxy) -> None:
-    # A close with bytes unread resets the answer away; keeping them would fill memory.
-    client = one.client()
+def test_input_after_a_bad_line_is_discarded_until_the_answer_arrives(proxy: RunningProxy) -> None:
+    # A close with bytes unread resets the connection and loses the answer; keeping them would fill memory.
+    client = proxy.client()
     client.sock.settimeout(None)
     sent = threading.Event()
 
@@ -120,31 +121,31 @@
     assert client.ended() == "fin"
 
 
-def test_unfinished_request_line_times_out(one: RunningProxy) -> None:
+def test_unfinished_request_line_times_out(proxy: RunningProxy) -> None:
     # Each unfinished request would hold a descriptor for good.
-    client = one.client(b"OPEN 9b1f03aa5c7e2d41 7f")
+    client = proxy.client(b"OPEN 9b1f03aa5c7e2d41 7f")
     assert client.line() == b"ERR\r\n"
     assert client.ended() == "fin"
-    one.logged("side=client reason=request-timeout")
+    proxy.logged("side=client reason=request-timeout")
 
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 def test_idle_connections_are_evicted_for_others(tmp_path: Path, frontend: str) -> None:
     # Hundreds of idle connections used to take every descriptor, those to endpoints included.
-    with started_proxy(tmp_path, broker_toml=CHANNELS, before=few) as running:
-        standing, endpoint = running.establish()
+    with started_proxy(tmp_path, broker_toml=CHANNELS, before=limit_descriptors) as running:
+        established, endpoint = running.establish()
         port = running.channels_port if frontend == "channels" else running.port
-        crowd = [running.client(port=port) for _ in range(60)]
+        idle_clients = [running.client(port=port) for _ in range(60)]
         running.logged("reason=evicted")
         running.establish()
-        crowd[0].line()  # the longest idle one gets an answer, or a greeting
-        assert crowd[0].ended() == "fin"
+        idle_clients[0].line()  # the one that was idle longest gets ERR, or the SSH identification
+        assert idle_clients[0].ended() == "fin"
         endpoint.send(b"on\r\n")
-        assert standing.line() == b"on\r\n"
+        assert established.line() == b"on\r\n"
 
 
 @pytest.mark.parametrize(
-    ("frontend", "crowd", "pieces"),
+    ("frontend", "idle_input", "pieces"),
     [
         ("platform", b"", [b"OPEN 9b1f03aa5c7e2d41 7f3a", b"9c21e0b4d655 c=fe", b"ed,t=acme,d=2000\r\n"]),
         ("platform", b"PING\r\n", [b"", b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme\r\n"]),
@@ -152,16 +153,16 @@
     ],
 )
 def test_slow_client_outlasts_idle_connections(
-    tmp_path: Path, frontend: str, crowd: bytes, pieces: list[bytes]
+    tmp_path: Path, frontend: str, idle_input: bytes, pieces: list[bytes]
 ) -> None:
     # The oldest was evicted first, which in a flood is the client whose line takes long.
-    with started_proxy(tmp_path, broker_toml=CHANNELS, before=few) as running:
+    with started_proxy(tmp_path, broker_toml=CHANNELS, before=limit_descriptors) as running:
         slow = running.client(port=running.channels_port if frontend == "channels" else running.port)
         for piece in pieces[:-1]:
             slow.send(piece)
             assert running.alive()
-            running.logged("reason=probed")  # a turn of its loop later: each piece has been read by itself
-        kept = [running.client(crowd) for _ in range(60)]
+            running.logged("reason=probed")  # at least a turn of the loop later: each piece is read by itself
+        idle_clients = [running.client(idle_input) for _ in range(60)]
         running.logged("reason=evicted")
         slow.send(pieces[-1])
         if frontend == "channels":
@@ -172,42 +173,42 @@
         else:
             running.endpoints[0].serve()
             assert slow.line() == b"UP r1\r\n"
-        assert kept
+        assert idle_clients
 
 
 def test_evicted_connection_with_unread_bytes_gets_its_answer_and_a_plain_end(tmp_path: Path) -> None:
-    # The close over them reset the answer away.
-    with started_proxy(tmp_path, before=few) as running:
-        quiet = [running.client() for _ in range(8)]
+    # A close with bytes unread used to reset the connection, and the answer was lost.
+    with started_proxy(tmp_path, before=limit_descriptors) as running:
+        silent_clients = [running.client() for _ in range(8)]
         assert running.alive()
         with running.stopped():
-            for conn in quiet:
+            for conn in silent_clients:
                 conn.send(b"OPEN 1 2 c=fe")
-            crowd = [running.client() for _ in range(30)]
-        for conn in quiet:
+            newer_clients = [running.client() for _ in range(30)]
+        for conn in silent_clients:
             assert conn.line() == b"ERR\r\n"
             assert conn.ended() == "fin"
-        assert len(crowd) == 30
+        assert len(newer_clients) == 30
 
 
 def test_accepting_pauses_without_descriptors(tmp_path: Path) -> None:
     # Accepting again at once would spin; ending would lose every established connection.
-    with started_proxy(tmp_path, before=few) as running:
-        crowd = [running.open(60000) for _ in range(60)]
+    with started_proxy(tmp_path, before=limit_descriptors) as running:
+        waiting_clients = [running.open(60000) for _ in range(60)]
         running.logged("event=accept-paused")
-        for conn in crowd:
+        for conn in waiting_clients:
             conn.close()
         # Attempts under way may have been sent; none is made for clients that had left before.
-        last = running.client(b"OPEN 77 2 c=feed,t=acme,d=20000\r\n")
+        last_client = running.client(b"OPEN 77 2 c=feed,t=acme,d=20000\r\n")
         attempt = running.endpoints[0].accept()
         while not attempt.line().startswith(b"OPEN 77 "):
             attempt = running.endpoints[0].accept()
         attempt.send(b"UP r1\r\n")
-        assert last.line() == b"UP r1\r\n"
+        assert last_client.line() == b"UP r1\r\n"
         running.establish()
 
 
-def test_unread_log_blocks_nothing(one: RunningProxy, tmp_path: Path) -> None:
+def test_unread_log_blocks_nothing(proxy: RunningProxy, tmp_path: Path) -> None:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     while True:
@@ -216,13 +217,13 @@
         except BlockingIOError:
             break
     os.set_blocking(writer, True)
-    one.process.kill()
-    one.process.wait(WAIT_S)
+    proxy.process.kill()
+    proxy.process.wait(WAIT_S)
     process = launch_process(str(tmp_path / "config.json"), stderr=writer)
     try:
         while True:
             try:
-                assert one.alive()
+                assert proxy.alive()
                 break
             except ConnectionRefusedError:
                 assert process.poll() is None
--- a/tests/test_line_protocol.py
+++ b/tests/test_line_protocol.py
@@ -15,14 +15,14 @@
 
 
 @pytest.fixture
-def one(tmp_path: Path) -> Iterator[RunningProxy]:
+def proxy(tmp_path: Path) -> Iterator[RunningProxy]:
     with started_proxy(tmp_path) as running:
         yield running
 
 
-def test_lines_are_relayed_both_ways(one: RunningProxy) -> None:
-    client = one.open(2000)
-    endpoint = one.endpoints[0].accept()
+def test_lines_are_relayed_both_ways(proxy: RunningProxy) -> None:
+    client = proxy.open(2000)
+    endpoint = proxy.endpoints[0].accept()
     head, _, remaining_ms = endpoint.line().partition(b",d=")
     assert head.split()[2:] == OPEN_LINE.partition(b",d=")[0].split()[2:]
     assert 0 < int(remaining_ms) <= 2000  # what remains of the client's deadline, never more
@@ -37,37 +37,38 @@
     assert client.line() == b"BYE\r\n"
     assert client.ended() == "fin"
     client.close()
-    assert "side=client" in one.logged("reason=served id=1 open=[0-9a-f]+ key=[0-9a-f]+ class=feed peer")
+    assert "side=client" in proxy.logged("reason=served id=1 open=[0-9a-f]+ key=[0-9a-f]+ class=feed peer")
 
 
-@pytest.mark.parametrize("how", ["fin", "reset"])
+@pytest.mark.parametrize("end", ["fin", "reset"])
 @pytest.mark.parametrize("side", ["client", "endpoint"])
-def test_end_of_one_side_ends_the_other_the_same_way(one: RunningProxy, side: str, how: str) -> None:
+def test_end_of_one_side_ends_the_other_the_same_way(proxy: RunningProxy, side: str, end: str) -> None:
     # A reset passed on as a plain end would look like a connection served to its end.
-    client, endpoint = one.establish()
+    client, endpoint = proxy.establish()
     ending, other = (client, endpoint) if side == "client" else (endpoint, client)
-    ending.close(how)
-    assert other.ended() == how
+    ending.close(end)
+    assert other.ended() == end
     other.close()
-    code = f"reason={side}-{'left' if how == 'fin' else 'reset'}"
-    first, second = one.logged(code), one.logged(code)
+    reason = f"reason={side}-{'left' if end == 'fin' else 'reset'}"
+    log_lines = [proxy.logged(reason) for _ in ("client", "endpoint")]
     assert {"side=client", "side=endpoint"} == {
-        line.split("event=connection-ended ")[1].split()[0] for line in (first, second)
+        line.split("event=connection-ended ")[1].split()[0] for line in log_lines
     }
 
 
-def answer(listener: EmulatedEndpoint, reply: bytes, how: str) -> PeerConnection:
+def answer_attempt(listener: EmulatedEndpoint, reply: bytes, end: str) -> PeerConnection:
+    """Accept an attempt, send the reply unless it is empty, and close with this end unless that is."""
     conn = listener.accept()
     conn.line()
     if reply:
         conn.send(reply)
-    if how:
-        conn.close(how)
+    if end:
+        conn.close(end)
     return conn
 
 
 @pytest.mark.parametrize(
-    ("reply", "how", "reason"),
+    ("reply", "end", "reason"),
     [
         (b"ERR\r\n", "fin", "error"),
         (b"BUSY\r\n", "fin", "endpoint-full"),
@@ -84,17 +85,17 @@
     ],
 )
 def test_failed_attempt_is_closed_before_the_next(
-    tmp_path: Path, reply: bytes, how: str, reason: str
+    tmp_path: Path, reply: bytes, end: str, reason: str
 ) -> None:
-    # Two attempts of one request out together would break a rule, whatever became of the first.
+    # Two attempts of one request at a time would break a rule, whatever became of the first.
     with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
-        if how == "refused":
+        if end == "refused":
             first.sock.close()
         client = running.open(2000)
-        conn = None if how == "refused" else answer(first, reply, how)
+        conn = None if end == "refused" else answer_attempt(first, reply, end)
         endpoint = second.accept()
-        if conn is not None and not how:
+        if conn is not None and not end:
             assert conn.ended() in ("fin", "reset")  # already there: no wait is needed
         endpoint.line()
         endpoint.send(b"UP r2\r\n")
@@ -103,7 +104,7 @@
 
 
 def ranked(running: RunningProxy) -> tuple[EmulatedEndpoint, EmulatedEndpoint]:
-    """The two endpoints in the order in which the key that all tests use is placed."""
+    """The two endpoints as the tests' key ranks them, the preferred one first."""
     client = running.open()
     first, endpoint = running.serve_any()
     client.line()
@@ -113,44 +114,44 @@
     return first, next(other for other in running.endpoints if other is not first)
 
 
-@pytest.mark.parametrize(("asked", "answer"), [(b"PING\r\n", b"PONG\r\n"), (b"STATS\r\n", b"NO\r\n")])
-def test_readiness_query_is_answered(one: RunningProxy, asked: bytes, answer: bytes) -> None:
-    conn = one.client(asked)
+@pytest.mark.parametrize(("query", "answer"), [(b"PING\r\n", b"PONG\r\n"), (b"STATS\r\n", b"NO\r\n")])
+def test_readiness_query_is_answered(proxy: RunningProxy, query: bytes, answer: bytes) -> None:
+    conn = proxy.client(query)
     assert conn.line() == answer
     conn.send(b"PING\r\n")
     assert conn.line() == b"PONG\r\n"
     conn.close()
-    one.logged("reason=probed")
+    proxy.logged("reason=probed")
 
 
-def test_unknown_names_are_accepted(one: RunningProxy) -> None:
-    client = one.client(b"OPEN 1 2 c=feed,t=nobody,zz=9,h=1.5,d=1000\r\n")
-    one.endpoints[0].serve()
+def test_unknown_names_are_accepted(proxy: RunningProxy) -> None:
+    client = proxy.client(b"OPEN 1 2 c=feed,t=nobody,zz=9,h=1.5,d=1000\r\n")
+    proxy.endpoints[0].serve()
     assert client.line() == b"UP r1\r\n"
 
 
-def test_rejected_request_reports_retry_after(one: RunningProxy) -> None:
-    # The decision comes at once, long before the client's own 60 s.
-    client = one.open(60000)
+def test_rejected_request_reports_retry_after(proxy: RunningProxy) -> None:
+    # Rejected as soon as the attempts have failed, long before the client's deadline of 60 s.
+    client = proxy.open(60000)
     for _ in range(4):
-        answer(one.endpoints[0], b"BUSY\r\n", "fin")
+        answer_attempt(proxy.endpoints[0], b"BUSY\r\n", "fin")
     assert client.line() == b"BUSY 1000\r\n"
-    one.logged("side=client reason=rejected")
+    proxy.logged("side=client reason=rejected")
 
 
-def test_unresponsive_endpoint_costs_no_more_than_the_deadline(one: RunningProxy) -> None:
-    client = one.open(300)
-    one.endpoints[0].accept()
+def test_unresponsive_endpoint_costs_no_more_than_the_deadline(proxy: RunningProxy) -> None:
+    client = proxy.open(300)
+    proxy.endpoints[0].accept()
     assert client.line() in (b"ERR\r\n", b"BUSY 1000\r\n", b"BUSY\r\n")
 
 
-def test_client_that_leaves_ends_its_attempt(one: RunningProxy) -> None:
-    client = one.open()
-    endpoint = one.endpoints[0].accept()
+def test_client_that_leaves_ends_its_attempt(proxy: RunningProxy) -> None:
+    client = proxy.open()
+    endpoint = proxy.endpoints[0].accept()
     endpoint.line()
     client.close()
     assert endpoint.ended() in ("fin", "reset")
-    one.logged("side=client reason=withdrawn")
+    proxy.logged("side=client reason=withdrawn")
 
 
 def test_adopted_connection_goes_to_the_endpoint_that_had_it(tmp_path: Path) -> None:
@@ -163,9 +164,9 @@
         assert client.line() == b"UP r1\r\n"
 
 
-def test_slow_reader_loses_no_lines(one: RunningProxy) -> None:
+def test_slow_reader_loses_no_lines(proxy: RunningProxy) -> None:
     # Reading on while a client does not would fill memory; dropping would lose lines.
-    client, endpoint = one.establish()
+    client, endpoint = proxy.establish()
     lines = 3000
     data = b"".join(b"%08d" % n + b"y" * 1014 + b"\r\n" for n in range(lines))
     writer = threading.Thread(target=endpoint.send, args=(data,), daemon=True)
@@ -173,7 +174,7 @@
     for n in range(lines):
         assert client.line() == b"%08d" % n + b"y" * 1014 + b"\r\n"
     writer.join(WAIT_S)
-    assert one.alive()
+    assert proxy.alive()
 
 
 @pytest.mark.parametrize("unfinished", [b"", b"half a li"])
@@ -193,26 +194,26 @@
         assert client.ended() == "fin"
         assert endpoint.ended() in ("fin", "reset")
         running.logged("side=client reason=migrated")
-        again = running.open()
+        next_client = running.open()
         second.serve()
-        assert again.line() == b"UP r1\r\n"
+        assert next_client.line() == b"UP r1\r\n"
 
 
-def test_client_of_an_unresponsive_endpoint_is_migrated(one: RunningProxy) -> None:
-    # A machine that vanished sends no reset; only the missing reply tells.
-    client, _endpoint = one.establish()
+def test_client_of_an_unresponsive_endpoint_is_migrated(proxy: RunningProxy) -> None:
+    # A machine that vanished sends no reset; a missing reply is the only sign.
+    client, _endpoint = proxy.establish()
     client.send(b"M 1 x\r\n")
     assert client.line() == b"MOVE\r\n"
-    one.logged("side=client reason=unresponsive")
+    proxy.logged("side=client reason=unresponsive")
 
 
 def test_graceful_shutdown_answers_and_migrates_everyone(tmp_path: Path) -> None:
     with started_proxy(tmp_path, endpoints=1) as running:
-        standing = [running.establish() for _ in range(5)]
+        established = [running.establish() for _ in range(5)]
         waiting = running.open(60000)
         running.endpoints[0].accept().line()
         running.terminate()
-        for client, endpoint in standing:
+        for client, endpoint in established:
             assert client.line() == b"MOVE\r\n"
             client.close()
             assert endpoint.ended() in ("fin", "reset")
@@ -227,11 +228,11 @@
         assert discovery.calls.get(timeout=WAIT_S).startswith("/catalog/members?since=1&timeout_ms=")
         discovery.fail(True)
         running.logged("event=discovery-call-failed")
-        running.establish()  # the old list stands
+        running.establish()  # the old list stays in use
         discovery.fail(False)
         discovery.change()
         while "since=2" not in discovery.calls.get(timeout=WAIT_S):
-            pass  # the calls that failed; the watch goes on from what the next one brought
+            pass  # failed calls; the watch goes on from the version that the next answer had
 
 
 @pytest.mark.parametrize(
@@ -247,14 +248,14 @@
         ([], "response-ignored .*no list"),
     ],
 )
-def test_invalid_discovery_response_empties_no_list(one: RunningProxy, answer: object, report: str) -> None:
+def test_invalid_discovery_response_empties_no_list(proxy: RunningProxy, answer: object, report: str) -> None:
     # Applied as it is, it would migrate every connection and reject every new request.
-    client, endpoint = one.establish()
-    one.discovery.answer_once(answer)
-    one.logged(report)
-    endpoint.send(b"still\r\n")
-    assert client.line() == b"still\r\n"
-    one.establish()
+    client, endpoint = proxy.establish()
+    proxy.discovery.answer_once(answer)
+    proxy.logged(report)
+    endpoint.send(b"still here\r\n")
+    assert client.line() == b"still here\r\n"
+    proxy.establish()
 
 
 @pytest.mark.parametrize(
@@ -280,7 +281,7 @@
 
 
 @pytest.mark.parametrize(
-    ("own", "report"),
+    ("broker_toml", "report"),
     [
         ("[channels", "is not TOML"),
         ("[channels]\nenabled = true\n", "'listen' is missing"),
@@ -289,10 +290,10 @@
         ('[[contract]]\nteam = "acme"\nrate_per_s = 0\n', "rate_per_s must be above 0"),
     ],
 )
-@pytest.mark.usefixtures("one")
-def test_invalid_broker_file_is_reported_in_one_line(tmp_path: Path, own: str, report: str) -> None:
+@pytest.mark.usefixtures("proxy")
+def test_invalid_broker_file_is_reported_in_one_line(tmp_path: Path, broker_toml: str, report: str) -> None:
     path = tmp_path / "bad.toml"
-    path.write_text(own)
+    path.write_text(broker_toml)
     process = launch_process(str(tmp_path / "config.json"), str(path))
     _, error = process.communicate(timeout=WAIT_S)
     assert process.returncode == 2
@@ -300,7 +301,7 @@
     assert error.count("\n") == 1
 
 
-@pytest.mark.usefixtures("one")
+@pytest.mark.usefixtures("proxy")
 def test_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     process = launch_process(str(tmp_path / "config.json"))
     _, error = process.communicate(timeout=WAIT_S)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -26,9 +26,11 @@
 
 @pytest.fixture
 def acceptor(accepted: list[socket.socket]) -> Iterator[Acceptor]:
-    made = Acceptor(Loop(), ANY_PORT, lambda sock, _peer: accepted.append(sock), make_room=lambda: False)
-    yield made
-    made.close()
+    open_acceptor = Acceptor(
+        Loop(), ANY_PORT, lambda sock, _peer: accepted.append(sock), make_room=lambda: False
+    )
+    yield open_acceptor
+    open_acceptor.close()
 
 
 def connect(acceptor: Acceptor) -> socket.socket:
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop by itself."""
+"""The order of the loop's work in one turn, and descriptors whose number is given again."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_io_during_a_stall_is_handled_before_due_timers() -> None:
-    # With timers first, connections that had come up in time were given up as unreachable.
+    # With timers first, connections that were established in time were given up as unreachable.
     loop, received = Loop(), list[object]()
 
     class RecordingActor(Actor):
@@ -25,15 +25,15 @@
         actor = RecordingActor(loop)
         actor.start(actor.run())
         loop.watch(ours.fileno(), select.EPOLLIN, lambda mask: actor.post(Io(mask)))
-        actor.set_timer(0, "late")
+        actor.set_timer(0, "due")
         theirs.send(b"in time")
         loop.run_once()
         loop.run_once()
-    assert received[:2] == [Io(select.EPOLLIN), Timeout("late")]
+    assert received[:2] == [Io(select.EPOLLIN), Timeout("due")]
 
 
 def test_event_of_a_closed_descriptor_is_not_passed_to_its_new_owner() -> None:
-    # Under want of descriptors a number was given anew within one turn, and the new one took it for its own.
+    # When descriptors ran short, a number was reused within one turn, and its new owner got the old event.
     loop, calls, new_pair = Loop(), list[str](), list[socket.socket]()
     pairs = [socket.socketpair() for _ in range(2)]
 
--- a/tests/test_memory_after_connections_end.py
+++ b/tests/test_memory_after_connections_end.py
@@ -55,7 +55,7 @@
 
 
 @pytest.fixture
-def one(without_collector: None, tmp_path: Path) -> Iterator[ProxyInThread]:
+def proxy(without_collector: None, tmp_path: Path) -> Iterator[ProxyInThread]:
     with proxy_in_thread(
         tmp_path, endpoints=2, broker_toml=CHANNELS, admin_server=True, rules={"warmUpNs": 1}
     ) as running:
@@ -76,52 +76,52 @@
         time.sleep(0.02)
 
 
-def served(one: ProxyInThread) -> None:
-    client, endpoint = one.establish(one.endpoints.index(find_chosen_endpoint(one)))
+def served(proxy: ProxyInThread) -> None:
+    client, endpoint = proxy.establish(proxy.endpoints.index(find_chosen_endpoint(proxy)))
     endpoint.send(b"LOAD 9\r\nBYE\r\n")
     endpoint.close()
     assert client.line() + client.line() == b"LOAD 9\r\nBYE\r\n"
     assert client.ended() == "fin"
 
 
-def find_chosen_endpoint(one: ProxyInThread) -> object:
+def find_chosen_endpoint(proxy: ProxyInThread) -> object:
     """Which endpoint the key's ranking sends a connection to: found by one that is let go."""
-    client = one.open()
-    listener, endpoint = one.serve_any()
+    client = proxy.open()
+    listener, endpoint = proxy.serve_any()
     client.line()
     client.close()
     endpoint.ended()
     return listener
 
 
-def establish(one: ProxyInThread) -> tuple[object, object]:
-    client = one.open()
-    _, endpoint = one.serve_any()
+def establish(proxy: ProxyInThread) -> tuple[object, object]:
+    client = proxy.open()
+    _, endpoint = proxy.serve_any()
     assert client.line() == b"UP r1\r\n"
     return client, endpoint
 
 
-def client_leaves(one: ProxyInThread, how: str = "fin") -> None:
-    client, endpoint = establish(one)
+def client_leaves(proxy: ProxyInThread, how: str = "fin") -> None:
+    client, endpoint = establish(proxy)
     client.close(how)  # type: ignore[attr-defined]
     assert endpoint.ended() == how  # type: ignore[attr-defined]
 
 
-def client_resets(one: ProxyInThread) -> None:
-    client_leaves(one, "reset")
+def client_resets(proxy: ProxyInThread) -> None:
+    client_leaves(proxy, "reset")
 
 
-def endpoint_resets(one: ProxyInThread) -> None:
-    client, endpoint = establish(one)
+def endpoint_resets(proxy: ProxyInThread) -> None:
+    client, endpoint = establish(proxy)
     endpoint.close("reset")  # type: ignore[attr-defined]
     assert client.ended() == "reset"  # type: ignore[attr-defined]
 
 
-def rejected(one: ProxyInThread) -> None:
-    client = one.open(wait_ms=1000)
+def rejected(proxy: ProxyInThread) -> None:
+    client = proxy.open(wait_ms=1000)
     while not select.select([client.sock], [], [], 0)[0]:
-        ready, _, _ = select.select([client.sock, *(each.sock for each in one.endpoints)], [], [], WAIT_S)
-        for listener in one.endpoints:
+        ready, _, _ = select.select([client.sock, *(each.sock for each in proxy.endpoints)], [], [], WAIT_S)
+        for listener in proxy.endpoints:
             if listener.sock in ready:
                 attempt = listener.accept()
                 attempt.line()
@@ -130,69 +130,69 @@
     assert client.line().startswith(b"BUSY")
 
 
-def times_out(one: ProxyInThread) -> None:
-    client = one.open(wait_ms=200)
-    attempt = one.next_attempted().accept()
+def times_out(proxy: ProxyInThread) -> None:
+    client = proxy.open(wait_ms=200)
+    attempt = proxy.next_attempted().accept()
     # With retry-after where the deadline, which the balancer counts from when it learned of the request, is a
     # little ahead: the class is idempotent.
     assert client.line() in (b"ERR\r\n", b"BUSY 1000\r\n")
     attempt.line()
 
 
-def client_leaves_before_answer(one: ProxyInThread) -> None:
-    client = one.open(wait_ms=600_000)
-    attempt = one.next_attempted().accept()
+def client_leaves_before_answer(proxy: ProxyInThread) -> None:
+    client = proxy.open(wait_ms=600_000)
+    attempt = proxy.next_attempted().accept()
     attempt.line()
     client.close()
     assert attempt.ended() in ("fin", "reset")
 
 
-def migrated(one: ProxyInThread) -> None:
-    client = one.open()
-    listener, _endpoint = one.serve_any()
+def migrated(proxy: ProxyInThread) -> None:
+    client = proxy.open()
+    listener, _endpoint = proxy.serve_any()
     assert client.line() == b"UP r1\r\n"
-    one.discovery.change(**{listener.uid: "DRAINING"})
+    proxy.discovery.change(**{listener.uid: "DRAINING"})
     assert client.line() == b"MOVE\r\n"
 
 
-def sends_malformed_line(one: ProxyInThread) -> None:
-    assert one.client(b"HELLO\r\n").line() == b"ERR\r\n"
+def sends_malformed_line(proxy: ProxyInThread) -> None:
+    assert proxy.client(b"HELLO\r\n").line() == b"ERR\r\n"
 
 
-def health_checks(one: ProxyInThread) -> None:
-    assert one.alive()
+def health_checks(proxy: ProxyInThread) -> None:
+    assert proxy.alive()
 
 
-def sends_nothing(one: ProxyInThread) -> None:
-    assert one.client().line() == b"ERR\r\n"
+def sends_nothing(proxy: ProxyInThread) -> None:
+    assert proxy.client().line() == b"ERR\r\n"
 
 
-def channel(one: ProxyInThread) -> tuple[ChannelsClient, int, object]:
-    terminal = ChannelsClient(one.channels_port)
+def channel(proxy: ProxyInThread) -> tuple[ChannelsClient, int, object]:
+    terminal = ChannelsClient(proxy.channels_port)
     terminal.open(5)
-    _, endpoint = one.serve_any()
+    _, endpoint = proxy.serve_any()
     return terminal, terminal.expect_confirmation(5), endpoint
 
 
-def session_ends(one: ProxyInThread) -> None:
-    terminal, _, endpoint = channel(one)
+def session_ends(proxy: ProxyInThread) -> None:
+    terminal, _, endpoint = channel(proxy)
     terminal.close()
     endpoint.ended()  # type: ignore[attr-defined]
 
 
-def channel_closes(one: ProxyInThread) -> None:
-    terminal, number, endpoint = channel(one)
+def channel_closes(proxy: ProxyInThread) -> None:
+    terminal, number, endpoint = channel(proxy)
     terminal.send_message(97, number)
     terminal.expect(97, 5)
     endpoint.ended()  # type: ignore[attr-defined]
     terminal.close()
 
 
-def channel_without_window(one: ProxyInThread) -> None:
+def channel_without_window(proxy: ProxyInThread) -> None:
     # Its last lines wait for a window that never comes, and its turn stays due.
-    terminal = ChannelsClient(one.channels_port)
+    terminal = ChannelsClient(proxy.channels_port)
     terminal.open(5, window=0)
-    _, endpoint = one.serve_any()
+    _, endpoint = proxy.serve_any()
     terminal.expect_confirmation(5)
     endpoint.send(b"M 1\r\nBYE\r\n")
     endpoint.close()
@@ -201,34 +201,34 @@
     terminal.close("reset")
 
 
-def session_reads_nothing(one: ProxyInThread) -> None:
+def session_reads_nothing(proxy: ProxyInThread) -> None:
     # A channel whose turn is due holds its session, which holds the turns.
-    terminal, _, endpoint = channel(one)
+    terminal, _, endpoint = channel(proxy)
     endpoint.sock.settimeout(0.5)  # type: ignore[attr-defined]
     with suppress(TimeoutError):
         endpoint.send(b"M 1\r\n" * (1 << 22))  # type: ignore[attr-defined]
     terminal.close("reset")
 
 
-def session_breaks_the_protocol(one: ProxyInThread) -> None:
-    terminal, _, endpoint = channel(one)
+def session_breaks_the_protocol(proxy: ProxyInThread) -> None:
+    terminal, _, endpoint = channel(proxy)
     terminal.send(b"\xff" * 64)
     assert terminal.read()[0] == 1
     endpoint.ended()  # type: ignore[attr-defined]
 
 
-def session_stops_in_a_packet(one: ProxyInThread) -> None:
-    terminal = ChannelsClient(one.channels_port)
+def session_stops_in_a_packet(proxy: ProxyInThread) -> None:
+    terminal = ChannelsClient(proxy.channels_port)
     terminal.send(b"\0\0\0\x0c\x04")
     assert terminal.read()[0] == 1
 
 
-def admin_request(one: ProxyInThread) -> None:
-    assert one.call("GET /ops/readiness") == 200
+def admin_request(proxy: ProxyInThread) -> None:
+    assert proxy.call("GET /ops/readiness") == 200
 
 
-def malformed_admin_request(one: ProxyInThread) -> None:
-    assert b"400" in one.client(b"\0\0\r\n\r\n", one.admin_port).line()
+def malformed_admin_request(proxy: ProxyInThread) -> None:
+    assert b"400" in proxy.client(b"\0\0\r\n\r\n", proxy.admin_port).line()
 
 
 @pytest.mark.parametrize(
@@ -256,10 +256,10 @@
     ],
 )
 def test_ended_connection_leaves_no_objects(
-    one: ProxyInThread, scenario: Callable[[ProxyInThread], None]
+    proxy: ProxyInThread, scenario: Callable[[ProxyInThread], None]
 ) -> None:
     # Cycles waited for a full collection with all their buffers, and armed timers held whole sessions.
-    assert one.alive()
+    assert proxy.alive()
     until = time.monotonic() + WAIT_S
     while count_objects()[ClientConnection.__name__]:
         assert time.monotonic() < until
@@ -267,7 +267,7 @@
     before[DiscoveryCall.__name__] += 1  # a watch that ends is followed by the next at once
     before[Stream.__name__] += 1
     before[ActorTimer.__name__] += 2
-    scenario(one)
+    scenario(proxy)
     wait_until_released(before)
 
 
@@ -399,23 +399,23 @@
     assert loop.cancelled_timers == sum(timer.callback is None for _, _, timer in loop.timers)
 
 
-def test_answer_cancels_the_deadline_timer(one: ProxyInThread) -> None:
+def test_answer_cancels_the_deadline_timer(proxy: ProxyInThread) -> None:
     for _ in range(3):
-        client_leaves_before_answer(one)
-    loop = one.program.loop
+        client_leaves_before_answer(proxy)
+    loop = proxy.program.loop
     until = time.monotonic() + WAIT_S
     while any(at > loop.now() + 60 * S and timer.callback for at, _, timer in tuple(loop.timers)):
         assert time.monotonic() < until
         time.sleep(0.02)
 
 
-def test_reader_that_pauses_repeatedly_has_one_stall_timer(one: ProxyInThread) -> None:
-    client, endpoint = establish(one)
+def test_reader_that_pauses_repeatedly_has_one_stall_timer(proxy: ProxyInThread) -> None:
+    client, endpoint = establish(proxy)
     much = (b"x" * 3998 + b"\r\n") * 4000  # more than the kernel holds: the proxy must stop and go on
     for _ in range(5):
         sender = threading.Thread(target=endpoint.send, args=(much,))  # type: ignore[attr-defined]
         sender.start()
-        (reading,) = one.program.frontend.clients
+        (reading,) = proxy.program.frontend.clients
         until = time.monotonic() + WAIT_S
         while not reading.is_congested:
             assert time.monotonic() < until
