--- a/tests/test_connections_without_a_request.py
+++ b/tests/test_connections_without_a_request.py
@@ -14,7 +14,7 @@
 from running_proxy import OPEN_LINE, RunningProxy
 from test_line_protocol import answer_attempt
 
-CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
+CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 
 
 @pytest.fixture
@@ -132,7 +132,7 @@
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 def test_idle_connections_are_evicted_for_others(tmp_path: Path, frontend: str) -> None:
     # Hundreds of idle connections used to take every descriptor, those to endpoints included.
-    with started_proxy(tmp_path, broker_toml=CHANNELS, before=limit_descriptors) as running:
+    with started_proxy(tmp_path, broker_toml=CHANNELS_ENABLED, before=limit_descriptors) as running:
         established, endpoint = running.establish()
         port = running.channels_port if frontend == "channels" else running.port
         idle_clients = [running.client(port=port) for _ in range(60)]
@@ -156,7 +156,7 @@
     tmp_path: Path, frontend: str, idle_input: bytes, pieces: list[bytes]
 ) -> None:
     # The oldest was evicted first, which in a flood is the client whose line takes long.
-    with started_proxy(tmp_path, broker_toml=CHANNELS, before=limit_descriptors) as running:
+    with started_proxy(tmp_path, broker_toml=CHANNELS_ENABLED, before=limit_descriptors) as running:
         slow = running.client(port=running.channels_port if frontend == "channels" else running.port)
         for piece in pieces[:-1]:
             slow.send(piece)
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -9,6 +9,8 @@
 
 import re
 import select
+import signal
+import socket
 import time
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager, suppress
@@ -23,22 +25,26 @@
 from running_proxy import RunningProxy
 from test_line_protocol import ranked
 
+from linnetshift.frontends.channels.messages import MessageNumber
 from rig.free_port import free_port
 
-CHANNELS_CONFIG = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-NOT_REPEATABLE = {"effect": "once"}
+CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
+NOT_IDEMPOTENT: dict[str, Any] = {"effect": "once"}
 """Class settings of requests that must not be executed twice."""
 
 LONG_DEADLINE_MS = 9000
 """Deadline below twice the latency objective, so that one attempt may use all of it."""
 
+KEY = 0x7F3A9C21E0B4D655
+"""Key of all requests here, and of those of the harness."""
+
 REQUEST_LINE = b"OPEN 77 7f3a9c21e0b4d655 c=feed,t=acme,d=%d\r\n"
 """Request line, for a deadline in milliseconds."""
 
 
 @contextmanager
 def proxy_with_long_timeouts(
-    directory: Path, endpoints: int = 2, own_config: str = "", **class_settings: Any
+    directory: Path, endpoints: int = 2, broker_toml: str = "", **class_settings: Any
 ) -> Iterator[RunningProxy]:
     """A proxy with a connect timeout of 10 s; the class of the requests has these settings."""
     default_class = settings()["services"][0]
@@ -46,7 +52,7 @@
     with started_proxy(
         directory,
         endpoints,
-        own_config,
+        broker_toml,
         services=[service],
         allowed={"connectTimeoutNs": 10 * S, "maxAttempts": 4},
     ) as running:
@@ -127,13 +133,13 @@
     tmp_path: Path, frontend: str, end: str
 ) -> None:
     # The connection used to be handled before the client's close was read, although the close came first.
-    with proxy_with_long_timeouts(tmp_path, own_config=CHANNELS_CONFIG) as running:
+    with proxy_with_long_timeouts(tmp_path, broker_toml=CHANNELS_ENABLED) as running:
         best, _ = ranked(running)
         best.fill_accept_queue()
         if frontend == "channels":
             client: PeerConnection = ChannelsClient(running.channels_port)
             assert isinstance(client, ChannelsClient)
-            client.open(5, key=0x7F3A9C21E0B4D655, wait_ms=LONG_DEADLINE_MS)
+            client.open(5, key=KEY, wait_ms=LONG_DEADLINE_MS)
         else:
             client = running.client(REQUEST_LINE % LONG_DEADLINE_MS)
         best.wait_until_connecting()
@@ -168,16 +174,18 @@
 
 
 def test_request_is_not_sent_when_session_close_follows_unread_packet(tmp_path: Path) -> None:
-    with proxy_with_long_timeouts(tmp_path, own_config=CHANNELS_CONFIG) as running:
+    with proxy_with_long_timeouts(tmp_path, broker_toml=CHANNELS_ENABLED) as running:
         best, _ = ranked(running)
         best.fill_accept_queue()
         terminal = ChannelsClient(running.channels_port)
-        terminal.open(5, key=0x7F3A9C21E0B4D655, wait_ms=LONG_DEADLINE_MS)
+        terminal.open(5, key=KEY, wait_ms=LONG_DEADLINE_MS)
         best.wait_until_connecting()
         with running.stopped():
             best.empty_accept_queue()
             endpoint = best.accept()
-            terminal.send_message(2, b"never mind")  # IGNORE, which does not announce the close
+            terminal.send_message(
+                MessageNumber.IGNORE, b"never mind"
+            )  # IGNORE, which does not announce the close
             terminal.close()
         assert endpoint.line() == b""
         running.logged("side=channel")
@@ -237,7 +245,7 @@
 
 def test_endpoint_that_closes_on_accept_proves_nothing_was_executed(tmp_path: Path) -> None:
     # The line used to be written to a connection known to be closed, and counted as possibly executed.
-    with proxy_with_long_timeouts(tmp_path, **NOT_REPEATABLE) as running:
+    with proxy_with_long_timeouts(tmp_path, **NOT_IDEMPOTENT) as running:
         best, other = ranked(running)
         client = connecting_request(running, best)
         with running.stopped():
@@ -345,9 +353,9 @@
 @pytest.mark.parametrize(
     ("state", "class_settings", "answer"),
     [
-        ("queued", NOT_REPEATABLE, b"BUSY\r\n"),
-        ("connecting", NOT_REPEATABLE, b"BUSY\r\n"),
-        ("sent", NOT_REPEATABLE, b"ERR\r\n"),
+        ("queued", NOT_IDEMPOTENT, b"BUSY\r\n"),
+        ("connecting", NOT_IDEMPOTENT, b"BUSY\r\n"),
+        ("sent", NOT_IDEMPOTENT, b"ERR\r\n"),
         ("sent", {"effect": "by_key", "group": "zone", "windowNs": 60 * S}, b"ERR\r\n"),
         ("sent", {"effect": "by_key", "group": "all", "windowNs": 60 * S}, b"BUSY\r\n"),
         ("sent", {"effect": "by_key", "group": "all", "windowNs": 1}, b"ERR\r\n"),
@@ -363,7 +371,7 @@
         best, _ = ranked(running)
         client, _endpoint, _in_flight = request_in_state(running, best, state)
         if end == "half-close":
-            client.sock.shutdown(1)
+            client.sock.shutdown(socket.SHUT_WR)
         else:
             running.terminate()
         assert client.line() == answer
@@ -387,7 +395,7 @@
 def test_possibly_executed_request_fails_when_endpoint_connection_ends(
     tmp_path: Path, end_connection: Callable[[PeerConnection], None]
 ) -> None:
-    with proxy_with_long_timeouts(tmp_path, **NOT_REPEATABLE) as running:
+    with proxy_with_long_timeouts(tmp_path, **NOT_IDEMPOTENT) as running:
         best, _ = ranked(running)
         running.passed_lines.clear()
         client, endpoint = sent_request(running, best)
@@ -463,13 +471,13 @@
         assert running.process.wait(WAIT_S) == 0
 
 
-def test_reload_serves_the_accept_queue_of_the_former_address(tmp_path: Path) -> None:
+def test_reload_to_another_address_serves_the_accept_queue_of_the_former_one(tmp_path: Path) -> None:
     with proxy_with_long_timeouts(tmp_path, endpoints=1) as running:
         port = free_port()
         config_text = running.config.read_text().replace(f"127.0.0.1:{running.port}", f"127.0.0.1:{port}")
         running.config.write_text(config_text)
         with running.stopped():
-            running.process.send_signal(1)
+            running.process.send_signal(signal.SIGHUP)
             clients = [
                 running.client(REQUEST_LINE.replace(b"77", b"%x" % number) % LONG_DEADLINE_MS)
                 for number in range(100, 300)
@@ -504,7 +512,7 @@
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 def test_late_request_on_idle_connection_is_answered_until_exit(tmp_path: Path, frontend: str) -> None:
-    with started_proxy(tmp_path, broker_toml=CHANNELS_CONFIG) as running:
+    with started_proxy(tmp_path, broker_toml=CHANNELS_ENABLED) as running:
         established = running.establish()  # keeps the process running until this connection is migrated
         idle_client: PeerConnection = (
             ChannelsClient(running.channels_port) if frontend == "channels" else running.client()
@@ -519,10 +527,10 @@
                 served = running.endpoints[0].serve()
                 assert idle_client.expect_confirmation(5) >= 0
                 assert served
-                assert b"move@linnetshift" in idle_client.expect(98, 5)
-                idle_client.expect(97, 5)
+                assert b"move@linnetshift" in idle_client.expect(MessageNumber.CHANNEL_REQUEST, 5)
+                idle_client.expect(MessageNumber.CHANNEL_CLOSE, 5)
             else:
-                assert idle_client.read()[0] in (92, 1)
+                assert idle_client.read()[0] in (MessageNumber.CHANNEL_OPEN_FAILURE, MessageNumber.DISCONNECT)
         else:
             idle_client.send(REQUEST_LINE % 2000)
             served = running.endpoints[0].serve()
@@ -579,8 +587,8 @@
             running.client(REQUEST_LINE.replace(b"77", b"%d" % number) % LONG_DEADLINE_MS)
             for number in range(100, 140)
         ]
-        for departed in departed_clients:
-            departed.close("reset")
+        for departed_client in departed_clients:
+            departed_client.close("reset")
         endpoint.send(b"ERR\r\n")
         # Retried, or rejected: one answer, and no reset.
         with suppress(BlockingIOError):
@@ -590,13 +598,13 @@
         assert client.line() == b"MOVE\r\n"
         assert len(clients) == 60
         assert served
-        for each in (client, waiting_client, *clients):
-            each.close()
+        for open_client in (client, waiting_client, *clients):
+            open_client.close()
         assert running.process.wait(WAIT_S) == 0
 
 
 def test_request_fails_as_possibly_executed_after_late_reset(tmp_path: Path) -> None:
-    with proxy_with_long_timeouts(tmp_path, **NOT_REPEATABLE) as running:
+    with proxy_with_long_timeouts(tmp_path, **NOT_IDEMPOTENT) as running:
         best, other = ranked(running)
         client, endpoint = sent_request(running, best)
         established = []
--- a/tests/test_memory_after_connections_end.py
+++ b/tests/test_memory_after_connections_end.py
@@ -14,7 +14,8 @@
 from pathlib import Path
 
 import pytest
-from connections import WAIT_S, ChannelsClient
+from connections import WAIT_S, ChannelsClient, PeerConnection
+from emulated_peers import EmulatedEndpoint
 from proxy_harness import ProxyInThread, command_without_collector, proxy_in_thread, started_proxy
 
 from linnetshift.admin.connection import AdminConnection
@@ -26,13 +27,14 @@
 from linnetshift.event_loop.stream import INITIAL_BUFFER_BYTES, MAX_LINE_BYTES, End, Stream
 from linnetshift.event_loop.timers import MS, ActorTimer, S
 from linnetshift.frontends.channels.channel import Channel
+from linnetshift.frontends.channels.messages import MessageNumber
 from linnetshift.frontends.channels.session import Session
 from linnetshift.frontends.line_protocol.client_connection import ClientConnection
 from linnetshift.upstream.endpoint_connection import EndpointConnection
 from linnetshift.upstream.health_checker import HealthChecker
 from rig.connection_load import PeerInput, run_connections
 
-CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
+CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 CLASSES_PER_CONNECTION = (
     ClientConnection,
     Session,
@@ -43,7 +45,10 @@
     ActiveRequest,
     Attempt,
 )
-SHARED_CLASSES = (Stream, ActorTimer, DiscoveryCall)  # of which connections that are open keep some
+SHARED_CLASSES = (Stream, ActorTimer, DiscoveryCall)  # of which open connections and a watch hold some
+
+RELEASE_WAIT_S = 5.0
+POLL_INTERVAL_S = 0.02
 
 
 @pytest.fixture
@@ -57,26 +62,26 @@
 @pytest.fixture
 def proxy(without_collector: None, tmp_path: Path) -> Iterator[ProxyInThread]:
     with proxy_in_thread(
-        tmp_path, endpoints=2, broker_toml=CHANNELS, admin_server=True, rules={"warmUpNs": 1}
+        tmp_path, endpoints=2, broker_toml=CHANNELS_ENABLED, admin_server=True, rules={"warmUpNs": 1}
     ) as running:
         yield running
 
 
 def count_objects() -> Counter[str]:
-    """How many there are of each class; with the collector off, all that any reference or cycle keeps."""
-    kinds = {kind: kind.__name__ for kind in (*CLASSES_PER_CONNECTION, *SHARED_CLASSES)}
-    return Counter(kinds[type(each)] for each in gc.get_objects() if type(each) in kinds)
+    """How many objects there are of each class, by its name; without the collector, cycles count too."""
+    names = {counted: counted.__name__ for counted in (*CLASSES_PER_CONNECTION, *SHARED_CLASSES)}
+    return Counter(names[type(each)] for each in gc.get_objects() if type(each) in names)
 
 
 def wait_until_released(before: Counter[str]) -> None:
-    """Wait until nothing is left that was not there before: shorter than any timer that could free it."""
-    until = time.monotonic() + 5.0
-    while left := count_objects() - before:
-        assert time.monotonic() < until, left
-        time.sleep(0.02)
+    """Wait until there are no more objects than before; for less than any timer that could free them."""
+    until_s = time.monotonic() + RELEASE_WAIT_S
+    while unreleased := count_objects() - before:
+        assert time.monotonic() < until_s, unreleased
+        time.sleep(POLL_INTERVAL_S)
 
 
-def served(proxy: ProxyInThread) -> None:
+def endpoint_ends_in_order(proxy: ProxyInThread) -> None:
     client, endpoint = proxy.establish(proxy.endpoints.index(find_chosen_endpoint(proxy)))
     endpoint.send(b"LOAD 9\r\nBYE\r\n")
     endpoint.close()
@@ -84,8 +89,8 @@
     assert client.ended() == "fin"
 
 
-def find_chosen_endpoint(proxy: ProxyInThread) -> object:
-    """Which endpoint the key's ranking sends a connection to: found by one that is let go."""
+def find_chosen_endpoint(proxy: ProxyInThread) -> EmulatedEndpoint:
+    """The endpoint that requests with the tests' key go to, found by a connection that is closed again."""
     client = proxy.open()
     listener, endpoint = proxy.serve_any()
     client.line()
@@ -94,17 +99,18 @@
     return listener
 
 
-def establish(proxy: ProxyInThread) -> tuple[object, object]:
+def establish(proxy: ProxyInThread) -> tuple[PeerConnection, PeerConnection]:
+    """An established connection with whichever endpoint: the client's end and the endpoint's."""
     client = proxy.open()
     _, endpoint = proxy.serve_any()
     assert client.line() == b"UP r1\r\n"
     return client, endpoint
 
 
-def client_leaves(proxy: ProxyInThread, how: str = "fin") -> None:
+def client_leaves(proxy: ProxyInThread, end: str = "fin") -> None:
     client, endpoint = establish(proxy)
-    client.close(how)  # type: ignore[attr-defined]
-    assert endpoint.ended() == how  # type: ignore[attr-defined]
+    client.close(end)
+    assert endpoint.ended() == end
 
 
 def client_resets(proxy: ProxyInThread) -> None:
@@ -113,11 +119,11 @@
 
 def endpoint_resets(proxy: ProxyInThread) -> None:
     client, endpoint = establish(proxy)
-    endpoint.close("reset")  # type: ignore[attr-defined]
-    assert client.ended() == "reset"  # type: ignore[attr-defined]
+    endpoint.close("reset")
+    assert client.ended() == "reset"
 
 
-def rejected(proxy: ProxyInThread) -> None:
+def request_is_rejected(proxy: ProxyInThread) -> None:
     client = proxy.open(wait_ms=1000)
     while not select.select([client.sock], [], [], 0)[0]:
         ready, _, _ = select.select([client.sock, *(each.sock for each in proxy.endpoints)], [], [], WAIT_S)
@@ -130,11 +136,11 @@
     assert client.line().startswith(b"BUSY")
 
 
-def times_out(proxy: ProxyInThread) -> None:
+def request_times_out(proxy: ProxyInThread) -> None:
     client = proxy.open(wait_ms=200)
     attempt = proxy.next_attempted().accept()
-    # With retry-after where the deadline, which the balancer counts from when it learned of the request, is a
-    # little ahead: the class is idempotent.
+    # BUSY where the attempt ends a little before the deadline, which the balancer counts from when it
+    # learned of the request: the class is idempotent.
     assert client.line() in (b"ERR\r\n", b"BUSY 1000\r\n")
     attempt.line()
 
@@ -147,7 +153,7 @@
     assert attempt.ended() in ("fin", "reset")
 
 
-def migrated(proxy: ProxyInThread) -> None:
+def client_is_migrated(proxy: ProxyInThread) -> None:
     client = proxy.open()
     listener, _endpoint = proxy.serve_any()
     assert client.line() == b"UP r1\r\n"
@@ -155,19 +161,20 @@
     assert client.line() == b"MOVE\r\n"
 
 
-def sends_malformed_line(proxy: ProxyInThread) -> None:
+def client_sends_malformed_line(proxy: ProxyInThread) -> None:
     assert proxy.client(b"HELLO\r\n").line() == b"ERR\r\n"
 
 
-def health_checks(proxy: ProxyInThread) -> None:
+def client_checks_readiness(proxy: ProxyInThread) -> None:
     assert proxy.alive()
 
 
-def sends_nothing(proxy: ProxyInThread) -> None:
+def client_sends_nothing(proxy: ProxyInThread) -> None:
     assert proxy.client().line() == b"ERR\r\n"
 
 
-def channel(proxy: ProxyInThread) -> tuple[ChannelsClient, int, object]:
+def open_channel(proxy: ProxyInThread) -> tuple[ChannelsClient, int, PeerConnection]:
+    """Channel 5 of a new session: its terminal, the proxy's number for it and the endpoint's connection."""
     terminal = ChannelsClient(proxy.channels_port)
     terminal.open(5)
     _, endpoint = proxy.serve_any()
@@ -175,96 +182,97 @@
 
 
 def session_ends(proxy: ProxyInThread) -> None:
-    terminal, _, endpoint = channel(proxy)
+    terminal, _, endpoint = open_channel(proxy)
     terminal.close()
-    endpoint.ended()  # type: ignore[attr-defined]
+    endpoint.ended()
 
 
 def channel_closes(proxy: ProxyInThread) -> None:
-    terminal, number, endpoint = channel(proxy)
-    terminal.send_message(97, number)
-    terminal.expect(97, 5)
-    endpoint.ended()  # type: ignore[attr-defined]
+    terminal, number, endpoint = open_channel(proxy)
+    terminal.send_message(MessageNumber.CHANNEL_CLOSE, number)
+    terminal.expect(MessageNumber.CHANNEL_CLOSE, 5)
+    endpoint.ended()
     terminal.close()
 
 
-def channel_without_window(proxy: ProxyInThread) -> None:
-    # Its last lines wait for a window that never comes, and its turn stays due.
+def channel_gets_no_window(proxy: ProxyInThread) -> None:
+    # Its last lines wait for a window that is never granted, and the channel stays in the write queue.
     terminal = ChannelsClient(proxy.channels_port)
     terminal.open(5, window=0)
     _, endpoint = proxy.serve_any()
     terminal.expect_confirmation(5)
     endpoint.send(b"M 1\r\nBYE\r\n")
     endpoint.close()
-    terminal.send_message(93, 0, 3)
-    assert terminal.expect(94, 5) == b"\0\0\0\3M 1"
+    terminal.send_message(MessageNumber.CHANNEL_WINDOW_ADJUST, 0, 3)
+    assert terminal.expect(MessageNumber.CHANNEL_DATA, 5) == b"\0\0\0\3M 1"
     terminal.close("reset")
 
 
 def session_reads_nothing(proxy: ProxyInThread) -> None:
-    # A channel whose turn is due holds its session, which holds the turns.
-    terminal, _, endpoint = channel(proxy)
-    endpoint.sock.settimeout(0.5)  # type: ignore[attr-defined]
+    # A channel in the write queue references its session, which references the queue.
+    terminal, _, endpoint = open_channel(proxy)
+    endpoint.sock.settimeout(0.5)
     with suppress(TimeoutError):
-        endpoint.send(b"M 1\r\n" * (1 << 22))  # type: ignore[attr-defined]
+        endpoint.send(b"M 1\r\n" * (1 << 22))
     terminal.close("reset")
 
 
 def session_breaks_the_protocol(proxy: ProxyInThread) -> None:
-    terminal, _, endpoint = channel(proxy)
+    terminal, _, endpoint = open_channel(proxy)
     terminal.send(b"\xff" * 64)
-    assert terminal.read()[0] == 1
-    endpoint.ended()  # type: ignore[attr-defined]
+    assert terminal.read()[0] == MessageNumber.DISCONNECT
+    endpoint.ended()
 
 
 def session_stops_in_a_packet(proxy: ProxyInThread) -> None:
     terminal = ChannelsClient(proxy.channels_port)
     terminal.send(b"\0\0\0\x0c\x04")
-    assert terminal.read()[0] == 1
+    assert terminal.read()[0] == MessageNumber.DISCONNECT
 
 
-def admin_request(proxy: ProxyInThread) -> None:
+def admin_request_is_answered(proxy: ProxyInThread) -> None:
     assert proxy.call("GET /ops/readiness") == 200
 
 
-def malformed_admin_request(proxy: ProxyInThread) -> None:
+def malformed_admin_request_is_answered(proxy: ProxyInThread) -> None:
     assert b"400" in proxy.client(b"\0\0\r\n\r\n", proxy.admin_port).line()
 
 
 @pytest.mark.parametrize(
     "scenario",
     [
-        served,
+        endpoint_ends_in_order,
         client_leaves,
         client_resets,
         endpoint_resets,
-        rejected,
-        times_out,
+        request_is_rejected,
+        request_times_out,
         client_leaves_before_answer,
-        migrated,
-        sends_malformed_line,
-        health_checks,
-        sends_nothing,
+        client_is_migrated,
+        client_sends_malformed_line,
+        client_checks_readiness,
+        client_sends_nothing,
         session_ends,
         channel_closes,
-        channel_without_window,
+        channel_gets_no_window,
         session_reads_nothing,
         session_breaks_the_protocol,
         session_stops_in_a_packet,
-        admin_request,
-        malformed_admin_request,
+        admin_request_is_answered,
+        malformed_admin_request_is_answered,
     ],
 )
 def test_ended_connection_leaves_no_objects(
     proxy: ProxyInThread, scenario: Callable[[ProxyInThread], None]
 ) -> None:
-    # Cycles waited for a full collection with all their buffers, and armed timers held whole sessions.
+    # Cycles used to keep their buffers until a full collection, and armed timers kept whole sessions.
     assert proxy.alive()
-    until = time.monotonic() + WAIT_S
+    until_s = time.monotonic() + WAIT_S
     while count_objects()[ClientConnection.__name__]:
-        assert time.monotonic() < until
+        assert time.monotonic() < until_s
     before = count_objects()
-    before[DiscoveryCall.__name__] += 1  # a watch that ends is followed by the next at once
+    # A watch that ends is followed by the next one at once: one more call, with its stream and timers.
+    before[DiscoveryCall.__name__] += 1
     before[Stream.__name__] += 1
     before[ActorTimer.__name__] += 2
     scenario(proxy)
@@ -273,20 +281,26 @@
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 def test_memory_does_not_grow_without_the_collector(tmp_path: Path, frontend: str) -> None:
-    # 10 KB stayed of each on one frontend and 37 KB on the other: 6 and 22 MiB for these 600.
-    with started_proxy(tmp_path, broker_toml=CHANNELS, command=command_without_collector()) as running:
+    # Each connection used to leave 10 KB on one frontend and 37 KB on the other: 6 and 22 MiB for these 600.
+    with started_proxy(
+        tmp_path, broker_toml=CHANNELS_ENABLED, command=command_without_collector()
+    ) as running:
         port = running.channels_port if frontend == "channels" else running.port
         line = b"SSH-2.0-x\r\n" + b"\xff" * 40 if frontend == "channels" else b"HELLO\r\n"
-        levels = []
+        resident_mib = []
         for _ in range(2):
-            ended = Counter(r.ended for r in run_connections([PeerInput(port, (line,), "half")] * 600))
+            ended = Counter(
+                result.ended for result in run_connections([PeerInput(port, (line,), "half")] * 600)
+            )
             assert set(ended) <= {"fin", "reset"}
-            levels.append(running.resident_mib())
-        assert levels[1] - levels[0] < 2.0
+            resident_mib.append(running.resident_mib())
+        assert resident_mib[1] - resident_mib[0] < 2.0
         assert running.alive()
 
 
 class IdleActor(Actor):
+    stream: Stream
+
     def run(self) -> ActorCoroutine:
         while True:
             yield
@@ -295,8 +309,8 @@
         self.error = str(error)
 
 
-def pair(loop: Loop) -> tuple[IdleActor, socket.socket]:
-    """An actor with a stream, and the other end of that."""
+def actor_and_peer(loop: Loop) -> tuple[IdleActor, socket.socket]:
+    """An actor with a stream that posts to it, and the socket at the other end."""
     ours, theirs = socket.socketpair()
     actor = IdleActor(loop)
     actor.stream = Stream(loop, ours, actor.post)
@@ -305,9 +319,9 @@
 
 def test_actor_ended_from_outside_releases_everything(without_collector: None) -> None:
     loop = Loop()
-    actor, theirs = pair(loop)
+    actor, theirs = actor_and_peer(loop)
     actor.start(actor.run())
-    actor.stream.arm()  # type: ignore[union-attr]
+    actor.stream.arm()
     actor.set_timer(600 * S, "one")
     actor.set_timer(600 * S, "two")
     actor.post("unread")
@@ -317,16 +331,16 @@
     assert not actor.timers
     assert not actor.mailbox
     assert theirs.recv(1) == b""
-    seen = weakref.ref(actor)
+    actor_reference = weakref.ref(actor)
     del actor
-    assert seen() is None
+    assert actor_reference() is None
     assert not loop.handlers
 
 
 def test_actor_is_released_after_its_fault_was_reported(without_collector: None) -> None:
     class Faulty(IdleActor):
         def run(self) -> ActorCoroutine:
-            self.set_timer(600 * S, "late")
+            self.set_timer(600 * S, "far off")
             yield
             raise ValueError("broken")
 
@@ -343,55 +357,55 @@
 
 def test_closed_stream_keeps_no_buffer_and_no_callback(without_collector: None) -> None:
     loop = Loop()
-    actor, theirs = pair(loop)
+    actor, theirs = actor_and_peer(loop)
     stream = actor.stream
     assert isinstance(stream, Stream)
     theirs.send(b"one\r\ntwo")
     assert stream.fill() is None
     line = stream.line()
     stream.unsent += b"x" * 9000
-    buffer = weakref.ref(stream)  # the stream itself stays: it must cost little
+    stream_reference = weakref.ref(stream)  # the stream itself stays referenced: it must cost little
     stream.close()
-    assert buffer() is stream
+    assert stream_reference() is stream
     assert line == b"one\r\n"
     assert len(stream.view) == len(stream.buffer) == len(stream.unsent) == 0
     assert stream.line() is None
     assert stream.fill() is End.RESET
     assert bytes(stream.rest()) == b""
-    seen = weakref.ref(actor)
+    actor_reference = weakref.ref(actor)
     del actor
-    assert seen() is None
+    assert actor_reference() is None
     theirs.close()
 
 
 def test_read_buffer_grows_when_filled_and_keeps_its_content() -> None:
     loop = Loop()
-    actor, theirs = pair(loop)
+    actor, theirs = actor_and_peer(loop)
     stream = actor.stream
     assert isinstance(stream, Stream)
-    long = bytes(range(32, 127)) * 40 + b"\r\n"
-    theirs.send(b"short\r\n" + long)
+    long_line = bytes(range(32, 127)) * 40 + b"\r\n"
+    theirs.send(b"short\r\n" + long_line)
     assert len(stream.view) == INITIAL_BUFFER_BYTES
-    lines = []
+    lines: list[bytes] = []
     while len(lines) < 2:
         assert stream.fill() is None
         lines += [bytes(line) for line in stream.lines()]
-    assert lines == [b"short\r\n", long]
+    assert lines == [b"short\r\n", long_line]
     assert len(stream.view) == 2 * MAX_LINE_BYTES
     stream.close()
     theirs.close()
 
 
-def test_cancelled_timers_do_not_pile_up() -> None:
-    # Each answered request left one in the heap until its deadline, up to ten minutes away.
+def test_cancelled_timers_do_not_accumulate() -> None:
+    # Each answered request used to leave one in the heap until its deadline, up to ten minutes away.
     loop, fired = Loop(), list[int]()
     loop.call_later(0, lambda: fired.append(1))
     for _ in range(10_000):
         loop.call_later(600 * S, lambda: fired.append(2)).cancel()
     assert len(loop.timers) <= 2 * MAX_CANCELLED_TIMERS + 2
-    twice = loop.call_later(600 * S, lambda: None)
-    twice.cancel()
-    twice.cancel()
+    timer = loop.call_later(600 * S, lambda: None)
+    timer.cancel()
+    timer.cancel()  # counts once
     loop.call_later(MS, lambda: fired.append(3))
     while len(fired) < 2:
         loop.run_once()
@@ -403,28 +417,28 @@
     for _ in range(3):
         client_leaves_before_answer(proxy)
     loop = proxy.program.loop
-    until = time.monotonic() + WAIT_S
-    while any(at > loop.now() + 60 * S and timer.callback for at, _, timer in tuple(loop.timers)):
-        assert time.monotonic() < until
-        time.sleep(0.02)
+    until_s = time.monotonic() + WAIT_S
+    while any(due_at > loop.now() + 60 * S and timer.callback for due_at, _, timer in tuple(loop.timers)):
+        assert time.monotonic() < until_s
+        time.sleep(POLL_INTERVAL_S)
 
 
 def test_reader_that_pauses_repeatedly_has_one_stall_timer(proxy: ProxyInThread) -> None:
     client, endpoint = establish(proxy)
-    much = (b"x" * 3998 + b"\r\n") * 4000  # more than the kernel holds: the proxy must stop and go on
+    lines = (b"x" * 3998 + b"\r\n") * 4000  # more than the kernel buffers: the proxy must pause and resume
     for _ in range(5):
-        sender = threading.Thread(target=endpoint.send, args=(much,))  # type: ignore[attr-defined]
+        sender = threading.Thread(target=endpoint.send, args=(lines,))
         sender.start()
-        (reading,) = proxy.program.frontend.clients
-        until = time.monotonic() + WAIT_S
-        while not reading.is_congested:
-            assert time.monotonic() < until
+        (connection,) = proxy.program.frontend.clients
+        until_s = time.monotonic() + WAIT_S
+        while not connection.is_congested:
+            assert time.monotonic() < until_s
             time.sleep(0.001)
-        left = len(much)
-        while left > 0:
-            got = len(client.sock.recv(1 << 20))  # type: ignore[attr-defined]
-            assert got
-            left -= got
+        remaining_bytes = len(lines)
+        while remaining_bytes > 0:
+            received_bytes = len(client.sock.recv(1 << 20))
+            assert received_bytes
+            remaining_bytes -= received_bytes
         sender.join(WAIT_S)
-    timers = [each for each in gc.get_objects() if type(each) is ActorTimer]
+    timers = [tracked for tracked in gc.get_objects() if type(tracked) is ActorTimer]
     assert sum(timer.tag is ConnectionTimer.STALL for timer in timers) <= 1
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -19,6 +19,7 @@
 from linnetshift.event_loop import connection_limits
 from linnetshift.event_loop.loop import Loop
 from linnetshift.frontends.channels import frontend
+from linnetshift.frontends.channels.messages import MessageNumber, OpenFailureReason
 from linnetshift.lifecycle import peer_process
 from linnetshift.lifecycle.peer_process import PeerProcess
 from linnetshift.lifecycle.takeover_messages import PeerResources
@@ -77,7 +78,7 @@
     assert len(drains.limit_entries(listed(*entries(*range(60, 68)))).entries) == 8
 
 
-def test_drains_survive_list_removal_and_are_refused_over_the_limit(small_bounds: None) -> None:
+def test_drains_survive_list_removal_and_are_rejected_over_the_limit(small_bounds: None) -> None:
     surroundings = FakeSurroundings()
     surroundings.broker.handle_endpoint_list(listed(*entries(*range(8))))
     for number in range(4):
@@ -138,7 +139,7 @@
 def test_admin_connections_that_linger_are_closed_for_new_ones(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Answered callers that kept sending used a descriptor each for up to 3 s, without a limit.
+    # Answered connections that kept sending used a descriptor each for up to 3 s, without a limit.
     monkeypatch.setattr(server, "MAX_CONNECTIONS", 3)
     with proxy_in_thread(tmp_path, admin_server=True) as running:
         connections = []
@@ -156,16 +157,18 @@
 ) -> None:
     # Opening a channel is cheap, and a waiting one needs no descriptor: 256 would fit in each session.
     monkeypatch.setattr(frontend, "MAX_OPEN_CHANNELS", 2)
-    own_config = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
+    channels_enabled = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
     # One attempt for each channel: an endpoint that does not answer in time would get a second one.
     services = [{**settings()["services"][0], "aimNs": 60 * S, "hardLimitNs": 120 * S}]
-    with proxy_in_thread(tmp_path, broker_toml=own_config, services=services) as running:
+    with proxy_in_thread(tmp_path, broker_toml=channels_enabled, services=services) as running:
         first, second = ChannelsClient(running.channels_port), ChannelsClient(running.channels_port)
         first.open(1, wait_ms=60_000)
         second.open(2, wait_ms=60_000)
         attempts = [running.endpoints[0].accept() for _ in range(2)]
         second.open(3)
-        assert b"come again after 1000 ms" in second.expect(92, 3, 4)
+        assert b"come again after 1000 ms" in second.expect(
+            MessageNumber.CHANNEL_OPEN_FAILURE, 3, OpenFailureReason.RESOURCE_SHORTAGE
+        )
         first.close()
         assert attempts[0].line()
         assert attempts[1].line()
