--- a/linnetshift/event_loop/loop.py
+++ b/linnetshift/event_loop/loop.py
@@ -45,10 +45,10 @@
         self.sequence = count()
         self.stopped = False
         self.streams = 0  # how many are open
-        # Called for want of a descriptor; closes one and returns True, or returns False.
+        # Called when descriptors are short: closes one and returns True, or returns False.
         self.make_room: Callable[[], bool] = lambda: False
-        # From when on the descriptors that the last poll returned may have been ready: the start of the poll
-        # where that returned at once, else its end.
+        # The earliest time from which the descriptors of the last poll may have been ready: when the poll
+        # began where it returned at once, else when it ended.
         self.ready_since = self.now()
 
     def now(self) -> int:
@@ -118,12 +118,12 @@
         poll_ended_at = self.now()
         has_waited = poll_ended_at - poll_began_at > MS
         self.ready_since = poll_ended_at if has_waited else poll_began_at
-        # A handler may close the descriptor of a later event, and the number may be given to a new socket:
-        # the event is not that one's. So the handlers are looked up before any of them is called.
+        # A handler may close the descriptor of a later event, whose number a new socket may then get. The
+        # event is not for that one: so all handlers are looked up before any of them is called.
         for fd, mask, handler in [(fd, mask, self.handlers.get(fd)) for fd, mask in events]:
             if handler is not None and self.handlers.get(fd) is handler:
                 handler(mask)
-        # Only now: after a stall of this process, what arrived in time must not count as late.
+        # After the events: when this process was stalled, what arrived in time must not count as late.
         self._fire_due_timers()
 
     def _fire_due_timers(self) -> None:
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -26,13 +26,13 @@
 
 
 class Stop:
-    """Message: the stream is closed already, or of no more use; the actor's coroutine is to end."""
+    """Message: the stream is closed, or no longer needed; the actor's coroutine is to end."""
 
 
 class OutboundConnection(Actor):
     """A connection that this process opens: to an endpoint, or to discovery.
 
-    Subclasses run `connect` first, and report a fault of their own to whoever waits for them.
+    Subclasses run `connect` first, and override `report_failure` for whoever waits for the connection.
     """
 
     stream: Stream | None = None
@@ -45,21 +45,21 @@
         self.report_failure()
 
     def report_failure(self) -> None:
-        """Report, after a fault here, that nothing comes of this connection."""
+        """Report after a fault that this connection has failed."""
 
-    def connect(self, address: Address, limit_ns: int) -> Steps:
-        """Whether the connection came up in time; `stream` is then open."""
+    def connect(self, address: Address, timeout_ns: int) -> Steps:
+        """Connect; returns whether the connection is established in time, with `stream` open."""
         sock = self.create_socket(address)
         if sock is None:
             return False
         self.stream = stream = Stream(self.loop, sock, self.post_io)
         if not start_connecting(stream, sock, address):
             return False
-        timer = self.set_timer(limit_ns, ConnectionTimer.CONNECT)
+        timer = self.set_timer(timeout_ns, ConnectionTimer.CONNECT)
         while stream.connecting:
             match (yield):
                 case Io():
-                    # Abandoned in the very turn in which it came up, it is closed before this is handled.
+                    # It may be established and abandoned, so closed, in one turn, before this is handled.
                     if stream.closed or sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                         return False
                     stream.connecting = False
@@ -70,7 +70,7 @@
         return True
 
     def create_socket(self, address: Address) -> socket.socket | None:
-        """A TCP socket; None while descriptors run short and no connection can be evicted for one."""
+        """A TCP socket; None where descriptors are short and no connection can be evicted."""
         while True:
             try:
                 return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -29,6 +29,7 @@
 # The bits of the flags field.
 RETRY_FLAG = 1
 RETURNED_FLAG = 2
+MAX_TENANT_CHARS = MAX_LOGGED_CHARS  # as many as are logged of a peer's text
 MAX_SESSION_CHANNELS = 256
 # When all sessions together have too many channels, clients come back after this.
 OVERLOADED_RETRY_AFTER_MS = 1000
@@ -70,7 +71,7 @@
     @property
     def has_valid_tenant(self) -> bool:
         """Whether the tenant's name can stand in a request line."""
-        return len(self.tenant) <= MAX_LOGGED_CHARS and INVALID_TENANT_CHARACTERS.search(self.tenant) is None
+        return len(self.tenant) <= MAX_TENANT_CHARS and INVALID_TENANT_CHARACTERS.search(self.tenant) is None
 
     @property
     def routing_flags(self) -> int:
--- a/linnetshift/frontends/channels/frontend.py
+++ b/linnetshift/frontends/channels/frontend.py
@@ -38,7 +38,7 @@
         session = Session(self, sock, peer)
         session.start(session.run())
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Accept no new session; each open one ends once its channels have."""
         self.is_draining = True
         self.close()
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -108,7 +108,7 @@
             self.end_reason = Reason.PROTOCOL_ERROR
             log.info("packet-malformed", peer=self.peer[0], error=log.error_text(error))
             self._disconnect(error.reason, str(error))
-        self._end_channels(self.end_reason is Reason.CLIENT_RESET)
+        self._end_channels(is_reset=self.end_reason is Reason.CLIENT_RESET)
         if not self.stream.broken and not self.stream.closed and self.end_reason is not Reason.STALLED:
             self.stream.finish()
             self.frontend.connection_limiter.add(self)
@@ -117,18 +117,18 @@
         self._report_end()
 
     def faulted(self, error: Exception) -> None:
-        """End this session alone after a fault in its code: other sessions must not pay for it."""
+        """Contain a fault of this program: it ends this session alone."""
         log.exception(error)
         self.end_reason = Reason.FAULT
-        self._end_channels(True)
+        self._end_channels(is_reset=True)
         self.stream.close(End.RESET)
         self._report_end()
 
-    def _end_channels(self, reset: bool) -> None:
+    def _end_channels(self, is_reset: bool) -> None:
         for channel in list(self.channels.values()):
             if not channel.is_closing and not channel.is_close_sent:
                 channel.end_reason = self.end_reason or Reason.CLIENT_LEFT
-            self.broker.handle_client_ended(channel.request, reset)
+            self.broker.handle_client_ended(channel.request, is_reset)
             self.remove_channel(channel)
         self.write_queue.clear()
 
@@ -196,7 +196,7 @@
         self.stream.set_reading(len(self.stream.unsent) < MAX_UNSENT_BYTES)
 
     def _send_keepalive(self) -> None:
-        """Ask for any answer, even a refusal: a half-open connection gives none."""
+        """Request any answer, even a failure: a half-open connection gives none."""
         self.unanswered_keepalives += 1
         if self.unanswered_keepalives > MAX_UNANSWERED_KEEPALIVES:
             self.end_reason = Reason.UNRESPONSIVE
@@ -238,14 +238,14 @@
         self.update_stall_timer()
 
     def enqueue_write(self, channel: Channel) -> None:
-        """Give a channel with pending data a place in the round of writing."""
+        """Have a channel with pending data written when its turn comes, or at once if the socket takes it."""
         if not channel.is_in_write_queue:
             channel.is_in_write_queue = True
             self.write_queue.append(channel)
         self.write_queued()
 
     def write_queued(self) -> None:
-        """Round robin, one packet a channel; a channel without window leaves until it is granted some."""
+        """Write round robin, one packet a channel; one without window leaves the queue until it has some."""
         self.update_stall_timer()
         while self.write_queue and not self.stream.is_congested:
             channel = self.write_queue.popleft()
@@ -275,7 +275,7 @@
         """End a session that stops inside a packet: it could never be seen to be idle."""
         elapsed_ns = self.loop.now() - self.packet_timer_armed_at
         if self.packet_timer is None or elapsed_ns < REQUEST_LINE_TIMEOUT_NS:
-            return  # this timer was for a packet that has been completed since
+            return  # the timer of a packet that has become complete
         if self.stream.reading:
             raise ProtocolError("a packet that does not end")
-        self._arm_packet_timer()  # nothing is read at the moment: the client waits for this side
+        self._arm_packet_timer()  # reading is paused: the rest of the packet may have come
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -101,7 +101,7 @@
         self.post(Failed())
 
     def migrate(self, reason: str) -> None:
-        """Send the client away, between two lines."""
+        """Ask the client to come back on a new connection, between two lines."""
         self.post(MigrationRequested(reason))
 
     def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
@@ -128,7 +128,7 @@
         self._report_end(reason)
 
     def faulted(self, error: Exception) -> None:
-        """Contain a fault of this program: other clients must not pay for one met on this connection."""
+        """Contain a fault of this program: it ends this connection alone."""
         log.exception(error)
         if self.request is not None:
             self.broker.handle_client_ended(self.request, True)
--- a/linnetshift/frontends/line_protocol/frontend.py
+++ b/linnetshift/frontends/line_protocol/frontend.py
@@ -17,7 +17,7 @@
 
 
 class LineProtocolFrontend(Frontend):
-    """Accepts clients on the address that the platform gave."""
+    """Accepts clients at the address of the proxy file."""
 
     def __init__(
         self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
@@ -45,7 +45,7 @@
         }
 
     def answer_query(self, query: bytes) -> bytes:
-        """Return the answer to a query line: whether this proxy takes requests, or that it has no figures."""
+        """Return the answer to PING, whether this proxy takes requests, or to STATS, of which it has none."""
         if not query.startswith(protocol.PING):
             return protocol.NO_STATS_LINE
         return protocol.ERROR_LINE if self.is_draining else protocol.PONG_LINE
--- a/linnetshift/frontends/line_protocol/message_relay.py
+++ b/linnetshift/frontends/line_protocol/message_relay.py
@@ -92,7 +92,7 @@
             case EndpointEnded(outcome, was_reset):
                 return endpoint_end_reason(outcome, was_reset)
             case MigrationRequested(reason):
-                self.stream.send(protocol.MOVE_LINE)  # what was sent before it were whole lines
+                self.stream.send(protocol.MOVE_LINE)  # only whole lines were sent before it
                 self.broker.handle_client_ended(self.request, False)
                 return Reason(reason)
             case Timeout(tag=ConnectionTimer.STALL) if self.connection.is_stalled():
--- a/linnetshift/frontends/line_protocol/messages.py
+++ b/linnetshift/frontends/line_protocol/messages.py
@@ -21,7 +21,7 @@
 
 
 class MigrationRequested(NamedTuple):
-    """The client is to be sent away politely, between two of its lines."""
+    """The client is to be migrated, between two lines of its endpoint."""
 
     reason: str  # the value of a `Reason`
 
--- a/linnetshift/frontends/line_protocol/protocol.py
+++ b/linnetshift/frontends/line_protocol/protocol.py
@@ -1,7 +1,7 @@
-"""The words of the line protocol, as they stand on the wire.
+"""The line protocol's words on the wire.
 
-Everything that a client connection reads or writes by itself is named here; lines that it relays between a
-client and an endpoint are not looked at.
+Everything that a client connection itself reads or writes is named here; the lines that it relays between a
+client and an endpoint are not interpreted.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 RETURNED_FIELD = b"again"  # "1": the client comes back from a connection that was migrated
 DEADLINE_FIELD = b"d"  # milliseconds, counted from when the client sent the line
 MAX_DEADLINE_DIGITS = 9
-ADOPTED_FIELD = b"at"  # the endpoint that held this connection before the start of the run
+ADOPTED_FIELD = b"at"  # the endpoint of a connection that was established before this process started
 GROUP_FIELD = b"g"
 LOAD_HINT_FIELD = b"h"
 FLAG_SET = b"1"
--- a/linnetshift/frontends/line_protocol/request_line.py
+++ b/linnetshift/frontends/line_protocol/request_line.py
@@ -53,7 +53,7 @@
     fields = [field.partition(b"=") for field in tokens[3].split(b",")] if len(tokens) == 4 else []
     values = {name: value for name, _, value in fields}
     if len(values) < len(fields):
-        raise RequestLineError("a name twice")  # an endpoint may take the other one
+        raise RequestLineError("a name twice")  # an endpoint might use the other value
     klass = names.classes.get(_decode(values.get(protocol.CLASS_FIELD, b"")))
     if klass is None:
         raise RequestLineError("unknown class")
@@ -86,7 +86,7 @@
 
 
 def _decode(text: bytes) -> str:
-    """Decode a name; bytes that are no UTF-8 make it a name that no settings hold."""
+    """Decode a name; with bytes that are not UTF-8 it becomes one that no settings list."""
     return text.decode("utf-8", "replace")
 
 
@@ -99,7 +99,8 @@
 def _parse_wait_ms(text: bytes | None, is_adopted: bool) -> int:
     """Return how long the client waits, 0 where it does not say.
 
-    A connection that was open before the start of the run comes with as long as 32 bits of microseconds hold.
+    An adopted connection may name a time beyond the limit, which is cut to it: it comes with the longest that
+    32 bits of microseconds hold.
     """
     if text is None:
         return 0
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -37,7 +37,7 @@
     def run(self) -> Steps:
         """Return None once a request is with the broker, else the `Reason` why the connection ends."""
         timer = self.connection.set_timer(REQUEST_LINE_TIMEOUT_NS, ConnectionTimer.REQUEST_LINE)
-        self.end = self.stream.fill()  # the line mostly comes with the connection
+        self.end = self.stream.fill()  # the line is usually there by now
         while True:
             try:
                 is_submitted = self._process_lines()
@@ -46,7 +46,7 @@
             if is_submitted:
                 timer.cancel()
                 return None
-            # Without this, answers to a client that queries on and reads nothing would fill memory.
+            # Otherwise the answers to a client that sends queries and reads nothing would fill memory.
             self.stream.set_reading(not self.stream.is_congested)
             if self.end is not None:
                 return Reason.PROBED if self.was_queried else Reason.EMPTY
@@ -75,7 +75,7 @@
             case Stop():
                 return Reason.EVICTED
             case ShutdownNotice():
-                # A request that crosses this on its way finds its answer; nothing read later is sent on.
+                # This also answers a request line that is on its way; what comes later is discarded.
                 self.stream.fill()
                 self.stream.send(protocol.BUSY_LINE)
                 return Reason.SHUT_DOWN
--- a/linnetshift/lifecycle/channels_activation.py
+++ b/linnetshift/lifecycle/channels_activation.py
@@ -79,7 +79,7 @@
 
     def migrate_channels(self) -> None:
         """Stop listening, and migrate the established channels over a short time."""
-        self.frontend.leave()
+        self.frontend.drain()
         migrator = ChannelMigrator(self.loop, self.broker, self.frontend)
         migrator.start(migrator.run())
 
--- a/linnetshift/lifecycle/shutdown_coordinator.py
+++ b/linnetshift/lifecycle/shutdown_coordinator.py
@@ -66,7 +66,7 @@
     def stop_listening(self) -> None:
         """Close the listening sockets of both frontends."""
         self.frontend.close()
-        self.channels.leave()
+        self.channels.drain()
 
     def connections_in_use(self) -> int:
         """Connections that await something; one that is silent must not delay the shutdown."""
--- a/linnetshift/observability/log.py
+++ b/linnetshift/observability/log.py
@@ -38,7 +38,7 @@
     BAD_LINE = "bad-line"  # the peer sent a line outside the protocol
     REQUEST_TIMEOUT = "request-timeout"  # no whole request came in time
     EVICTED = "evicted"  # it had no request under way, and descriptors ran short
-    PROBED = "probed"  # a frontend checked whether this proxy is ready
+    PROBED = "probed"  # the client only asked whether this proxy is ready
     ANSWERED = "answered"  # an administrative call or a health check got its answer
     EMPTY = "empty"  # ended without a request
     UNREACHABLE = "unreachable"  # the connection to the endpoint did not come up
@@ -49,7 +49,7 @@
     SHUT_DOWN = "shut-down"  # this proxy is shutting down
     CHANNEL_CLOSED = "channel-closed"  # an SSH channel was closed by its client
     PROTOCOL_ERROR = "protocol-error"  # the peer broke the SSH protocol
-    FAULT = "fault"  # an error of this program's; its trace is logged beside
+    FAULT = "fault"  # an error in this program; the event `fault` has its traceback
 
 
 class KeyValueFormatter(logging.Formatter):
@@ -88,7 +88,7 @@
 
 
 def exception(error: Exception) -> None:
-    """Log a fault of this program's own, with its traceback."""
+    """Log an error in this program, with its traceback."""
     logger.error("fault", exc_info=error)
 
 
@@ -97,15 +97,16 @@
 
     `side` is the part that owned it: client, endpoint, admin, health-check and such.
     """
-    own = {"side": side, "reason": reason}
-    info("connection-ended", **(own | pairs | own))  # a load report's column may have any name
+    leading_pairs = {"side": side, "reason": reason}
+    # Written first, and never replaced: a load report's column may have any name.
+    info("connection-ended", **(leading_pairs | pairs | leading_pairs))
 
 
 def error_text(error: Exception) -> str:
     """The message of a caught error, cut to MAX_LOGGED_CHARS; its traceback is dropped.
 
-    A library's frame in the traceback may refer to the error itself (h11's does). That cycle would keep our
-    own frames alive, and with them the connection, until the garbage collector runs.
+    A library's frame in the traceback may refer to the error itself (h11's does). That cycle would keep this
+    program's frames alive, and with them the connection, until the garbage collector runs.
     """
     error.__traceback__ = None
     return str(error)[:MAX_LOGGED_CHARS]
@@ -130,7 +131,7 @@
             return
         if self.dropped_lines:
             dropped_lines = self.dropped_lines
-            self.dropped_lines = 0  # first: the line below comes through here too
+            self.dropped_lines = 0  # before the next line, which calls this method again
             info("log-lines-dropped", count=dropped_lines)
         super().emit(record)
 
