--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -23,7 +23,7 @@
 DISCARD_TIMEOUT_NS = 5500 * MS
 # How long a client may leave everything unread.
 STALL_NS = 7 * S
-# The longest that a request may wait for its answer; no client waits for so long.
+# The longest time for which a request line may wait for its answer; real clients wait for less.
 MAX_WAIT_MS = 600_000
 
 # Descriptors that no connection without a request gets: they are for endpoints, discovery, listeners and the
@@ -84,28 +84,30 @@
     are the oldest of all, but unlike the rest they keep sending.
     """
 
-    def __init__(self, loop: Loop, sockets: int) -> None:
-        """`sockets` is the configured limit of descriptors; 0 leaves it to the system's."""
+    def __init__(self, loop: Loop, configured_limit: int) -> None:
+        """`configured_limit` is in descriptors; 0 leaves it to the system's limit."""
         self.loop = loop
         soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        limits = [limit for limit in (sockets, soft_limit) if limit > 0]  # without a limit they are 0 or -1
-        self.descriptors = min(limits) if limits else NO_LIMIT
+        limits = [
+            limit for limit in (configured_limit, soft_limit) if limit > 0
+        ]  # without a limit they are 0 or -1
+        self.max_descriptors = min(limits) if limits else NO_LIMIT
         # How many connections of all kinds may be open before one without a request is evicted.
         self.max_streams = NO_LIMIT
         if limits:
-            spare = max(MIN_SPARE_DESCRIPTORS, self.descriptors // SPARE_DESCRIPTORS_DIVISOR)
-            self.max_streams = self.descriptors - spare
+            spare = max(MIN_SPARE_DESCRIPTORS, self.max_descriptors // SPARE_DESCRIPTORS_DIVISOR)
+            self.max_streams = self.max_descriptors - spare
         # Dictionaries for their order, the oldest first.
         self.answered_connections: dict[EvictableConnection, None] = {}
         self.silent_connections: dict[EvictableConnection, None] = {}
         self.sending_connections: dict[EvictableConnection, None] = {}
-        self.peer_descriptors = 0  # that the other process of a hot restart holds meanwhile
+        self.peer_descriptors = 0  # open in the other process during a hot restart
         loop.make_room = self.make_room
 
     def add(self, connection: EvictableConnection) -> None:
         """Count a connection without a request, and evict others while too many are open.
 
-        A usual client's request line is there at once, so that under pressure it is never the one to go.
+        A usual client's request line is there at once, so that it is never the one that is evicted.
         """
         self.silent_connections[connection] = None
         while self.is_over_limit() and self.count() > 1 and self.make_room():
@@ -113,7 +115,7 @@
 
     def is_over_limit(self) -> bool:
         """Whether more connections of all kinds are open than the descriptors are meant for."""
-        return self.loop.streams + self.peer_descriptors > self.max_streams
+        return self.loop.stream_count + self.peer_descriptors > self.max_streams
 
     def count(self) -> int:
         """How many connections have no request."""
--- a/linnetshift/event_loop/loop.py
+++ b/linnetshift/event_loop/loop.py
@@ -44,7 +44,7 @@
         self.cancelled_timers = 0  # how many of `timers`
         self.sequence = count()
         self.stopped = False
-        self.streams = 0  # how many are open
+        self.stream_count = 0  # open ones
         # Called when descriptors are short: closes one and returns True, or returns False.
         self.make_room: Callable[[], bool] = lambda: False
         # The earliest time from which the descriptors of the last poll may have been ready: when the poll
--- a/linnetshift/event_loop/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -58,7 +58,7 @@
 
 
 def ignore_io(_mask: int) -> None:
-    """The callback of a closed stream."""
+    """Do nothing: the callback of a closed stream."""
 
 
 class Stream:
@@ -105,7 +105,7 @@
         self.ending = False  # nothing more will be sent: FIN follows what is in `unsent`
         self.closed = False
         self.watched_mask = 0
-        loop.streams += 1
+        loop.stream_count += 1
 
     @property
     def is_congested(self) -> bool:
@@ -131,9 +131,9 @@
             else:
                 self.loop.unwatch(self.fd)
 
-    def set_reading(self, reading: bool) -> None:
+    def set_reading(self, is_reading: bool) -> None:
         """Read on, or leave what the peer sends to the kernel's buffer and TCP's flow control."""
-        self.reading = reading
+        self.reading = is_reading
         self.arm()
 
     # ---- reading ----------------------------------------------------------------------------
@@ -284,7 +284,7 @@
         if self.closed:
             return
         self.closed = True
-        self.loop.streams -= 1
+        self.loop.stream_count -= 1
         self.loop.unwatch(self.fd)
         if end is End.RESET:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -87,7 +87,7 @@
 
     def peer_resources(self) -> PeerResources:
         """What the other process has to count together with its own."""
-        return PeerResources(self.loop.streams, self.broker.migrated, self.broker.loads())
+        return PeerResources(self.loop.stream_count, self.broker.migrated, self.broker.loads())
 
     def update_peer_resources(self, peer_resources: PeerResources) -> None:
         """Count what the other process holds together with what this one does."""
@@ -97,7 +97,7 @@
         # A client that the other process migrated comes back to this one, and was this proxy's before: it is
         # not a client that another proxy migrated here.
         newly_migrated = peer_resources.moved - self.migrated_by_peer
-        for _ in range(min(newly_migrated, self.connection_limiter.descriptors)):
+        for _ in range(min(newly_migrated, self.connection_limiter.max_descriptors)):
             estimator.migrations.record_migrated_out(self.loop.now())
         self.migrated_by_peer = peer_resources.moved
         self.broker.balancer.ranking.predecessor_connections = sum(map(len, peer_resources.loads.values()))
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -228,7 +228,7 @@
 
     def resource_usage(self) -> dict[str, ResourceUsage]:
         """Every container that lives as long as the process; docs/memory.md says the same bounds."""
-        connections = self.connection_limiter.descriptors + MAX_OPEN_CHANNELS
+        connections = self.connection_limiter.max_descriptors + MAX_OPEN_CHANNELS
         return {
             **self.loop.resource_usage(connections),
             **self.broker.resource_usage(connections),
