--- a/linnetshift/admin/connection.py
+++ b/linnetshift/admin/connection.py
@@ -71,7 +71,7 @@
         self.operations = operations
         self.owner = owner
         self.peer = peer
-        self.stream = Stream(self.loop, sock, lambda mask: self.post(Io(mask)), size=MAX_HEAD_BYTES)
+        self.stream = Stream(self.loop, sock, self.post_io, max_buffer_bytes=MAX_HEAD_BYTES)
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: AdminRequest | None = None
         self.body_bytes = 0
@@ -205,7 +205,7 @@
                 case DrainApplied(is_known):
                     return change.response(is_known)
                 case Io():
-                    self.stream.want(False)  # whatever else the peer sends belongs to no call
+                    self.stream.set_reading(False)  # whatever else the peer sends belongs to no call
                 case Timeout(tag="drain"):
                     text = "acted on here, but no word from the process beside this one"
                     return Response(HTTPStatus.GATEWAY_TIMEOUT, text)
--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import resource
+from enum import Enum
 from typing import Protocol
 
 from linnetshift.event_loop.actor import Actor
@@ -19,10 +20,10 @@
 REQUEST_LINE_TIMEOUT_NS = 2800 * MS
 # What is still received after an answer is read and dropped, since a close with bytes unread would reset the
 # answer away; 60 MB may be on their way, and the close is promised within 6 s.
-DRAIN_NS = 5500 * MS
+DISCARD_TIMEOUT_NS = 5500 * MS
 # How long a client may leave everything unread.
 STALL_NS = 7 * S
-# No client waits so long for its answer.
+# The longest time for which a request line may wait for its answer; real clients wait for less.
 MAX_WAIT_MS = 600_000
 
 # Descriptors that no connection without a request gets: they are for endpoints, discovery, listeners and the
@@ -32,30 +33,39 @@
 NO_LIMIT = 1 << 30  # stands for the number of descriptors where neither settings nor system limit it
 
 
+class ConnectionTimer(Enum):
+    """Tags of the timers by which any kind of connection bounds how long it waits for its peer."""
+
+    REQUEST_LINE = "request line"  # from accept until the request line is whole
+    CONNECT = "connect"
+    STALL = "stall"  # since when the peer has left sent bytes unread
+    LINGER = "linger"  # from this side's end until the peer's
+
+
 class StallDetector(Actor):
     """An actor whose peer is to read what it is sent: detects that it has not for STALL_NS.
 
-    Contract: subclasses call `look_for_stall` after each write and flush of `stream`, and end the connection
-    on `Timeout(tag="stalled")` if `stalled()` holds then. At most one timer is armed for that, however often
-    the peer stops and goes on.
+    Contract: subclasses call `update_stall_timer` after each write and flush of `stream`, and end the
+    connection on `Timeout(ConnectionTimer.STALL)` if `is_stalled()` holds then. At most one timer is armed
+    for that, however often the peer stops and goes on.
     """
 
     stream: Stream
     congested_at = 0  # since when bytes have waited for the peer, in ns of the loop's clock; 0: none wait
     stall_timer: Timer | None = None
 
-    def look_for_stall(self) -> None:
+    def update_stall_timer(self) -> None:
         """Arm the timer when bytes begin to wait, cancel it once none do."""
         if self.stream.is_congested and not self.congested_at:
             self.congested_at = self.loop.now()
-            self.stall_timer = self.set_timer(STALL_NS, "stalled")
+            self.stall_timer = self.set_timer(STALL_NS, ConnectionTimer.STALL)
         elif self.congested_at and not self.stream.is_congested:
             self.congested_at = 0
             if self.stall_timer is not None:
                 self.stall_timer.cancel()
 
-    def stalled(self) -> bool:
-        """Whether the peer has read too little for STALL_NS; a timer may ring from before it went on."""
+    def is_stalled(self) -> bool:
+        """Whether the peer has read too little for STALL_NS; the timer may have fired just as it read on."""
         return bool(self.congested_at) and self.loop.now() - self.congested_at >= STALL_NS
 
 
@@ -74,28 +84,30 @@
     are the oldest of all, but unlike the rest they keep sending.
     """
 
-    def __init__(self, loop: Loop, sockets: int) -> None:
-        """`sockets` is the configured limit of descriptors; 0 leaves it to the system's."""
+    def __init__(self, loop: Loop, configured_limit: int) -> None:
+        """`configured_limit` is in descriptors; 0 leaves it to the system's limit."""
         self.loop = loop
         soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        limits = [limit for limit in (sockets, soft_limit) if limit > 0]  # without a limit they are 0 or -1
-        self.descriptors = min(limits) if limits else NO_LIMIT
+        limits = [
+            limit for limit in (configured_limit, soft_limit) if limit > 0
+        ]  # without a limit they are 0 or -1
+        self.max_descriptors = min(limits) if limits else NO_LIMIT
         # How many connections of all kinds may be open before one without a request is evicted.
         self.max_streams = NO_LIMIT
         if limits:
-            spare = max(MIN_SPARE_DESCRIPTORS, self.descriptors // SPARE_DESCRIPTORS_DIVISOR)
-            self.max_streams = self.descriptors - spare
+            spare = max(MIN_SPARE_DESCRIPTORS, self.max_descriptors // SPARE_DESCRIPTORS_DIVISOR)
+            self.max_streams = self.max_descriptors - spare
         # Dictionaries for their order, the oldest first.
         self.answered_connections: dict[EvictableConnection, None] = {}
         self.silent_connections: dict[EvictableConnection, None] = {}
         self.sending_connections: dict[EvictableConnection, None] = {}
-        self.peer_descriptors = 0  # that the other process of a hot restart holds meanwhile
+        self.peer_descriptors = 0  # open in the other process during a hot restart
         loop.make_room = self.make_room
 
     def add(self, connection: EvictableConnection) -> None:
         """Count a connection without a request, and evict others while too many are open.
 
-        A usual client's request line is there at once, so that under pressure it is never the one to go.
+        A usual client's request line is there at once, so that it is never the one that is evicted.
         """
         self.silent_connections[connection] = None
         while self.is_over_limit() and self.count() > 1 and self.make_room():
@@ -103,23 +115,23 @@
 
     def is_over_limit(self) -> bool:
         """Whether more connections of all kinds are open than the descriptors are meant for."""
-        return self.loop.streams + self.peer_descriptors > self.max_streams
+        return self.loop.stream_count + self.peer_descriptors > self.max_streams
 
     def count(self) -> int:
         """How many connections have no request."""
-        return self.idle() + len(self.sending_connections)
+        return self.idle_count() + len(self.sending_connections)
 
-    def idle(self) -> int:
-        """How many of them are not sending one either, as far as can be seen."""
+    def idle_count(self) -> int:
+        """How many of these are not sending a request either, as far as can be seen."""
         return len(self.answered_connections) + len(self.silent_connections)
 
-    def answered(self, connection: EvictableConnection) -> None:
+    def handle_answered(self, connection: EvictableConnection) -> None:
         """Its readiness check is answered; it may be evicted at any time."""
         self.remove(connection)
         self.answered_connections[connection] = None
 
-    def handle_partial_line(self, connection: EvictableConnection) -> None:
-        """More of its request line came after a pause."""
+    def handle_partial_request(self, connection: EvictableConnection) -> None:
+        """More of its request came after a pause."""
         if connection in self.silent_connections or connection in self.sending_connections:
             self.remove(connection)
             self.sending_connections[connection] = None
@@ -130,12 +142,12 @@
             group.pop(connection, None)
 
     def resource_usage(self, max_connections: int) -> dict[str, ResourceUsage]:
-        """Its containers together, under their name in `/ops/census`."""
+        """The size of its three groups together, under their name in `/ops/census`."""
         return {"strangers": ResourceUsage(self.count(), max_connections)}
 
     def make_room(self) -> bool:
         """Evict the connection that matters least; whether there was one."""
-        connection = next((one for group in self.eviction_order() for one in group), None)
+        connection = next((candidate for group in self.eviction_order() for candidate in group), None)
         if connection is None:
             return False
         self.remove(connection)
@@ -143,5 +155,5 @@
         return True
 
     def eviction_order(self) -> tuple[dict[EvictableConnection, None], ...]:
-        """The groups of connections, the first to be evicted first."""
+        """The three groups, the one that is evicted from first at the front."""
         return self.answered_connections, self.silent_connections, self.sending_connections
--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -29,6 +29,7 @@
 # The bits of the flags field.
 RETRY_FLAG = 1
 RETURNED_FLAG = 2
+MAX_TENANT_CHARS = MAX_LOGGED_CHARS  # as many as are logged of a peer's text
 MAX_SESSION_CHANNELS = 256
 # When all sessions together have too many channels, clients come back after this.
 OVERLOADED_RETRY_AFTER_MS = 1000
@@ -70,7 +71,7 @@
     @property
     def has_valid_tenant(self) -> bool:
         """Whether the tenant's name can stand in a request line."""
-        return len(self.tenant) <= MAX_LOGGED_CHARS and INVALID_TENANT_CHARACTERS.search(self.tenant) is None
+        return len(self.tenant) <= MAX_TENANT_CHARS and INVALID_TENANT_CHARACTERS.search(self.tenant) is None
 
     @property
     def routing_flags(self) -> int:
@@ -142,13 +143,13 @@
     session = channel.session
     wait_ns = open_request.wait_ms * MS or session.broker.settings.classes[class_number].deadline_ns
     return ActiveRequest(
-        channel,
-        class_number,
-        session.frontend.names.tenants.get(open_request.tenant, UNKNOWN_NUMBER),
-        open_request.key,
-        open_request.group,
-        open_request.routing_flags,
-        0,
-        session.loop.since + wait_ns - ANSWER_RESERVE_NS,
-        open_request.request_line_encoder(),
+        client=channel,
+        klass=class_number,
+        tenant=session.frontend.names.tenants.get(open_request.tenant, UNKNOWN_NUMBER),
+        key=open_request.key,
+        group=open_request.group,
+        flags=open_request.routing_flags,
+        load_hint=0,
+        deadline=session.loop.ready_since + wait_ns - ANSWER_RESERVE_NS,
+        encode_request_line=open_request.request_line_encoder(),
     )
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -14,8 +14,13 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from linnetshift.event_loop.actor import ActorCoroutine, Io
-from linnetshift.event_loop.address import Address
-from linnetshift.event_loop.connection_limits import DRAIN_NS, REQUEST_LINE_TIMEOUT_NS, StallDetector
+from linnetshift.event_loop.address import Address, format_address
+from linnetshift.event_loop.connection_limits import (
+    DISCARD_TIMEOUT_NS,
+    REQUEST_LINE_TIMEOUT_NS,
+    ConnectionTimer,
+    StallDetector,
+)
 from linnetshift.event_loop.outbound_connection import Steps, Stop, linger
 from linnetshift.event_loop.stream import End, Stream
 from linnetshift.event_loop.timers import S, Timeout, Timer
@@ -50,7 +55,7 @@
 MAX_UNSENT_BYTES = 65_536
 
 
-class TimerTag(Enum):
+class SessionTimer(Enum):
     """What a session's own timers are for."""
 
     IDENTIFICATION = "identification"
@@ -71,7 +76,7 @@
         self.frontend = frontend
         self.broker = frontend.broker
         self.peer = peer
-        self.stream = Stream(self.loop, sock, self._post_io, size=MAX_PACKET_BYTES + BLOCK_BYTES)
+        self.stream = Stream(self.loop, sock, self.post_io, max_buffer_bytes=MAX_PACKET_BYTES + BLOCK_BYTES)
         self.channels: dict[int, Channel] = {}
         self.channel_numbers = count()
         self.channels_opened = 0
@@ -89,9 +94,6 @@
         self.end_reason = self.end_reason or Reason.EVICTED
         self.post(Stop())
 
-    def _post_io(self, mask: int) -> None:
-        self.post(Io(mask))
-
     # ---- the coroutine ----------------------------------------------------------------------
 
     def run(self) -> ActorCoroutine:
@@ -106,27 +108,27 @@
             self.end_reason = Reason.PROTOCOL_ERROR
             log.info("packet-malformed", peer=self.peer[0], error=log.error_text(error))
             self._disconnect(error.reason, str(error))
-        self._end_channels(self.end_reason is Reason.CLIENT_RESET)
+        self._end_channels(is_reset=self.end_reason is Reason.CLIENT_RESET)
         if not self.stream.broken and not self.stream.closed and self.end_reason is not Reason.STALLED:
             self.stream.finish()
             self.frontend.connection_limiter.add(self)
-            yield from linger(self, self.stream, self.began_at + DRAIN_NS)
+            yield from linger(self, self.stream, self.began_at + DISCARD_TIMEOUT_NS)
         self.stream.close()
         self._report_end()
 
     def faulted(self, error: Exception) -> None:
-        """End this session alone after a fault in its code: other sessions must not pay for it."""
+        """Contain a fault of this program: it ends this session alone."""
         log.exception(error)
         self.end_reason = Reason.FAULT
-        self._end_channels(True)
+        self._end_channels(is_reset=True)
         self.stream.close(End.RESET)
         self._report_end()
 
-    def _end_channels(self, reset: bool) -> None:
+    def _end_channels(self, is_reset: bool) -> None:
         for channel in list(self.channels.values()):
-            if channel.closing_request is None and not channel.is_close_sent:
+            if not channel.is_closing and not channel.is_close_sent:
                 channel.end_reason = self.end_reason or Reason.CLIENT_LEFT
-            self.broker.handle_client_ended(channel.request, reset)
+            self.broker.handle_client_ended(channel.request, is_reset)
             self.remove_channel(channel)
         self.write_queue.clear()
 
@@ -136,14 +138,14 @@
         log.connection_ended(
             "session",
             self.end_reason or Reason.CLIENT_LEFT,
-            peer=f"{self.peer[0]}:{self.peer[1]}",
+            peer=format_address(self.peer),
             channels=self.channels_opened,
         )
 
     def _identify(self) -> Steps:
         """Send this side's identification and wait for the client's."""
         self.stream.send(IDENTIFICATION)
-        timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, TimerTag.IDENTIFICATION)
+        timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, SessionTimer.IDENTIFICATION)
         while self.end_reason is None:
             match (yield):
                 case Io(mask):
@@ -151,14 +153,14 @@
                     if read_identification(self.stream):
                         timer.cancel()
                         return
-                case Timeout(tag=TimerTag.IDENTIFICATION):
+                case Timeout(tag=SessionTimer.IDENTIFICATION):
                     self.end_reason = Reason.REQUEST_TIMEOUT
                 case DrainStarted() if self.frontend.is_draining:
                     self._shut_down()
 
     def _serve(self) -> Steps:
         """Exchange packets until the session ends."""
-        self.set_timer(KEEPALIVE_NS, TimerTag.KEEPALIVE)
+        self.set_timer(KEEPALIVE_NS, SessionTimer.KEEPALIVE)
         self._read_packets()
         while self.end_reason is None:
             match (yield):
@@ -167,11 +169,11 @@
                     self._read_packets()
                 case Timeout(tag=CloseTimeout(channel)):
                     channel.finish_close()
-                case Timeout(tag=TimerTag.KEEPALIVE):
+                case Timeout(tag=SessionTimer.KEEPALIVE):
                     self._send_keepalive()
-                case Timeout(tag=TimerTag.PACKET):
+                case Timeout(tag=SessionTimer.PACKET):
                     self._handle_packet_timeout()
-                case Timeout(tag="stalled") if self.stalled():
+                case Timeout(tag=ConnectionTimer.STALL) if self.is_stalled():
                     self.end_reason = Reason.STALLED
             if self.frontend.is_draining and not self.channels and self.end_reason is None:
                 self._shut_down()
@@ -185,22 +187,22 @@
             buffered = self.stream.stop - self.stream.start
             end = self.stream.fill()
             if self.stream.stop > buffered:
-                self.frontend.connection_limiter.handle_partial_line(self)
+                self.frontend.connection_limiter.handle_partial_request(self)
             self.unanswered_keepalives = 0
             if end is not None:
                 self.end_reason = Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
         if self.stream.broken:
             self.end_reason = Reason.CLIENT_RESET
-        self.stream.want(len(self.stream.unsent) < MAX_UNSENT_BYTES)
+        self.stream.set_reading(len(self.stream.unsent) < MAX_UNSENT_BYTES)
 
     def _send_keepalive(self) -> None:
-        """Ask for any answer, even a refusal: a half-open connection gives none."""
+        """Request any answer, even a failure: a half-open connection gives none."""
         self.unanswered_keepalives += 1
         if self.unanswered_keepalives > MAX_UNANSWERED_KEEPALIVES:
             self.end_reason = Reason.UNRESPONSIVE
             return
         self.write(encode_global_request(KEEPALIVE_REQUEST))
-        self.set_timer(KEEPALIVE_NS, TimerTag.KEEPALIVE)
+        self.set_timer(KEEPALIVE_NS, SessionTimer.KEEPALIVE)
 
     def _shut_down(self) -> None:
         self.end_reason = Reason.SHUT_DOWN
@@ -233,18 +235,18 @@
     def write(self, payload: bytes) -> None:
         """Send one payload as a packet."""
         self.stream.send(encode_packet(payload))
-        self.look_for_stall()
+        self.update_stall_timer()
 
     def enqueue_write(self, channel: Channel) -> None:
-        """Give a channel with pending data a place in the round of writing."""
+        """Have a channel with pending data written when its turn comes, or at once if the socket takes it."""
         if not channel.is_in_write_queue:
             channel.is_in_write_queue = True
             self.write_queue.append(channel)
         self.write_queued()
 
     def write_queued(self) -> None:
-        """Round robin, one packet a channel; a channel without window leaves until it is granted some."""
-        self.look_for_stall()
+        """Write round robin, one packet a channel; one without window leaves the queue until it has some."""
+        self.update_stall_timer()
         while self.write_queue and not self.stream.is_congested:
             channel = self.write_queue.popleft()
             channel.is_in_write_queue = False
@@ -266,14 +268,14 @@
             self._arm_packet_timer()
 
     def _arm_packet_timer(self) -> None:
-        self.packet_timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, TimerTag.PACKET)
+        self.packet_timer = self.set_timer(REQUEST_LINE_TIMEOUT_NS, SessionTimer.PACKET)
         self.packet_timer_armed_at = self.loop.now()
 
     def _handle_packet_timeout(self) -> None:
         """End a session that stops inside a packet: it could never be seen to be idle."""
         elapsed_ns = self.loop.now() - self.packet_timer_armed_at
         if self.packet_timer is None or elapsed_ns < REQUEST_LINE_TIMEOUT_NS:
-            return  # this timer was for a packet that has been completed since
+            return  # the timer of a packet that has become complete
         if self.stream.reading:
             raise ProtocolError("a packet that does not end")
-        self._arm_packet_timer()  # nothing is read at the moment: the client waits for this side
+        self._arm_packet_timer()  # reading is paused: the rest of the packet may have come
--- a/linnetshift/frontends/line_protocol/frontend.py
+++ b/linnetshift/frontends/line_protocol/frontend.py
@@ -17,7 +17,7 @@
 
 
 class LineProtocolFrontend(Frontend):
-    """Accepts clients on the address that the platform gave."""
+    """Accepts clients at the address of the proxy file."""
 
     def __init__(
         self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
@@ -25,7 +25,7 @@
         """Create a frontend that listens nowhere yet."""
         super().__init__(loop, broker, names, connection_limiter)
         self.clients: set[ClientConnection] = set()
-        self.ids: set[int] = set()  # of open requests, as their clients gave them
+        self.open_request_ids: set[int] = set()  # as their clients gave them
 
     def handle_connection(self, sock: socket.socket, peer: Address) -> None:
         """Serve a connection that was accepted; owns the socket from now on."""
@@ -41,11 +41,11 @@
         """Return the sizes of the containers here; `connections` bounds how many may be open at once."""
         return {
             "platform.consumers": ResourceUsage(len(self.clients), connections),
-            "platform.ids": ResourceUsage(len(self.ids), connections),
+            "platform.ids": ResourceUsage(len(self.open_request_ids), connections),
         }
 
     def answer_query(self, query: bytes) -> bytes:
-        """Return the answer to a query line: whether this proxy takes requests, or that it has no figures."""
+        """Return the answer to PING, whether this proxy takes requests, or to STATS, of which it has none."""
         if not query.startswith(protocol.PING):
             return protocol.NO_STATS_LINE
         return protocol.ERROR_LINE if self.is_draining else protocol.PONG_LINE
--- a/linnetshift/frontends/line_protocol/message_relay.py
+++ b/linnetshift/frontends/line_protocol/message_relay.py
@@ -7,13 +7,14 @@
 
 from linnetshift.broker.active_request import ActiveRequest
 from linnetshift.event_loop.actor import Io
+from linnetshift.event_loop.connection_limits import ConnectionTimer
 from linnetshift.event_loop.outbound_connection import Resume, Steps
 from linnetshift.event_loop.stream import End, LineTooLongError
 from linnetshift.event_loop.timers import Timeout
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.messages import EndpointEnded, MigrationRequested
+from linnetshift.frontends.listener import endpoint_end_reason
 from linnetshift.observability.log import Reason
-from linnetshift.routing.events import Outcome
 
 if TYPE_CHECKING:
     from linnetshift.frontends.line_protocol.client_connection import ClientConnection
@@ -74,13 +75,13 @@
             self.connection.set_line_too_long()
             self.broker.handle_client_ended(self.request, False)
             return False
-        self.stream.want(not upstream.is_congested)
+        self.stream.set_reading(not upstream.is_congested)
         return True
 
     def _flush(self) -> None:
         """Write what the client left unread, and have the endpoint go on once there is nothing left."""
         self.stream.flush()
-        self.connection.look_for_stall()
+        self.connection.update_stall_timer()
         attempt = self.request.attempt
         if not self.stream.is_congested and attempt is not None and attempt.upstream is not None:
             attempt.upstream.resume()
@@ -89,12 +90,12 @@
         """Handle what is neither input nor output; a reason if the connection ends with it."""
         match message:
             case EndpointEnded(outcome, was_reset):
-                return _endpoint_end_reason(outcome, was_reset)
+                return endpoint_end_reason(outcome, was_reset)
             case MigrationRequested(reason):
-                self.stream.send(protocol.MOVE_LINE)  # what was sent before it were whole lines
+                self.stream.send(protocol.MOVE_LINE)  # only whole lines were sent before it
                 self.broker.handle_client_ended(self.request, False)
                 return Reason(reason)
-            case Timeout(tag="stalled") if self.connection.stalled():
+            case Timeout(tag=ConnectionTimer.STALL) if self.connection.is_stalled():
                 self.broker.handle_client_ended(self.request, False)
                 return Reason.STALLED
         return None
@@ -107,11 +108,3 @@
             upstream.deliver(rest)
         self.broker.handle_client_ended(self.request, end is End.RESET)
         return Reason.CLIENT_RESET if end is End.RESET else Reason.CLIENT_LEFT
-
-
-def _endpoint_end_reason(outcome: int, was_reset: bool) -> Reason:
-    if was_reset:
-        return Reason.ENDPOINT_RESET
-    if outcome == Outcome.OK:
-        return Reason.SERVED
-    return Reason.ENDPOINT_MIGRATED if outcome == Outcome.CANCELLED else Reason.ENDPOINT_LEFT
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from linnetshift.event_loop.actor import Io
-from linnetshift.event_loop.connection_limits import REQUEST_LINE_TIMEOUT_NS
+from linnetshift.event_loop.connection_limits import REQUEST_LINE_TIMEOUT_NS, ConnectionTimer
 from linnetshift.event_loop.outbound_connection import Steps, Stop
 from linnetshift.event_loop.stream import End, LineTooLongError
 from linnetshift.event_loop.timers import Timeout
@@ -18,8 +18,6 @@
 if TYPE_CHECKING:
     from linnetshift.frontends.line_protocol.client_connection import ClientConnection
 
-REQUEST_LINE_TIMER = "request-line"
-
 
 class RequestReader:
     """Answers queries on one connection until its request line has come and is with the broker.
@@ -32,14 +30,14 @@
         self.connection = connection
         self.stream = connection.stream
         self.frontend = connection.frontend
-        self.arrived_ns = connection.loop.since  # when the loop saw what was read last
+        self.arrived_ns = connection.loop.ready_since  # when the loop saw what was read last
         self.was_queried = False
         self.end: End | None = None
 
     def run(self) -> Steps:
         """Return None once a request is with the broker, else the `Reason` why the connection ends."""
-        timer = self.connection.set_timer(REQUEST_LINE_TIMEOUT_NS, REQUEST_LINE_TIMER)
-        self.end = self.stream.fill()  # the line mostly comes with the connection
+        timer = self.connection.set_timer(REQUEST_LINE_TIMEOUT_NS, ConnectionTimer.REQUEST_LINE)
+        self.end = self.stream.fill()  # the line is usually there by now
         while True:
             try:
                 is_submitted = self._process_lines()
@@ -48,8 +46,8 @@
             if is_submitted:
                 timer.cancel()
                 return None
-            # Without this, answers to a client that queries on and reads nothing would fill memory.
-            self.stream.want(not self.stream.is_congested)
+            # Otherwise the answers to a client that sends queries and reads nothing would fill memory.
+            self.stream.set_reading(not self.stream.is_congested)
             if self.end is not None:
                 return Reason.PROBED if self.was_queried else Reason.EMPTY
             reason = self._handle((yield))
@@ -65,7 +63,7 @@
                 self.connection.submit(request_line, self.arrived_ns)
                 return True
             self.stream.send(self.frontend.answer_query(prefix))
-            self.frontend.connection_limiter.answered(self.connection)
+            self.frontend.connection_limiter.handle_answered(self.connection)
             self.was_queried = True
         return False
 
@@ -77,11 +75,11 @@
             case Stop():
                 return Reason.EVICTED
             case ShutdownNotice():
-                # A request that crosses this on its way finds its answer; nothing read later is sent on.
+                # This also answers a request line that is on its way; what comes later is discarded.
                 self.stream.fill()
                 self.stream.send(protocol.BUSY_LINE)
                 return Reason.SHUT_DOWN
-            case Timeout(tag=tag) if tag == REQUEST_LINE_TIMER:
+            case Timeout(tag=ConnectionTimer.REQUEST_LINE):
                 self.stream.send(protocol.ERROR_LINE)
                 return Reason.REQUEST_TIMEOUT
         return None
@@ -89,8 +87,8 @@
     def _handle_io(self, mask: int) -> None:
         if mask & select.EPOLLOUT:
             self.stream.flush()
-        self.arrived_ns = self.connection.loop.since
+        self.arrived_ns = self.connection.loop.ready_since
         unread_before = self.stream.stop - self.stream.start
         self.end = self.stream.fill()
         if self.stream.stop > unread_before:
-            self.frontend.connection_limiter.handle_partial_line(self.connection)
+            self.frontend.connection_limiter.handle_partial_request(self.connection)
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from linnetshift.event_loop.actor import ActorCoroutine, Io
-from linnetshift.event_loop.connection_limits import StallDetector
+from linnetshift.event_loop.connection_limits import ConnectionTimer, StallDetector
 from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.stream import Stream
 from linnetshift.event_loop.timers import MS, S, Timeout
@@ -83,7 +83,7 @@
         self.operations = operations
         self.coordinator = coordinator
         self.is_predecessor = predecessor is not None
-        self.stream = Stream(loop, sock, self._handle_ready)
+        self.stream = Stream(loop, sock, self.post_io)
         self.received = bytearray(predecessor.rest if predecessor is not None else b"")
         self.has_exchanged_state = self.is_predecessor
         self.has_ended = False  # the peer closed, broke the rules or hangs
@@ -107,7 +107,7 @@
     def send(self, message: SentMessage) -> None:
         """Send one message; a peer that leaves everything unread is given up after a while."""
         self.stream.send(encode_message(message))
-        self.look_for_stall()
+        self.update_stall_timer()
 
     def send_heartbeat(self) -> None:
         """Report what this process holds."""
@@ -123,9 +123,6 @@
         self.unconfirmed_drains[number] = done
         self.send(AdministrativeDrain(endpoint, is_drained, number))
 
-    def _handle_ready(self, mask: int) -> None:
-        self.post(Io(mask))
-
     def _process_event(self, event: Any) -> None:
         match event:
             case Io(mask):
@@ -137,14 +134,14 @@
                 self.set_timer(HEARTBEAT_INTERVAL_NS, PeerTimer.HEARTBEAT)
             case Timeout(tag=PeerTimer.HELLO):
                 self.has_ended = not self.has_exchanged_state
-            case Timeout(tag="stalled"):
-                self.has_ended = self.stalled()
+            case Timeout(tag=ConnectionTimer.STALL):
+                self.has_ended = self.is_stalled()
 
     def _transfer(self, mask: int) -> None:
         """Write what is buffered and read once."""
         if mask & select.EPOLLOUT:
             self.stream.flush()
-            self.look_for_stall()
+            self.update_stall_timer()
         end = self.stream.fill()
         self.received += self.stream.rest()
         self.has_ended = end is not None or len(self.received) > MAX_MESSAGE_BYTES
--- a/linnetshift/lifecycle/shutdown_coordinator.py
+++ b/linnetshift/lifecycle/shutdown_coordinator.py
@@ -66,11 +66,11 @@
     def stop_listening(self) -> None:
         """Close the listening sockets of both frontends."""
         self.frontend.close()
-        self.channels.leave()
+        self.channels.drain()
 
     def connections_in_use(self) -> int:
         """Connections that await something; one that is silent must not delay the shutdown."""
-        return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle()
+        return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle_count()
 
     def open_streams(self) -> list[Stream]:
         """The streams of all connections of both frontends."""
