--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -165,13 +165,14 @@
         first.open(1, wait_ms=60_000)
         second.open(2, wait_ms=60_000)
         attempts = [running.endpoints[0].accept() for _ in range(2)]
+        # Before the first client leaves: an attempt whose request line has not gone out ends without one.
+        assert attempts[0].line()
+        assert attempts[1].line()
         second.open(3)
         assert b"come again after 1000 ms" in second.expect(
             MessageNumber.CHANNEL_OPEN_FAILURE, 3, OpenFailureReason.RESOURCE_SHORTAGE
         )
         first.close()
-        assert attempts[0].line()
-        assert attempts[1].line()
         while running.program.channels.open_channels > 1:
             time.sleep(0.01)
         second.open(4)
