--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -48,22 +48,28 @@
         loop: Loop,
         operations: RestartOperations,
         socket_path: TakeoverSocketPath | None,
-        predecessor: PredecessorState | None,
     ) -> None:
-        """Without a `socket_path` no process can take over; `predecessor` is the one replaced by this one."""
+        """Nothing is sent or opened before `start`; without a `socket_path` no process can take over."""
         self.loop = loop
         self.operations = operations
         self.socket_path = socket_path
         self.peer_processes: list[PeerProcess] = []
         self.successor: PeerProcess | None = None  # accepts connections in this one's place
-        self.is_joining = predecessor is not None  # the predecessor may still accept
+        self.is_joining = False  # the predecessor may still accept
         self.takeover_listener: TakeoverListener | None = None
+
+    def start(self, predecessor: PredecessorState | None) -> None:
+        """Replace the predecessor, if there is one, and wait for a successor.
+
+        Call this once the process accepts connections, as the predecessor stops accepting because of it.
+        """
         if predecessor is not None:
             self._replace(predecessor)
         self.listen_for_successor()
 
     def _replace(self, predecessor: PredecessorState) -> None:
         """Have the predecessor stop accepting; one that hangs accepts nothing either and is not awaited."""
+        self.is_joining = True
         peer_process = PeerProcess(self.loop, self.operations, self, predecessor.sock, predecessor)
         self.peer_processes.append(peer_process)
         peer_process.start(peer_process.run())
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -42,14 +42,13 @@
     `Proxy.start` is the way to make one: the constructor opens no socket and starts no actor.
     """
 
-    hot_restart: HotRestart  # from the end of `start`, as it tells a predecessor that this process accepts
-
     def __init__(
         self,
         config: ProxyConfig,
         broker_config: BrokerConfig,
         platform_listener: socket.socket | None,
         imported: ImportedState,
+        socket_path: TakeoverSocketPath | None,
     ) -> None:
         """Wire the parts."""
         self.loop = Loop()
@@ -59,6 +58,7 @@
         self._wire_frontends(config, broker_config, imported)
         self.admin_server = AdminServer(self.loop, self)
         self._wire_lifecycle(config, broker_config, imported)
+        self.hot_restart = HotRestart(self.loop, self.local_process, socket_path)
 
     @classmethod
     def start(
@@ -75,10 +75,10 @@
         finds this process, `predecessor` what the process handed over that this one replaces.
         """
         imported = ImportedState(predecessor, config.names)
-        proxy = cls(config, broker_config, platform_listener, imported)
+        proxy = cls(config, broker_config, platform_listener, imported, socket_path)
         proxy._start_decisions(imported)
         proxy._open_listeners(imported)
-        proxy.hot_restart = HotRestart(proxy.loop, proxy.local_process, socket_path, predecessor)
+        proxy.hot_restart.start(predecessor)
         return proxy
 
     @property
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -53,11 +53,13 @@
         self.socket_path = socket_path
         self.old_operations = Operations(streams=3)
         self.new_operations = Operations(streams=5)
-        self.old = HotRestart(self.loop, self.old_operations, socket_path, None)
+        self.old = HotRestart(self.loop, self.old_operations, socket_path)
+        self.old.start(None)
         predecessor = self.request()
         assert predecessor is not None
         assert predecessor.state["list"] == {"rev": 7}
-        self.new = HotRestart(self.loop, self.new_operations, socket_path, predecessor)
+        self.new = HotRestart(self.loop, self.new_operations, socket_path)
+        self.new.start(predecessor)
 
     def turn_until(self, condition: Callable[[], object]) -> None:
         until = time.monotonic() + WAIT_S
