--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -14,7 +14,7 @@
 from linnetshift.event_loop.loop import Loop
 from linnetshift.lifecycle.peer_process import HELLO_TIMEOUT_NS, MAX_UNCONFIRMED_DRAINS, PeerProcess
 from linnetshift.lifecycle.restart_operations import RestartOperations
-from linnetshift.lifecycle.takeover_messages import PeerResources, Serving
+from linnetshift.lifecycle.takeover_messages import PeerResources, PlainMessage
 from linnetshift.lifecycle.takeover_socket import PredecessorState, TakeoverListener, TakeoverSocketPath
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
@@ -73,7 +73,7 @@
         peer_process = PeerProcess(self.loop, self.operations, self, predecessor.sock, predecessor)
         self.peer_processes.append(peer_process)
         peer_process.start(peer_process.run())
-        peer_process.send(Serving())
+        peer_process.send(PlainMessage.SERVING)
         self.loop.call_later(HELLO_TIMEOUT_NS, self.handle_predecessor_stopped)
 
     def listen_for_successor(self) -> None:
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -20,12 +20,10 @@
     AdministrativeDrain,
     AdministrativeDrainConfirmed,
     Heartbeat,
-    Hello,
     MessageError,
+    PlainMessage,
     ReceivedMessage,
     SentMessage,
-    Serving,
-    Stopped,
     decode_message,
     encode_message,
 )
@@ -163,12 +161,12 @@
 
     def _process_message(self, message: ReceivedMessage) -> None:
         match message:
-            case Hello() if not self.has_exchanged_state:
+            case PlainMessage.HELLO if not self.has_exchanged_state:
                 self._send_state()
-            case Serving() if self.has_exchanged_state:
+            case PlainMessage.SERVING if self.has_exchanged_state:
                 self.coordinator.handle_successor_serving(self)
-                self.send(Stopped())
-            case Stopped() if self.is_predecessor:
+                self.send(PlainMessage.STOPPED)
+            case PlainMessage.STOPPED if self.is_predecessor:
                 self.coordinator.handle_predecessor_stopped()
             case AdministrativeDrain(endpoint, is_out, number):
                 confirm = partial(self.send, AdministrativeDrainConfirmed(number))
--- a/linnetshift/lifecycle/takeover_messages.py
+++ b/linnetshift/lifecycle/takeover_messages.py
@@ -9,7 +9,7 @@
 import json
 import math
 from collections.abc import Mapping
-from dataclasses import dataclass
+from enum import Enum
 from types import MappingProxyType
 from typing import Any, NamedTuple
 
@@ -17,10 +17,7 @@
 from linnetshift.observability import log
 
 KIND_KEY = "say"
-HELLO_KIND = "hello"
 STATE_KIND = "state"
-SERVING_KIND = "serving"
-STOPPED_KIND = "stopped"
 DRAIN_KIND = "ban"
 DRAIN_CONFIRMED_KIND = "held"
 HEARTBEAT_KIND = "beat"
@@ -55,7 +52,7 @@
     """A peer's message or a part of its state cannot be read; the text names the cause, of bounded length."""
 
     def __init__(self, cause: Exception) -> None:
-        """`cause` loses its traceback, see `log.words`."""
+        """`cause` loses its traceback, see `log.error_text`."""
         super().__init__(f"{type(cause).__name__}: {log.error_text(cause)}")
 
 
@@ -111,17 +108,20 @@
     return all(math.isfinite(load) and load >= 0.0 for load in loads)
 
 
-@dataclass(frozen=True)
-class Hello:
-    """The new process asks for the state of the one that it replaces."""
+class PlainMessage(Enum):
+    """A message that consists of its kind alone."""
+
+    HELLO = "hello"  # the new process asks for the state of the one that it replaces
+    SERVING = "serving"  # the new process accepts connections; the old one is to stop
+    STOPPED = "stopped"  # the old process no longer accepts connections
 
     def to_json(self) -> dict[str, object]:
         """Return the object to send."""
-        return {KIND_KEY: HELLO_KIND}
+        return {KIND_KEY: self.value}
 
 
 class ExportedState(NamedTuple):
-    """The answer to `Hello`: everything that the new process needs to take over."""
+    """The answer to `PlainMessage.HELLO`: everything that the new process needs to take over."""
 
     endpoint_list: dict[str, Any]  # in discovery's form
     administrative_drains: dict[str, Any]
@@ -145,24 +145,6 @@
         }
 
 
-@dataclass(frozen=True)
-class Serving:
-    """The new process accepts connections; the old one is to stop."""
-
-    def to_json(self) -> dict[str, object]:
-        """Return the object to send."""
-        return {KIND_KEY: SERVING_KIND}
-
-
-@dataclass(frozen=True)
-class Stopped:
-    """The old process no longer accepts connections."""
-
-    def to_json(self) -> dict[str, object]:
-        """Return the object to send."""
-        return {KIND_KEY: STOPPED_KIND}
-
-
 class AdministrativeDrain(NamedTuple):
     """An operator took an endpoint out or restored it at the sender; the receiver is to do the same."""
 
@@ -206,17 +188,10 @@
     kind: str
 
 
-SentMessage = (
-    Hello | ExportedState | Serving | Stopped | AdministrativeDrain | AdministrativeDrainConfirmed | Heartbeat
-)
+SentMessage = PlainMessage | ExportedState | AdministrativeDrain | AdministrativeDrainConfirmed | Heartbeat
+# A new process reads the exported state on its own, before it decodes any message.
 ReceivedMessage = (
-    Hello
-    | Serving
-    | Stopped
-    | AdministrativeDrain
-    | AdministrativeDrainConfirmed
-    | Heartbeat
-    | UnknownMessage
+    PlainMessage | AdministrativeDrain | AdministrativeDrainConfirmed | Heartbeat | UnknownMessage
 )
 
 
@@ -247,13 +222,7 @@
         return AdministrativeDrainConfirmed(int(document[NUMBER_KEY]))
     if kind == HEARTBEAT_KIND:
         return Heartbeat(PeerResources.from_json(document))
-    if kind in _PLAIN_MESSAGES:
-        return _PLAIN_MESSAGES[kind]
-    return UnknownMessage(kind)
-
-
-_PLAIN_MESSAGES: dict[str, Hello | Serving | Stopped] = {
-    HELLO_KIND: Hello(),
-    SERVING_KIND: Serving(),
-    STOPPED_KIND: Stopped(),
-}
+    try:
+        return PlainMessage(kind)
+    except ValueError:
+        return UnknownMessage(kind)
--- a/linnetshift/lifecycle/takeover_socket.py
+++ b/linnetshift/lifecycle/takeover_socket.py
@@ -17,7 +17,7 @@
 from typing import Any, NamedTuple
 
 from linnetshift.event_loop.loop import Loop
-from linnetshift.lifecycle.takeover_messages import Hello, encode_message
+from linnetshift.lifecycle.takeover_messages import PlainMessage, encode_message
 from linnetshift.observability import log
 
 # How long a new process waits for the state of a predecessor that may hang; then it starts without. It serves
@@ -85,7 +85,7 @@
             sock.close()
             return None
         try:
-            sock.sendall(encode_message(Hello()))
+            sock.sendall(encode_message(PlainMessage.HELLO))
             return receive_state(sock)
         except TimeoutError:
             sock.close()
--- a/tests/test_takeover_messages.py
+++ b/tests/test_takeover_messages.py
@@ -12,13 +12,11 @@
     AdministrativeDrainConfirmed,
     ExportedState,
     Heartbeat,
-    Hello,
     MessageError,
     PeerResources,
+    PlainMessage,
     ReceivedMessage,
     SentMessage,
-    Serving,
-    Stopped,
     UnknownMessage,
     decode_message,
     encode_message,
@@ -31,9 +29,9 @@
 )
 RESOURCES_JSON = '"streams": 3, "loads": {"s-0": [[5.0, 1], [null, 2]]}, "moved": 2'
 EXCHANGED: list[tuple[SentMessage, str]] = [
-    (Hello(), '{"say": "hello"}'),
-    (Serving(), '{"say": "serving"}'),
-    (Stopped(), '{"say": "stopped"}'),
+    (PlainMessage.HELLO, '{"say": "hello"}'),
+    (PlainMessage.SERVING, '{"say": "serving"}'),
+    (PlainMessage.STOPPED, '{"say": "stopped"}'),
     (AdministrativeDrain(b"s-0", True, 4), '{"say": "ban", "provider": "s-0", "out": true, "number": 4}'),
     (AdministrativeDrainConfirmed(4), '{"say": "held", "number": 4}'),
     (Heartbeat(RESOURCES), f'{{"say": "beat", {RESOURCES_JSON}}}'),
