--- a/linnetshift/admin/operations.py
+++ b/linnetshift/admin/operations.py
@@ -11,7 +11,7 @@
 class Operations(Protocol):
     """What an administrative call may ask of the proxy."""
 
-    def readiness(self) -> str:
+    def not_ready_reason(self) -> str:
         """Why no client is accepted at the moment; empty while clients are accepted."""
 
     def resource_usage(self) -> dict[str, ResourceUsage]:
--- a/linnetshift/admin/routes.py
+++ b/linnetshift/admin/routes.py
@@ -74,9 +74,9 @@
 
 def check_readiness(operations: Operations, _query: str) -> Response:
     """200 while clients are accepted; else 503 and why they are not."""
-    obstacle = operations.readiness()
-    if obstacle:
-        return Response(HTTPStatus.SERVICE_UNAVAILABLE, obstacle)
+    reason = operations.not_ready_reason()
+    if reason:
+        return Response(HTTPStatus.SERVICE_UNAVAILABLE, reason)
     return Response(HTTPStatus.OK, "taking consumers")
 
 
--- a/linnetshift/admin/server.py
+++ b/linnetshift/admin/server.py
@@ -30,11 +30,11 @@
     """
 
     def __init__(self, loop: Loop, operations: Operations) -> None:
-        """Listens nowhere until `follow` is given a listening socket."""
+        """Listens nowhere until `use_acceptor` is given a listening socket."""
         self.loop = loop
         self.operations = operations
         # Dictionaries for their order, the oldest first.
-        self.connections: dict[AdminConnection, None] = {}  # whose call is not finished
+        self.unfinished: dict[AdminConnection, None] = {}  # whose call is not finished
         self.lingering: dict[AdminConnection, None] = {}  # answered, and not closed yet
         self.acceptor: Acceptor | None = None
         self.reserved_descriptors: list[int] = []
@@ -44,11 +44,11 @@
         """Where it listens; None while it does not."""
         return self.acceptor.address if self.acceptor is not None else None
 
-    def open(self, address: Address) -> Acceptor:
-        """A listening socket at the address, for `follow`; raises OSError where it cannot be bound."""
-        return Acceptor(self.loop, address, self.take, make_room=self.make_room)
+    def open_acceptor(self, address: Address) -> Acceptor:
+        """A listening socket at the address, for `use_acceptor`; raises OSError where it cannot be bound."""
+        return Acceptor(self.loop, address, self.handle_connection, make_room=self.make_room)
 
-    def follow(self, acceptor: Acceptor | None) -> None:
+    def use_acceptor(self, acceptor: Acceptor | None) -> None:
         """Listen there from now on, or nowhere; calls under way are still answered."""
         if self.acceptor is not None:
             self.acceptor.close()
@@ -56,10 +56,10 @@
         if acceptor is not None:
             self.refill_reserve()
 
-    def take(self, sock: socket.socket, peer: Address) -> None:
+    def handle_connection(self, sock: socket.socket, peer: Address) -> None:
         """Serve an accepted connection."""
-        if len(self.connections) >= MAX_CONNECTIONS:
-            longest_unfinished = next(iter(self.connections))
+        if len(self.unfinished) >= MAX_CONNECTIONS:
+            longest_unfinished = next(iter(self.unfinished))
             longest_unfinished.evict()
         connection = AdminConnection(self.loop, self.operations, self, sock, peer)
         connection.start(connection.run())
@@ -87,11 +87,11 @@
 
     def handle_opened(self, connection: AdminConnection) -> None:
         """Count it among those whose call is not finished."""
-        self.connections[connection] = None
+        self.unfinished[connection] = None
 
     def handle_call_ended(self, connection: AdminConnection) -> None:
         """Its call no longer counts as unfinished."""
-        self.connections.pop(connection, None)
+        self.unfinished.pop(connection, None)
 
     def handle_answered(self, connection: AdminConnection) -> None:
         """Let it linger; the one that has lingered longest makes room."""
@@ -109,7 +109,7 @@
     def resource_usage(self) -> dict[str, ResourceUsage]:
         """Its containers, under their names in `/ops/census`."""
         return {
-            "door.callers": ResourceUsage(len(self.connections), MAX_CONNECTIONS + 1),
+            "door.callers": ResourceUsage(len(self.unfinished), MAX_CONNECTIONS + 1),
             "door.lingering": ResourceUsage(len(self.lingering), MAX_CONNECTIONS),
             "door.reserve": ResourceUsage(len(self.reserved_descriptors), RESERVED_DESCRIPTORS),
         }
--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -99,17 +99,17 @@
         self.is_replaced = is_replaced
         now = loop.now()
         available = self._available_ns()
-        self.until = now + available + (SIGNAL_AFTER_REPLACEMENT_NS if is_replaced else 0)
+        self.deadline = now + available + (SIGNAL_AFTER_REPLACEMENT_NS if is_replaced else 0)
         self.accept_until = now + (0 if is_replaced else ACCEPT_NS)
         self.migrate_from = now if is_replaced else now + available * MIGRATION_START_PERCENT // 100
-        self.migrate_until = self.until - available * (100 - MIGRATION_END_PERCENT) // 100
+        self.migrate_until = self.deadline - available * (100 - MIGRATION_END_PERCENT) // 100
         self.migrations_due = 0.0  # a fraction is carried over to the next step
 
     def shorten(self) -> None:
         """Set the deadlines of a replaced process anew: its signal has come, so the kill's time is known."""
         now = self.loop.now()
         available = self._available_ns()
-        self.until = min(self.until, now + available)
+        self.deadline = min(self.deadline, now + available)
         self.migrate_until = min(self.migrate_until, now + available * MIGRATION_END_PERCENT // 100)
 
     def run(self) -> ActorCoroutine:
@@ -128,7 +128,7 @@
     def _accept_and_migrate(self) -> ActorCoroutine:
         """Accept for a while, then migrate until the time is over or no connection awaits anything."""
         is_accepting = not self.is_replaced
-        while self.loop.now() < self.until:
+        while self.loop.now() < self.deadline:
             self.set_timer(STEP_NS, "step")
             yield
             now = self.loop.now()
@@ -164,11 +164,11 @@
 
         A close with bytes unread, by the exit too, would reset the connection and discard the last message.
         """
-        until = max(self.until, self.loop.now()) + LINGER_NS - EXIT_NS
+        close_at = max(self.deadline, self.loop.now()) + LINGER_NS - EXIT_NS
         while True:
             self.set_timer(STEP_NS, "step")
             yield
-            if not self.clients.open_streams() or self.loop.now() >= until:
+            if not self.clients.open_streams() or self.loop.now() >= close_at:
                 return
 
     def _close_streams(self) -> None:
--- a/linnetshift/lifecycle/imported_state.py
+++ b/linnetshift/lifecycle/imported_state.py
@@ -26,7 +26,7 @@
 from linnetshift.lifecycle.token_bucket_state import restore_token_bucket
 from linnetshift.observability import log
 
-# What the parts' own `restore` functions raise for a state of another shape.
+# What the parts' own functions raise for a state of another shape.
 _WRONG_SHAPE_ERRORS = (AttributeError, KeyError, TypeError, ValueError)
 
 
@@ -37,7 +37,7 @@
         """Read what is needed before the parts exist; `names` has this process's teams and classes."""
         self.names = names
         self.state = predecessor.state if predecessor is not None else {}
-        self.active = self.state.get(IS_VRRP_ACTIVE_KEY) is True  # VRRP state of the predecessor
+        self.was_vrrp_active = self.state.get(IS_VRRP_ACTIVE_KEY) is True
         self.list_update: EndpointListUpdate | None = None
         self.peer_resources = PeerResources()
         # Listening sockets by name; whoever takes one out owns it.
@@ -71,7 +71,7 @@
             log.info("imported-state-rejected", error=str(error))
             return PeerResources()
 
-    def restore(self, broker: Broker) -> None:
+    def restore_drains_and_token_buckets(self, broker: Broker) -> None:
         """Restore administrative drains and token buckets; call this before the endpoint list is applied."""
         if not self.state:
             return
@@ -89,7 +89,7 @@
                 restore_token_bucket(contract.rate, buckets[0])
                 restore_token_bucket(contract.retries, buckets[1])
 
-    def import_state(self, broker: Broker) -> None:
+    def restore_snapshot(self, broker: Broker) -> None:
         """Import what the balancer had observed; call this once the endpoint list is applied."""
         broker.process_events()
         if not self.state:
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -39,7 +39,7 @@
     shutdown: ShutdownCoordinator
     migrated_by_peer: int  # clients that the other process had told to migrate when it last reported
 
-    def state(self) -> ExportedState:
+    def export_state(self) -> ExportedState:
         """All that a successor needs to take over."""
         return ExportedState(
             endpoint_list={"rev": self.discovery.version, "all": True, "targets": self._listed_endpoints()},
@@ -96,8 +96,8 @@
         estimator.peer_connections = dict(peer_resources.loads)
         # A client that the other process migrated comes back to this one, and was this proxy's before: it is
         # not a client that another proxy migrated here.
-        newly_migrated = peer_resources.moved - self.migrated_by_peer
+        newly_migrated = peer_resources.migrated - self.migrated_by_peer
         for _ in range(min(newly_migrated, self.connection_limiter.descriptors)):
             estimator.migrations.record_migrated_out(self.loop.now())
-        self.migrated_by_peer = peer_resources.moved
+        self.migrated_by_peer = peer_resources.migrated
         self.broker.balancer.ranking.predecessor_connections = sum(map(len, peer_resources.loads.values()))
--- a/linnetshift/lifecycle/log_summaries.py
+++ b/linnetshift/lifecycle/log_summaries.py
@@ -39,7 +39,7 @@
         cross_zone_weight=f"{settings.cross_zone_weight:.3f}",
         weights="sizes" if settings.weights_are_sizes else "no-sizes",
         lists="asked-for" if settings.must_poll else "pushed",
-        health_checks=_health_checks(settings),
+        health_checks=_describe_health_checks(settings),
         attempts=min(offered.max_attempts for offered in settings.offered),
         aim_ms=min(offered.latency_objective_ns for offered in settings.offered) // MS,
         cold_from=settings.initial_capacity_share,
@@ -47,7 +47,7 @@
     )
 
 
-def _health_checks(settings: Settings) -> str:
+def _describe_health_checks(settings: Settings) -> str:
     if not settings.may_health_check:
         return "none"
     return ",".join(settings.report_columns) or "plain"
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -179,7 +179,7 @@
                 self.operations.update_peer_resources(peer_resources)
 
     def _send_state(self) -> None:
-        state = self.operations.state()
+        state = self.operations.export_state()
         line = encode_message(state)
         descriptors = list(state.descriptors.values())
         if descriptors:  # they travel with at least one byte; a blank before the state is skipped
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -96,7 +96,7 @@
         """Open the listeners at addresses that have changed; raises OSError."""
         admin = files.proxy.admin
         if admin is not None and admin != self.admin_server.address:
-            listeners.admin = self.admin_server.open(admin)
+            listeners.admin = self.admin_server.open_acceptor(admin)
         if self.frontend.is_draining:
             return  # this process shuts down, or another accepts in its place
         if not self.has_platform_listener:
@@ -113,7 +113,7 @@
         for frontend, acceptor in listeners.frontends:
             frontend.use_acceptor(acceptor)
         if listeners.admin is not None or files.proxy.admin is None:
-            self.admin_server.follow(listeners.admin)
+            self.admin_server.use_acceptor(listeners.admin)
         if files.broker.channels is None and self.activation.frontend.address is not None:
             self.activation.migrate_channels()
 
--- a/linnetshift/lifecycle/restart_operations.py
+++ b/linnetshift/lifecycle/restart_operations.py
@@ -11,7 +11,7 @@
 class RestartOperations(Protocol):
     """The proxy's side of a hot restart; the composition root implements it."""
 
-    def state(self) -> ExportedState:
+    def export_state(self) -> ExportedState:
         """Return everything that a successor needs to take over."""
 
     def yield_to_successor(self, yielding: bool, /) -> None:
--- a/linnetshift/lifecycle/takeover_messages.py
+++ b/linnetshift/lifecycle/takeover_messages.py
@@ -60,7 +60,7 @@
     """What a process holds while two of them live; the limits of the proxy apply to both together."""
 
     streams: int = 0  # open descriptors
-    moved: int = 0  # clients migrated since the process started
+    migrated: int = 0  # clients migrated since the process started
     # Established connections by endpoint.
     loads: Mapping[bytes, list[EstablishedConnection]] = MappingProxyType({})
 
@@ -73,7 +73,7 @@
             endpoint.decode(): [(connection.load, connection.group) for connection in connections]
             for endpoint, connections in self.loads.items()
         }
-        return {STREAMS_KEY: self.streams, LOADS_KEY: loads, MIGRATED_KEY: self.moved}
+        return {STREAMS_KEY: self.streams, LOADS_KEY: loads, MIGRATED_KEY: self.migrated}
 
     @classmethod
     def from_json(cls, document: Any) -> PeerResources:
@@ -87,7 +87,7 @@
     def _parse(cls, document: Any) -> PeerResources:
         """Raise one of _WRONG_SHAPE_ERRORS where the document makes no sense."""
         streams = int(document.get(STREAMS_KEY, 0))
-        moved = int(document.get(MIGRATED_KEY, 0))
+        migrated = int(document.get(MIGRATED_KEY, 0))
         loads = {
             endpoint.encode(): [
                 EstablishedConnection(None if load is None else float(load), int(group), 0)
@@ -95,11 +95,11 @@
             ]
             for endpoint, connections in document.get(LOADS_KEY, {}).items()
         }
-        if not 0 <= streams <= MAX_PEER_DESCRIPTORS or not 0 <= moved < MAX_MIGRATED:
+        if not 0 <= streams <= MAX_PEER_DESCRIPTORS or not 0 <= migrated < MAX_MIGRATED:
             raise ValueError("impossible holdings")
         if not all(map(_is_possible, loads.values())):
             raise ValueError("impossible load")
-        return cls(streams, moved, loads)
+        return cls(streams, migrated, loads)
 
 
 def _is_possible(connections: list[EstablishedConnection]) -> bool:
--- a/linnetshift/lifecycle/takeover_socket.py
+++ b/linnetshift/lifecycle/takeover_socket.py
@@ -45,12 +45,12 @@
     def __init__(self, name: str) -> None:
         """`name` is the proxy's; two proxies of one machine differ in it. Raises OSError without a folder."""
         folder = os.environ.get("TMPDIR") or tempfile.gettempdir()
-        self.folder = os.open(folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
-        self.file = f"linnetshift-{re.sub('[^A-Za-z0-9_.-]', '_', name)[:MAX_NAME_CHARACTERS]}.sock"
+        self.folder_descriptor = os.open(folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
+        self.file_name = f"linnetshift-{re.sub('[^A-Za-z0-9_.-]', '_', name)[:MAX_NAME_CHARACTERS]}.sock"
 
     def path(self, suffix: str = "") -> str:
         """Return a path short enough for `bind` and `connect`."""
-        return f"/proc/self/fd/{self.folder}/{self.file}{suffix}"
+        return f"/proc/self/fd/{self.folder_descriptor}/{self.file_name}{suffix}"
 
     def inode(self) -> int:
         """Return the inode of the socket that lies there, 0 where there is none."""
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -89,7 +89,7 @@
     # ---- wiring -----------------------------------------------------------------------------
 
     def _wire_decisions(
-        self, config: ProxyConfig, broker_config: BrokerConfig, known: EndpointListUpdate
+        self, config: ProxyConfig, broker_config: BrokerConfig, initial_list: EndpointListUpdate
     ) -> None:
         self.connector = EndpointConnector(self.loop)
         # Where lists are pushed, the agent on this machine has the current one from the start: nothing is
@@ -99,7 +99,7 @@
             self.loop,
             config.discovery,
             self.names,
-            known,
+            initial_list,
             self.handle_list_update,
             WatchTimeouts.of(config.settings),
             config.seed,
@@ -144,7 +144,7 @@
             frontend=self.frontend,
             activation=self.activation,
             shutdown=self.shutdown,
-            migrated_by_peer=imported.peer_resources.moved,
+            migrated_by_peer=imported.peer_resources.migrated,
         )
         self.reloader = ConfigurationReloader(
             config=config,
@@ -169,16 +169,16 @@
         if not self.config.settings.must_poll:
             # Pushed lists stop at the agent on this machine, and the balancer never asks for them.
             self.discovery.watch(True)
-        imported.restore(self.broker)
+        imported.restore_drains_and_token_buckets(self.broker)
         self.local_process.update_peer_resources(imported.peer_resources)
         self.handle_list_update(imported.list_update or self.config.cached_list)
-        imported.import_state(self.broker)
+        imported.restore_snapshot(self.broker)
 
     def _open_listeners(self, imported: ImportedState) -> None:
         self.frontend.listen(self.config.listen, self.platform_listener)
-        self.activation.start(self.reloader.broker_config.vrrp, imported.active)
+        self.activation.start(self.reloader.broker_config.vrrp, imported.was_vrrp_active)
         if self.config.admin is not None:
-            self.admin_server.follow(self.admin_server.open(self.config.admin))
+            self.admin_server.use_acceptor(self.admin_server.open_acceptor(self.config.admin))
 
     def log_settings(self) -> None:
         """Log how the settings in use were understood."""
@@ -214,7 +214,7 @@
 
     # ---- operations of the admin server -----------------------------------------------------
 
-    def readiness(self) -> str:
+    def not_ready_reason(self) -> str:
         """Why no client is accepted at the moment; empty while they are."""
         if self.shutdown.is_terminating:
             return "leaving"
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -25,20 +25,20 @@
 
 
 class Vrrp(Actor):
-    """The router with socket and timer; `active_changed` is called with whether this proxy is active now."""
+    """The router with socket and timer; `on_active_change` is called with whether this proxy is active."""
 
     def __init__(
         self,
         loop: Loop,
         config: VrrpConfig,
-        active_changed: Callable[[bool], None],
+        on_active_change: Callable[[bool], None],
         inherited_socket: socket.socket | None = None,
         starts_active: bool = False,
     ) -> None:
         """After a hot restart: with the predecessor's socket, and active at once if that was."""
         super().__init__(loop)
         self.config = config
-        self.active_changed = active_changed
+        self.on_active_change = on_active_change
         self.starts_active = starts_active
         self.is_paused = False
         self.router = Router(config, self._send, self._set_router_timer)
@@ -102,7 +102,7 @@
         self.reported_state = state
         log.info("vrrp-state-changed", state=state, vrid=self.config.vrid)
         if State.ACTIVE in (previous, state):
-            self.active_changed(state is State.ACTIVE)
+            self.on_active_change(state is State.ACTIVE)
 
     def _send(self, priority: int) -> None:
         if priority != PRIORITY_RELEASED:
--- a/tests/test_admin_routes.py
+++ b/tests/test_admin_routes.py
@@ -11,12 +11,12 @@
 
 
 class FakeOperations:
-    """Ready until told otherwise; the endpoint `full` would exceed the drain limit."""
+    """Ready while `reason` is empty; the endpoint `full` would exceed the drain limit."""
 
-    obstacle = ""
+    reason = ""
 
-    def readiness(self) -> str:
-        return self.obstacle
+    def not_ready_reason(self) -> str:
+        return self.reason
 
     def resource_usage(self) -> dict[str, ResourceUsage]:
         return {"loop.ready": ResourceUsage(1, 2)}
@@ -46,9 +46,9 @@
     assert dispatch(FakeOperations(), AdminRequest(method, target)) == answer
 
 
-def test_readiness_gives_the_obstacle() -> None:
+def test_proxy_that_is_not_ready_answers_503_with_its_reason() -> None:
     operations = FakeOperations()
-    operations.obstacle = "leaving"
+    operations.reason = "leaving"
     assert dispatch(operations, AdminRequest("GET", "/ops/readiness")) == Response(503, "leaving")
 
 
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -249,7 +249,7 @@
 
 
 def test_state_is_handed_on_under_the_same_keys(successor: Proxy, recorded: dict[str, Any]) -> None:
-    state = successor.local_process.state()
+    state = successor.local_process.export_state()
     written = json.loads(json.dumps(state.to_json()))
 
     assert written.keys() == recorded.keys()
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -28,7 +28,7 @@
         self.drains: list[tuple[bytes, bool]] = []
         self.reported: list[int] = []
 
-    def state(self) -> ExportedState:
+    def export_state(self) -> ExportedState:
         return ExportedState({"rev": 7}, {}, {}, self.peer_resources(), {}, False, {})
 
     def yield_to_successor(self, yielding: bool) -> None:
--- a/tests/test_takeover_socket.py
+++ b/tests/test_takeover_socket.py
@@ -55,7 +55,7 @@
 
 
 def test_socket_name_has_plain_characters_only(socket_path: TakeoverSocketPath) -> None:
-    assert socket_path.file == "linnetshift-proxy_one_with___and_a_name_that_is_long.sock"
+    assert socket_path.file_name == "linnetshift-proxy_one_with___and_a_name_that_is_long.sock"
 
 
 def test_without_a_process_there_is_no_state(socket_path: TakeoverSocketPath) -> None:
@@ -143,7 +143,7 @@
 
 def test_without_a_predecessor_the_state_is_empty() -> None:
     empty = ImportedState(None, NAMES)
-    assert (empty.list_update, empty.active, empty.sockets) == (None, False, {})
+    assert (empty.list_update, empty.was_vrrp_active, empty.sockets) == (None, False, {})
     assert empty.peer_resources == PeerResources()
 
 
@@ -160,7 +160,7 @@
 ) -> None:
     with caplog.at_level(logging.INFO, "linnetshift"):
         read = imported({"active": True, **state})
-    assert read.active
+    assert read.was_vrrp_active
     assert read.list_update is None
     assert read.peer_resources == PeerResources()
     assert [record.getMessage() for record in caplog.records] == [event]
@@ -182,11 +182,11 @@
 def test_restore_of_another_versions_state_is_logged_and_no_error(
     state: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
-    drains = SimpleNamespace(restore=lambda _state: None, import_state=lambda _state: None)
+    drains = SimpleNamespace(import_state=lambda _state: None)
     contracts = SimpleNamespace(teams={1: Contract(rate=SimpleNamespace())})  # type: ignore[arg-type]
     broker: Any = SimpleNamespace(administrative_drains=drains, contracts=contracts)
     read = imported(state)
     caplog.clear()
     with caplog.at_level(logging.INFO, "linnetshift"):
-        read.restore(broker)
+        read.restore_drains_and_token_buckets(broker)
     assert [record.getMessage() for record in caplog.records] == ["imported-state-rejected"]
