--- /dev/null
+++ b/tests/test_channels_activation.py
@@ -0,0 +1,82 @@
+"""When the channels frontend listens, and with which sockets; frontend and VRRP are fakes."""
+
+from __future__ import annotations
+
+import socket
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+
+from linnetshift.lifecycle import channels_activation
+from linnetshift.lifecycle.channels_activation import CHANNELS_SOCKET, VRRP_SOCKET, ChannelsActivation
+from linnetshift.vrrp.router import State
+
+ADDRESS = ("127.0.0.1", 7)
+VRRP_CONFIG: Any = object()
+
+
+class FakeFrontend:
+    """Records the listeners that it is asked to open; an address opened is its address."""
+
+    def __init__(self) -> None:
+        self.listened: list[tuple[Any, socket.socket | None]] = []
+        self.address: Any = None
+        self.acceptor: Any = None
+
+    def listen(self, address: Any, inherited: socket.socket | None) -> None:
+        self.listened.append((address, inherited))
+        self.address = address
+
+
+class FakeVrrp:
+    """A VRRP instance that is the active router if it starts as such."""
+
+    def __init__(
+        self, _loop: Any, _config: Any, _on_change: Any, inherited: socket.socket | None, is_active: bool
+    ) -> None:
+        self.inherited = inherited
+        self.router = SimpleNamespace(state=State.ACTIVE if is_active else State.BACKUP)
+
+    def run(self) -> None:
+        """Nothing to run."""
+
+    def start(self, _coroutine: Any) -> None:
+        """Nothing to start."""
+
+
+@pytest.fixture
+def frontend(monkeypatch: pytest.MonkeyPatch) -> FakeFrontend:
+    monkeypatch.setattr(channels_activation, "Vrrp", FakeVrrp)
+    return FakeFrontend()
+
+
+def activation(frontend: Any, sockets: dict[str, socket.socket]) -> ChannelsActivation:
+    return ChannelsActivation(SimpleNamespace(), SimpleNamespace(), frontend, ADDRESS, sockets)  # type: ignore[arg-type]
+
+
+def test_without_vrrp_the_inherited_listener_is_used_and_others_are_closed(frontend: FakeFrontend) -> None:
+    with socket.socket() as inherited, socket.socket() as unused:
+        activation(frontend, {CHANNELS_SOCKET: inherited, "other": unused}).start(None, False)
+        assert frontend.listened == [(ADDRESS, inherited)]
+        assert inherited.fileno() >= 0
+        assert unused.fileno() == -1
+
+
+def test_backup_router_listens_once_it_becomes_active(frontend: FakeFrontend) -> None:
+    channels = activation(frontend, {})
+    channels.start(VRRP_CONFIG, False)
+    assert (frontend.listened, channels.is_vrrp_active, channels.may_listen_elsewhere) == ([], False, False)
+    channels.handle_vrrp_change(True)
+    assert frontend.listened == [(ADDRESS, None)]
+    assert channels.may_listen_elsewhere
+
+
+def test_vrrp_takes_up_the_inherited_socket_and_the_active_role(frontend: FakeFrontend) -> None:
+    with socket.socket() as inherited:
+        channels = activation(frontend, {VRRP_SOCKET: inherited})
+        channels.start(VRRP_CONFIG, True)
+        vrrp: Any = channels.vrrp
+        assert vrrp.inherited is inherited
+        assert inherited.fileno() >= 0
+        assert channels.is_vrrp_active
