--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -35,9 +35,9 @@
         assert endpoint.line() == b"M 1\r\n"
         later.change(**{first.uid: "DRAINING"})
         assert client.line() == b"MOVE\r\n"
-        again = running.open()
+        second_client = running.open()
         second.serve()
-        assert again.line() == b"UP r1\r\n"
+        assert second_client.line() == b"UP r1\r\n"
 
 
 def service(**changes: Any) -> dict[str, Any]:
@@ -49,22 +49,23 @@
     feed = settings()["services"][0]
     with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
-        standing, endpoint = running.client(b"OPEN 1 2 c=feed,t=acme,d=2000\r\n"), first.accept()
+        established, endpoint = running.client(b"OPEN 1 2 c=feed,t=acme,d=2000\r\n"), first.accept()
         other = {**feed, "name": "late", "effect": "once", "hardLimitNs": 3_000_000_000}
         running.reload(
             "event=configuration-reloaded .*classes=late dropped=feed",
             settings=settings(services=[other], allowed={"maxAttempts": 1}),
         )
         endpoint.close("reset")  # after the line was read or not: `feed` may be repeated, in up to 4 attempts
-        again = second.serve()
-        assert standing.line() == b"UP r1\r\n"
-        late = running.client(b"OPEN 3 2 c=late,t=acme,d=2000\r\n")
-        _, its_endpoint = running.serve_any()
-        assert late.line() == b"UP r1\r\n"
-        still = running.client(b"OPEN 4 2 c=feed,t=acme,d=2000\r\n")  # a client that does not know of it yet
-        _, kept = running.serve_any()
-        assert still.line() == b"UP r1\r\n"
-        for conn in (again, its_endpoint, kept):
+        second_endpoint = second.serve()
+        assert established.line() == b"UP r1\r\n"
+        new_class_client = running.client(b"OPEN 3 2 c=late,t=acme,d=2000\r\n")
+        _, new_class_endpoint = running.serve_any()
+        assert new_class_client.line() == b"UP r1\r\n"
+        # A client that does not know yet that the class is gone:
+        old_class_client = running.client(b"OPEN 4 2 c=feed,t=acme,d=2000\r\n")
+        _, old_class_endpoint = running.serve_any()
+        assert old_class_client.line() == b"UP r1\r\n"
+        for conn in (second_endpoint, new_class_endpoint, old_class_endpoint):
             conn.close()
 
 
@@ -184,9 +185,9 @@
         assert later.calls.get(timeout=WAIT_S) == "/catalog/members"
         assert running.open().line() == b"BUSY 1000\r\n"  # acme's one is taken, by the number it began with
         other = running.client(b"OPEN 1 2 c=feed,t=other,d=2000\r\n")
-        kept = running.endpoints[0].serve()
+        accepted = running.endpoints[0].serve()
         assert other.line() == b"UP r1\r\n"
-        assert kept
+        assert accepted
         held_by_acme[0].close()
 
 
@@ -203,9 +204,9 @@
             settings=settings(tenants=[{"name": n} for n in ("acme", "other", "late")]),
         )
         first = running.client(b"OPEN 2 2 c=feed,t=late,d=2000\r\n")
-        kept = running.endpoints[0].serve()
+        accepted = running.endpoints[0].serve()
         assert first.line() == b"UP r1\r\n"
-        assert kept
+        assert accepted
         assert running.client(b"OPEN 3 2 c=feed,t=late,d=2000\r\n").line() == b"BUSY 1000\r\n"
 
 
@@ -248,9 +249,9 @@
         if before == "once":
             assert client.line() == b"ERR\r\n"
         else:
-            again = second.serve()
+            retried = second.serve()
             assert client.line() == b"UP r1\r\n"
-            assert again
+            assert retried
         fresh = running.client(REQUEST_LINE.replace(b"77", b"78") % LONG_DEADLINE_MS)
         attempt = running.next_attempted().accept()
         assert attempt.line().startswith(b"OPEN 78 ")
@@ -258,6 +259,6 @@
         if after == "once":
             assert fresh.line() == b"ERR\r\n"
         else:
-            _, kept = running.serve_any()
+            _, accepted = running.serve_any()
             assert fresh.line() == b"UP r1\r\n"
-            assert kept
+            assert accepted
