--- a/linnetshift/lifecycle/restart_operations.py
+++ b/linnetshift/lifecycle/restart_operations.py
@@ -9,7 +9,7 @@
 
 
 class RestartOperations(Protocol):
-    """The proxy's side of a hot restart; the composition root implements it."""
+    """The proxy's side of a hot restart; `LocalProcess` implements it."""
 
     def export_state(self) -> ExportedState:
         """Return everything that a successor needs to take over."""
