--- a/linnetshift/lifecycle/takeover_socket.py
+++ b/linnetshift/lifecycle/takeover_socket.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple
 
 from linnetshift.event_loop.loop import Loop
-from linnetshift.lifecycle.takeover_messages import Hello, encode_message
+from linnetshift.lifecycle.takeover_messages import PlainMessage, encode_message
 from linnetshift.observability import log
 
 # How long a new process waits for the state of a predecessor that may hang; then it starts without. It serves
@@ -53,12 +53,12 @@
 
     def __init__(self, name: str) -> None:
         """`name` is the proxy's; two proxies of one machine differ in it. Raises OSError without a folder."""
-        self.folder = os.open(_socket_folder(), os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
-        self.file = f"linnetshift-{re.sub('[^A-Za-z0-9_.-]', '_', name)[:MAX_NAME_CHARACTERS]}.sock"
+        self.folder_descriptor = os.open(_socket_folder(), os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
+        self.file_name = f"linnetshift-{re.sub('[^A-Za-z0-9_.-]', '_', name)[:MAX_NAME_CHARACTERS]}.sock"
 
     def path(self, suffix: str = "") -> str:
         """Return a path short enough for `bind` and `connect`."""
-        return f"/proc/self/fd/{self.folder}/{self.file}{suffix}"
+        return f"/proc/self/fd/{self.folder_descriptor}/{self.file_name}{suffix}"
 
     def inode(self) -> int:
         """Return the inode of the socket that lies there, 0 where there is none."""
@@ -93,7 +93,7 @@
             sock.close()
             return None
         try:
-            sock.sendall(encode_message(Hello()))
+            sock.sendall(encode_message(PlainMessage.HELLO))
             return receive_state(sock)
         except TimeoutError:
             sock.close()
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -28,7 +28,7 @@
         self.drains: list[tuple[bytes, bool]] = []
         self.reported: list[int] = []
 
-    def state(self) -> ExportedState:
+    def export_state(self) -> ExportedState:
         return ExportedState({"rev": 7}, {}, {}, self.peer_resources(), {}, False, {})
 
     def yield_to_successor(self, yielding: bool) -> None:
@@ -53,11 +53,13 @@
         self.socket_path = socket_path
         self.old_operations = Operations(streams=3)
         self.new_operations = Operations(streams=5)
-        self.old = HotRestart(self.loop, self.old_operations, socket_path, None)
+        self.old = HotRestart(self.loop, self.old_operations, socket_path)
+        self.old.start(None)
         predecessor = self.request()
         assert predecessor is not None
         assert predecessor.state["list"] == {"rev": 7}
-        self.new = HotRestart(self.loop, self.new_operations, socket_path, predecessor)
+        self.new = HotRestart(self.loop, self.new_operations, socket_path)
+        self.new.start(predecessor)
 
     def turn_until(self, condition: Callable[[], object]) -> None:
         until = time.monotonic() + WAIT_S
