--- a/linnetshift/lifecycle/channels_activation.py
+++ b/linnetshift/lifecycle/channels_activation.py
@@ -83,13 +83,18 @@
         migrator = ChannelMigrator(self.loop, self.broker, self.frontend)
         migrator.start(migrator.run())
 
-    def pause_vrrp(self, paused: bool) -> None:
-        """Leave the router's part to another process of this proxy, or resume it."""
+    def pause_vrrp(self) -> None:
+        """Leave the VRRP role to another process of this proxy."""
         if self.vrrp is not None:
-            self.vrrp.pause(paused)
+            self.vrrp.pause()
+
+    def resume_vrrp(self) -> None:
+        """Take the VRRP role up again, as the other process is gone."""
+        if self.vrrp is not None:
+            self.vrrp.resume()
 
     def stop_vrrp(self) -> None:
-        """Release the active router's part, as this proxy shuts down."""
+        """Release the role of the active router, as this proxy shuts down."""
         if self.vrrp is not None:
             self.vrrp.stop()
 
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -117,7 +117,7 @@
         if self.successor is None:
             self.successor = peer_process
             log.info("process-replaced")
-            self.operations.yield_to_successor(True)
+            self.operations.yield_to_successor()
 
     def handle_peer_gone(self, peer_process: PeerProcess) -> None:
         """Go on alone; where the successor is gone, accept connections again."""
@@ -131,7 +131,7 @@
             self.successor = None
             log.info("successor-gone")
             self.listen_for_successor()
-            self.operations.yield_to_successor(False)
+            self.operations.resume_accepting()
 
     def apply_administrative_drain(
         self, endpoint: bytes, is_drained: bool, done: Callable[[], None], source: PeerProcess | None = None
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -60,19 +60,25 @@
             if endpoint in addresses
         ]
 
-    def yield_to_successor(self, yields: bool) -> None:
-        """Leave what arrives to the successor and migrate the clients to it, or accept again."""
-        if self.shutdown.is_terminating and not yields:
-            return  # this process ends in a moment: it must not accept again
-        self.frontend.set_paused(yields)
-        self.activation.frontend.set_paused(yields)
+    def yield_to_successor(self) -> None:
+        """Leave new connections to the successor and migrate the clients to it."""
+        self._set_frontends_paused(True)
         if self.shutdown.is_terminating:
             return  # the clients are being migrated already
-        self.activation.pause_vrrp(yields)
-        if yields:
-            self.shutdown.start_replaced()
-        else:
-            self.shutdown.cancel()
+        self.activation.pause_vrrp()
+        self.shutdown.start_replaced()
+
+    def resume_accepting(self) -> None:
+        """Accept connections again and keep the clients, as the successor is gone."""
+        if self.shutdown.is_terminating:
+            return  # this process ends in a moment: it must not accept again
+        self._set_frontends_paused(False)
+        self.activation.resume_vrrp()
+        self.shutdown.cancel()
+
+    def _set_frontends_paused(self, is_paused: bool) -> None:
+        self.frontend.set_paused(is_paused)
+        self.activation.frontend.set_paused(is_paused)
 
     def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
         """Drain the endpoint in this process, or restore it; `done` is called once that is acted on."""
--- a/linnetshift/lifecycle/restart_operations.py
+++ b/linnetshift/lifecycle/restart_operations.py
@@ -14,8 +14,11 @@
     def export_state(self) -> ExportedState:
         """Return everything that a successor needs to take over."""
 
-    def yield_to_successor(self, yielding: bool, /) -> None:
-        """Stop accepting and migrate clients away, or accept again where the successor is gone."""
+    def yield_to_successor(self) -> None:
+        """Stop accepting connections and migrate the clients to the successor."""
+
+    def resume_accepting(self) -> None:
+        """Accept connections again, as the successor is gone."""
 
     def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
         """Take the endpoint out or restore it in this process alone; `done` is called once that is done."""
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -68,22 +68,24 @@
                 case Timeout(tag=tag) if tag is self.timer_tag:
                     self.router.handle_timer()
 
-    def pause(self, is_paused: bool) -> None:
-        """Leave the part to the process that takes over, or resume it; the peers notice neither."""
-        self.is_paused = is_paused
-        if not is_paused:
-            self._watch_socket()
-            if self.router.state is State.ACTIVE:
-                self.router.advertise()
-            else:
-                self.router.become_backup(self.config.interval)
-            return
+    def pause(self) -> None:
+        """Leave this router's role to the process that takes over; the peers do not notice."""
+        self.is_paused = True
         self.loop.unwatch(self.sock.fileno())
         if self.timer is not None:
             self.timer.cancel()
 
+    def resume(self) -> None:
+        """Take up the role that this router had before the pause; the peers do not notice."""
+        self.is_paused = False
+        self._watch_socket()
+        if self.router.state is State.ACTIVE:
+            self.router.advertise()
+        else:
+            self.router.become_backup(self.config.interval)
+
     def stop(self) -> None:
-        """Shut down; an active router releases its part first."""
+        """Shut down; an active router releases its role first."""
         if not self.is_paused:
             self.router.stop()
             self.loop.unwatch(self.sock.fileno())
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -24,15 +24,18 @@
 
     def __init__(self, streams: int) -> None:
         self.streams = streams
-        self.yields: list[bool] = []
+        self.accepting_calls: list[str] = []
         self.drains: list[tuple[bytes, bool]] = []
         self.reported: list[int] = []
 
     def export_state(self) -> ExportedState:
         return ExportedState({"rev": 7}, {}, {}, self.peer_resources(), {}, False, {})
 
-    def yield_to_successor(self, yielding: bool) -> None:
-        self.yields.append(yielding)
+    def yield_to_successor(self) -> None:
+        self.accepting_calls.append("yield_to_successor")
+
+    def resume_accepting(self) -> None:
+        self.accepting_calls.append("resume_accepting")
 
     def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
         self.drains.append((endpoint, is_drained))
@@ -98,8 +101,8 @@
     assert pair.new.is_joining
     pair.turn_until(lambda: not pair.new.is_joining)
     assert pair.old.successor is not None
-    assert pair.old_operations.yields == [True]
-    assert not pair.new_operations.yields
+    assert pair.old_operations.accepting_calls == ["yield_to_successor"]
+    assert not pair.new_operations.accepting_calls
 
 
 def test_each_reports_what_it_holds(pair: Pair) -> None:
@@ -133,7 +136,7 @@
     pair.turn_until(lambda: pair.old.successor is not None)
     pair.new.peer_processes[0].end()
     pair.turn_until(lambda: pair.old.successor is None)
-    assert pair.old_operations.yields == [True, False]
+    assert pair.old_operations.accepting_calls == ["yield_to_successor", "resume_accepting"]
     assert pair.old_operations.reported[-1] == 0
     assert not pair.old.peer_processes
 
