--- a/linnetshift/admin/connection.py
+++ b/linnetshift/admin/connection.py
@@ -5,6 +5,7 @@
 import select
 import socket
 import time
+from enum import Enum
 from http import HTTPStatus
 from typing import NamedTuple, Protocol
 
@@ -32,8 +33,12 @@
 # IMF-fixdate (RFC 9110, section 5.6.7); days and months are English, as the program sets no locale.
 HTTP_DATE_FORMAT = "%a, %d %b %Y %H:%M:%S GMT"
 
-CALL_TIMER = "call"
-DRAIN_TIMER = "drain"
+
+class AdminTimer(Enum):
+    """What the timers of an administrative connection are for."""
+
+    CALL = "call"  # from accept until the call is whole
+    DRAIN = "drain"  # until an administrative drain is in effect
 
 
 class DrainApplied(NamedTuple):
@@ -43,19 +48,19 @@
 
 
 class ConnectionOwner(Protocol):
-    """What keeps track of the administrative connections, and bounds their number."""
+    """Keeps track of the administrative connections and bounds their number; `AdminServer` does."""
 
     def handle_opened(self, connection: AdminConnection) -> None:
-        """Its call is awaited."""
+        """Note that the connection is open and awaits its call."""
 
     def handle_call_ended(self, connection: AdminConnection) -> None:
-        """Its call is complete, or will not be."""
+        """Note that the call is complete, or never will be: the peer left, or the call was given up."""
 
     def handle_answered(self, connection: AdminConnection) -> None:
-        """Its response is sent; only the peer's end is awaited."""
+        """Note that the response is sent and the connection awaits only that the peer ends its side."""
 
     def handle_closed(self, connection: AdminConnection) -> None:
-        """Its descriptor is free again."""
+        """Note that the connection is closed and its descriptor is free again."""
 
 
 class AdminConnection(Actor):
@@ -82,7 +87,7 @@
         """Receive the call, answer it, and wait for the peer's end."""
         self.owner.handle_opened(self)
         self.stream.arm()
-        timer = self.set_timer(CALL_TIMEOUT_NS, CALL_TIMER)
+        timer = self.set_timer(CALL_TIMEOUT_NS, AdminTimer.CALL)
         response = yield from self.serve_call()
         timer.cancel()
         self.owner.handle_call_ended(self)
@@ -167,7 +172,7 @@
                 if mask & select.EPOLLOUT:
                     self.stream.flush()
                 self.is_reset = self.read()
-            case Timeout(tag="call"):
+            case Timeout(tag=AdminTimer.CALL):
                 return Response(HTTPStatus.REQUEST_TIMEOUT, "no whole call came in time")
             case Stop():
                 retry_after = (("Retry-After", "1"),)
@@ -194,7 +199,7 @@
 
     def apply_drain(self, change: DrainChange) -> Steps:
         """Carry the change out; the response once it is in effect, or 504."""
-        self.set_timer(DRAIN_TIMEOUT_NS, DRAIN_TIMER)
+        self.set_timer(DRAIN_TIMEOUT_NS, AdminTimer.DRAIN)
         self.operations.set_administrative_drain(
             change.endpoint_id.encode(),
             change.is_drained,
@@ -206,7 +211,7 @@
                     return change.response(is_known)
                 case Io():
                     self.stream.set_reading(False)  # whatever else the peer sends belongs to no call
-                case Timeout(tag="drain"):
+                case Timeout(tag=AdminTimer.DRAIN):
                     text = "acted on here, but no word from the process beside this one"
                     return Response(HTTPStatus.GATEWAY_TIMEOUT, text)
                 case Stop():
--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -34,6 +34,7 @@
 MIGRATION_END_PERCENT = 92
 # Clients migrate in steps of this length: short against the time there is, long against a turn of the loop.
 STEP_NS = 50 * MS
+STEP_TIMER = "step"  # the tag of the timers here, of which an actor has one at a time
 # The platform signals a process within this after its successor reported that it serves.
 SIGNAL_AFTER_REPLACEMENT_NS = 6 * S
 # Over how long channels migrate once another proxy is the active VRRP router.
@@ -75,7 +76,7 @@
             for channel in channels[:due]:
                 self.broker.migrate(channel.request.id, MIGRATION_REASON)
             steps -= 1
-            self.set_timer(STEP_NS, "step")
+            self.set_timer(STEP_NS, STEP_TIMER)
             yield
 
 
@@ -129,7 +130,7 @@
         """Accept for a while, then migrate until the time is over or no connection awaits anything."""
         is_accepting = not self.is_replaced
         while self.loop.now() < self.deadline:
-            self.set_timer(STEP_NS, "step")
+            self.set_timer(STEP_NS, STEP_TIMER)
             yield
             now = self.loop.now()
             if now < self.accept_until:
@@ -166,7 +167,7 @@
         """
         close_at = max(self.deadline, self.loop.now()) + LINGER_NS - EXIT_NS
         while True:
-            self.set_timer(STEP_NS, "step")
+            self.set_timer(STEP_NS, STEP_TIMER)
             yield
             if not self.clients.open_streams() or self.loop.now() >= close_at:
                 return
