--- a/linnetshift/lifecycle/imported_state.py
+++ b/linnetshift/lifecycle/imported_state.py
@@ -90,8 +90,7 @@
                 restore_token_bucket(contract.retries, buckets[1])
 
     def restore_snapshot(self, broker: Broker) -> None:
-        """Import what the balancer had observed; call this once the endpoint list is applied."""
-        broker.process_events()
+        """Import what the balancer had observed; call this once it has processed the endpoint list."""
         if not self.state:
             return
         try:
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -172,6 +172,7 @@
         imported.restore_drains_and_token_buckets(self.broker)
         self.local_process.update_peer_resources(imported.peer_resources)
         self.handle_list_update(imported.list_update or self.config.cached_list)
+        self.broker.process_events()  # the snapshot is about endpoints that the balancer has to know
         imported.restore_snapshot(self.broker)
 
     def _open_listeners(self, imported: ImportedState) -> None:
