--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -93,8 +93,12 @@
         self.stream.arm()
         self.set_timer(HELLO_TIMEOUT_NS, PeerTimer.HELLO)
         self.set_timer(HEARTBEAT_INTERVAL_NS, PeerTimer.HEARTBEAT)
-        while not self.has_ended and not self.stream.broken and self._process_lines():
-            self._process_event((yield))
+        while not self.has_ended and not self.stream.broken:
+            are_lines_readable = self._process_lines()
+            if not are_lines_readable:
+                break
+            event = yield
+            self._process_event(event)
         self._disconnect()
 
     def faulted(self, error: Exception) -> None:
