--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -100,9 +100,14 @@
         self.is_replaced = is_replaced
         now = loop.now()
         available = self._available_ns()
-        self.deadline = now + available + (SIGNAL_AFTER_REPLACEMENT_NS if is_replaced else 0)
-        self.accept_until = now + (0 if is_replaced else ACCEPT_NS)
-        self.migrate_from = now if is_replaced else now + available * MIGRATION_START_PERCENT // 100
+        if is_replaced:
+            self.deadline = now + SIGNAL_AFTER_REPLACEMENT_NS + available
+            self.accept_until = now
+            self.migrate_from = now
+        else:
+            self.deadline = now + available
+            self.accept_until = now + ACCEPT_NS
+            self.migrate_from = now + available * MIGRATION_START_PERCENT // 100
         self.migrate_until = self.deadline - available * (100 - MIGRATION_END_PERCENT) // 100
         self.migrations_due = 0.0  # a fraction is carried over to the next step
 
