--- a/tests/test_configuration_reloader.py
+++ b/tests/test_configuration_reloader.py
@@ -1,69 +1,114 @@
-"""What a reload applies, and what it leaves alone when the files cannot be used; with fakes."""
+"""What a reload applies, and what it leaves alone when the files cannot be used.
+
+The parts that it changes are mocks with the interface of the real ones: a call that those would not accept,
+or of a method that they lack, fails the test. The files' contents are of the real types.
+"""
 
 from __future__ import annotations
 
 import logging
-from types import SimpleNamespace
 from typing import Any
-from unittest.mock import Mock
+from unittest.mock import Mock, create_autospec
 
 import pytest
+from conftest import raw_settings
 
+from linnetshift.admin.server import AdminServer
+from linnetshift.broker.broker import Broker
 from linnetshift.config.broker_file import BrokerConfig
 from linnetshift.config.errors import ConfigurationError
 from linnetshift.config.loader import ConfigurationFiles
+from linnetshift.config.names import NameRegistry
+from linnetshift.config.proxy_file import ProxyConfig
+from linnetshift.discovery.endpoint_list import EndpointListUpdate
+from linnetshift.discovery.watch import Discovery
+from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.loop import Loop
+from linnetshift.frontends.channels.frontend import ChannelsFrontend
+from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
+from linnetshift.frontends.listener import Acceptor
 from linnetshift.lifecycle import reload
+from linnetshift.lifecycle.channels_activation import ChannelsActivation
 from linnetshift.lifecycle.reload import ConfigurationReloader
+from linnetshift.routing.events import EndpointList, ListForm
+from linnetshift.routing.settings import Settings
+from linnetshift.vrrp.router import VrrpConfig
 
 OLD_ADDRESS = ("127.0.0.1", 1)
 NEW_ADDRESS = ("127.0.0.1", 2)
+VRRP_CONFIG = VrrpConfig(7, 100, 100, True, OLD_ADDRESS, (), ())
+
+
+def proxy_config(address: Address, list_version: int) -> ProxyConfig:
+    """A proxy file's contents, with one address for all that listens and for discovery."""
+    raw = raw_settings()
+    parsed = Settings.parse(raw)
+    return ProxyConfig(
+        name="proxy",
+        listen=address,
+        discovery=address,
+        seed=1,
+        cached_list=EndpointListUpdate(EndpointList(ListForm.FULL, list_version, ()), {}, 0),
+        settings=parsed,
+        names=NameRegistry(raw, parsed),
+        max_sockets=0,
+        admin=address,
+        keys={},
+    )
+
+
+def handle_list_update(list_update: EndpointListUpdate) -> None:
+    """The signature of the callback that a reload passes a later list to."""
 
 
 def reloader() -> Any:
     """A reloader of a proxy that listens for administrators and clients, not for channels."""
-    frontend = Mock(is_draining=False, address=OLD_ADDRESS)
-    activation = Mock(may_listen_elsewhere=True)
-    activation.frontend.address = None
+    activation = create_autospec(ChannelsActivation, instance=True, may_listen_elsewhere=True)
+    activation.frontend = create_autospec(ChannelsFrontend, instance=True, address=None)
+    admin_server = create_autospec(AdminServer, instance=True, address=OLD_ADDRESS)
+    admin_server.open_acceptor.return_value = create_autospec(Acceptor, instance=True)
+    config = proxy_config(OLD_ADDRESS, list_version=1)
     return ConfigurationReloader(
-        config=Mock(),
+        config=config,
         broker_config=BrokerConfig(),
-        loop=Mock(),
-        names=Mock(classes={}, adopt=Mock(return_value={})),
-        broker=Mock(requests={}),
-        discovery=Mock(version=1),
-        frontend=frontend,
+        loop=create_autospec(Loop, instance=True),
+        names=config.names,
+        broker=create_autospec(Broker, instance=True, requests={}),
+        discovery=create_autospec(Discovery, instance=True, version=1),
+        frontend=create_autospec(LineProtocolFrontend, instance=True, is_draining=False, address=OLD_ADDRESS),
         activation=activation,
-        admin_server=Mock(address=OLD_ADDRESS),
-        handle_list_update=Mock(),
+        admin_server=admin_server,
+        handle_list_update=create_autospec(handle_list_update),
         has_platform_listener=False,
     )
 
 
-def new_files(**broker_values: Any) -> ConfigurationFiles:
-    proxy: Any = Mock(admin=NEW_ADDRESS, listen=NEW_ADDRESS, discovery=NEW_ADDRESS)
-    proxy.settings.offered = []
-    proxy.cached_list = SimpleNamespace(event=SimpleNamespace(version=2))
-    return ConfigurationFiles(proxy, BrokerConfig(**broker_values))
+def new_files(vrrp: VrrpConfig | None = None) -> ConfigurationFiles:
+    """Files with other addresses and a later endpoint list than `reloader` has."""
+    return ConfigurationFiles(proxy_config(NEW_ADDRESS, list_version=2), BrokerConfig(vrrp=vrrp))
+
+
+def replace_read_files(monkeypatch: pytest.MonkeyPatch, **behaviour: Any) -> None:
+    """Have `reload` get `return_value` or `side_effect` in place of the files' contents."""
+    monkeypatch.setattr(reload, "read_files", create_autospec(reload.read_files, **behaviour))
 
 
 @pytest.fixture(autouse=True)
-def acceptor(monkeypatch: pytest.MonkeyPatch) -> Mock:
-    """Replaces what opens listeners; logs of settings are not checked here."""
-    opened = Mock()
+def acceptor_class(monkeypatch: pytest.MonkeyPatch) -> Mock:
+    """Replaces what opens the frontends' listeners."""
+    opened: Mock = create_autospec(Acceptor)
     monkeypatch.setattr(reload, "Acceptor", opened)
-    monkeypatch.setattr(reload, "log_settings", Mock())
-    monkeypatch.setattr(reload, "WatchTimeouts", Mock())
     return opened
 
 
 def test_usable_files_switch_the_listeners_and_the_configuration(
-    monkeypatch: pytest.MonkeyPatch, acceptor: Mock
+    monkeypatch: pytest.MonkeyPatch, acceptor_class: Mock
 ) -> None:
     reloaded, files = reloader(), new_files()
-    monkeypatch.setattr(reload, "read_files", Mock(return_value=files))
+    replace_read_files(monkeypatch, return_value=files)
     reloaded.reload()
     assert reloaded.config is files.proxy
-    reloaded.frontend.use_acceptor.assert_called_once_with(acceptor.return_value)
+    reloaded.frontend.use_acceptor.assert_called_once_with(acceptor_class.return_value)
     reloaded.admin_server.use_acceptor.assert_called_once_with(
         reloaded.admin_server.open_acceptor.return_value
     )
@@ -72,18 +117,20 @@
 
 @pytest.mark.parametrize("failure", ["file", "vrrp", "address"])
 def test_unusable_files_change_nothing_and_leave_no_listener_open(
-    monkeypatch: pytest.MonkeyPatch, acceptor: Mock, caplog: pytest.LogCaptureFixture, failure: str
+    monkeypatch: pytest.MonkeyPatch, acceptor_class: Mock, caplog: pytest.LogCaptureFixture, failure: str
 ) -> None:
     reloaded = reloader()
-    files = new_files(vrrp=object()) if failure == "vrrp" else new_files()
-    read = Mock(side_effect=ConfigurationError("no")) if failure == "file" else Mock(return_value=files)
-    monkeypatch.setattr(reload, "read_files", read)
+    if failure == "file":
+        replace_read_files(monkeypatch, side_effect=ConfigurationError("no"))
+    else:
+        vrrp = VRRP_CONFIG if failure == "vrrp" else None
+        replace_read_files(monkeypatch, return_value=new_files(vrrp))
     if failure == "address":
-        acceptor.side_effect = OSError("in use")
-    before = reloaded.config
+        acceptor_class.side_effect = OSError("in use")
+    config_before = reloaded.config
     with caplog.at_level(logging.INFO, "linnetshift"):
         reloaded.reload()
-    assert reloaded.config is before
+    assert reloaded.config is config_before
     assert [record.getMessage() for record in caplog.records] == ["configuration-rejected"]
     reloaded.frontend.use_acceptor.assert_not_called()
     reloaded.admin_server.use_acceptor.assert_not_called()
