--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -46,7 +46,7 @@
     requests: list[Any]
     waiting: list[Any] = field(default_factory=list)
     settings: Settings = SETTINGS
-    silent: int = 0  # connections that stay although they are told to migrate
+    unresponsive: int = 0  # connections that stay open although their clients are to migrate
     streams: int = 0
     is_draining: bool = True
     actions: list[tuple[int, str]] = field(default_factory=list)
@@ -79,7 +79,7 @@
         self.note("stop")
 
     def connections_in_use(self) -> int:
-        return len(self.requests) + len(self.waiting) + self.silent
+        return len(self.requests) + len(self.waiting) + self.unresponsive
 
     def open_streams(self) -> list[Any]:
         return [
@@ -95,11 +95,11 @@
     return [SimpleNamespace(id=number) for number in range(count)]
 
 
-def shut_down(count: int, replaced: bool = False, **others: Any) -> Recorder:
+def shut_down(count: int, is_replaced: bool = False, **others: Any) -> Recorder:
     """A shutdown that has begun at time 0."""
     loop = SimulatedLoop()
     recorder = Recorder(loop, established(count), **others)
-    shutdown = GracefulShutdown(loop, recorder, recorder, replaced)  # type: ignore[arg-type]
+    shutdown = GracefulShutdown(loop, recorder, recorder, is_replaced)  # type: ignore[arg-type]
     shutdown.start(shutdown.run())
     recorder.shutdown = shutdown  # type: ignore[attr-defined]
     return recorder
@@ -130,14 +130,14 @@
 
 
 def test_streams_that_clients_leave_open_are_closed_before_the_kill() -> None:
-    recorder = shut_down(0, silent=1, streams=2)
+    recorder = shut_down(0, unresponsive=1, streams=2)
     recorder.loop.run()
     assert recorder.times("notify") == [2350]
     assert recorder.times("drain") == recorder.times("close") == [2600, 2600]
 
 
 def test_replaced_process_migrates_at_once_and_waits_for_its_signal() -> None:
-    recorder = shut_down(100, replaced=True, silent=1)
+    recorder = shut_down(100, is_replaced=True, unresponsive=1)
     recorder.loop.run()
     migrated = recorder.times("migrate")
     assert not recorder.times("stop")  # its listener is the successor's
@@ -150,7 +150,7 @@
 def test_signal_shortens_the_shutdown_of_a_replaced_process(
     signal_ms: int, last_ms: int, notified_ms: int
 ) -> None:
-    recorder = shut_down(100, replaced=True, silent=1)
+    recorder = shut_down(100, is_replaced=True, unresponsive=1)
     recorder.loop.call_later(signal_ms * MS, recorder.shutdown.shorten)  # type: ignore[attr-defined]
     recorder.loop.run()
     assert len(recorder.times("migrate")) == 100
@@ -159,7 +159,7 @@
 
 
 def test_cancelled_shutdown_migrates_nobody_else() -> None:
-    recorder = shut_down(100, replaced=True)
+    recorder = shut_down(100, is_replaced=True)
     recorder.loop.call_later(500 * MS, recorder.shutdown.end)  # type: ignore[attr-defined]
     recorder.loop.call_later(20 * S, recorder.loop.stop)
     recorder.loop.run()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -22,22 +22,22 @@
 def test_new_process_takes_over_and_the_old_one_migrates_its_clients(tmp_path: Path) -> None:
     with started_proxy(tmp_path, admin_server=True, inherits_listener=True) as old:
         established, endpoint = old.establish()
-        silent = old.client()  # accepted by the old one, and no request so far
+        idle_client = old.client()  # accepted by the old one, and no request so far
         assert old.alive()
         with successor_of(old) as new:
             new.wait_until_ready()
             assert old.call("GET /ops/readiness") == 503
-            silent.send(b"OPEN 5 6 c=feed,t=acme,d=2000\r\n")
-            answered = old.endpoints[0].serve()
-            assert silent.line() == b"UP r1\r\n"
-            later, its_endpoint = new.establish()
+            idle_client.send(b"OPEN 5 6 c=feed,t=acme,d=2000\r\n")
+            idle_clients_endpoint = old.endpoints[0].serve()
+            assert idle_client.line() == b"UP r1\r\n"
+            new_client, new_endpoint = new.establish()
             old.terminate()
-            assert {established.line(), silent.line()} == {b"MOVE\r\n"}
-            for conn in (established, silent, endpoint, answered):
+            assert {established.line(), idle_client.line()} == {b"MOVE\r\n"}
+            for conn in (established, idle_client, endpoint, idle_clients_endpoint):
                 conn.close()
             assert old.process.wait(WAIT_S) == 0
-            its_endpoint.send(b"on\r\n")
-            assert later.line() == b"on\r\n"
+            new_endpoint.send(b"on\r\n")
+            assert new_client.line() == b"on\r\n"
             assert new.alive()
 
 
@@ -49,12 +49,12 @@
         assert old.call(DRAIN_CALL % first.uid) == 200
         with successor_of(old) as new:
             new.wait_until_ready()
-            kept = [establish_on(new, second.uid)]
+            open_connections = [establish_on(new, second.uid)]
             assert new.call(RESTORE_CALL % first.uid) == 200
             old.logged(f"administrative-drain-changed endpoint={first.uid} out=False")
-            kept.append(establish_on(new, first.uid))
+            open_connections.append(establish_on(new, first.uid))
             assert old.call(DRAIN_CALL % first.uid) == 200  # by way of either process
-            kept.append(establish_on(new, second.uid))
+            open_connections.append(establish_on(new, second.uid))
             assert new.call(DRAIN_CALL % "s-unknown") == 404
 
 
@@ -88,11 +88,11 @@
 
 
 def test_channels_listener_and_vrrp_socket_are_handed_over(tmp_path: Path) -> None:
-    own = (
+    broker_toml = (
         '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
         '[vrrp]\nenabled = true\nvrid = 1\npriority = 255\nlisten = "127.0.0.1:PORT"\npeers = []\n'
     )
-    with started_proxy(tmp_path, broker_toml=own, admin_server=True, inherits_listener=True) as old:
+    with started_proxy(tmp_path, broker_toml=broker_toml, admin_server=True, inherits_listener=True) as old:
         assert old.client(b"SSH-2.0-t\r\n", old.channels_port).line().startswith(b"SSH-2.0-")
         with successor_of(old) as new:
             new.wait_until_ready()
@@ -101,10 +101,10 @@
             assert new.client(b"SSH-2.0-t\r\n", old.channels_port).line().startswith(b"SSH-2.0-")
 
 
-@pytest.mark.parametrize("named", ["2", "99", "three"])
-def test_descriptor_that_does_not_listen_is_rejected_at_start(tmp_path: Path, named: str) -> None:
+@pytest.mark.parametrize("descriptor", ["2", "99", "three"])
+def test_descriptor_that_does_not_listen_is_rejected_at_start(tmp_path: Path, descriptor: str) -> None:
     with started_proxy(tmp_path) as running:
-        process = launch_process(str(running.config), GW_LISTEN_FD=named)
+        process = launch_process(str(running.config), GW_LISTEN_FD=descriptor)
         assert process.stderr is not None
         assert "GW_LISTEN_FD names no listening socket" in process.stderr.read()
         assert process.wait(WAIT_S) == 2
@@ -116,10 +116,10 @@
         assert running.alive()
         running.terminate()
         assert running.process.wait(WAIT_S) == 0
-        waiting = running.client(b"PING\r\n")  # queued for the next process, not refused
-        with successor_of(running) as after:
-            assert waiting.line() == b"PONG\r\n"
-            after.wait_until_ready()
+        queued_client = running.client(b"PING\r\n")  # queued for the next process, not refused
+        with successor_of(running) as successor:
+            assert queued_client.line() == b"PONG\r\n"
+            successor.wait_until_ready()
 
 
 def test_snapshot_keeps_what_was_observed_of_endpoints() -> None:
@@ -129,24 +129,24 @@
     old.step(2 * S, [ended(sent, 0, Outcome.FULL, closed=True)])
     old.admission.load_shedding.admitted_share = 0.5
     latency_estimator.reset_at_ns[sent.endpoint] = 2 * S
-    told = json.loads(json.dumps(export_state(old, latency_estimator)))
-    told["hosts"]["00"] = {}
-    told["node"]["window"] = "wide"  # of another version
-    later = LatencyEstimator()
+    exported = json.loads(json.dumps(export_state(old, latency_estimator)))
+    exported["hosts"]["00"] = {}
+    exported["node"]["window"] = "wide"  # of another version
+    new_latency_estimator = LatencyEstimator()
 
-    import_state(new, later, told)
+    import_state(new, new_latency_estimator, exported)
     assert (
         new.admission.load_shedding.admitted_share,
         new.lifecycle.concurrency_limit.limit,
-        later.reset_at_ns,
+        new_latency_estimator.reset_at_ns,
     ) == (
         0.5,
         1e9,
         latency_estimator.reset_at_ns,
     )
     new.admission.load_shedding.admitted_share = 1.0
-    (again,) = only(new.step(2 * S + 1, [request(1)]), Send)
-    assert again.endpoint != sent.endpoint
+    (sent_by_new,) = only(new.step(2 * S + 1, [request(1)]), Send)
+    assert sent_by_new.endpoint != sent.endpoint
 
 
 def test_connections_of_the_peer_process_count_as_load() -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -27,13 +27,14 @@
         client = running.open()
         endpoint = first.serve()
         assert client.line() == b"UP r1\r\n"
-        later = DiscoveryServer(running.endpoints)
-        running.reload("event=configuration-reloaded", discovery=later.address)
-        assert later.calls.get(timeout=WAIT_S) == "/catalog/members"  # what changed meanwhile is in it
-        assert later.calls.get(timeout=WAIT_S).startswith("/catalog/members?since=1&")
+        new_discovery = DiscoveryServer(running.endpoints)
+        running.reload("event=configuration-reloaded", discovery=new_discovery.address)
+        # The full list first, as it has what changed meanwhile.
+        assert new_discovery.calls.get(timeout=WAIT_S) == "/catalog/members"
+        assert new_discovery.calls.get(timeout=WAIT_S).startswith("/catalog/members?since=1&")
         client.send(b"M 1\r\n")
         assert endpoint.line() == b"M 1\r\n"
-        later.change(**{first.uid: "DRAINING"})
+        new_discovery.change(**{first.uid: "DRAINING"})
         assert client.line() == b"MOVE\r\n"
         second_client = running.open()
         second.serve()
@@ -50,10 +51,10 @@
     with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         established, endpoint = running.client(b"OPEN 1 2 c=feed,t=acme,d=2000\r\n"), first.accept()
-        other = {**feed, "name": "late", "effect": "once", "hardLimitNs": 3_000_000_000}
+        new_class = {**feed, "name": "late", "effect": "once", "hardLimitNs": 3_000_000_000}
         running.reload(
             "event=configuration-reloaded .*classes=late dropped=feed",
-            settings=settings(services=[other], allowed={"maxAttempts": 1}),
+            settings=settings(services=[new_class], allowed={"maxAttempts": 1}),
         )
         endpoint.close("reset")  # after the line was read or not: `feed` may be repeated, in up to 4 attempts
         second_endpoint = second.serve()
@@ -108,57 +109,65 @@
 ) -> None:
     with started_proxy(tmp_path) as running:
         client, endpoint = running.establish()
-        elsewhere = DiscoveryServer([])
-        running.reload(f"event=configuration-rejected .*{error}", discovery=elsewhere.address, **changes)
+        other_discovery = DiscoveryServer([])
+        running.reload(
+            f"event=configuration-rejected .*{error}", discovery=other_discovery.address, **changes
+        )
         running.discovery.change(**{running.endpoints[0].uid: "DRAINING"})
         endpoint.send(b"still\r\n")
         assert client.line() == b"still\r\n"
         assert running.alive()
-        assert elsewhere.calls.empty()
+        assert other_discovery.calls.empty()
 
 
-@pytest.mark.parametrize("part", [0, 1, 0.5, 0.99])
-def test_truncated_file_is_rejected_and_changes_nothing(tmp_path: Path, part: float) -> None:
+@pytest.mark.parametrize("kept_share", [0, 1, 0.5, 0.99])
+def test_truncated_file_is_rejected_and_changes_nothing(tmp_path: Path, kept_share: float) -> None:
     with started_proxy(tmp_path) as running:
-        whole = running.config.read_text()
-        running.config.write_text(whole[: int(part if part == 1 else part * len(whole))])
+        whole_text = running.config.read_text()
+        running.config.write_text(
+            whole_text[: int(kept_share if kept_share == 1 else kept_share * len(whole_text))]
+        )
         running.process.send_signal(signal.SIGHUP)
         running.logged("event=configuration-rejected .*is not JSON")
         running.establish()
 
 
 def test_changed_settings_and_addresses_are_applied(tmp_path: Path) -> None:
-    base = settings()
-    more = [*base["services"], {**base["services"][0], "name": "late"}]
+    old_settings = settings()
+    new_services = [*old_settings["services"], {**old_settings["services"][0], "name": "late"}]
     with started_proxy(
         tmp_path, broker_toml='[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
     ) as running:
-        old, new, extra = running.port, free_port(), free_port()
-        standing, endpoint = running.establish()
-        own = tmp_path / "broker.toml"
-        own.write_text(own.read_text().replace(str(running.channels_port), str(extra)))
+        old_port, new_port, new_channels_port = running.port, free_port(), free_port()
+        established, endpoint = running.establish()
+        broker_file = tmp_path / "broker.toml"
+        broker_file.write_text(
+            broker_file.read_text().replace(str(running.channels_port), str(new_channels_port))
+        )
         running.reload(
-            "event=configuration-reloaded", listen=f"127.0.0.1:{new}", settings=settings(services=more)
+            "event=configuration-reloaded",
+            listen=f"127.0.0.1:{new_port}",
+            settings=settings(services=new_services),
         )
-        running.port = new
+        running.port = new_port
         client = running.client(b"OPEN 1 2 c=late,t=acme,d=2000\r\n")
         running.endpoints[0].serve()
         assert client.line() == b"UP r1\r\n"
-        assert running.client(b"SSH-2.0-t\r\n", extra).line().startswith(b"SSH-2.0-")
-        for gone in (old, running.channels_port):
+        assert running.client(b"SSH-2.0-t\r\n", new_channels_port).line().startswith(b"SSH-2.0-")
+        for closed_port in (old_port, running.channels_port):
             with pytest.raises(ConnectionRefusedError):
-                running.client(port=gone)
+                running.client(port=closed_port)
         endpoint.send(b"on\r\n")
-        assert standing.line() == b"on\r\n"
+        assert established.line() == b"on\r\n"
 
 
 def test_requests_in_flight_count_towards_the_reloaded_contract(tmp_path: Path) -> None:
-    one = '[[contract]]\nteam = "acme"\nconcurrency = 1\n'
-    with started_proxy(tmp_path, broker_toml=one) as running:
-        held = running.establish()
+    contract_toml = '[[contract]]\nteam = "acme"\nconcurrency = 1\n'
+    with started_proxy(tmp_path, broker_toml=contract_toml) as running:
+        open_connections = running.establish()
         running.reload("event=configuration-reloaded")
         assert running.open().line() == b"BUSY 1000\r\n"
-        held[0].close()
+        open_connections[0].close()
 
 
 def test_reload_during_graceful_shutdown_is_applied(tmp_path: Path) -> None:
@@ -174,50 +183,52 @@
 
 def test_reordered_names_keep_their_numbers(tmp_path: Path) -> None:
     # Another order of tenants, zones or models was rejected, and discovery's new address with it.
-    one = '[[contract]]\nteam = "acme"\nconcurrency = 1\n[[contract]]\nteam = "other"\n'
-    with started_proxy(tmp_path, broker_toml=one) as running:
-        held_by_acme = running.establish()
-        new = settings(
+    contracts_toml = '[[contract]]\nteam = "acme"\nconcurrency = 1\n[[contract]]\nteam = "other"\n'
+    with started_proxy(tmp_path, broker_toml=contracts_toml) as running:
+        acme_connections = running.establish()
+        reordered_settings = settings(
             tenants=[{"name": "new"}, {"name": "other"}, {"name": "acme"}], zones=["z", "a"], zone=1
         )
-        later = DiscoveryServer(running.endpoints)
-        running.reload("event=configuration-reloaded", settings=new, discovery=later.address)
-        assert later.calls.get(timeout=WAIT_S) == "/catalog/members"
+        new_discovery = DiscoveryServer(running.endpoints)
+        running.reload(
+            "event=configuration-reloaded", settings=reordered_settings, discovery=new_discovery.address
+        )
+        assert new_discovery.calls.get(timeout=WAIT_S) == "/catalog/members"
         assert running.open().line() == b"BUSY 1000\r\n"  # acme's one is taken, by the number it began with
-        other = running.client(b"OPEN 1 2 c=feed,t=other,d=2000\r\n")
-        accepted = running.endpoints[0].serve()
-        assert other.line() == b"UP r1\r\n"
-        assert accepted
-        held_by_acme[0].close()
+        other_client = running.client(b"OPEN 1 2 c=feed,t=other,d=2000\r\n")
+        other_endpoint = running.endpoints[0].serve()
+        assert other_client.line() == b"UP r1\r\n"
+        assert other_endpoint
+        acme_connections[0].close()
 
 
 def test_requests_of_an_unlisted_tenant_do_not_count_for_one_listed_later(tmp_path: Path) -> None:
     # A tenant that was not listed had the number that the next listed one got.
     with started_proxy(tmp_path) as running:
-        connection = running.client(b"OPEN 1 2 c=feed,t=nobody,d=2000\r\n")
+        unlisted_client = running.client(b"OPEN 1 2 c=feed,t=nobody,d=2000\r\n")
         endpoint = running.endpoints[0].serve()
-        assert connection.line() == b"UP r1\r\n"
+        assert unlisted_client.line() == b"UP r1\r\n"
         assert endpoint
         (tmp_path / "broker.toml").write_text('[[contract]]\nteam = "late"\nconcurrency = 1\n')
         running.reload(
             "event=configuration-reloaded",
             settings=settings(tenants=[{"name": n} for n in ("acme", "other", "late")]),
         )
-        first = running.client(b"OPEN 2 2 c=feed,t=late,d=2000\r\n")
-        accepted = running.endpoints[0].serve()
-        assert first.line() == b"UP r1\r\n"
-        assert accepted
+        late_client = running.client(b"OPEN 2 2 c=feed,t=late,d=2000\r\n")
+        late_endpoint = running.endpoints[0].serve()
+        assert late_client.line() == b"UP r1\r\n"
+        assert late_endpoint
         assert running.client(b"OPEN 3 2 c=feed,t=late,d=2000\r\n").line() == b"BUSY 1000\r\n"
 
 
 def test_zone_of_this_proxy_is_found_by_its_name(tmp_path: Path) -> None:
-    with proxy_environment(tmp_path, zones=["a", "b"], zone=1) as made:
-        first = read_config(str(made.config))
-        text = made.config.read_text().replace('"zones": ["a", "b"]', '"zones": ["c", "b"]')
-        made.config.write_text(text)
-        later = read_config(str(made.config), first)
-    assert (first.settings.zone, later.settings.zone) == (1, 1)
-    assert later.names.zones == {"a": 0, "b": 1, "c": 2}
+    with proxy_environment(tmp_path, zones=["a", "b"], zone=1) as environment:
+        first_config = read_config(str(environment.config))
+        text = environment.config.read_text().replace('"zones": ["a", "b"]', '"zones": ["c", "b"]')
+        environment.config.write_text(text)
+        reloaded_config = read_config(str(environment.config), first_config)
+    assert (first_config.settings.zone, reloaded_config.settings.zone) == (1, 1)
+    assert reloaded_config.names.zones == {"a": 0, "b": 1, "c": 2}
 
 
 @pytest.mark.parametrize("state", ["queued", "connecting", "sent"])
@@ -234,10 +245,10 @@
     with started_proxy(tmp_path, 2, services=with_effect(before), allowed=allowed) as running:
         first, second = ranked(running)
         client, endpoint, out = request_in_state(running, first, state)
-        others = [{**base, "name": "extra", "effect": after}]  # and in another order
+        extra_services = [{**base, "name": "extra", "effect": after}]  # and in another order
         running.reload(
             "event=configuration-reloaded",
-            settings=settings(services=others + with_effect(after), allowed=allowed),
+            settings=settings(services=extra_services + with_effect(after), allowed=allowed),
         )
         if state == "connecting":
             first.empty_accept_queue()
@@ -252,13 +263,13 @@
             retried = second.serve()
             assert client.line() == b"UP r1\r\n"
             assert retried
-        fresh = running.client(REQUEST_LINE.replace(b"77", b"78") % LONG_DEADLINE_MS)
+        new_client = running.client(REQUEST_LINE.replace(b"77", b"78") % LONG_DEADLINE_MS)
         attempt = running.next_attempted().accept()
         assert attempt.line().startswith(b"OPEN 78 ")
         attempt.close("reset")
         if after == "once":
-            assert fresh.line() == b"ERR\r\n"
+            assert new_client.line() == b"ERR\r\n"
         else:
             _, accepted = running.serve_any()
-            assert fresh.line() == b"UP r1\r\n"
+            assert new_client.line() == b"UP r1\r\n"
             assert accepted
--- a/tests/test_takeover_socket.py
+++ b/tests/test_takeover_socket.py
@@ -97,11 +97,13 @@
         os.close(descriptor)
 
 
-@pytest.mark.parametrize("first", [b"", b'{"say": ', b"[]\n", b"no json\n"])
+@pytest.mark.parametrize("first_answer", [b"", b'{"say": ', b"[]\n", b"no json\n"])
 def test_process_that_closes_or_makes_no_sense_is_asked_again(
-    socket_path: TakeoverSocketPath, first: bytes
+    socket_path: TakeoverSocketPath, first_answer: bytes
 ) -> None:
-    thread = answer(socket_path, lambda sock: sock.sendall(first), lambda sock: sock.sendall(b'{"a": 1}\n'))
+    thread = answer(
+        socket_path, lambda sock: sock.sendall(first_answer), lambda sock: sock.sendall(b'{"a": 1}\n')
+    )
     predecessor = request_takeover(socket_path)
     thread.join(5)
     assert predecessor is not None
@@ -169,21 +171,21 @@
     state: dict[str, Any], event: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     with caplog.at_level(logging.INFO, "linnetshift"):
-        read = imported({"active": True, **state})
-    assert read.was_vrrp_active
-    assert read.list_update is None
-    assert read.peer_resources == PeerResources()
+        imported_state = imported({"active": True, **state})
+    assert imported_state.was_vrrp_active
+    assert imported_state.list_update is None
+    assert imported_state.peer_resources == PeerResources()
     assert [record.getMessage() for record in caplog.records] == [event]
 
 
 def test_sockets_have_the_names_of_the_state() -> None:
-    one, two = socket.socketpair()
-    read = imported({"passed": ["channels", "vrrp"]}, [one.detach()])
-    assert [*read.sockets] == ["channels"]
-    read.sockets["channels"].send(b"x")
-    assert two.recv(1) == b"x"
-    read.sockets["channels"].close()
-    two.close()
+    passed_socket, its_peer = socket.socketpair()
+    imported_state = imported({"passed": ["channels", "vrrp"]}, [passed_socket.detach()])
+    assert [*imported_state.sockets] == ["channels"]
+    imported_state.sockets["channels"].send(b"x")
+    assert its_peer.recv(1) == b"x"
+    imported_state.sockets["channels"].close()
+    its_peer.close()
 
 
 @pytest.mark.parametrize(
@@ -195,8 +197,8 @@
     drains = SimpleNamespace(import_state=lambda _state: None)
     contracts = SimpleNamespace(teams={1: Contract(rate=SimpleNamespace())})  # type: ignore[arg-type]
     broker: Any = SimpleNamespace(administrative_drains=drains, contracts=contracts)
-    read = imported(state)
+    imported_state = imported(state)
     caplog.clear()
     with caplog.at_level(logging.INFO, "linnetshift"):
-        read.restore_drains_and_token_buckets(broker)
+        imported_state.restore_drains_and_token_buckets(broker)
     assert [record.getMessage() for record in caplog.records] == ["imported-state-rejected"]
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -91,20 +91,20 @@
     assert len(harness.sent) == (1 if state is State.BACKUP else 2)  # it asserts itself at once
 
 
-@pytest.mark.parametrize("active", [True, False])
-def test_shutdown_of_an_active_router_advertises_priority_zero(active: bool) -> None:
-    harness = RouterHarness(255 if active else 100)
+@pytest.mark.parametrize("is_active", [True, False])
+def test_shutdown_of_an_active_router_advertises_priority_zero(is_active: bool) -> None:
+    harness = RouterHarness(255 if is_active else 100)
     harness.router.stop()
     assert harness.router.state is State.INITIALIZE
-    assert harness.sent == ([255, 0] if active else [])
+    assert harness.sent == ([255, 0] if is_active else [])
 
 
 def test_channels_frontend_listens_only_while_active(tmp_path: Path) -> None:
-    peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    peer.bind(("127.0.0.1", 0))
-    peer.settimeout(WAIT_S)
+    peer_router = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    peer_router.bind(("127.0.0.1", 0))
+    peer_router.settimeout(WAIT_S)
     port = free_port()
-    own = f"""
+    broker_toml = f"""
 [channels]
 enabled = true
 listen = "127.0.0.1:PORT"
@@ -113,22 +113,22 @@
 vrid = 7
 interval_cs = 20
 listen = "127.0.0.1:{port}"
-peers = ["127.0.0.1:{peer.getsockname()[1]}"]
+peers = ["127.0.0.1:{peer_router.getsockname()[1]}"]
 addresses = ["127.0.0.1"]
 """
-    with started_proxy(tmp_path, broker_toml=own) as running:
+    with started_proxy(tmp_path, broker_toml=broker_toml) as running:
         with pytest.raises(ConnectionRefusedError):
             running.client(port=running.channels_port)
-        assert Advertisement.decode(peer.recv(2048)) == Advertisement(7, 100, 20, ("127.0.0.1",))
-        terminal = ChannelsClient(running.channels_port)
-        terminal.open(1)
+        assert Advertisement.decode(peer_router.recv(2048)) == Advertisement(7, 100, 20, ("127.0.0.1",))
+        channels_client = ChannelsClient(running.channels_port)
+        channels_client.open(1)
         _, endpoint = running.serve_any()
-        channel = terminal.expect_confirmation(1)
-        peer.sendto(Advertisement(7, 200, 4095, ()).encode(), ("127.0.0.1", port))
-        assert b"move@linnetshift" in terminal.expect(98, 1)
-        terminal.expect(97, 1)
-        terminal.send_message(97, channel)
-        terminal.expect(1, 11)
+        channel = channels_client.expect_confirmation(1)
+        peer_router.sendto(Advertisement(7, 200, 4095, ()).encode(), ("127.0.0.1", port))
+        assert b"move@linnetshift" in channels_client.expect(98, 1)
+        channels_client.expect(97, 1)
+        channels_client.send_message(97, channel)
+        channels_client.expect(1, 11)
         assert endpoint.ended() == "fin"
         with pytest.raises(ConnectionRefusedError):
             running.client(port=running.channels_port)
