--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -50,6 +50,7 @@
     streams: int = 0
     is_draining: bool = True
     actions: list[tuple[int, str]] = field(default_factory=list)
+    shutdown: GracefulShutdown = field(init=False)  # set by `shut_down`
 
     def note(self, action: str) -> None:
         self.actions.append((self.loop.now() // MS, action))
@@ -99,9 +100,8 @@
     """A shutdown that has begun at time 0."""
     loop = SimulatedLoop()
     recorder = Recorder(loop, established(count), **others)
-    shutdown = GracefulShutdown(loop, recorder, recorder, is_replaced)  # type: ignore[arg-type]
-    shutdown.start(shutdown.run())
-    recorder.shutdown = shutdown  # type: ignore[attr-defined]
+    recorder.shutdown = GracefulShutdown(loop, recorder, recorder, is_replaced)  # type: ignore[arg-type]
+    recorder.shutdown.start(recorder.shutdown.run())
     return recorder
 
 
@@ -151,7 +151,7 @@
     signal_ms: int, last_ms: int, notified_ms: int
 ) -> None:
     recorder = shut_down(100, is_replaced=True, unresponsive=1)
-    recorder.loop.call_later(signal_ms * MS, recorder.shutdown.shorten)  # type: ignore[attr-defined]
+    recorder.loop.call_later(signal_ms * MS, recorder.shutdown.shorten)
     recorder.loop.run()
     assert len(recorder.times("migrate")) == 100
     assert max(recorder.times("migrate")) == last_ms
@@ -160,7 +160,7 @@
 
 def test_cancelled_shutdown_migrates_nobody_else() -> None:
     recorder = shut_down(100, is_replaced=True)
-    recorder.loop.call_later(500 * MS, recorder.shutdown.end)  # type: ignore[attr-defined]
+    recorder.loop.call_later(500 * MS, recorder.shutdown.end)
     recorder.loop.call_later(20 * S, recorder.loop.stop)
     recorder.loop.run()
     assert recorder.requests
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -58,33 +58,51 @@
             assert new.call(DRAIN_CALL % "s-unknown") == 404
 
 
-@pytest.mark.parametrize("how", ["new-dies", "old-dies", "stale-socket", "third"])
-def test_process_that_goes_is_replaced_without_harm(tmp_path: Path, how: str) -> None:
+def test_old_process_accepts_again_after_its_successor_died(tmp_path: Path) -> None:
+    with (
+        started_proxy(tmp_path, admin_server=True, inherits_listener=True) as old,
+        successor_of(old) as successor,
+    ):
+        successor.wait_until_ready()
+        successor.process.kill()
+        old.logged("event=successor-gone")
+        assert old.call("GET /ops/readiness") == 200
+        old.establish()
+        with successor_of(old) as second_successor:
+            second_successor.wait_until_ready()
+
+
+def test_new_process_goes_on_after_its_predecessor_died(tmp_path: Path) -> None:
+    with (
+        started_proxy(tmp_path, admin_server=True, inherits_listener=True) as old,
+        successor_of(old) as successor,
+    ):
+        successor.wait_until_ready()
+        old.process.kill()
+        successor.logged("event=predecessor-gone")
+        successor.wait_until_ready()
+        successor.establish()
+
+
+def test_third_process_replaces_the_second(tmp_path: Path) -> None:
+    with (
+        started_proxy(tmp_path, admin_server=True, inherits_listener=True) as old,
+        successor_of(old) as successor,
+    ):
+        successor.wait_until_ready()
+        with successor_of(successor) as third:
+            third.wait_until_ready()
+            assert successor.call("GET /ops/readiness") == 503
+            third.establish()
+
+
+def test_new_process_serves_where_the_old_one_left_a_stale_takeover_socket(tmp_path: Path) -> None:
     with started_proxy(tmp_path, admin_server=True, inherits_listener=True) as old:
-        if how == "stale-socket":
-            old.process.kill()
-            old.process.wait(WAIT_S)
-        with successor_of(old) as new:
-            new.wait_until_ready()
-            if how == "new-dies":
-                new.process.kill()
-                old.logged("event=successor-gone")
-                assert old.call("GET /ops/readiness") == 200
-                old.establish()
-                with successor_of(old) as next_one:
-                    next_one.wait_until_ready()
-            elif how == "old-dies":
-                old.process.kill()
-                new.logged("event=predecessor-gone")
-                new.wait_until_ready()
-                new.establish()
-            elif how == "third":
-                with successor_of(new) as third:
-                    third.wait_until_ready()
-                    assert new.call("GET /ops/readiness") == 503
-                    third.establish()
-            else:
-                new.establish()
+        old.process.kill()
+        old.process.wait(WAIT_S)
+        with successor_of(old) as successor:
+            successor.wait_until_ready()
+            successor.establish()
 
 
 def test_channels_listener_and_vrrp_socket_are_handed_over(tmp_path: Path) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -120,13 +120,14 @@
         assert other_discovery.calls.empty()
 
 
-@pytest.mark.parametrize("kept_share", [0, 1, 0.5, 0.99])
-def test_truncated_file_is_rejected_and_changes_nothing(tmp_path: Path, kept_share: float) -> None:
+@pytest.mark.parametrize(("kept_bytes", "kept_share"), [(0, 0.0), (1, 0.0), (0, 0.5), (0, 0.99)])
+def test_truncated_file_is_rejected_and_changes_nothing(
+    tmp_path: Path, kept_bytes: int, kept_share: float
+) -> None:
     with started_proxy(tmp_path) as running:
         whole_text = running.config.read_text()
-        running.config.write_text(
-            whole_text[: int(kept_share if kept_share == 1 else kept_share * len(whole_text))]
-        )
+        kept_length = kept_bytes + int(kept_share * len(whole_text))
+        running.config.write_text(whole_text[:kept_length])
         running.process.send_signal(signal.SIGHUP)
         running.logged("event=configuration-rejected .*is not JSON")
         running.establish()
