--- a/linnetshift/lifecycle/log_summaries.py
+++ b/linnetshift/lifecycle/log_summaries.py
@@ -12,9 +12,9 @@
 
 
 def describe_list(event: EndpointList, now_ns: int) -> dict[str, object]:
-    """The log fields of a list or of its changes; ages are in milliseconds.
+    """Return the log fields of a full list or of its changes, received at `now_ns` of the loop's clock.
 
-    Together with the time of the line they tell how old each list was in a run.
+    `warming_up` has the endpoints that started recently, each as name@age with the age in milliseconds.
     """
     recent = [
         (entry.endpoint, (now_ns - entry.started_ns) // MS)
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -35,7 +35,11 @@
         inherited_socket: socket.socket | None = None,
         starts_active: bool = False,
     ) -> None:
-        """After a hot restart: with the predecessor's socket, and active at once if that was."""
+        """Bind a socket to the configured address; raises OSError.
+
+        After a hot restart `inherited_socket` is the predecessor's, already bound, and `starts_active` tells
+        whether the predecessor was the active router.
+        """
         super().__init__(loop)
         self.config = config
         self.on_active_change = on_active_change
@@ -45,10 +49,12 @@
         self.reported_state = self.router.state
         self.timer: Timer | None = None
         self.timer_tag: object = None  # of `timer`; timeouts with another tag are of one that was replaced
-        self.sock = inherited_socket or socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.sock.setblocking(False)
-        if inherited_socket is None:
+        if inherited_socket is not None:
+            self.sock = inherited_socket
+        else:
+            self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             self.sock.bind(config.listen)
+        self.sock.setblocking(False)
         self._watch_socket()
 
     def _watch_socket(self) -> None:
--- a/linnetshift/vrrp/router.py
+++ b/linnetshift/vrrp/router.py
@@ -67,7 +67,7 @@
             self.become_backup(self.config.interval)
 
     def stop(self) -> None:
-        """Shutdown: an active router releases its part, so that a backup takes over after its skew time."""
+        """Shutdown: an active router releases its role, so that a backup takes over after its skew time."""
         if self.state is State.ACTIVE:
             self.send(PRIORITY_RELEASED)
         self.state = State.INITIALIZE
