--- a/linnetshift/lifecycle/channels_activation.py
+++ b/linnetshift/lifecycle/channels_activation.py
@@ -63,11 +63,13 @@
 
     def descriptors(self) -> dict[str, int]:
         """The open descriptors that pass to a successor, by name."""
-        acceptor = self.frontend.acceptor
-        descriptors = {
-            CHANNELS_SOCKET: acceptor.listener.fileno() if acceptor is not None else -1,
-            VRRP_SOCKET: self.vrrp.sock.fileno() if self.vrrp is not None else -1,
-        }
+        sockets: dict[str, socket.socket] = {}
+        if self.frontend.acceptor is not None:
+            sockets[CHANNELS_SOCKET] = self.frontend.acceptor.listener
+        if self.vrrp is not None:
+            sockets[VRRP_SOCKET] = self.vrrp.sock
+        descriptors = {name: sock.fileno() for name, sock in sockets.items()}
+        # A closed socket, as VRRP's is once it has stopped, has the descriptor -1.
         return {name: descriptor for name, descriptor in descriptors.items() if descriptor >= 0}
 
     def handle_vrrp_change(self, is_active: bool) -> None:
--- a/tests/test_channels_activation.py
+++ b/tests/test_channels_activation.py
@@ -36,6 +36,7 @@
         self, _loop: Any, _config: Any, _on_change: Any, inherited: socket.socket | None, is_active: bool
     ) -> None:
         self.inherited = inherited
+        self.sock = inherited
         self.router = SimpleNamespace(state=State.ACTIVE if is_active else State.BACKUP)
 
     def run(self) -> None:
@@ -80,3 +81,11 @@
         assert vrrp.inherited is inherited
         assert inherited.fileno() >= 0
         assert channels.is_vrrp_active
+
+
+def test_descriptor_of_vrrp_passes_on_until_its_socket_is_closed(frontend: FakeFrontend) -> None:
+    with socket.socket() as inherited:
+        channels = activation(frontend, {VRRP_SOCKET: inherited})
+        channels.start(VRRP_CONFIG, False)
+        assert channels.descriptors() == {VRRP_SOCKET: inherited.fileno()}
+    assert channels.descriptors() == {}
