--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -208,9 +208,11 @@
         self.loop.watch(wakeup_pipe, select.EPOLLIN, handle_ready)
 
     def _handle_signals(self, caught: set[int]) -> None:
+        """Reload on SIGHUP; every other signal that is watched asks for the end."""
         if signal.SIGHUP in caught:
             self.reloader.reload()
-        if caught != {signal.SIGHUP}:
+        terminating_signals = caught - {signal.SIGHUP}
+        if terminating_signals:
             self.shutdown.terminate(is_replaced=self.hot_restart.successor is not None)
 
     # ---- operations of the admin server -----------------------------------------------------
