--- a/linnetshift/config/broker_file.py
+++ b/linnetshift/config/broker_file.py
@@ -87,7 +87,7 @@
     config = VrrpConfig(
         vrid=int(raw["vrid"]),
         priority=int(raw.get("priority", DEFAULT_PRIORITY)),
-        interval=int(raw.get("interval_cs", DEFAULT_INTERVAL_CS)),
+        interval_cs=int(raw.get("interval_cs", DEFAULT_INTERVAL_CS)),
         preempt=bool(raw.get("preempt", True)),
         listen=parse_address(str(raw["listen"])),
         peers=tuple(parse_address(str(peer)) for peer in raw["peers"]),
@@ -95,7 +95,7 @@
     )
     if not 1 <= config.vrid <= MAX_VRID or not 1 <= config.priority <= MAX_PRIORITY:
         raise ValueError("vrrp's vrid and priority lie between 1 and 255")
-    if not 1 <= config.interval <= MAX_INTERVAL_CS or len(config.addresses) > MAX_ADDRESSES:
+    if not 1 <= config.interval_cs <= MAX_INTERVAL_CS or len(config.addresses) > MAX_ADDRESSES:
         raise ValueError("vrrp's interval_cs lies between 1 and 4095, with at most 255 addresses")
     return config
 
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -55,7 +55,7 @@
         self.socket_path = socket_path
         self.peer_processes: list[PeerProcess] = []
         self.successor: PeerProcess | None = None  # accepts connections in this one's place
-        self.is_joining = False  # the predecessor may still accept
+        self.is_taking_over = False  # the predecessor may still accept
         self.takeover_listener: TakeoverListener | None = None
 
     def start(self, predecessor: PredecessorState | None) -> None:
@@ -69,7 +69,7 @@
 
     def _replace(self, predecessor: PredecessorState) -> None:
         """Have the predecessor stop accepting; one that hangs accepts nothing either and is not awaited."""
-        self.is_joining = True
+        self.is_taking_over = True
         peer_process = PeerProcess(self.loop, self.operations, self, predecessor.sock, predecessor)
         self.peer_processes.append(peer_process)
         peer_process.start(peer_process.run())
@@ -110,7 +110,7 @@
 
     def handle_predecessor_stopped(self) -> None:
         """Count this process as the only one that accepts."""
-        self.is_joining = False
+        self.is_taking_over = False
 
     def handle_successor_serving(self, peer_process: PeerProcess) -> None:
         """Leave new connections to the successor."""
--- a/linnetshift/lifecycle/shutdown_coordinator.py
+++ b/linnetshift/lifecycle/shutdown_coordinator.py
@@ -74,7 +74,7 @@
 
     def open_streams(self) -> list[Stream]:
         """The streams of all connections of both frontends."""
-        return [each.stream for each in (*self.frontend.clients, *self.channels.sessions)]
+        return [connection.stream for connection in (*self.frontend.clients, *self.channels.sessions)]
 
     def notify_idle_clients(self) -> None:
         """Have the clients without a request migrate too."""
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -223,7 +223,7 @@
             return "leaving"
         if self.hot_restart.successor is not None:
             return "replaced by another process"
-        if self.hot_restart.is_joining:
+        if self.hot_restart.is_taking_over:
             return "taking over"
         if not self.broker.administrative_drains.listed:
             return "waiting for the list of providers"
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -88,7 +88,7 @@
         if self.router.state is State.ACTIVE:
             self.router.advertise()
         else:
-            self.router.become_backup(self.config.interval)
+            self.router.become_backup(self.config.interval_cs)
 
     def stop(self) -> None:
         """Shut down; an active router releases its role first."""
@@ -114,7 +114,7 @@
             # Before the peers learn of it: whoever is sent to the active proxy may connect at once.
             self._report_state()
         config = self.config
-        datagram = Advertisement(config.vrid, priority, config.interval, config.addresses).encode()
+        datagram = Advertisement(config.vrid, priority, config.interval_cs, config.addresses).encode()
         for peer in config.peers:
             try:
                 self.sock.sendto(datagram, peer)
--- a/linnetshift/vrrp/protocol.py
+++ b/linnetshift/vrrp/protocol.py
@@ -28,14 +28,14 @@
 
     vrid: int  # virtual router ID
     priority: int
-    interval: int  # max advertise interval, in centiseconds
+    interval_cs: int  # max advertise interval, in centiseconds
     addresses: tuple[str, ...]  # dotted IPv4
 
     def encode(self) -> bytes:
         """The advertisement as a datagram; the checksum is computed with its own field as zero."""
-        interval = self.interval & INTERVAL_MASK
+        interval_cs = self.interval_cs & INTERVAL_MASK
         body = b"".join(socket.inet_aton(address) for address in self.addresses)
-        fields = (VERSION_AND_TYPE, self.vrid, self.priority, len(self.addresses), interval)
+        fields = (VERSION_AND_TYPE, self.vrid, self.priority, len(self.addresses), interval_cs)
         return HEADER.pack(*fields, checksum(HEADER.pack(*fields, 0) + body)) + body
 
     @classmethod
@@ -43,7 +43,7 @@
         """Read a datagram; raises AdvertisementError with what is wrong with it."""
         if len(data) < HEADER.size:
             raise AdvertisementError("too short")
-        version_and_type, vrid, priority, count, interval, _ = HEADER.unpack_from(data)
+        version_and_type, vrid, priority, count, interval_cs, _ = HEADER.unpack_from(data)
         if version_and_type != VERSION_AND_TYPE:
             raise AdvertisementError("not an advertisement of version 3")
         if len(data) != HEADER.size + IPV4_ADDRESS_BYTES * count:
@@ -52,7 +52,7 @@
             raise AdvertisementError("wrong checksum")
         offsets = range(HEADER.size, len(data), IPV4_ADDRESS_BYTES)
         addresses = tuple(socket.inet_ntoa(data[at : at + IPV4_ADDRESS_BYTES]) for at in offsets)
-        return cls(vrid, priority, interval & INTERVAL_MASK, addresses)
+        return cls(vrid, priority, interval_cs & INTERVAL_MASK, addresses)
 
 
 def checksum(data: bytes) -> int:
--- a/linnetshift/vrrp/router.py
+++ b/linnetshift/vrrp/router.py
@@ -24,7 +24,7 @@
 
     vrid: int  # virtual router ID, 1 to 255
     priority: int  # 1 to 255; 255 is the address owner's
-    interval: int  # advertisement interval, 1 to 4095 centiseconds
+    interval_cs: int  # advertisement interval, 1 to 4095 centiseconds
     preempt: bool  # whether a higher priority takes over from an active router of a lower one
     listen: Address  # where advertisements arrive; the host decides between equal priorities
     peers: tuple[Address, ...]  # the other routers: only their advertisements count
@@ -47,24 +47,24 @@
         self.set_timer = set_timer
         self.state = State.INITIALIZE
         # The active router's interval in centiseconds, as it was last advertised (Active_Adver_Interval).
-        self.active_interval = config.interval
+        self.active_interval_cs = config.interval_cs
 
     @property
-    def skew_time(self) -> float:
+    def skew_time_cs(self) -> float:
         """Skew_Time in centiseconds: the lower the priority, the later a backup takes over."""
-        return (256 - self.config.priority) * self.active_interval / 256
+        return (256 - self.config.priority) * self.active_interval_cs / 256
 
     @property
-    def active_down_interval(self) -> float:
+    def active_down_interval_cs(self) -> float:
         """Active_Down_Interval: centiseconds without an advertisement after which a backup takes over."""
-        return 3 * self.active_interval + self.skew_time
+        return 3 * self.active_interval_cs + self.skew_time_cs
 
     def start(self) -> None:
         """Startup (section 6.4.1): the owner is active at once."""
         if self.config.priority == PRIORITY_OWNER:
             self.become_active()
         else:
-            self.become_backup(self.config.interval)
+            self.become_backup(self.config.interval_cs)
 
     def stop(self) -> None:
         """Shutdown: an active router releases its role, so that a backup takes over after its skew time."""
@@ -89,9 +89,9 @@
     def _handle_as_backup(self, advertisement: Advertisement) -> None:
         """Section 6.4.2."""
         if advertisement.priority == PRIORITY_RELEASED:
-            self.set_timer(self.skew_time)
+            self.set_timer(self.skew_time_cs)
         elif not self.config.preempt or advertisement.priority >= self.config.priority:
-            self.become_backup(advertisement.interval)
+            self.become_backup(advertisement.interval_cs)
 
     def _handle_as_active(self, advertisement: Advertisement, sender: str) -> None:
         """Section 6.4.3: yield to a higher priority, or to the higher address of equal ones."""
@@ -100,15 +100,15 @@
         has_higher_address = socket.inet_aton(sender) > socket.inet_aton(self.config.listen[0])
         has_precedence = priority > own_priority or (priority == own_priority and has_higher_address)
         if priority != PRIORITY_RELEASED and has_precedence:
-            self.become_backup(advertisement.interval)
+            self.become_backup(advertisement.interval_cs)
         else:
             self.advertise()  # at once, so that the other one yields
 
-    def become_backup(self, active_interval: int) -> None:
+    def become_backup(self, active_interval_cs: int) -> None:
         """Wait for the advertisements of an active router that sends them at this interval."""
         self.state = State.BACKUP
-        self.active_interval = active_interval
-        self.set_timer(self.active_down_interval)
+        self.active_interval_cs = active_interval_cs
+        self.set_timer(self.active_down_interval_cs)
 
     def become_active(self) -> None:
         """Take over."""
@@ -118,4 +118,4 @@
     def advertise(self) -> None:
         """Send an advertisement, and the next after the interval."""
         self.send(self.config.priority)
-        self.set_timer(self.config.interval)
+        self.set_timer(self.config.interval_cs)
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -245,7 +245,7 @@
     assert successor.activation.vrrp is not None
     assert successor.activation.vrrp.router.state is State.ACTIVE
     assert successor.channels.acceptor is not None
-    assert successor.hot_restart.is_joining
+    assert successor.hot_restart.is_taking_over
 
 
 def test_state_is_handed_on_under_the_same_keys(successor: Proxy, recorded: dict[str, Any]) -> None:
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -19,14 +19,14 @@
 from linnetshift.lifecycle.takeover_socket import PredecessorState, TakeoverSocketPath, request_takeover
 
 
-class Operations:
+class RecordingOperations:
     """A proxy that notes what its hot restart asks of it."""
 
     def __init__(self, streams: int) -> None:
         self.streams = streams
         self.accepting_calls: list[str] = []
         self.drains: list[tuple[bytes, bool]] = []
-        self.reported: list[int] = []
+        self.reported_streams: list[int] = []
 
     def export_state(self) -> ExportedState:
         return ExportedState({"rev": 7}, {}, {}, self.peer_resources(), {}, False, {})
@@ -45,7 +45,7 @@
         return PeerResources(streams=self.streams)
 
     def update_peer_resources(self, peer_resources: PeerResources) -> None:
-        self.reported.append(peer_resources.streams)
+        self.reported_streams.append(peer_resources.streams)
 
 
 class Pair:
@@ -54,8 +54,8 @@
     def __init__(self, socket_path: TakeoverSocketPath) -> None:
         self.loop = Loop()
         self.socket_path = socket_path
-        self.old_operations = Operations(streams=3)
-        self.new_operations = Operations(streams=5)
+        self.old_operations = RecordingOperations(streams=3)
+        self.new_operations = RecordingOperations(streams=5)
         self.old = HotRestart(self.loop, self.old_operations, socket_path)
         self.old.start(None)
         predecessor = self.request()
@@ -98,17 +98,17 @@
 
 
 def test_old_process_yields_and_the_new_one_learns_of_it(pair: Pair) -> None:
-    assert pair.new.is_joining
-    pair.turn_until(lambda: not pair.new.is_joining)
+    assert pair.new.is_taking_over
+    pair.turn_until(lambda: not pair.new.is_taking_over)
     assert pair.old.successor is not None
     assert pair.old_operations.accepting_calls == ["yield_to_successor"]
     assert not pair.new_operations.accepting_calls
 
 
 def test_each_reports_what_it_holds(pair: Pair) -> None:
-    pair.turn_until(lambda: pair.old_operations.reported and pair.new_operations.reported)
-    assert pair.old_operations.reported[0] == 5
-    assert pair.new_operations.reported[0] == 3
+    pair.turn_until(lambda: pair.old_operations.reported_streams and pair.new_operations.reported_streams)
+    assert pair.old_operations.reported_streams[0] == 5
+    assert pair.new_operations.reported_streams[0] == 3
 
 
 @pytest.mark.parametrize("from_new", [True, False])
@@ -137,7 +137,7 @@
     pair.new.peer_processes[0].end()
     pair.turn_until(lambda: pair.old.successor is None)
     assert pair.old_operations.accepting_calls == ["yield_to_successor", "resume_accepting"]
-    assert pair.old_operations.reported[-1] == 0
+    assert pair.old_operations.reported_streams[-1] == 0
     assert not pair.old.peer_processes
 
 
@@ -159,5 +159,5 @@
     peer = pair.new.peer_processes[0]
     peer.stream.send(b'{"say": "held"}\n')
     pair.turn_until(lambda: not pair.old.peer_processes and not pair.new.peer_processes)
-    assert not pair.new.is_joining
+    assert not pair.new.is_taking_over
     assert peer.stream.closed
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -40,8 +40,8 @@
         self.router = Router(config, self.sent.append, self.timers_cs.append)
         self.router.start()
 
-    def receive(self, priority: int, interval: int = 100, sender: str = "10.0.0.1") -> None:
-        self.router.handle_advertisement(Advertisement(7, priority, interval, ()), sender)
+    def receive(self, priority: int, interval_cs: int = 100, sender: str = "10.0.0.1") -> None:
+        self.router.handle_advertisement(Advertisement(7, priority, interval_cs, ()), sender)
 
 
 @pytest.mark.parametrize(("priority", "state"), [(255, State.ACTIVE), (254, State.BACKUP), (1, State.BACKUP)])
@@ -52,7 +52,7 @@
 def test_backup_takes_over_after_three_intervals_and_its_skew_time() -> None:
     harness = RouterHarness(156)
     assert harness.timers_cs == [300 + 100 * 100 / 256]
-    harness.receive(200, interval=50)  # the active one's interval counts
+    harness.receive(200, interval_cs=50)  # the active one's interval counts
     assert harness.timers_cs[-1] == 150 + 100 * 50 / 256
     harness.receive(0)  # the active router stops
     assert harness.timers_cs[-1] == 100 * 50 / 256
