--- a/linnetshift/admin/connection.py
+++ b/linnetshift/admin/connection.py
@@ -22,7 +22,7 @@
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
 
-# Some peers connect and finish no call for 4 s: each is answered before that, and delays no other.
+# Some peers connect and finish no call for 4 s. Each is answered before that; meanwhile others are served.
 CALL_TIMEOUT_NS = 3 * S
 # A script waits 1 s for the response to a drain.
 DRAIN_TIMEOUT_NS = 800 * MS
@@ -95,13 +95,13 @@
             self.stream.close()
             self.report(Reason.EMPTY, 0)
             return
-        timed_out = response.status == HTTPStatus.REQUEST_TIMEOUT
+        has_timed_out = response.status == HTTPStatus.REQUEST_TIMEOUT
         self.send_response(response)
         self.stream.finish()
         self.owner.handle_answered(self)
         yield from linger(self, self.stream, self.opened_at + CALL_TIMEOUT_NS)
         self.stream.close()
-        self.report(Reason.REQUEST_TIMEOUT if timed_out else Reason.ANSWERED, response.status)
+        self.report(Reason.REQUEST_TIMEOUT if has_timed_out else Reason.ANSWERED, response.status)
 
     def faulted(self, error: Exception) -> None:
         """Contain a fault met on one call: it must not end the process."""
@@ -111,7 +111,7 @@
         self.report(Reason.FAULT, HTTPStatus.INTERNAL_SERVER_ERROR)
 
     def report(self, reason: Reason, status: int) -> None:
-        """Tell the owner that this connection is closed, and log why."""
+        """Notify the owner that this connection is closed, and log why."""
         self.owner.handle_closed(self)
         log.connection_ended(
             "admin",
@@ -123,7 +123,7 @@
         )
 
     def evict(self) -> None:
-        """One connection too many, and this call has been unfinished longest: answer 503."""
+        """Answer 503: there is one connection too many, and this one's call has been unfinished longest."""
         self.owner.handle_call_ended(self)
         self.post(Stop())
 
@@ -135,7 +135,7 @@
     # ---- receiving the call -----------------------------------------------------------------
 
     def serve_call(self) -> Steps:
-        """The response to the one call; None where the peer ended without one."""
+        """Receive the one call and return its response; None where the peer ended without a call."""
         self.is_reset = self.read()
         while True:
             try:
@@ -166,7 +166,7 @@
             self.stream.send(self.http.send(interim))
 
     def wait_for_data(self) -> Steps:
-        """Wait for one message of the loop; the response where the call is given up."""
+        """Wait for one message of the loop; return the response where the call is given up, else None."""
         match (yield):
             case Io(mask):
                 if mask & select.EPOLLOUT:
@@ -180,7 +180,7 @@
         return None
 
     def read(self) -> bool:
-        """Pass on what was received; whether the peer reset the connection."""
+        """Pass what was received to the HTTP parser; return whether the peer reset the connection."""
         end = self.stream.fill()
         if data := self.stream.rest():
             self.http.receive_data(bytes(data))
@@ -191,14 +191,14 @@
     # ---- answering it -----------------------------------------------------------------------
 
     def respond(self, request: AdminRequest) -> Steps:
-        """The response to a whole call."""
+        """Carry out a whole call and return its response."""
         result = dispatch(self.operations, request)
         if isinstance(result, DrainChange):
             return (yield from self.apply_drain(result))
         return result
 
     def apply_drain(self, change: DrainChange) -> Steps:
-        """Carry the change out; the response once it is in effect, or 504."""
+        """Carry the change out; return its response once it is in effect, 504 where that takes too long."""
         self.set_timer(DRAIN_TIMEOUT_NS, AdminTimer.DRAIN)
         self.operations.set_administrative_drain(
             change.endpoint_id.encode(),
@@ -218,7 +218,7 @@
                     pass  # evicted, but its response is on the way
 
     def send_response(self, response: Response) -> None:
-        """Send it; nothing where the call is so broken that HTTP allows no response."""
+        """Send the response; nothing where the call is so broken that HTTP allows none."""
         body = response.text.encode("utf-8", "replace") + b"\n"
         headers = [
             ("Date", time.strftime(HTTP_DATE_FORMAT, time.gmtime())),
--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -20,16 +20,17 @@
 
 # New connections keep arriving for up to 0.4 s after the signal of a planned stop.
 ACCEPT_NS = 600 * MS
-# The kill comes no earlier than the longest deadline after the signal, or this where that is longer, ...
+# The platform grants a process the longest deadline of the offered classes, but no more than
+# MAX_DEADLINE_NS, and KILL_GRACE_NS on top; only then does it kill the process.
 MAX_DEADLINE_NS = 3 * S
-# ... and this much more.
 KILL_GRACE_NS = 700 * MS
 # Kept free before the kill, for the last answers and migrations to be written and read.
 LINGER_NS = 350 * MS
-# Of that, kept for the exit itself.
+# Of LINGER_NS, kept for the exit itself.
 EXIT_NS = 100 * MS
 # Proxies are restarted one after the other: the previous one may not be back yet, and clients migrated at
-# once would find no proxy. They are migrated between these parts of the time, in percent.
+# once would find no proxy. They are migrated between these two moments, in percent of the time from the
+# signal until the lingering.
 MIGRATION_START_PERCENT = 40
 MIGRATION_END_PERCENT = 92
 # Clients migrate in steps of this length: short against the time there is, long against a turn of the loop.
@@ -93,7 +94,7 @@
     """
 
     def __init__(self, loop: Loop, broker: Broker, clients: ShutdownClients, is_replaced: bool) -> None:
-        """Set the deadlines as of now; `is_replaced` tells that a successor accepts in this one's place."""
+        """Set the deadlines as of now; `is_replaced` tells whether a successor accepts in its place."""
         super().__init__(loop)
         self.broker = broker
         self.clients = clients
@@ -109,10 +110,11 @@
             self.accept_until = now + ACCEPT_NS
             self.migrate_from = now + available * MIGRATION_START_PERCENT // 100
         self.migrate_until = self.deadline - available * (100 - MIGRATION_END_PERCENT) // 100
-        self.migrations_due = 0.0  # a fraction is carried over to the next step
+        # Migrations that the even pace asks for and that were not made yet: a fraction waits for later steps.
+        self.migrations_due = 0.0
 
     def shorten(self) -> None:
-        """Set the deadlines of a replaced process anew: its signal has come, so the kill's time is known."""
+        """Shorten the deadlines of a replaced process: its signal has come, so the kill's time is known."""
         now = self.loop.now()
         available = self._available_ns()
         self.deadline = min(self.deadline, now + available)
--- a/linnetshift/lifecycle/shutdown_coordinator.py
+++ b/linnetshift/lifecycle/shutdown_coordinator.py
@@ -33,9 +33,9 @@
         self.is_terminating = False  # on a signal, which nothing cancels
 
     def terminate(self, is_replaced: bool) -> None:
-        """A signal asks for the end; one that comes again changes nothing.
+        """Shut down because of a signal; one that comes again changes nothing.
 
-        `is_replaced`: a successor accepts in place of this process.
+        `is_replaced` tells whether a successor accepts in place of this process.
         """
         if self.is_terminating:
             return
@@ -46,11 +46,11 @@
             self._start(is_replaced=False)
 
     def start_replaced(self) -> None:
-        """A successor accepts from now on: migrate the clients to it, and end."""
+        """Migrate the clients to the successor, which accepts from now on, and end."""
         self._start(is_replaced=True)
 
     def cancel(self) -> None:
-        """The successor is gone: this process serves on."""
+        """Serve on, as the successor is gone."""
         if self.shutdown is not None:
             self.shutdown.end()
 
--- a/linnetshift/vrrp/router.py
+++ b/linnetshift/vrrp/router.py
@@ -32,7 +32,7 @@
 
 
 class Router:
-    """One virtual router, told of timers and advertisements; it acts through two callbacks.
+    """One virtual router, notified of timers and advertisements; it acts through two callbacks.
 
     `send` takes the priority to advertise. `set_timer` takes the centiseconds until `handle_timer` and
     replaces the timer that was set before: each state has one, the Adver_Timer or the Active_Down_Timer.
@@ -73,21 +73,21 @@
         self.state = State.INITIALIZE
 
     def handle_timer(self) -> None:
-        """The state's timer has fired: take over as a backup, advertise as the active router."""
+        """Handle the state's timer: take over as a backup, advertise as the active router."""
         if self.state is State.BACKUP:
             self.become_active()
         elif self.state is State.ACTIVE:
             self.advertise()
 
     def handle_advertisement(self, advertisement: Advertisement, sender: str) -> None:
-        """An advertisement of another router with the IPv4 address `sender`."""
+        """Handle an advertisement of another router, whose IPv4 address is `sender`."""
         if self.state is State.BACKUP:
             self._handle_as_backup(advertisement)
         elif self.state is State.ACTIVE:
             self._handle_as_active(advertisement, sender)
 
     def _handle_as_backup(self, advertisement: Advertisement) -> None:
-        """Section 6.4.2."""
+        """Section 6.4.2: wait on for an active router that is not to be preempted; replace one that stops."""
         if advertisement.priority == PRIORITY_RELEASED:
             self.set_timer(self.skew_time_cs)
         elif not self.config.preempt or advertisement.priority >= self.config.priority:
