--- a/linnetshift/admin/connection.py
+++ b/linnetshift/admin/connection.py
@@ -5,6 +5,7 @@
 import select
 import socket
 import time
+from enum import Enum
 from http import HTTPStatus
 from typing import NamedTuple, Protocol
 
@@ -21,7 +22,7 @@
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
 
-# Some peers connect and finish no call for 4 s: each is answered before that, and delays no other.
+# Some peers connect and finish no call for 4 s. Each is answered before that; meanwhile others are served.
 CALL_TIMEOUT_NS = 3 * S
 # A script waits 1 s for the response to a drain.
 DRAIN_TIMEOUT_NS = 800 * MS
@@ -32,8 +33,12 @@
 # IMF-fixdate (RFC 9110, section 5.6.7); days and months are English, as the program sets no locale.
 HTTP_DATE_FORMAT = "%a, %d %b %Y %H:%M:%S GMT"
 
-CALL_TIMER = "call"
-DRAIN_TIMER = "drain"
+
+class AdminTimer(Enum):
+    """What the timers of an administrative connection are for."""
+
+    CALL = "call"  # from accept until the call is whole
+    DRAIN = "drain"  # until an administrative drain is in effect
 
 
 class DrainApplied(NamedTuple):
@@ -43,19 +48,19 @@
 
 
 class ConnectionOwner(Protocol):
-    """What keeps track of the administrative connections, and bounds their number."""
+    """Keeps track of the administrative connections and bounds their number; `AdminServer` does."""
 
     def handle_opened(self, connection: AdminConnection) -> None:
-        """Its call is awaited."""
+        """Note that the connection is open and awaits its call."""
 
     def handle_call_ended(self, connection: AdminConnection) -> None:
-        """Its call is complete, or will not be."""
+        """Note that the call is complete, or never will be: the peer left, or the call was given up."""
 
     def handle_answered(self, connection: AdminConnection) -> None:
-        """Its response is sent; only the peer's end is awaited."""
+        """Note that the response is sent and the connection awaits only that the peer ends its side."""
 
     def handle_closed(self, connection: AdminConnection) -> None:
-        """Its descriptor is free again."""
+        """Note that the connection is closed and its descriptor is free again."""
 
 
 class AdminConnection(Actor):
@@ -82,7 +87,7 @@
         """Receive the call, answer it, and wait for the peer's end."""
         self.owner.handle_opened(self)
         self.stream.arm()
-        timer = self.set_timer(CALL_TIMEOUT_NS, CALL_TIMER)
+        timer = self.set_timer(CALL_TIMEOUT_NS, AdminTimer.CALL)
         response = yield from self.serve_call()
         timer.cancel()
         self.owner.handle_call_ended(self)
@@ -90,13 +95,13 @@
             self.stream.close()
             self.report(Reason.EMPTY, 0)
             return
-        timed_out = response.status == HTTPStatus.REQUEST_TIMEOUT
+        has_timed_out = response.status == HTTPStatus.REQUEST_TIMEOUT
         self.send_response(response)
         self.stream.finish()
         self.owner.handle_answered(self)
         yield from linger(self, self.stream, self.opened_at + CALL_TIMEOUT_NS)
         self.stream.close()
-        self.report(Reason.REQUEST_TIMEOUT if timed_out else Reason.ANSWERED, response.status)
+        self.report(Reason.REQUEST_TIMEOUT if has_timed_out else Reason.ANSWERED, response.status)
 
     def faulted(self, error: Exception) -> None:
         """Contain a fault met on one call: it must not end the process."""
@@ -106,7 +111,7 @@
         self.report(Reason.FAULT, HTTPStatus.INTERNAL_SERVER_ERROR)
 
     def report(self, reason: Reason, status: int) -> None:
-        """Tell the owner that this connection is closed, and log why."""
+        """Notify the owner that this connection is closed, and log why."""
         self.owner.handle_closed(self)
         log.connection_ended(
             "admin",
@@ -118,7 +123,7 @@
         )
 
     def evict(self) -> None:
-        """One connection too many, and this call has been unfinished longest: answer 503."""
+        """Answer 503: there is one connection too many, and this one's call has been unfinished longest."""
         self.owner.handle_call_ended(self)
         self.post(Stop())
 
@@ -130,7 +135,7 @@
     # ---- receiving the call -----------------------------------------------------------------
 
     def serve_call(self) -> Steps:
-        """The response to the one call; None where the peer ended without one."""
+        """Receive the one call and return its response; None where the peer ended without a call."""
         self.is_reset = self.read()
         while True:
             try:
@@ -161,13 +166,13 @@
             self.stream.send(self.http.send(interim))
 
     def wait_for_data(self) -> Steps:
-        """Wait for one message of the loop; the response where the call is given up."""
+        """Wait for one message of the loop; return the response where the call is given up, else None."""
         match (yield):
             case Io(mask):
                 if mask & select.EPOLLOUT:
                     self.stream.flush()
                 self.is_reset = self.read()
-            case Timeout(tag="call"):
+            case Timeout(tag=AdminTimer.CALL):
                 return Response(HTTPStatus.REQUEST_TIMEOUT, "no whole call came in time")
             case Stop():
                 retry_after = (("Retry-After", "1"),)
@@ -175,7 +180,7 @@
         return None
 
     def read(self) -> bool:
-        """Pass on what was received; whether the peer reset the connection."""
+        """Pass what was received to the HTTP parser; return whether the peer reset the connection."""
         end = self.stream.fill()
         if data := self.stream.rest():
             self.http.receive_data(bytes(data))
@@ -186,15 +191,15 @@
     # ---- answering it -----------------------------------------------------------------------
 
     def respond(self, request: AdminRequest) -> Steps:
-        """The response to a whole call."""
+        """Carry out a whole call and return its response."""
         result = dispatch(self.operations, request)
         if isinstance(result, DrainChange):
             return (yield from self.apply_drain(result))
         return result
 
     def apply_drain(self, change: DrainChange) -> Steps:
-        """Carry the change out; the response once it is in effect, or 504."""
-        self.set_timer(DRAIN_TIMEOUT_NS, DRAIN_TIMER)
+        """Carry the change out; return its response once it is in effect, 504 where that takes too long."""
+        self.set_timer(DRAIN_TIMEOUT_NS, AdminTimer.DRAIN)
         self.operations.set_administrative_drain(
             change.endpoint_id.encode(),
             change.is_drained,
@@ -206,14 +211,14 @@
                     return change.response(is_known)
                 case Io():
                     self.stream.set_reading(False)  # whatever else the peer sends belongs to no call
-                case Timeout(tag="drain"):
+                case Timeout(tag=AdminTimer.DRAIN):
                     text = "acted on here, but no word from the process beside this one"
                     return Response(HTTPStatus.GATEWAY_TIMEOUT, text)
                 case Stop():
                     pass  # evicted, but its response is on the way
 
     def send_response(self, response: Response) -> None:
-        """Send it; nothing where the call is so broken that HTTP allows no response."""
+        """Send the response; nothing where the call is so broken that HTTP allows none."""
         body = response.text.encode("utf-8", "replace") + b"\n"
         headers = [
             ("Date", time.strftime(HTTP_DATE_FORMAT, time.gmtime())),
--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -20,20 +20,22 @@
 
 # New connections keep arriving for up to 0.4 s after the signal of a planned stop.
 ACCEPT_NS = 600 * MS
-# The kill comes no earlier than the longest deadline after the signal, or this where that is longer, ...
+# The platform grants a process the longest deadline of the offered classes, but no more than
+# MAX_DEADLINE_NS, and KILL_GRACE_NS on top; only then does it kill the process.
 MAX_DEADLINE_NS = 3 * S
-# ... and this much more.
 KILL_GRACE_NS = 700 * MS
 # Kept free before the kill, for the last answers and migrations to be written and read.
 LINGER_NS = 350 * MS
-# Of that, kept for the exit itself.
+# Of LINGER_NS, kept for the exit itself.
 EXIT_NS = 100 * MS
 # Proxies are restarted one after the other: the previous one may not be back yet, and clients migrated at
-# once would find no proxy. They are migrated between these parts of the time, in percent.
+# once would find no proxy. They are migrated between these two moments, in percent of the time from the
+# signal until the lingering.
 MIGRATION_START_PERCENT = 40
 MIGRATION_END_PERCENT = 92
 # Clients migrate in steps of this length: short against the time there is, long against a turn of the loop.
 STEP_NS = 50 * MS
+STEP_TIMER = "step"  # the tag of the timers here, of which an actor has one at a time
 # The platform signals a process within this after its successor reported that it serves.
 SIGNAL_AFTER_REPLACEMENT_NS = 6 * S
 # Over how long channels migrate once another proxy is the active VRRP router.
@@ -75,7 +77,7 @@
             for channel in channels[:due]:
                 self.broker.migrate(channel.request.id, MIGRATION_REASON)
             steps -= 1
-            self.set_timer(STEP_NS, "step")
+            self.set_timer(STEP_NS, STEP_TIMER)
             yield
 
 
@@ -92,21 +94,27 @@
     """
 
     def __init__(self, loop: Loop, broker: Broker, clients: ShutdownClients, is_replaced: bool) -> None:
-        """Set the deadlines as of now; `is_replaced` tells that a successor accepts in this one's place."""
+        """Set the deadlines as of now; `is_replaced` tells whether a successor accepts in its place."""
         super().__init__(loop)
         self.broker = broker
         self.clients = clients
         self.is_replaced = is_replaced
         now = loop.now()
         available = self._available_ns()
-        self.deadline = now + available + (SIGNAL_AFTER_REPLACEMENT_NS if is_replaced else 0)
-        self.accept_until = now + (0 if is_replaced else ACCEPT_NS)
-        self.migrate_from = now if is_replaced else now + available * MIGRATION_START_PERCENT // 100
+        if is_replaced:
+            self.deadline = now + SIGNAL_AFTER_REPLACEMENT_NS + available
+            self.accept_until = now
+            self.migrate_from = now
+        else:
+            self.deadline = now + available
+            self.accept_until = now + ACCEPT_NS
+            self.migrate_from = now + available * MIGRATION_START_PERCENT // 100
         self.migrate_until = self.deadline - available * (100 - MIGRATION_END_PERCENT) // 100
-        self.migrations_due = 0.0  # a fraction is carried over to the next step
+        # Migrations that the even pace asks for and that were not made yet: a fraction waits for later steps.
+        self.migrations_due = 0.0
 
     def shorten(self) -> None:
-        """Set the deadlines of a replaced process anew: its signal has come, so the kill's time is known."""
+        """Shorten the deadlines of a replaced process: its signal has come, so the kill's time is known."""
         now = self.loop.now()
         available = self._available_ns()
         self.deadline = min(self.deadline, now + available)
@@ -129,7 +137,7 @@
         """Accept for a while, then migrate until the time is over or no connection awaits anything."""
         is_accepting = not self.is_replaced
         while self.loop.now() < self.deadline:
-            self.set_timer(STEP_NS, "step")
+            self.set_timer(STEP_NS, STEP_TIMER)
             yield
             now = self.loop.now()
             if now < self.accept_until:
@@ -166,7 +174,7 @@
         """
         close_at = max(self.deadline, self.loop.now()) + LINGER_NS - EXIT_NS
         while True:
-            self.set_timer(STEP_NS, "step")
+            self.set_timer(STEP_NS, STEP_TIMER)
             yield
             if not self.clients.open_streams() or self.loop.now() >= close_at:
                 return
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -55,7 +55,7 @@
         self.socket_path = socket_path
         self.peer_processes: list[PeerProcess] = []
         self.successor: PeerProcess | None = None  # accepts connections in this one's place
-        self.is_joining = False  # the predecessor may still accept
+        self.is_taking_over = False  # the predecessor may still accept
         self.takeover_listener: TakeoverListener | None = None
 
     def start(self, predecessor: PredecessorState | None) -> None:
@@ -69,7 +69,7 @@
 
     def _replace(self, predecessor: PredecessorState) -> None:
         """Have the predecessor stop accepting; one that hangs accepts nothing either and is not awaited."""
-        self.is_joining = True
+        self.is_taking_over = True
         peer_process = PeerProcess(self.loop, self.operations, self, predecessor.sock, predecessor)
         self.peer_processes.append(peer_process)
         peer_process.start(peer_process.run())
@@ -110,14 +110,14 @@
 
     def handle_predecessor_stopped(self) -> None:
         """Count this process as the only one that accepts."""
-        self.is_joining = False
+        self.is_taking_over = False
 
     def handle_successor_serving(self, peer_process: PeerProcess) -> None:
         """Leave new connections to the successor."""
         if self.successor is None:
             self.successor = peer_process
             log.info("process-replaced")
-            self.operations.yield_to_successor(True)
+            self.operations.yield_to_successor()
 
     def handle_peer_gone(self, peer_process: PeerProcess) -> None:
         """Go on alone; where the successor is gone, accept connections again."""
@@ -131,7 +131,7 @@
             self.successor = None
             log.info("successor-gone")
             self.listen_for_successor()
-            self.operations.yield_to_successor(False)
+            self.operations.resume_accepting()
 
     def apply_administrative_drain(
         self, endpoint: bytes, is_drained: bool, done: Callable[[], None], source: PeerProcess | None = None
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -172,6 +172,7 @@
         imported.restore_drains_and_token_buckets(self.broker)
         self.local_process.update_peer_resources(imported.peer_resources)
         self.handle_list_update(imported.list_update or self.config.cached_list)
+        self.broker.process_events()  # the snapshot is about endpoints that the balancer has to know
         imported.restore_snapshot(self.broker)
 
     def _open_listeners(self, imported: ImportedState) -> None:
@@ -207,9 +208,11 @@
         self.loop.watch(wakeup_pipe, select.EPOLLIN, handle_ready)
 
     def _handle_signals(self, caught: set[int]) -> None:
+        """Reload on SIGHUP; every other signal that is watched asks for the end."""
         if signal.SIGHUP in caught:
             self.reloader.reload()
-        if caught != {signal.SIGHUP}:
+        terminating_signals = caught - {signal.SIGHUP}
+        if terminating_signals:
             self.shutdown.terminate(is_replaced=self.hot_restart.successor is not None)
 
     # ---- operations of the admin server -----------------------------------------------------
@@ -220,7 +223,7 @@
             return "leaving"
         if self.hot_restart.successor is not None:
             return "replaced by another process"
-        if self.hot_restart.is_joining:
+        if self.hot_restart.is_taking_over:
             return "taking over"
         if not self.broker.administrative_drains.listed:
             return "waiting for the list of providers"
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -35,7 +35,11 @@
         inherited_socket: socket.socket | None = None,
         starts_active: bool = False,
     ) -> None:
-        """After a hot restart: with the predecessor's socket, and active at once if that was."""
+        """Bind a socket to the configured address; raises OSError.
+
+        After a hot restart `inherited_socket` is the predecessor's, already bound, and `starts_active` tells
+        whether the predecessor was the active router.
+        """
         super().__init__(loop)
         self.config = config
         self.on_active_change = on_active_change
@@ -45,10 +49,12 @@
         self.reported_state = self.router.state
         self.timer: Timer | None = None
         self.timer_tag: object = None  # of `timer`; timeouts with another tag are of one that was replaced
-        self.sock = inherited_socket or socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.sock.setblocking(False)
-        if inherited_socket is None:
+        if inherited_socket is not None:
+            self.sock = inherited_socket
+        else:
+            self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             self.sock.bind(config.listen)
+        self.sock.setblocking(False)
         self._watch_socket()
 
     def _watch_socket(self) -> None:
@@ -68,22 +74,24 @@
                 case Timeout(tag=tag) if tag is self.timer_tag:
                     self.router.handle_timer()
 
-    def pause(self, is_paused: bool) -> None:
-        """Leave the part to the process that takes over, or resume it; the peers notice neither."""
-        self.is_paused = is_paused
-        if not is_paused:
-            self._watch_socket()
-            if self.router.state is State.ACTIVE:
-                self.router.advertise()
-            else:
-                self.router.become_backup(self.config.interval)
-            return
+    def pause(self) -> None:
+        """Leave this router's role to the process that takes over; the peers do not notice."""
+        self.is_paused = True
         self.loop.unwatch(self.sock.fileno())
         if self.timer is not None:
             self.timer.cancel()
 
+    def resume(self) -> None:
+        """Take up the role that this router had before the pause; the peers do not notice."""
+        self.is_paused = False
+        self._watch_socket()
+        if self.router.state is State.ACTIVE:
+            self.router.advertise()
+        else:
+            self.router.become_backup(self.config.interval_cs)
+
     def stop(self) -> None:
-        """Shut down; an active router releases its part first."""
+        """Shut down; an active router releases its role first."""
         if not self.is_paused:
             self.router.stop()
             self.loop.unwatch(self.sock.fileno())
@@ -106,7 +114,7 @@
             # Before the peers learn of it: whoever is sent to the active proxy may connect at once.
             self._report_state()
         config = self.config
-        datagram = Advertisement(config.vrid, priority, config.interval, config.addresses).encode()
+        datagram = Advertisement(config.vrid, priority, config.interval_cs, config.addresses).encode()
         for peer in config.peers:
             try:
                 self.sock.sendto(datagram, peer)
