--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -38,6 +38,7 @@
 
     REQUEST_LINE = "request line"  # from accept until the request line is whole
     CONNECT = "connect"
+    ANSWER = "answer"  # from what this process requested until the answer is whole
     STALL = "stall"  # since when the peer has left sent bytes unread
     LINGER = "linger"  # from this side's end until the peer's
 
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""The connection of one attempt to its endpoint."""
+"""The connection of one attempt: its set-up, then the relay of the endpoint's lines to the client."""
 
 from __future__ import annotations
 
@@ -13,13 +13,12 @@
 from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Resume, Steps, Stop, linger
 from linnetshift.event_loop.stream import End, LineTooLongError, Stream
-from linnetshift.event_loop.timers import MS, Timeout
+from linnetshift.event_loop.timers import MS
 from linnetshift.observability import log
 from linnetshift.observability.log import Reason
 from linnetshift.routing.events import Outcome
+from linnetshift.upstream.attempt_setup import AttemptResult, AttemptSetup
 
-ANSWER_TIMER = "answer"
-ESTABLISHED = b"UP"  # the first word of an answer that accepts the request; a receipt follows
 LOAD_REPORT = b"LOAD "  # how a line begins with which an endpoint reports this connection's load
 MAX_INSPECTED_BYTES = 64  # lines that mean something to the proxy are shorter
 
@@ -30,31 +29,15 @@
     is_reset: bool
 
 
-class AttemptResult(NamedTuple):
-    """How an attempt's connection ended: for the log, for the decisions, and for the client's side."""
-
-    reason: Reason
-    outcome: Outcome
-    is_reset: bool = False
-
-
-# What the first word of an endpoint's answer means, but for ESTABLISHED.
-RESULTS_BY_ANSWER = {
-    b"ERR": AttemptResult(Reason.ERROR, Outcome.ERROR),
-    b"BUSY": AttemptResult(Reason.ENDPOINT_FULL, Outcome.FULL),
-    b"MOVE": AttemptResult(Reason.ENDPOINT_MIGRATED, Outcome.CANCELLED),
-}
-UNKNOWN_ANSWER = AttemptResult(Reason.ERROR, Outcome.ERROR)
-
 # What it means if the endpoint ends the connection after this line; after any other it broke off.
 OUTCOMES_BY_LAST_LINE = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}
 
 
 class EndpointConnection(OutboundConnection):
-    """One attempt's connection: the request line, the answer to it, then lines both ways.
+    """One attempt's connection: an actor with two states, and the broker's `UpstreamConnection`.
 
-    Implements the broker's `UpstreamConnection`. The broker gets one report of its end, unless the client
-    ended or the broker abandoned the attempt before.
+    The states are set-up, until the endpoint's answer (`AttemptSetup`), and established, with lines relayed.
+    The broker gets one report of its end, unless the client ended or the broker abandoned the attempt before.
     """
 
     def __init__(self, loop: Loop, broker: Broker, attempt: Attempt, address: Address) -> None:
@@ -66,7 +49,6 @@
         self.awaiting_reply_since_ns = 0  # when a line went out that has no reply yet; 0: none
         self.last_received_ns = loop.now()
         self.outcome_at_end = Outcome.RESET  # what the end of the connection means, by the last line
-        self.is_established = False
         self.is_released = False  # the broker has given it up, or has the report of its end
 
     # ---- called by the broker and the client's side -----------------------------------------
@@ -115,15 +97,19 @@
     # ---- the actor --------------------------------------------------------------------------
 
     def run(self) -> ActorCoroutine:
-        """Establish the connection, relay until one side ends, and report."""
+        """Set the connection up, relay until one side ends, and report the end."""
         self.attempt.upstream = self
-        result = yield from self.establish()
+        result = yield from AttemptSetup(self).run()
         if result is None:
-            result = yield from self.relay()
-        self.report(self.close_stream(result))
+            result = yield from self._relay()
+        self._report(self._close_stream(result))
 
-    def close_stream(self, result: AttemptResult) -> AttemptResult:
-        """Close the stream; the result with the reason ABANDONED where the broker had closed it."""
+    def report_failure(self) -> None:
+        """End the attempt after a fault on its connection."""
+        self._report(AttemptResult(Reason.FAULT, Outcome.RESET, is_reset=True))
+
+    def _close_stream(self, result: AttemptResult) -> AttemptResult:
+        """Close the stream; returns the result, with the reason ABANDONED where the broker had closed it."""
         if self.stream is None:
             return result
         if self.stream.closed:
@@ -131,11 +117,7 @@
         self.stream.close(End.RESET if result.is_reset and self.is_released else End.FIN)
         return result
 
-    def report_failure(self) -> None:
-        """End the attempt after a fault on its connection."""
-        self.report(AttemptResult(Reason.FAULT, Outcome.RESET, is_reset=True))
-
-    def report(self, result: AttemptResult) -> None:
+    def _report(self, result: AttemptResult) -> None:
         """Log the end, and notify the broker if it does not know."""
         log.connection_ended(
             "endpoint",
@@ -149,87 +131,23 @@
             self.is_released = True
             self.broker.handle_attempt_ended(self.attempt, result.outcome, result.is_reset)
 
-    # ---- until the endpoint's answer --------------------------------------------------------
-
-    def establish(self) -> Steps:
-        """Connect, send the request line and await its answer; None once the endpoint accepted it."""
-        limit_ns = min(self.broker.settings.connect_timeout_ns, self.attempt.deadline - self.loop.now())
-        is_connected = yield from self.connect(self.address, limit_ns)
-        if not is_connected:
-            reason = Reason.ABANDONED if self.is_released else Reason.UNREACHABLE
-            return AttemptResult(reason, Outcome.CONNECT_FAILED)
-        stream = self.stream
-        assert stream is not None
-        if not self.broker.may_send(self.attempt):
-            # The endpoint must not get a byte; the request is placed anew, if it may be.
-            return AttemptResult(Reason.ABANDONED, Outcome.MOOT)
-        if not stream.is_present:
-            # Closed as soon as it was accepted: nothing can have been executed there.
-            return AttemptResult(Reason.ENDPOINT_LEFT, Outcome.CONNECT_FAILED)
-        return (yield from self.exchange_request_line(stream))
-
-    def exchange_request_line(self, stream: Stream) -> Steps:
-        """Send the request line and await its answer; None once the endpoint accepted it."""
-        self.attempt.is_sent = True
-        remaining_ns = self.attempt.deadline - self.loop.now()
-        stream.send(self.attempt.request.encode_request_line(max(1, remaining_ns // MS)))
-        timer = self.set_timer(remaining_ns, ANSWER_TIMER)
-        result: AttemptResult | None = None
-        while result is None and not self.is_established:
-            match (yield):
-                case Io(mask):
-                    result = self.handle_io_before_answer(stream, mask)
-                case Timeout(tag="answer"):
-                    result = AttemptResult(Reason.TIMED_OUT, Outcome.TIMEOUT)
-                case Stop():
-                    result = AttemptResult(Reason.ABANDONED, Outcome.CANCELLED)
-        timer.cancel()
-        return result
-
-    def handle_io_before_answer(self, stream: Stream, mask: int) -> AttemptResult | None:
-        """Write and read as far as possible; the result if the attempt failed."""
-        if mask & select.EPOLLOUT:
-            stream.flush()
-        is_unsent = stream.is_congested or stream.broken
-        if not mask & ~select.EPOLLOUT:
-            return None
-        end = stream.fill()
-        result = self.receive_answer(stream)
-        if result is not None or self.is_established or end is None:
-            return result
-        # Without the whole request line the endpoint has executed nothing, and another may be tried.
-        reason = Reason.ENDPOINT_RESET if end is End.RESET else Reason.ENDPOINT_LEFT
-        return AttemptResult(reason, Outcome.CONNECT_FAILED if is_unsent else Outcome.RESET)
-
-    def receive_answer(self, stream: Stream) -> AttemptResult | None:
-        """Read the answer once it is complete; the result unless it accepts the request."""
-        try:
-            line = stream.line()
-        except LineTooLongError:
-            return AttemptResult(Reason.BAD_LINE, Outcome.ERROR)
-        if line is None:
-            return None
-        keyword, _, receipt = bytes(line).rstrip(b"\r\n").partition(b" ")
-        if keyword == ESTABLISHED and is_receipt(receipt):
-            self.is_established = True
-            self.broker.handle_established(self.attempt, line)
-            return None
-        return RESULTS_BY_ANSWER.get(keyword, UNKNOWN_ANSWER)
-
     # ---- established ------------------------------------------------------------------------
 
-    def relay(self) -> Steps:
-        """Pass lines on both ways until one side ends; the result."""
+    def _relay(self) -> Steps:
+        """Pass the endpoint's lines on until one side ends; returns the `AttemptResult`.
+
+        The other direction needs no turn of this actor: the client's side calls `deliver`.
+        """
         stream = self.stream
         assert stream is not None
         client = self.attempt.request.client
-        end = self.forward_lines(stream)
+        end = self._forward_lines(stream)
         while end is None:
             match (yield):
                 case Io(mask):
-                    end = self.handle_io(stream, client, mask)
+                    end = self._handle_io(stream, client, mask)
                 case Resume():
-                    end = self.forward_lines(stream)
+                    end = self._forward_lines(stream)
                 case ClientEnded(is_reset=True):
                     return AttemptResult(Reason.CLIENT_RESET, self.outcome_at_end, is_reset=True)
                 case ClientEnded():
@@ -240,9 +158,9 @@
                     return AttemptResult(Reason.ABANDONED, self.outcome_at_end)
         if end is End.FIN and (rest := stream.rest()):
             client.deliver(rest)
-        return result_of_end(end, self.outcome_at_end)
+        return _result_of_end(end, self.outcome_at_end)
 
-    def handle_io(self, stream: Stream, client: Client, mask: int) -> End | None:
+    def _handle_io(self, stream: Stream, client: Client, mask: int) -> End | None:
         """Write and read as far as possible; how the endpoint ended the connection, if it did."""
         end: End | None = None
         if mask & select.EPOLLOUT:
@@ -251,42 +169,42 @@
                 client.resume()
         if mask & ~select.EPOLLOUT:
             end = stream.fill()
-            end = self.forward_lines(stream) or end
+            end = self._forward_lines(stream) or end
         if stream.broken and end is None:
             return End.RESET
         return end
 
-    def forward_lines(self, stream: Stream) -> End | None:
+    def _forward_lines(self, stream: Stream) -> End | None:
         """Pass whole lines to the client while it takes them; stop reading when it does not.
 
         A line that is too long counts as a reset.
         """
         client = self.attempt.request.client
         if self.is_released:
-            stream.rest()
+            stream.rest()  # nobody is left to take it
             return None
         try:
             while not client.is_congested and (line := stream.line()) is not None:
-                self.inspect_line(line)
+                self._inspect_line(line)
                 client.deliver(line)
         except LineTooLongError:
             return End.RESET
         stream.set_reading(not client.is_congested)
         return None
 
-    def inspect_line(self, line: memoryview) -> None:
+    def _inspect_line(self, line: memoryview) -> None:
         """Record what a line means to the proxy; it is passed on all the same."""
         self.last_received_ns = self.loop.now()
         text = bytes(line[:MAX_INSPECTED_BYTES]).strip()
         if text.startswith(LOAD_REPORT):
-            self.record_load_report(text[len(LOAD_REPORT) :])
+            self._record_load_report(text[len(LOAD_REPORT) :])
             return
         self.outcome_at_end = OUTCOMES_BY_LAST_LINE.get(text, Outcome.RESET)
         if self.awaiting_reply_since_ns:
             self.broker.record_response_time(self.attempt, self.loop.now() - self.awaiting_reply_since_ns)
             self.awaiting_reply_since_ns = 0
 
-    def record_load_report(self, figure: bytes) -> None:
+    def _record_load_report(self, figure: bytes) -> None:
         """Notify the broker of a reported figure.
 
         It is the connection's load in us/s or the endpoint's message time in ms; the broker finds out which.
@@ -297,7 +215,7 @@
             log.info("load-report-invalid", endpoint=self.attempt.endpoint.decode("utf-8", "replace"))
 
 
-def result_of_end(end: End, outcome: Outcome) -> AttemptResult:
+def _result_of_end(end: End, outcome: Outcome) -> AttemptResult:
     """The result of an established connection that the endpoint ended; `outcome` is by its last line."""
     is_reset = end is End.RESET
     if outcome is Outcome.OK:
@@ -307,8 +225,3 @@
     else:
         reason = Reason.ENDPOINT_RESET if is_reset else Reason.ENDPOINT_LEFT
     return AttemptResult(reason, outcome, is_reset)
-
-
-def is_receipt(text: bytes) -> bool:
-    """Whether the text may follow ESTABLISHED: printable ASCII, and not empty."""
-    return bool(text) and text.isascii() and text.decode().isprintable()
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -8,6 +8,7 @@
 
 from linnetshift.event_loop.actor import ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.connection_limits import ConnectionTimer
 from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Steps
 from linnetshift.event_loop.stream import LineTooLongError, Stream
@@ -18,7 +19,6 @@
 
 # For the connection, and again for the answer.
 HEALTH_CHECK_TIMEOUT_NS = 200 * MS
-ANSWER_TIMER = "answer"
 
 PING = b"PING\r\n"
 LOAD_REPORT_REQUEST = b"STATS\r\n"
@@ -83,13 +83,13 @@
 
     def await_answer(self, stream: Stream) -> Steps:
         """The outcome, once the answer is there or its time is up."""
-        timer = self.set_timer(HEALTH_CHECK_TIMEOUT_NS, ANSWER_TIMER)
+        timer = self.set_timer(HEALTH_CHECK_TIMEOUT_NS, ConnectionTimer.ANSWER)
         outcome: Outcome | None = None
         while outcome is None:
             match (yield):
                 case Io(mask):
                     outcome = self.handle_io(stream, mask)
-                case Timeout(tag="answer"):
+                case Timeout(tag=ConnectionTimer.ANSWER):
                     outcome = Outcome.TIMEOUT
         timer.cancel()
         return outcome
