--- a/linnetshift/discovery/http_call.py
+++ b/linnetshift/discovery/http_call.py
@@ -11,6 +11,7 @@
 
 from linnetshift.event_loop.actor import Actor, ActorCoroutine, Io
 from linnetshift.event_loop.address import Address
+from linnetshift.event_loop.connection_limits import ConnectionTimer
 from linnetshift.event_loop.loop import Loop
 from linnetshift.event_loop.outbound_connection import OutboundConnection, Steps
 from linnetshift.event_loop.stream import End, Stream
@@ -25,7 +26,6 @@
 # Room for thousands of endpoints; once parsed, a list takes some ten times as much memory.
 MAX_BODY_BYTES = 1 << 20
 
-CALL_TIMER = "call"
 UNREACHABLE = "unreachable"  # the logged error of a call whose connection did not come up
 
 # What ends a call without an answer. The log shows the names of these types.
@@ -58,9 +58,9 @@
         error = UNREACHABLE
         is_connected = yield from self.connect(self.address, min(CONNECT_TIMEOUT_NS, self.limit_ns))
         if is_connected:
-            timer = self.set_timer(deadline - self.loop.now(), CALL_TIMER)
+            timer = self.set_timer(deadline - self.loop.now(), ConnectionTimer.ANSWER)
             try:
-                document = yield from self.exchange()
+                document = yield from self._exchange()
                 error = ""
             except CALL_ERRORS as failure:
                 error = f"{type(failure).__name__}: {log.error_text(failure)}"
@@ -76,12 +76,12 @@
         """Report a failed call after a fault in this one."""
         self.discovery.post(CallEnded(self, None))
 
-    def exchange(self) -> Steps:
+    def _exchange(self) -> Steps:
         """The document that the response holds; raises one of CALL_ERRORS."""
         stream = self.stream
         assert stream is not None
         http = h11.Connection(h11.CLIENT)
-        stream.send(self.encode_request(http))
+        stream.send(self._encode_request(http))
         body = bytearray()
         while True:
             event = http.next_event()
@@ -95,15 +95,15 @@
                 case h11.EndOfMessage():
                     return json.loads(body)
                 case h11.NEED_DATA:
-                    yield from self.receive(http, stream)
+                    yield from self._receive(http, stream)
 
-    def encode_request(self, http: h11.Connection) -> bytes:
+    def _encode_request(self, http: h11.Connection) -> bytes:
         """The whole request as sent; the connection ends with the response."""
         headers = [("Host", f"{self.address[0]}:{self.address[1]}"), ("Connection", "close")]
         request = h11.Request(method="GET", target=self.path, headers=headers)
         return http.send(request) + (http.send(h11.EndOfMessage()) or b"")
 
-    def receive(self, http: h11.Connection, stream: Stream) -> Steps:
+    def _receive(self, http: h11.Connection, stream: Stream) -> Steps:
         """Wait for one message of the loop and pass on what was received."""
         match (yield):
             case Io(mask):
@@ -116,5 +116,5 @@
                     raise ConnectionError("reset")
                 elif end is End.FIN:
                     http.receive_data(b"")
-            case Timeout(tag="call"):
+            case Timeout(tag=ConnectionTimer.ANSWER):
                 raise TimeoutError("no answer in time")
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -4,6 +4,7 @@
 
 import random
 from collections.abc import Callable
+from enum import Enum
 from typing import Any, NamedTuple
 
 from linnetshift.config.names import NameRegistry
@@ -43,8 +44,12 @@
 # Pause before the list is fetched again after an answer with invalid entries.
 REFETCH_DELAY_NS = 2 * S
 
-REFETCH_TIMER = "refetch"
-REOPEN_TIMER = "reopen"
+
+class WatchTimer(Enum):
+    """Tags of the timers of `Discovery`."""
+
+    REFETCH = "refetch"  # fetch the full list again, after an answer with invalid entries
+    REOPEN = "reopen"  # open the watch again, after an agent refused or failed a call
 
 
 class WatchTimeouts(NamedTuple):
@@ -151,29 +156,29 @@
     def run(self) -> ActorCoroutine:
         """Handle messages for as long as the process runs."""
         while True:
-            self.handle((yield))
+            self._handle((yield))
 
-    def handle(self, message: object) -> None:
+    def _handle(self, message: object) -> None:
         """Handle one message; a timer may fire after its purpose is gone."""
         match message:
             case SetWatch(is_on=True) if self.watch_call is None:
-                self.open_watch()
+                self._open_watch()
             case SetWatch(is_on=False):
                 self.watch_call = None  # its answer is ignored
             case FetchList():
-                self.call(LIST_PATH, self.timeouts.full_list_ns)
+                self._call(LIST_PATH, self.timeouts.full_list_ns)
             case Relocate(address, timeouts):
-                self.handle_relocation(address, timeouts)
-            case Timeout(tag="refetch"):
+                self._handle_relocation(address, timeouts)
+            case Timeout(tag=WatchTimer.REFETCH):
                 self.is_refetch_scheduled = False
-                self.call(LIST_PATH, self.timeouts.full_list_ns)
-            case Timeout(tag="reopen") if self.watch_call is None:
-                self.open_watch()
+                self._call(LIST_PATH, self.timeouts.full_list_ns)
+            case Timeout(tag=WatchTimer.REOPEN) if self.watch_call is None:
+                self._open_watch()
             case CallEnded(call, document, timed_out):
-                self.handle_call_ended(call, document, timed_out)
+                self._handle_call_ended(call, document, timed_out)
                 self.notify_call_ended()
 
-    def handle_relocation(self, address: Address, timeouts: WatchTimeouts) -> None:
+    def _handle_relocation(self, address: Address, timeouts: WatchTimeouts) -> None:
         """Open the watch at the address at once."""
         self.timeouts = timeouts
         if address != self.address:
@@ -184,15 +189,15 @@
             self.needs_full_list = True
         elif self.watch_call is not None:
             self.watch_call.end()  # it may have fallen silent
-        self.open_watch()
+        self._open_watch()
 
-    def call(self, path: str, limit_ns: int) -> DiscoveryCall:
+    def _call(self, path: str, limit_ns: int) -> DiscoveryCall:
         """Start a call; its end arrives as `CallEnded`."""
         call = DiscoveryCall(self.loop, self.address, path, limit_ns, self)
         call.start(call.run())
         return call
 
-    def open_watch(self) -> None:
+    def _open_watch(self) -> None:
         """Call for the next change, or for the full list where the address is new.
 
         The call follows the last answer at once: 200 ms later, discovery would take it as a new watch.
@@ -201,13 +206,13 @@
         doublings = 0 if self.timeouts.is_pushed else min(self.consecutive_timeouts, MAX_TIMEOUT_DOUBLINGS)
         if self.needs_full_list:
             limit_ns = min(self.timeouts.full_list_ns << doublings, MAX_FULL_LIST_CALL_NS)
-            self.watch_call = self.call(LIST_PATH, limit_ns)
+            self.watch_call = self._call(LIST_PATH, limit_ns)
             return
-        wait_ms = self.draw_wait_ms()
+        wait_ms = self._draw_wait_ms()
         path = f"{LIST_PATH}?since={self.version}&timeout_ms={wait_ms}"
-        self.watch_call = self.call(path, wait_ms * MS + (self.timeouts.margin_ns << doublings))
+        self.watch_call = self._call(path, wait_ms * MS + (self.timeouts.margin_ns << doublings))
 
-    def draw_wait_ms(self) -> int:
+    def _draw_wait_ms(self) -> int:
         """How long discovery is to hold the next watch open without a change."""
         # An agent serves this proxy alone.
         share = 1.0 if self.timeouts.is_pushed else self.random.uniform(MIN_WAIT_SHARE, 1.0)
@@ -218,7 +223,7 @@
 
     # ---- answers ----------------------------------------------------------------------------
 
-    def handle_call_ended(self, call: DiscoveryCall, document: Any, timed_out: bool) -> None:
+    def _handle_call_ended(self, call: DiscoveryCall, document: Any, timed_out: bool) -> None:
         """Use the list that a call brought, or act on its failure."""
         is_watch = call is self.watch_call
         if is_watch:
@@ -235,13 +240,13 @@
             if document is not None:
                 log.info("discovery-response-ignored", error=str(error)[:MAX_LOGGED_CHARS])
             if is_watch:
-                self.handle_watch_failed(timed_out)
+                self._handle_watch_failed(timed_out)
             return
-        self.accept(list_update)
+        self._accept(list_update)
         if is_watch:
-            self.handle_watch_answered()
+            self._handle_watch_answered()
 
-    def accept(self, list_update: EndpointListUpdate) -> None:
+    def _accept(self, list_update: EndpointListUpdate) -> None:
         """Pass the list on, and fetch it again later where some of it was invalid."""
         event = list_update.event
         self.stale_lists.accept(event)
@@ -250,21 +255,21 @@
             self.notify_update(list_update)
         if list_update.invalid_entries and not self.is_refetch_scheduled:
             self.is_refetch_scheduled = True
-            self.set_timer(REFETCH_DELAY_NS, REFETCH_TIMER)
+            self.set_timer(REFETCH_DELAY_NS, WatchTimer.REFETCH)
 
-    def handle_watch_answered(self) -> None:
+    def _handle_watch_answered(self) -> None:
         """Open the next watch."""
         self.needs_full_list = False
         self.previous_watch_call = None  # the former address has nothing newer
         self.last_watch_failed = False
-        self.open_watch()
+        self._open_watch()
 
-    def handle_watch_failed(self, timed_out: bool) -> None:
+    def _handle_watch_failed(self, timed_out: bool) -> None:
         """Reopen the watch, or leave it to the decisions when to."""
         self.last_watch_failed = True
         if timed_out:
-            self.open_watch()  # without a back-off: the time-out was one
+            self._open_watch()  # without a back-off: the time-out was one
         elif self.timeouts.is_pushed:
-            self.set_timer(REOPEN_DELAY_NS, REOPEN_TIMER)
+            self.set_timer(REOPEN_DELAY_NS, WatchTimer.REOPEN)
         else:
             self.notify_update(EndpointListUpdate(EndpointList(ListForm.FAILED, 0, ()), {}, 0))
