--- a/linnetshift/routing/endpoints.py
+++ b/linnetshift/routing/endpoints.py
@@ -140,20 +140,23 @@
 
     def apply(self, update: EndpointList) -> list[Endpoint]:
         """Apply a list or a change to it; returns the endpoints that connections must now leave."""
-        draining: list[Endpoint] = []
+        unavailable: list[Endpoint] = []  # not ready by this update: draining or removed
         if update.form in (ListForm.FULL, ListForm.CACHED):
             listed = {entry.endpoint for entry in update.entries}
             for endpoint in self._by_id.values():
                 if endpoint.id not in listed and endpoint.state != EndpointState.REMOVED:
-                    self._drain(endpoint, EndpointState.REMOVED, draining)
+                    self._drain(endpoint, EndpointState.REMOVED)
+                    unavailable.append(endpoint)
         for entry in update.entries:
             known = self._by_id.get(entry.endpoint)
             if known is None:
                 self._add(entry)
-            else:
-                self._update(known, entry, draining)
+                continue
+            self._update(known, entry)
+            if known.state != EndpointState.READY:
+                unavailable.append(known)
         self._delete_unused()
-        return draining
+        return [endpoint for endpoint in unavailable if endpoint.established]
 
     def warm_up_factor(self, endpoint: Endpoint) -> float:
         """The share of its capacity that an endpoint is certain to have by now, 1.0 once it is warm."""
@@ -179,43 +182,45 @@
     def _add(self, entry: EndpointEntry) -> None:
         endpoint = Endpoint(entry.endpoint, draining_since=self._context.now)
         self._by_id[entry.endpoint] = endpoint
-        self._copy_entry(endpoint, entry)
+        endpoint.state = entry.state
+        self._copy_attributes(endpoint, entry)
 
-    def _update(self, endpoint: Endpoint, entry: EndpointEntry, draining: list[Endpoint]) -> None:
-        previous = endpoint.state
-        if entry.state == EndpointState.READY and previous != EndpointState.READY:
-            endpoint.is_recovery_due = endpoint.is_recovery_due or self._draw_recovery_attempt()
+    def _update(self, endpoint: Endpoint, entry: EndpointEntry) -> None:
+        """Bring a known endpoint up to date, its state included."""
         if entry.started_ns != endpoint.started_at:
             endpoint.reset_health()
-        self._copy_entry(endpoint, entry)
+        self._copy_attributes(endpoint, entry)
         if entry.state != EndpointState.READY:
-            endpoint.state = previous  # which decides whether the grace begins now
-            self._drain(endpoint, EndpointState(entry.state), draining)
+            self._drain(endpoint, EndpointState(entry.state))
+            return
+        if endpoint.state != EndpointState.READY:
+            endpoint.is_recovery_due = endpoint.is_recovery_due or self._draw_recovery_attempt()
+        endpoint.state = EndpointState.READY
 
     def _draw_recovery_attempt(self) -> bool:
+        """Whether this balancer is one of those that send an attempt to an endpoint that is ready again."""
         context = self._context
         return context.random.random() * context.settings.balancers < RECOVERY_ATTEMPTS_OF_FLEET
 
-    def _copy_entry(self, endpoint: Endpoint, entry: EndpointEntry) -> None:
+    def _copy_attributes(self, endpoint: Endpoint, entry: EndpointEntry) -> None:
+        """Copy all of the entry but its state."""
         endpoint.zone = entry.zone
         endpoint.cell = entry.cell
         endpoint.kind = entry.kind
-        endpoint.state = entry.state
         endpoint.started_at = entry.started_ns
         endpoint.drain_within_ns = entry.drain_within_ns
         endpoint.weight = entry.weight if 0.0 < entry.weight < MAX_WEIGHT else 1.0
         highest = self._highest_weight_of_kind.get(endpoint.kind, 0.0)
         self._highest_weight_of_kind[endpoint.kind] = max(highest, endpoint.weight)
 
-    def _drain(self, endpoint: Endpoint, state: EndpointState, draining: list[Endpoint]) -> None:
+    def _drain(self, endpoint: Endpoint, state: EndpointState) -> None:
         """Set a state other than ready; the grace counts from the first update with such a state."""
         if endpoint.state == EndpointState.READY:
             endpoint.draining_since = self._context.now
         endpoint.state = state
-        if state != EndpointState.READY and endpoint.established:
-            draining.append(endpoint)
 
     def _delete_unused(self) -> None:
+        """Forget endpoints that are removed and have nothing in flight any more."""
         unused = [e for e in self._by_id.values() if e.state == EndpointState.REMOVED and not e.in_flight]
         for endpoint in unused:
             del self._by_id[endpoint.id]
