--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -141,23 +141,6 @@
             case TimerFired():
                 self._handle_timer_fired(event)
 
-    def _handle_endpoint_list(self, event: EndpointList) -> None:
-        if event.form == ListForm.FAILED:
-            self._discovery_poller.handle_list_failed()
-            return
-        self._discovery_poller.handle_list_received()
-        for endpoint in self.endpoints.apply(event):
-            self.migration.begin_leaving(endpoint)
-        self.ranking.invalidate()
-
-    def _handle_timer_fired(self, event: TimerFired) -> None:
-        if event.token == TICK_TOKEN:
-            self._tick_timer.handle_fired()
-            self.migration.handle_tick()
-            self.lifecycle.retry_waiting()
-        else:
-            self._discovery_poller.handle_timer_fired(event.token)
-
     def _handle_request(self, event: Request) -> None:
         if event.request_id in self.requests:
             return
@@ -183,14 +166,6 @@
         while probability and self.context.random.random() < probability:
             pending.skipped_ranks += 1
 
-    def _handle_adopted_connection(self, event: AdoptedConnection) -> None:
-        endpoint = self.endpoints.get(event.endpoint)
-        if endpoint is None or event.request_id in self.requests:
-            return
-        request_class = self.settings.classes[event.klass]
-        no_deadline = 0  # none runs for an established connection
-        self.requests.adopt(PendingRequest(event, no_deadline, event.load_hint, request_class), endpoint)
-
     def _handle_established(self, event: ConnectionEstablished) -> None:
         pending = self.requests.get(event.request_id)
         endpoint = self.endpoints.get(event.endpoint)
@@ -205,6 +180,17 @@
         if not pending.request.flags & (MID_FLOW | RETURNED | RETRY):
             self.slow_start.record_established(self.now)
 
+    def _handle_note(self, event: ConnectionNote) -> None:
+        endpoint = self.endpoints.get(event.endpoint)
+        if endpoint is None or not 0.0 <= event.value < MAX_NOTE_VALUE:
+            return
+        if event.kind == SLOW_NOTE:
+            self._message_latency.handle_report(endpoint, int(event.value * NS_PER_MS))
+        elif event.kind == LOAD_NOTE:
+            pending = self.requests.get(event.request_id)
+            if pending is not None:
+                pending.load_ns_per_s = event.value * NS_PER_US
+
     def _handle_attempt_ended(self, event: AttemptEnded) -> None:
         pending = self.requests.get(event.request_id)
         if pending is None or event.attempt != pending.last_attempt or pending.endpoint is None:
@@ -224,6 +210,23 @@
         if pending is not None:
             self.requests.remove(pending)
 
+    def _handle_adopted_connection(self, event: AdoptedConnection) -> None:
+        endpoint = self.endpoints.get(event.endpoint)
+        if endpoint is None or event.request_id in self.requests:
+            return
+        request_class = self.settings.classes[event.klass]
+        no_deadline = 0  # none runs for an established connection
+        self.requests.adopt(PendingRequest(event, no_deadline, event.load_hint, request_class), endpoint)
+
+    def _handle_endpoint_list(self, event: EndpointList) -> None:
+        if event.form == ListForm.FAILED:
+            self._discovery_poller.handle_list_failed()
+            return
+        self._discovery_poller.handle_list_received()
+        for endpoint in self.endpoints.apply(event):
+            self.migration.begin_leaving(endpoint)
+        self.ranking.invalidate()
+
     def _handle_health_check_result(self, event: HealthCheckResult) -> None:
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or not endpoint.health_check_sent_at:
@@ -244,13 +247,10 @@
         elif event.data[:1] == SLOW_MESSAGE:
             self._message_latency.handle_peer_report(endpoint)
 
-    def _handle_note(self, event: ConnectionNote) -> None:
-        endpoint = self.endpoints.get(event.endpoint)
-        if endpoint is None or not 0.0 <= event.value < MAX_NOTE_VALUE:
-            return
-        if event.kind == SLOW_NOTE:
-            self._message_latency.handle_report(endpoint, int(event.value * NS_PER_MS))
-        elif event.kind == LOAD_NOTE:
-            pending = self.requests.get(event.request_id)
-            if pending is not None:
-                pending.load_ns_per_s = event.value * NS_PER_US
+    def _handle_timer_fired(self, event: TimerFired) -> None:
+        if event.token == TICK_TOKEN:
+            self._tick_timer.handle_fired()
+            self.migration.handle_tick()
+            self.lifecycle.retry_waiting()
+        else:
+            self._discovery_poller.handle_timer_fired(event.token)
