--- a/linnetshift/event_loop/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -112,6 +112,11 @@
         """Whether sent data waits in `unsent`, as the socket's send buffer is full."""
         return bool(self.unsent)
 
+    @property
+    def untaken_bytes(self) -> int:
+        """How many bytes have been read and not been taken."""
+        return self.stop - self.start
+
     def arm(self) -> None:
         """Have epoll watch for what can be handled now: input, room for output, both or nothing.
 
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -15,12 +15,13 @@
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.message_relay import MessageRelay
 from linnetshift.frontends.line_protocol.messages import (
+    Accepted,
     EndpointEnded,
     Failed,
     MigrationRequested,
     Rejected,
 )
-from linnetshift.frontends.line_protocol.request_line import RequestLine, RequestLineError
+from linnetshift.frontends.line_protocol.request_line import LINE_TOO_LONG, RequestLine, RequestLineError
 from linnetshift.frontends.line_protocol.request_reader import RequestReader
 from linnetshift.frontends.listener import ANSWER_RESERVE_NS
 from linnetshift.observability import log
@@ -29,8 +30,7 @@
 if TYPE_CHECKING:
     from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
 
-EARLY_INPUT = "talks on before its answer"
-LINE_TOO_LONG = "too long"
+EARLY_INPUT = "talks on before its answer"  # the logged error of a client that does not await it
 
 
 class ClientConnection(StallDetector):
@@ -52,15 +52,18 @@
         self.stream = Stream(self.loop, sock, self.post_io)
         self.began_at = self.loop.now()
         self.request: ActiveRequest | None = None
-        self.endpoint = b""  # that accepted the request
+        self.endpoint = b""  # the one that accepted the request
         self.client_request_id: int | None = None  # from the request line; unique among open connections
         self.error = ""  # what was wrong with the client's input, for the log
         self.retry_after_ms = 0
 
     def evict(self) -> None:
-        """Answer and close at once, for want of descriptors; the connection has sent no request yet."""
+        """Close at once, for want of descriptors: it has sent no request yet, or its sending side has ended.
+
+        In the former case it gets an answer first; in the latter, `send` has no effect any more.
+        """
         self.stream.discard_input()  # a close over bytes unread would reset the answer away
-        self.stream.send(b"" if self.stream.ending else protocol.ERROR_LINE)
+        self.stream.send(protocol.ERROR_LINE)
         self.stream.close()
         self.post(Stop())
 
@@ -81,7 +84,7 @@
         if self.request is not None and self.request.attempt is not None:
             self.endpoint = self.request.attempt.endpoint
         self.stream.send(receipt)
-        self.post(Resume())
+        self.post(Accepted())
 
     def deliver(self, message: memoryview) -> None:
         """Send a line from the endpoint."""
@@ -140,7 +143,7 @@
 
         `arrived_ns` is when the loop saw the line.
         """
-        if self.stream.stop > self.stream.start:
+        if self.stream.untaken_bytes:
             raise RequestLineError(EARLY_INPUT)
         if request_line.id in self.frontend.open_request_ids:
             # An endpoint takes it for a copy of the other request and answers ERR; so would each retry's.
@@ -163,12 +166,12 @@
         self.broker.submit(self.request)
 
     def answer_bad_line(self, error: str) -> Reason:
-        """Answer input that breaks the protocol; an empty `error` stands for a line that is too long."""
-        self.error = error or LINE_TOO_LONG
+        """Answer input that breaks the protocol; `error` says for the log how it does."""
+        self.error = error
         self.stream.send(protocol.ERROR_LINE)
         return Reason.BAD_LINE
 
-    def set_line_too_long(self) -> None:
+    def record_line_too_long(self) -> None:
         """Keep for the log that a relayed line was too long; an established connection gets no answer."""
         self.error = LINE_TOO_LONG
 
@@ -176,7 +179,7 @@
         """Return None once the endpoint has accepted, else the reason why the connection ends."""
         while True:
             match (yield):
-                case Resume():
+                case Accepted():
                     return None
                 case Rejected(retry_after_ns):
                     self.retry_after_ms = ceil_ms(retry_after_ns)
@@ -199,10 +202,12 @@
             # The client may have ended only its sending side, and still read.
             self.stream.send(protocol.BUSY_LINE if is_retry_safe else protocol.ERROR_LINE)
             return Reason.WITHDRAWN
-        if self.stream.stop > self.stream.start and not request.is_answered:
+        if self.stream.untaken_bytes and not request.is_answered:
             # Left unread, it would hide the end of the client's side; an endpoint could not use it.
             self.broker.handle_client_ended(request, False)
             return self.answer_bad_line(EARLY_INPUT)
+        # If an answer is already in the mailbox, the input is for the relay, which reads an end once more;
+        # until then the end would wake the loop on every turn.
         self.stream.set_reading(end is None)
         return None
 
--- a/linnetshift/frontends/line_protocol/message_relay.py
+++ b/linnetshift/frontends/line_protocol/message_relay.py
@@ -72,7 +72,7 @@
             while not upstream.is_congested and (line := self.stream.line()) is not None:
                 upstream.deliver(line)
         except LineTooLongError:
-            self.connection.set_line_too_long()
+            self.connection.record_line_too_long()
             self.broker.handle_client_ended(self.request, False)
             return False
         self.stream.set_reading(not upstream.is_congested)
--- a/linnetshift/frontends/line_protocol/messages.py
+++ b/linnetshift/frontends/line_protocol/messages.py
@@ -9,6 +9,10 @@
 from typing import NamedTuple
 
 
+class Accepted(NamedTuple):
+    """The endpoint has accepted the request, and the client was sent its receipt."""
+
+
 class Rejected(NamedTuple):
     """The request was not executed and a retry is harmless."""
 
--- a/linnetshift/frontends/line_protocol/request_line.py
+++ b/linnetshift/frontends/line_protocol/request_line.py
@@ -10,6 +10,7 @@
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.routing.events import RETRY, RETURNED
 
+LINE_TOO_LONG = "too long"  # the logged error of any line over the protocol's limit
 HEXADECIMAL_DIGITS = b"0123456789abcdefABCDEF"
 LOAD_HINT_LIMIT = 2.0**63  # exclusive: the decisions hold the hint in a signed 64-bit number
 
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -12,7 +12,11 @@
 from linnetshift.event_loop.timers import Timeout
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.frontends.line_protocol.messages import ShutdownNotice
-from linnetshift.frontends.line_protocol.request_line import RequestLineError, parse_request_line
+from linnetshift.frontends.line_protocol.request_line import (
+    LINE_TOO_LONG,
+    RequestLineError,
+    parse_request_line,
+)
 from linnetshift.observability.log import Reason
 
 if TYPE_CHECKING:
@@ -41,8 +45,10 @@
         while True:
             try:
                 is_submitted = self._process_lines()
-            except (RequestLineError, LineTooLongError) as error:
+            except RequestLineError as error:
                 return self.connection.answer_bad_line(str(error))
+            except LineTooLongError:
+                return self.connection.answer_bad_line(LINE_TOO_LONG)
             if is_submitted:
                 timer.cancel()
                 return None
@@ -88,7 +94,7 @@
         if mask & select.EPOLLOUT:
             self.stream.flush()
         self.arrived_ns = self.connection.loop.ready_since
-        unread_before = self.stream.stop - self.stream.start
+        untaken_before = self.stream.untaken_bytes
         self.end = self.stream.fill()
-        if self.stream.stop > unread_before:
+        if self.stream.untaken_bytes > untaken_before:
             self.frontend.connection_limiter.handle_partial_request(self.connection)
