--- a/linnetshift/routing/endpoint_selection.py
+++ b/linnetshift/routing/endpoint_selection.py
@@ -19,7 +19,8 @@
 class EndpointSelection:
     """Goes through a key's endpoints by rank and passes over those that must not or should not be used.
 
-    Stateless: it reads the endpoints, the requests and slow start.
+    Has no state of its own: it reads that of the components that it is given, records the endpoint that a
+    slow-start token was drawn for in the request, and has health checks sent.
     """
 
     def __init__(
@@ -31,7 +32,7 @@
         slow_start: SlowStart,
         health_checks: HealthChecks,
     ) -> None:
-        """The components that it reads; through `health_checks` it also sends checks."""
+        """`health_checks` sends the checks that a placement awaits."""
         self._context = context
         self._endpoints = endpoints
         self._requests = requests
@@ -83,7 +84,10 @@
         return None
 
     def is_avoided(self, endpoint: Endpoint, request_class: RequestClass) -> bool:
-        """Whether it is slow, ejected, overloaded or has a half-open attempt: the next rank is preferred."""
+        """Whether `endpoint` is slow, ejected, overloaded or has a half-open attempt out.
+
+        Endpoints of a lower rank are preferred to it then.
+        """
         now = self._context.now
         if endpoint.is_over_objective(now, request_class) or now < endpoint.ejected_until:
             return True
@@ -119,8 +123,12 @@
         due for a recovery attempt; packets of an open connection follow the ranking alone.
         """
         drawn = None if is_mid_flow else self._draw_warming_endpoint(pending)
-        ahead = [e for e in self._endpoints.values() if e is drawn or (e.is_recovery_due and not is_mid_flow)]
-        for endpoint in (*ahead, *self._preference_order(pending)):
+        before_ranking = [
+            endpoint
+            for endpoint in self._endpoints.values()
+            if endpoint is drawn or (endpoint.is_recovery_due and not is_mid_flow)
+        ]
+        for endpoint in (*before_ranking, *self._preference_order(pending)):
             may_receive = (
                 self._may_receive(endpoint, is_mid_flow)
                 or endpoint is drawn
@@ -133,11 +141,11 @@
         """The warming endpoint that this request goes to, if it gets a slow-start token."""
         self._ranking.candidates()  # also brings slow start's shares up to date
         shares = self._slow_start.shares
-        drawn = pending.warming_endpoint
-        if drawn not in shares or self._endpoints[drawn] in pending.endpoints_tried:
+        previous = pending.warming_endpoint  # drawn when this request was placed before
+        if previous not in shares or self._endpoints[previous] in pending.endpoints_tried:
             context = self._context
-            token = self._slow_start.draw(context.now, context.slow_start_window_ns, context.random.random)
-            pending.warming_endpoint = token or b""
+            drawn = self._slow_start.draw(context.now, context.slow_start_window_ns, context.random.random)
+            pending.warming_endpoint = drawn or b""
         return self._endpoints.get(pending.warming_endpoint)
 
     def _preference_order(self, pending: PendingRequest) -> Iterator[Endpoint]:
--- a/linnetshift/routing/endpoints.py
+++ b/linnetshift/routing/endpoints.py
@@ -210,8 +210,8 @@
         endpoint.started_at = entry.started_ns
         endpoint.drain_within_ns = entry.drain_within_ns
         endpoint.weight = entry.weight if 0.0 < entry.weight < MAX_WEIGHT else 1.0
-        highest = self._highest_weight_of_kind.get(endpoint.kind, 0.0)
-        self._highest_weight_of_kind[endpoint.kind] = max(highest, endpoint.weight)
+        highest_weight = self._highest_weight_of_kind.get(endpoint.kind, 0.0)
+        self._highest_weight_of_kind[endpoint.kind] = max(highest_weight, endpoint.weight)
 
     def _drain(self, endpoint: Endpoint, state: EndpointState) -> None:
         """Set a state other than ready; the grace counts from the first update with such a state."""
--- a/linnetshift/routing/migration.py
+++ b/linnetshift/routing/migration.py
@@ -93,10 +93,12 @@
         self._context.emit(Migrate(pending.request.request_id))
 
     def _not_admitted(self, endpoint: Endpoint) -> list[PendingRequest]:
+        """Its connections whose keys load shedding would not admit now."""
         established = endpoint.established.values()
         return [pending for pending in established if not self._admission.admits(pending.request)]
 
     def _migrate_heaviest(self, endpoint: Endpoint, share: ShareToMigrate) -> None:
+        """Migrate as many as the shares add up to, those with the largest share and load first."""
         shares = {
             pending: share(pending.request_class.message_latency_objective_ns)
             for pending in endpoint.established.values()
@@ -109,7 +111,10 @@
                 self.migrate(pending, endpoint)
 
     def _migrate_next(self, endpoint: Endpoint) -> None:
-        """Migrate those that are due at this tick, so that all have left when the endpoint stops."""
+        """Migrate the connections that are due at this tick.
+
+        They leave a draining endpoint evenly until it stops, and an unresponsive one by UNRESPONSIVE_SHARE.
+        """
         context = self._context
         is_ready = endpoint.state == EndpointState.READY
         stops_at = endpoint.draining_since + (endpoint.drain_within_ns or DEFAULT_DRAIN_NS)
--- a/linnetshift/routing/ranking.py
+++ b/linnetshift/routing/ranking.py
@@ -99,6 +99,7 @@
         )
 
     def _stepped_warm_up_factor(self, endpoint: Endpoint) -> float:
+        """The warm-up factor, rounded down to a whole step but never to 0."""
         factor = self._endpoints.warm_up_factor(endpoint)
         steps = int(factor * WARM_UP_STEPS) or 1  # a weight of 0 would have no inverse
         return steps / WARM_UP_STEPS
@@ -124,17 +125,18 @@
             for endpoint, capacity in zip(listed, capacities, strict=True)
             if endpoint.state == EndpointState.READY and self._endpoints.is_warming_up(endpoint)
         }
-        own = sum(len(endpoint.established) for endpoint in self._endpoints.values())
+        own_connections = sum(len(endpoint.established) for endpoint in self._endpoints.values())
         self._update_connections_per_weight()
         self._slow_start.tokens_per_s = token_rate(
             settings,
             first_arrivals_per_s=self._slow_start.first_arrivals_per_s.decayed(self._context.now),
-            established=self.predecessor_connections + own,
+            established=self.predecessor_connections + own_connections,
             capacity=self.connections_per_weight * total / settings.balancers,
             endpoints=len(listed),
         )
 
     def _update_connections_per_weight(self) -> None:
+        """Estimate it anew from the connections whose loads are known; without any, the last value stays."""
         loads = [
             pending.load_ns_per_s
             for endpoint in self._endpoints.values()
--- a/linnetshift/routing/request_lifecycle.py
+++ b/linnetshift/routing/request_lifecycle.py
@@ -48,7 +48,7 @@
         if is_mid_flow or self._requests.setups_in_flight < self.concurrency_limit.limit:
             endpoint = self._selection.choose(pending, is_mid_flow)
         if endpoint is None:
-            self._wait(pending)
+            self._queue(pending)
         else:
             self._send(pending, endpoint)
 
@@ -97,7 +97,7 @@
             self._context.emit(Fail(event.request_id))
             return
         sent_at = self._context.now - event.elapsed_ns
-        retry_policy.record_attempt_end(pending, endpoint, event.outcome, sent_at)
+        retry_policy.record_possible_execution(pending, endpoint, event.outcome, sent_at)
         self.place(pending)
 
     def _send(self, pending: PendingRequest, endpoint: Endpoint) -> None:
@@ -113,7 +113,7 @@
         self._outlier_detection.begin_half_open_attempt(endpoint, request_id)
         context.emit(Send(request_id, endpoint.id, timeout_ns))
 
-    def _wait(self, pending: PendingRequest) -> None:
+    def _queue(self, pending: PendingRequest) -> None:
         """Queue the request; reject it at once where no endpoint could serve it before its deadline."""
         shortest_ns = max(MIN_WAIT_TICKS * self._context.tick_ns, self._selection.wait_ns())
         if pending.deadline - self._context.now <= shortest_ns:
--- a/linnetshift/routing/retry_policy.py
+++ b/linnetshift/routing/retry_policy.py
@@ -17,6 +17,7 @@
     """Whether one more attempt may be sent now: in time, and within the number of attempts.
 
     The idempotency window must still be open when the request has arrived, so after the connect timeout.
+    `now` is in nanoseconds of the caller's clock, as deadlines are.
     """
     request_class = pending.request_class
     if pending.deadline <= now or pending.last_attempt + 1 >= request_class.max_attempts:
@@ -29,12 +30,16 @@
 def may_execute_on(pending: PendingRequest, endpoint: Endpoint) -> bool:
     """Whether one more attempt, on that endpoint, can take effect at most once."""
     request_class = pending.request_class
-    first = pending.possibly_executed_on
-    if first is None or request_class.effect == Effect.IDEMPOTENT or request_class.scope == Scope.ALL:
+    first_endpoint = pending.possibly_executed_on
+    if (
+        first_endpoint is None
+        or request_class.effect == Effect.IDEMPOTENT
+        or request_class.scope == Scope.ALL
+    ):
         return True
     if request_class.scope == Scope.ZONE:
-        return endpoint.zone == first.zone
-    return endpoint.cell == first.cell
+        return endpoint.zone == first_endpoint.zone
+    return endpoint.cell == first_endpoint.cell
 
 
 def attempt_timeout_ns(
@@ -55,14 +60,22 @@
 
 
 def client_may_retry(pending: PendingRequest, until: int) -> bool:
-    """Whether it is harmless that the client sends the request again, at any balancer, up to that time."""
+    """Whether it is harmless that the client sends the request again, at any balancer, until that time.
+
+    `until` is in nanoseconds of the caller's clock.
+    """
     if pending.possibly_executed_on is None:
         return True
     return pending.request_class.client_may_retry(pending.possibly_executed_at, until)
 
 
-def record_attempt_end(pending: PendingRequest, endpoint: Endpoint, outcome: int, sent_at: int) -> None:
-    """Record the first attempt that may have had an effect."""
+def record_possible_execution(
+    pending: PendingRequest, endpoint: Endpoint, outcome: int, sent_at: int
+) -> None:
+    """Record an attempt that ended with this `Outcome`, if it is the first that may have had an effect.
+
+    `sent_at` is when it was sent, in nanoseconds of the caller's clock.
+    """
     if outcome not in NEVER_RAN and pending.possibly_executed_on is None:
         pending.possibly_executed_on = endpoint
         pending.possibly_executed_at = sent_at
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -73,11 +73,11 @@
 def test_client_may_retry_until_an_attempt_may_have_had_an_effect() -> None:
     parts = Parts(**effect("once"))
     pending = parts.pending(1)
-    retry_policy.record_attempt_end(pending, parts.endpoint(0), Outcome.CONNECT_FAILED, 1 * S)
+    retry_policy.record_possible_execution(pending, parts.endpoint(0), Outcome.CONNECT_FAILED, 1 * S)
     assert pending.possibly_executed_on is None
     assert retry_policy.client_may_retry(pending, 9 * S)
-    retry_policy.record_attempt_end(pending, parts.endpoint(1), Outcome.TIMEOUT, 2 * S)
-    retry_policy.record_attempt_end(pending, parts.endpoint(2), Outcome.TIMEOUT, 3 * S)
+    retry_policy.record_possible_execution(pending, parts.endpoint(1), Outcome.TIMEOUT, 2 * S)
+    retry_policy.record_possible_execution(pending, parts.endpoint(2), Outcome.TIMEOUT, 3 * S)
     assert pending.possibly_executed_on is parts.endpoint(1)
     assert pending.possibly_executed_at == 2 * S
     assert not retry_policy.client_may_retry(pending, 2 * S)
