--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -67,6 +67,7 @@
         self._open(request, endpoint, self.clock() + allowed_ns)
 
     def _report_moot(self, request_id: int, number: int, endpoint: bytes) -> None:
+        """Report an attempt that was decided on and not started, as nothing was to be gained by it."""
         self.inbox.post(
             AttemptEnded(
                 request_id=request_id,
@@ -154,7 +155,10 @@
         request.client.handle_established(receipt)
 
     def handle_ended(self, attempt: Attempt, outcome: Outcome, reset: bool) -> None:
-        """The attempt's connection is closed: an established request ends, another one may be retried."""
+        """The attempt's connection is closed: an established request ends, another one may be retried.
+
+        `reset`: the connection was reset, or broke off, rather than ended in order.
+        """
         request = attempt.request
         if request.attempt is not attempt:
             return
@@ -173,7 +177,10 @@
         self._report_ended(attempt, outcome)
 
     def handle_client_ended(self, request: ActiveRequest, reset: bool) -> None:
-        """The client left, or has been migrated; no effect on a request that is over."""
+        """The client left, or has been migrated; no effect on a request that is over.
+
+        `reset`: the endpoint's side is to end by a reset, as the client's did.
+        """
         if request.id not in self.table.requests:
             return
         attempt = request.attempt
--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -197,7 +197,7 @@
         self.attempts.handle_established(attempt, receipt)
 
     def handle_attempt_ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
-        """The attempt's connection is closed; `reset`: not in order."""
+        """The attempt's connection is closed; `reset`: by a reset, or it broke off."""
         self.attempts.handle_ended(attempt, outcome, reset)
 
     # ---- established connections ------------------------------------------------------------
--- a/linnetshift/broker/endpoint_views.py
+++ b/linnetshift/broker/endpoint_views.py
@@ -20,8 +20,8 @@
         """Start with no endpoints known."""
         self.clock = clock
         self.inbox = inbox
-        self.zones: dict[bytes, int] = {}
-        self.started_ns: dict[bytes, int] = {}
+        self.zones: dict[bytes, int] = {}  # number of each endpoint's zone
+        self.started_ns: dict[bytes, int] = {}  # when each endpoint last started, as listed; 0: long ago
         self.administrative_drains = AdministrativeDrains(clock)
         self.latency_estimator = LatencyEstimator()
         self.deployment_facts = DeploymentFacts()
@@ -99,7 +99,7 @@
         if not self.administrative_drains.is_known(endpoint):
             return  # forgotten: nothing is kept under its name any more
         zone = self.zones.get(endpoint)
-        remote_zone = zone if zone != self.settings.zone else None
+        remote_zone = zone if zone != self.settings.zone else None  # None: none is crossed, or it is unknown
         self.latency_estimator.record_response_time(endpoint, remote_zone, elapsed_ns, self.clock())
 
     def record_connection_ended(self, endpoint: bytes, outcome: Outcome) -> None:
--- a/linnetshift/broker/event_inbox.py
+++ b/linnetshift/broker/event_inbox.py
@@ -10,7 +10,7 @@
     """Collects what comes in during one turn of the event loop, to be decided on together."""
 
     def __init__(self, timers: Timers) -> None:
-        """Start empty; `timers` is asked to schedule the processing of the first event of each turn."""
+        """Start empty; `timers` is asked to schedule processing whenever the first event comes in."""
         self.timers = timers
         self.events: list[Event] = []
 
@@ -21,7 +21,7 @@
         self.events.append(event)
 
     def take(self) -> list[Event]:
-        """All waiting events, in the order that the balancer is to see them; the inbox is empty then.
+        """Empty the inbox; returns the events that waited, in the order for the balancer to see them.
 
         Changes of endpoints go first: what came in the same turn must not be placed by an older list.
         """
--- a/linnetshift/broker/request_table.py
+++ b/linnetshift/broker/request_table.py
@@ -50,7 +50,10 @@
         self.contracts = contracts
 
     def add(self, request: ActiveRequest) -> bool:
-        """Take the request on, or reject it by its team's contract; whether it was taken on."""
+        """Number the request and take it on, or reject it by its team's contract.
+
+        Returns whether it was taken on.
+        """
         request.id = next(self._ids)
         request.began = self.clock()
         breach = self.contracts.admit(request.tenant, request.klass, request.flags, request.began)
@@ -61,7 +64,7 @@
         return True
 
     def remove(self, request: ActiveRequest) -> Client:
-        """End the request; its client, which it does not hold any more."""
+        """End the request; returns its client, which the request gives up, for a last notification."""
         if self.requests.pop(request.id, None) is not None:
             self.contracts.release(request.tenant)
         return request.detach_client()
@@ -84,13 +87,16 @@
     # ---- final answers ----------------------------------------------------------------------
 
     def reject(self, request_id: int, retry_after_ns: int = 0) -> None:
-        """Answer that nothing was done and a retry does no harm; no effect on an answered request."""
+        """Answer that nothing was done and a retry does no harm; no effect on an answered request.
+
+        `retry_after_ns` is how long the client should wait, 0 to leave that to it.
+        """
         client = self._finish_unserved(request_id)
         if client is not None:
             client.reject(retry_after_ns, "")
 
     def fail(self, request_id: int) -> None:
-        """Answer that it is not served, without a promise as to effects; nothing where it is answered."""
+        """Answer that it is not served and may have had effects; no effect on an answered request."""
         client = self._finish_unserved(request_id)
         if client is not None:
             client.fail()
@@ -114,7 +120,7 @@
         return self.settings.classes[request.klass].client_may_retry(first_executed_ns, retry_by_ns)
 
     def _finish_unserved(self, request_id: int) -> Client | None:
-        """End the request and its attempt; the client to be answered, or None where it has its answer."""
+        """End the request and its attempt; returns the client to answer, None where it has its answer."""
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
             return None
@@ -127,7 +133,7 @@
             self.inbox.post(attempt.to_ended_event(self.clock(), Outcome.CANCELLED))
         return client
 
-    # ---- selections -------------------------------------------------------------------------
+    # ---- queries ----------------------------------------------------------------------------
 
     def established(self) -> list[ActiveRequest]:
         """Requests whose connection is established."""
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -49,11 +49,11 @@
 
     def connect(self, address: Address, timeout_ns: int) -> Steps:
         """Connect; returns whether the connection is established in time, with `stream` open."""
-        sock = self.create_socket(address)
+        sock = self._create_socket(address)
         if sock is None:
             return False
         self.stream = stream = Stream(self.loop, sock, self.post_io)
-        if not start_connecting(stream, sock, address):
+        if not _start_connecting(stream, sock, address):
             return False
         timer = self.set_timer(timeout_ns, ConnectionTimer.CONNECT)
         while stream.connecting:
@@ -69,8 +69,8 @@
         timer.cancel()
         return True
 
-    def create_socket(self, address: Address) -> socket.socket | None:
-        """A TCP socket; None where descriptors are short and no connection can be evicted."""
+    def _create_socket(self, address: Address) -> socket.socket | None:
+        """Return a TCP socket; None where descriptors are short and no connection can be evicted."""
         while True:
             try:
                 return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -80,7 +80,7 @@
                     return None
 
 
-def start_connecting(stream: Stream, sock: socket.socket, address: Address) -> bool:
+def _start_connecting(stream: Stream, sock: socket.socket, address: Address) -> bool:
     """Begin to connect without blocking; False where that failed at once."""
     try:
         code = sock.connect_ex(address)
@@ -112,7 +112,7 @@
                     received_bytes = stream.discard_input()
                     has_received = has_received or received_bytes > 0
                     if received_bytes < 0:
-                        break
+                        break  # the peer has ended too
             case Timeout(tag=ConnectionTimer.LINGER):
                 now = actor.loop.now()
                 if stream.is_congested and now < write_deadline:
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -20,6 +20,7 @@
 
 BACKLOG = 1024  # connections that the kernel keeps for a listening socket
 MAX_ACCEPTS_PER_WAKEUP = 64  # so that a flood leaves time for established connections
+MAX_ACCEPTS_AT_CLOSE = 2 * BACKLOG  # a full queue, and what joins it meanwhile
 # How long nothing is accepted while descriptors or buffers are short.
 ACCEPT_PAUSE_NS = 50 * MS
 # How long before the deadline the answer is due: the client counts from when it sent the request, which was
@@ -77,7 +78,7 @@
             return
         if not self.is_inherited and not self.is_paused:
             # The kernel has accepted those in the queue for their clients; a close would reset them.
-            self._accept(2 * BACKLOG)
+            self._accept(MAX_ACCEPTS_AT_CLOSE)
         # First: closing does not end epoll's interest in a socket that other processes hold too.
         self.loop.unwatch(self.listener.fileno())
         self.listener.close()
@@ -125,15 +126,6 @@
     return listener
 
 
-def endpoint_end_reason(outcome: int, is_reset: bool) -> Reason:
-    """Why an established connection is over that its endpoint ended with this `Outcome`."""
-    if is_reset:
-        return Reason.ENDPOINT_RESET
-    if outcome == Outcome.OK:
-        return Reason.SERVED
-    return Reason.ENDPOINT_MIGRATED if outcome == Outcome.CANCELLED else Reason.ENDPOINT_LEFT
-
-
 class Frontend(ABC):
     """Accepts clients of one protocol, at an address that may change while the program runs."""
 
@@ -179,3 +171,12 @@
         if self.acceptor is not None:
             self.acceptor.close()
             self.acceptor = None
+
+
+def endpoint_end_reason(outcome: int, is_reset: bool) -> Reason:
+    """The reason to log for an established connection that its endpoint ended with this `Outcome`."""
+    if is_reset:
+        return Reason.ENDPOINT_RESET
+    if outcome == Outcome.OK:
+        return Reason.SERVED
+    return Reason.ENDPOINT_MIGRATED if outcome == Outcome.CANCELLED else Reason.ENDPOINT_LEFT
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -60,16 +60,16 @@
             # The round trip of connecting does not show how fast the endpoint is.
             self.started_at_ns = self.loop.now()
             stream.send(LOAD_REPORT_REQUEST if self.columns else PING)
-            outcome = yield from self.await_answer(stream)
+            outcome = yield from self._await_answer(stream)
         if stream is not None:
             stream.close()
-        self.report(outcome)
+        self._report(outcome)
 
     def report_failure(self) -> None:
         """Report an error after a fault in the check itself."""
-        self.report(Outcome.ERROR)
+        self._report(Outcome.ERROR)
 
-    def report(self, outcome: Outcome) -> None:
+    def _report(self, outcome: Outcome) -> None:
         """Log the end and pass on the result."""
         elapsed_ns = self.loop.now() - self.started_at_ns
         check_fields: dict[str, object] = {
@@ -81,20 +81,20 @@
         log.connection_ended("health-check", REASONS[outcome], **(check_fields | figures | check_fields))
         self.notify_result(outcome, elapsed_ns, self.figures)
 
-    def await_answer(self, stream: Stream) -> Steps:
+    def _await_answer(self, stream: Stream) -> Steps:
         """The outcome, once the answer is there or its time is up."""
         timer = self.set_timer(HEALTH_CHECK_TIMEOUT_NS, ConnectionTimer.ANSWER)
         outcome: Outcome | None = None
         while outcome is None:
             match (yield):
                 case Io(mask):
-                    outcome = self.handle_io(stream, mask)
+                    outcome = self._handle_io(stream, mask)
                 case Timeout(tag=ConnectionTimer.ANSWER):
                     outcome = Outcome.TIMEOUT
         timer.cancel()
         return outcome
 
-    def handle_io(self, stream: Stream, mask: int) -> Outcome | None:
+    def _handle_io(self, stream: Stream, mask: int) -> Outcome | None:
         """Write and read as far as possible; the outcome once it is known."""
         if mask & select.EPOLLOUT:
             stream.flush()
