--- a/linnetshift/discovery/endpoint_list.py
+++ b/linnetshift/discovery/endpoint_list.py
@@ -70,7 +70,7 @@
     errors = []
     for target in document[TARGETS_KEY]:
         try:
-            entry, address = parse_entry(target, names)
+            entry, address = _parse_entry(target, names)
         except ENTRY_ERRORS as error:
             errors.append(f"{type(error).__name__}: {error}")
             continue
@@ -79,18 +79,18 @@
     if errors:
         log.info("endpoint-entries-invalid", count=len(errors), first=errors[0][:MAX_LOGGED_CHARS])
     is_full = bool(document.get(IS_FULL_KEY)) and not errors
-    form = list_form(is_cached, is_full)
+    form = _list_form(is_cached, is_full)
     return EndpointListUpdate(EndpointList(form, version, tuple(entries)), addresses, len(errors))
 
 
-def list_form(is_cached: bool, is_full: bool) -> ListForm:
+def _list_form(is_cached: bool, is_full: bool) -> ListForm:
     """The form for the decisions: only a full list from discovery shows which endpoints are removed."""
     if is_cached:
         return ListForm.CACHED
     return ListForm.FULL if is_full else ListForm.DELTA
 
 
-def parse_entry(target: dict[str, Any], names: NameRegistry) -> tuple[EndpointEntry, Address]:
+def _parse_entry(target: dict[str, Any], names: NameRegistry) -> tuple[EndpointEntry, Address]:
     """One entry and its address; raises one of ENTRY_ERRORS where it is invalid.
 
     Zones and kinds that the configuration does not name become UNKNOWN_NUMBER.
@@ -109,12 +109,12 @@
 
 
 def serialize_entry(entry: EndpointEntry, address: Address, names: NameRegistry) -> dict[str, Any]:
-    """The entry as discovery would list it: what `parse_entry` reads."""
+    """The entry as discovery would list it: what `_parse_entry` reads."""
     return {
         ENDPOINT_ID_KEY: entry.endpoint.decode(),
         ADDRESS_KEY: f"{address[0]}:{address[1]}",
-        ZONE_KEY: name_of(names.zones, entry.zone),
-        KIND_KEY: name_of(names.kinds, entry.kind),
+        ZONE_KEY: _name_of(names.zones, entry.zone),
+        KIND_KEY: _name_of(names.kinds, entry.kind),
         CELL_KEY: entry.cell,
         STATE_KEY: next(name for name, state in STATES_BY_WIRE_NAME.items() if state == entry.state),
         WEIGHT_KEY: entry.weight,
@@ -122,6 +122,6 @@
     }
 
 
-def name_of(numbers_by_name: dict[str, int], number: int) -> str:
+def _name_of(numbers_by_name: dict[str, int], number: int) -> str:
     """The name that has the number; empty for UNKNOWN_NUMBER."""
     return next((name for name, known in numbers_by_name.items() if known == number), "")
--- a/linnetshift/discovery/http_call.py
+++ b/linnetshift/discovery/http_call.py
@@ -37,7 +37,7 @@
 
     call: DiscoveryCall
     document: Any  # as decoded from JSON; None where the call failed
-    timed_out: bool = False  # it failed for want of an answer
+    has_timed_out: bool = False  # it failed, as no answer came in time
 
 
 class DiscoveryCall(OutboundConnection):
@@ -69,8 +69,8 @@
             self.stream.close()
         if document is None:
             log.info("discovery-call-failed", path=self.path, error=error[:MAX_LOGGED_CHARS])
-        timed_out = document is None and self.loop.now() >= deadline
-        self.discovery.post(CallEnded(self, document, timed_out))
+        has_timed_out = document is None and self.loop.now() >= deadline
+        self.discovery.post(CallEnded(self, document, has_timed_out))
 
     def report_failure(self) -> None:
         """Report a failed call after a fault in this one."""
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -174,8 +174,8 @@
                 self._call(LIST_PATH, self.timeouts.full_list_ns)
             case Timeout(tag=WatchTimer.REOPEN) if self.watch_call is None:
                 self._open_watch()
-            case CallEnded(call, document, timed_out):
-                self._handle_call_ended(call, document, timed_out)
+            case CallEnded(call, document, has_timed_out):
+                self._handle_call_ended(call, document, has_timed_out)
                 self.notify_call_ended()
 
     def _handle_relocation(self, address: Address, timeouts: WatchTimeouts) -> None:
@@ -223,12 +223,12 @@
 
     # ---- answers ----------------------------------------------------------------------------
 
-    def _handle_call_ended(self, call: DiscoveryCall, document: Any, timed_out: bool) -> None:
+    def _handle_call_ended(self, call: DiscoveryCall, document: Any, has_timed_out: bool) -> None:
         """Use the list that a call brought, or act on its failure."""
         is_watch = call is self.watch_call
         if is_watch:
             self.watch_call = None
-            self.consecutive_timeouts = self.consecutive_timeouts + 1 if timed_out else 0
+            self.consecutive_timeouts = self.consecutive_timeouts + 1 if has_timed_out else 0
         elif call is self.previous_watch_call:
             self.previous_watch_call = None
         elif call.path != LIST_PATH or call.address != self.address:
@@ -240,7 +240,7 @@
             if document is not None:
                 log.info("discovery-response-ignored", error=str(error)[:MAX_LOGGED_CHARS])
             if is_watch:
-                self._handle_watch_failed(timed_out)
+                self._handle_watch_failed(has_timed_out)
             return
         self._accept(list_update)
         if is_watch:
@@ -264,10 +264,10 @@
         self.last_watch_failed = False
         self._open_watch()
 
-    def _handle_watch_failed(self, timed_out: bool) -> None:
+    def _handle_watch_failed(self, has_timed_out: bool) -> None:
         """Reopen the watch, or leave it to the decisions when to."""
         self.last_watch_failed = True
-        if timed_out:
+        if has_timed_out:
             self._open_watch()  # without a back-off: the time-out was one
         elif self.timeouts.is_pushed:
             self.set_timer(REOPEN_DELAY_NS, WatchTimer.REOPEN)
--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -89,9 +89,8 @@
         """`configured_limit` is in descriptors; 0 leaves it to the system's limit."""
         self.loop = loop
         soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        limits = [
-            limit for limit in (configured_limit, soft_limit) if limit > 0
-        ]  # without a limit they are 0 or -1
+        # Where there is no limit, `configured_limit` is 0 and `soft_limit` is RLIM_INFINITY, -1.
+        limits = [limit for limit in (configured_limit, soft_limit) if limit > 0]
         self.max_descriptors = min(limits) if limits else NO_LIMIT
         # How many connections of all kinds may be open before one without a request is evicted.
         self.max_streams = NO_LIMIT
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -137,7 +137,7 @@
         self.broker = broker
         self.names = names
         self.connection_limiter = connection_limiter
-        self.is_draining = False
+        self.is_draining = False  # new clients are to go elsewhere: PING is answered with ERR
         self.acceptor: Acceptor | None = None
 
     @property
--- a/linnetshift/observability/log.py
+++ b/linnetshift/observability/log.py
@@ -32,8 +32,8 @@
     MIGRATED = "migrated"  # this proxy sent MOVE
     UNRESPONSIVE = "unresponsive"  # migrated, since its endpoint no longer answered
     STALLED = "stalled"  # its client stopped reading
-    REJECTED = "rejected"  # the request was rejected at once: a limit, or load shedding
-    FAILED = "failed"  # the request failed after its attempts
+    REJECTED = "rejected"  # the request was not done: a limit, load shedding, or no endpoint in time
+    FAILED = "failed"  # the request was not served, and may have had effects
     WITHDRAWN = "withdrawn"  # the client left before the answer
     BAD_LINE = "bad-line"  # the peer sent a line outside the protocol
     REQUEST_TIMEOUT = "request-timeout"  # no whole request came in time
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -104,7 +104,7 @@
         else:
             call = running.program.discovery.watch_call
             assert call is not None
-            running.program.discovery.post(CallEnded(call, None, timed_out=True))
+            running.program.discovery.post(CallEnded(call, None, has_timed_out=True))
         while not (path := discovery.calls.get(timeout=WAIT_S)).startswith("/catalog/members?since="):
             pass
         assert int(path.rpartition("=")[2]) <= 1000
