--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -110,9 +110,9 @@
                     stream.flush()
                 if mask & ~select.EPOLLOUT:
                     received_bytes = stream.discard_input()
-                    has_received = has_received or received_bytes > 0
-                    if received_bytes < 0:
+                    if received_bytes is None:
                         break  # the peer has ended too
+                    has_received = has_received or received_bytes > 0
             case Timeout(tag=ConnectionTimer.LINGER):
                 now = actor.loop.now()
                 if stream.is_congested and now < write_deadline:
--- a/linnetshift/event_loop/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -200,16 +200,16 @@
         except OSError:
             return Unread.END
 
-    def discard_input(self) -> int:
-        """Read once and discard; returns how many bytes there were, -1 once the peer has ended."""
+    def discard_input(self) -> int | None:
+        """Read once and discard; returns how many bytes there were, None once the peer has ended."""
         self.start = 0
         self.stop = 0
         try:
-            return self.sock.recv_into(DISCARD_BUFFER, 0, socket.MSG_TRUNC) or -1
+            return self.sock.recv_into(DISCARD_BUFFER, 0, socket.MSG_TRUNC) or None
         except BlockingIOError:
             return 0
         except OSError:
-            return -1
+            return None
 
     def take(self, size: int) -> memoryview | None:
         """The next `size` bytes, or None until they have been read."""
