--- a/tests/emulated_peers.py
+++ b/tests/emulated_peers.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
-from connections import RESET, WAIT_S, PeerConnection
+from connections import RESET, WAIT_S, Ending, PeerConnection
 
 
 class EmulatedEndpoint:
@@ -58,6 +58,16 @@
         conn.send(b"UP r1\r\n")
         return conn
 
+    def answer_attempt(self, reply: bytes, ending: Ending | None) -> PeerConnection:
+        """Accept an attempt, send the reply unless it is empty, and close unless `ending` is None."""
+        conn = self.accept()
+        conn.line()
+        if reply:
+            conn.send(reply)
+        if ending is not None:
+            conn.close(ending)
+        return conn
+
     def entry(self) -> dict[str, Any]:
         """The entry in discovery's list."""
         return {
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -4,6 +4,7 @@
 
 import json
 import os
+import resource
 import socket
 import subprocess
 import sys
@@ -30,6 +31,10 @@
 """Log line of a start; versions before December 2026, which bench/ compares with, log `started`."""
 
 
+CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
+"""Broker file that opens the channels frontend; PORT is replaced by its port."""
+
+
 def settings(**changes: Any) -> dict[str, Any]:
     """The settings object of the proxy file; a changed object is merged key by key."""
     base = raw_settings(discovery="ask", tenants=[{"name": "acme"}, {"name": "other"}], zones=["a"])
@@ -79,6 +84,11 @@
     )
 
 
+def limit_descriptors(limit: int = 40) -> None:
+    """Leave this process so many descriptors; called in the child before the program starts."""
+    resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
+
+
 @contextmanager
 def successor_of(old: RunningProxy) -> Iterator[RunningProxy]:
     """The program started again beside the old one, with an admin address of its own."""
--- a/tests/running_proxy.py
+++ b/tests/running_proxy.py
@@ -28,6 +28,13 @@
 """Ids of requests, a new one for each."""
 
 
+DRAIN_CALL = "PUT /ops/servers/down?id=%s"
+"""Call that drains the endpoint with this id."""
+
+RESTORE_CALL = "PUT /ops/servers/up?id=%s"
+"""Call that ends the drain of the endpoint with this id."""
+
+
 class RunningProxy:
     """The real program, running."""
 
@@ -159,3 +166,22 @@
         """Processor time of the process in seconds, its system calls included."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+
+
+def ranked(running: RunningProxy) -> tuple[EmulatedEndpoint, EmulatedEndpoint]:
+    """The two endpoints as the tests' key ranks them, the preferred one first."""
+    client = running.open()
+    first, endpoint = running.serve_any()
+    client.line()
+    client.close()
+    endpoint.close()
+    running.logged("side=client reason=client-left")
+    return first, next(other for other in running.endpoints if other is not first)
+
+
+def establish_on(running: RunningProxy, uid: str) -> tuple[PeerConnection, PeerConnection]:
+    """Establish a connection with the common key on endpoint `uid`: the client's and the endpoint's end."""
+    client = running.open()
+    listener, endpoint = running.serve_any()
+    assert (listener.uid, client.line()) == (uid, b"UP r1\r\n")
+    return client, endpoint
--- a/tests/test_admin_interface.py
+++ b/tests/test_admin_interface.py
@@ -8,21 +8,12 @@
 
 import pytest
 from conftest import S, endpoint, entry, listed
-from connections import PeerConnection
-from proxy_harness import settings, started_proxy
-from running_proxy import RunningProxy
-from test_connections_without_a_request import limit_descriptors
-from test_line_protocol import ranked
+from proxy_harness import limit_descriptors, settings, started_proxy
+from running_proxy import DRAIN_CALL, RESTORE_CALL, establish_on, ranked
 
 from linnetshift.broker.administrative_drains import AdministrativeDrains
 from linnetshift.routing.events import EndpointState, ListForm
 
-DRAIN_CALL = "PUT /ops/servers/down?id=%s"
-"""Call that drains the endpoint with this id."""
-
-RESTORE_CALL = "PUT /ops/servers/up?id=%s"
-"""Call that ends the drain of the endpoint with this id."""
-
 
 @pytest.mark.parametrize(
     ("call", "status"),
@@ -90,14 +81,6 @@
         assert before <= dated <= datetime.now(UTC)
 
 
-def establish_on(running: RunningProxy, uid: str) -> tuple[PeerConnection, PeerConnection]:
-    """Establish a connection with the common key on endpoint `uid`: the client's and the endpoint's end."""
-    client = running.open()
-    listener, endpoint = running.serve_any()
-    assert (listener.uid, client.line()) == (uid, b"UP r1\r\n")
-    return client, endpoint
-
-
 def test_drained_endpoint_gets_no_request_until_restored(tmp_path: Path) -> None:
     with started_proxy(tmp_path, endpoints=2, admin_server=True, rules={"warmUpNs": 1}) as running:
         best, other = ranked(running)
--- a/tests/test_broker_parts.py
+++ b/tests/test_broker_parts.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import S, balancer, endpoint, entry, listed, raw_settings
-from test_broker import FakeSurroundings
+from fake_surroundings import FakeSurroundings
 
 from linnetshift.broker.active_request import DETACHED_CLIENT
 from linnetshift.broker.contracts import Contract, Contracts
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -9,11 +9,9 @@
 import pytest
 from connections import ChannelsClient, PeerConnection
 from emulated_peers import EmulatedEndpoint
-from proxy_harness import started_proxy
+from proxy_harness import CHANNELS_ENABLED, started_proxy
 from running_proxy import RunningProxy
 
-CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-
 # Message numbers of RFC 4250, section 4.1.2, independent of the program's.
 DISCONNECT = 1
 IGNORE = 2
--- a/tests/test_connections_without_a_request.py
+++ b/tests/test_connections_without_a_request.py
@@ -3,18 +3,14 @@
 from __future__ import annotations
 
 import os
-import resource
 import threading
 from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
 from connections import WAIT_S, ChannelsClient
-from proxy_harness import launch_process, started_proxy
+from proxy_harness import CHANNELS_ENABLED, launch_process, limit_descriptors, started_proxy
 from running_proxy import OPEN_LINE, RunningProxy
-from test_line_protocol import answer_attempt
-
-CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 
 
 @pytest.fixture
@@ -23,11 +19,6 @@
         yield running
 
 
-def limit_descriptors() -> None:
-    """Leave this process 40 descriptors; called in the child before the program starts."""
-    resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
-
-
 @pytest.mark.parametrize(
     "line",
     [
@@ -81,7 +72,7 @@
     with started_proxy(tmp_path, endpoints=3) as running:
         client = running.open()
         for _ in range(2):
-            answer_attempt(running.next_attempted(), b"ERR\r\n", "fin")
+            running.next_attempted().answer_attempt(b"ERR\r\n", "fin")
         assert client.line() == b"ERR\r\n"
         running.logged("side=client reason=failed .*attempts=2")
 
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -11,8 +11,7 @@
 from connections import WAIT_S
 from emulated_peers import DiscoveryServer, EmulatedEndpoint, HeldCall
 from proxy_harness import launch_process, proxy_environment, proxy_in_thread, started_proxy
-from running_proxy import RunningProxy
-from test_line_protocol import ranked
+from running_proxy import RunningProxy, ranked
 
 from linnetshift.discovery.http_call import CONNECT_TIMEOUT_NS, CallEnded
 from linnetshift.discovery.watch import (
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -10,8 +10,7 @@
 from conftest import MS, S, balancer, ended, only, request
 from connections import WAIT_S
 from proxy_harness import launch_process, started_proxy, successor_of
-from test_admin_interface import DRAIN_CALL, RESTORE_CALL, establish_on
-from test_line_protocol import ranked
+from running_proxy import DRAIN_CALL, RESTORE_CALL, establish_on, ranked
 
 from linnetshift.broker.latency_estimator import ConnectionLoad, LatencyEstimator
 from linnetshift.broker.snapshot import export_state, import_state
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-import resource
 import signal
 from contextlib import ExitStack
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -12,7 +12,7 @@
 from conftest import S
 from connections import WAIT_S, PeerConnection
 from emulated_peers import DiscoveryServer, EmulatedEndpoint
-from proxy_harness import launch_process, proxy_environment, started_proxy
+from proxy_harness import launch_process, limit_descriptors, proxy_environment, started_proxy
 from running_proxy import OPEN_LINE, RunningProxy
 
 from rig.free_port import free_port
@@ -91,14 +91,11 @@
             assert client.line() == b"UP r1\r\n"
 
 
-def limit_descriptors() -> None:
-    """Run in the child before the program."""
-    resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
-
-
 def test_idle_clients_that_use_all_descriptors_block_no_request(tmp_path: Path) -> None:
     # They may use all of them while discovery is down; its return, an attempt and a reload then need some.
-    with started_proxy(tmp_path, endpoints=2, before=limit_descriptors, rules={"mustAskInNs": S}) as running:
+    with started_proxy(
+        tmp_path, endpoints=2, before=partial(limit_descriptors, DESCRIPTORS), rules={"mustAskInNs": S}
+    ) as running:
         client = running.open()
         endpoint = running.next_attempted().serve()
         assert client.line() == b"UP r1\r\n"
--- a/tests/test_line_protocol.py
+++ b/tests/test_line_protocol.py
@@ -8,10 +8,9 @@
 from pathlib import Path
 
 import pytest
-from connections import WAIT_S, PeerConnection
-from emulated_peers import EmulatedEndpoint
+from connections import WAIT_S, Ending
 from proxy_harness import launch_process, started_proxy
-from running_proxy import OPEN_LINE, RunningProxy
+from running_proxy import OPEN_LINE, RunningProxy, ranked
 
 
 @pytest.fixture
@@ -40,62 +39,51 @@
     assert "side=client" in proxy.logged("reason=served id=1 open=[0-9a-f]+ key=[0-9a-f]+ class=feed peer")
 
 
-@pytest.mark.parametrize("end", ["fin", "reset"])
+@pytest.mark.parametrize("ending", ["fin", "reset"])
 @pytest.mark.parametrize("side", ["client", "endpoint"])
-def test_end_of_one_side_ends_the_other_the_same_way(proxy: RunningProxy, side: str, end: str) -> None:
+def test_end_of_one_side_ends_the_other_the_same_way(proxy: RunningProxy, side: str, ending: Ending) -> None:
     # A reset passed on as a plain end would look like a connection served to its end.
     client, endpoint = proxy.establish()
-    ending, other = (client, endpoint) if side == "client" else (endpoint, client)
-    ending.close(end)
-    assert other.ended() == end
-    other.close()
-    reason = f"reason={side}-{'left' if end == 'fin' else 'reset'}"
+    ended_side, other_side = (client, endpoint) if side == "client" else (endpoint, client)
+    ended_side.close(ending)
+    assert other_side.ended() == ending
+    other_side.close()
+    reason = f"reason={side}-{'left' if ending == 'fin' else 'reset'}"
     log_lines = [proxy.logged(reason) for _ in ("client", "endpoint")]
     assert {"side=client", "side=endpoint"} == {
         line.split("event=connection-ended ")[1].split()[0] for line in log_lines
     }
 
 
-def answer_attempt(listener: EmulatedEndpoint, reply: bytes, end: str) -> PeerConnection:
-    """Accept an attempt, send the reply unless it is empty, and close with this end unless that is."""
-    conn = listener.accept()
-    conn.line()
-    if reply:
-        conn.send(reply)
-    if end:
-        conn.close(end)
-    return conn
-
-
 @pytest.mark.parametrize(
-    ("reply", "end", "reason"),
+    ("reply", "ending", "reason"),
     [
         (b"ERR\r\n", "fin", "error"),
         (b"BUSY\r\n", "fin", "endpoint-full"),
         (b"MOVE\r\n", "fin", "endpoint-migrated"),
         (b"", "fin", "endpoint-left"),
         (b"", "reset", "endpoint-reset"),
-        (b"", "", "timed-out"),
+        (b"", None, "timed-out"),
         (b"nonsense\r\n", "fin", "error"),
-        (b"UP\r\n", "", "error"),
-        (b"UP \r\n", "", "error"),
-        (b"UP r\xff\r\n", "", "error"),
-        (b"UP r\x00\r\n", "", "error"),
-        (b"", "refused", "unreachable"),
+        (b"UP\r\n", None, "error"),
+        (b"UP \r\n", None, "error"),
+        (b"UP r\xff\r\n", None, "error"),
+        (b"UP r\x00\r\n", None, "error"),
+        (b"", None, "unreachable"),
     ],
 )
 def test_failed_attempt_is_closed_before_the_next(
-    tmp_path: Path, reply: bytes, end: str, reason: str
+    tmp_path: Path, reply: bytes, ending: Ending | None, reason: str
 ) -> None:
     # Two attempts of one request at a time would break a rule, whatever became of the first.
     with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
-        if end == "refused":
+        if reason == "unreachable":
             first.sock.close()
         client = running.open(2000)
-        conn = None if end == "refused" else answer_attempt(first, reply, end)
+        conn = None if reason == "unreachable" else first.answer_attempt(reply, ending)
         endpoint = second.accept()
-        if conn is not None and not end:
+        if conn is not None and ending is None:
             assert conn.ended() in ("fin", "reset")  # already there: no wait is needed
         endpoint.line()
         endpoint.send(b"UP r2\r\n")
@@ -103,17 +91,6 @@
         running.logged(f"side=endpoint reason={reason} .*attempt=0")
 
 
-def ranked(running: RunningProxy) -> tuple[EmulatedEndpoint, EmulatedEndpoint]:
-    """The two endpoints as the tests' key ranks them, the preferred one first."""
-    client = running.open()
-    first, endpoint = running.serve_any()
-    client.line()
-    client.close()
-    endpoint.close()
-    running.logged("side=client reason=client-left")
-    return first, next(other for other in running.endpoints if other is not first)
-
-
 @pytest.mark.parametrize(("query", "answer"), [(b"PING\r\n", b"PONG\r\n"), (b"STATS\r\n", b"NO\r\n")])
 def test_readiness_query_is_answered(proxy: RunningProxy, query: bytes, answer: bytes) -> None:
     conn = proxy.client(query)
@@ -134,7 +111,7 @@
     # Rejected as soon as the attempts have failed, long before the client's deadline of 60 s.
     client = proxy.open(60000)
     for _ in range(4):
-        answer_attempt(proxy.endpoints[0], b"BUSY\r\n", "fin")
+        proxy.endpoints[0].answer_attempt(b"BUSY\r\n", "fin")
     assert client.line() == b"BUSY 1000\r\n"
     proxy.logged("side=client reason=rejected")
 
--- a/tests/test_memory_after_connections_end.py
+++ b/tests/test_memory_after_connections_end.py
@@ -16,7 +16,13 @@
 import pytest
 from connections import WAIT_S, ChannelsClient, PeerConnection
 from emulated_peers import EmulatedEndpoint
-from proxy_harness import ProxyInThread, command_without_collector, proxy_in_thread, started_proxy
+from proxy_harness import (
+    CHANNELS_ENABLED,
+    ProxyInThread,
+    command_without_collector,
+    proxy_in_thread,
+    started_proxy,
+)
 
 from linnetshift.admin.connection import AdminConnection
 from linnetshift.broker.active_request import ActiveRequest, Attempt
@@ -34,7 +40,6 @@
 from linnetshift.upstream.health_checker import HealthChecker
 from rig.connection_load import PeerInput, run_connections
 
-CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 CLASSES_PER_CONNECTION = (
     ClientConnection,
     Session,
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,8 +12,8 @@
 from connections import WAIT_S
 from emulated_peers import DiscoveryServer
 from proxy_harness import proxy_environment, settings, started_proxy
-from test_final_answers import LONG_DEADLINE_MS, REQUEST_LINE, answer_all, request_in_state
-from test_line_protocol import ranked
+from requests_in_state import LONG_DEADLINE_MS, REQUEST_LINE, answer_all, request_in_state
+from running_proxy import ranked
 
 from linnetshift.config.proxy_file import read_config
 from linnetshift.routing.settings import Settings
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -10,8 +10,8 @@
 import pytest
 from conftest import MS, S, endpoint, entry, listed, raw_settings
 from connections import WAIT_S, ChannelsClient
+from fake_surroundings import FakeSurroundings
 from proxy_harness import ROOT, proxy_in_thread, settings, started_proxy
-from test_broker import FakeSurroundings
 
 from linnetshift.admin import server
 from linnetshift.broker import administrative_drains
