--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,6 +4,7 @@
 
 import heapq
 import random
+from collections.abc import Sequence
 from typing import Any, NamedTuple
 
 from conftest import MS, S, effect, endpoint, entry, raw_settings
@@ -42,6 +43,9 @@
 )
 from linnetshift.routing.settings import Effect, Scope, Settings
 
+BATCH_NS = 4 * MS
+"""Interval at which the balancer is given events."""
+
 FAILURES = [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
@@ -63,9 +67,9 @@
 class Simulation:
     """Endpoints that fail at random; answers every attempt and asserts that each action keeps the rules."""
 
-    def __init__(self, seed: int, failing: float, **changes: Any) -> None:
+    def __init__(self, seed: int, failure_probability: float, **changes: Any) -> None:
         self.random = random.Random(seed)
-        self.failing = failing
+        self.failure_probability = failure_probability
         self.settings = Settings.parse(raw_settings(**changes))
         self.balancer = Balancer(self.settings, seed)
         self.now = S
@@ -185,7 +189,7 @@
 
     def answer(self, request: int, attempt: int, endpoint_id: bytes, timeout: int) -> None:
         delay = self.random.randrange(1, 300) * MS
-        if self.random.random() >= self.failing and delay < timeout:
+        if self.random.random() >= self.failure_probability and delay < timeout:
             self.call_later(delay, ConnectionEstablished(request, attempt, endpoint_id, delay))
             return
         outcome = self.random.choice(FAILURES)
@@ -195,7 +199,7 @@
     def advance(self, until: int) -> None:
         while self.due and self.due[0][0] <= until:
             at, _, event = heapq.heappop(self.due)
-            self.now = max(self.now, -(-at // (4 * MS)) * 4 * MS)  # batches come in steps
+            self.now = max(self.now, -(-at // BATCH_NS) * BATCH_NS)  # the balancer gets events in batches
             match event:
                 case ConnectionEstablished(request, _, endpoint_id, _):
                     del self.in_flight[request]
@@ -213,15 +217,64 @@
         self.now = max(self.now, until)
 
 
-STEPS = st.lists(
+class SendRequests(NamedTuple):
+    """So many requests arrive."""
+
+    request_count: int
+
+
+class Wait(NamedTuple):
+    """Time passes, in units of the balancer's batch interval."""
+
+    batches: int
+
+
+class ChangeState(NamedTuple):
+    """An endpoint is listed in another state."""
+
+    endpoint_number: int
+    state: int
+
+
+class RestartEndpoint(NamedTuple):
+    """An endpoint is started again and listed as ready."""
+
+    endpoint_number: int
+
+
+class ReportLatency(NamedTuple):
+    """Each established connection reports a slow message."""
+
+    latency_ms: float
+
+
+class SendInvalidEvent(NamedTuple):
+    """One of `INVALID_EVENTS` arrives."""
+
+    event_number: int
+
+
+class BreakConnections(NamedTuple):
+    """The oldest established connections are reset."""
+
+    connection_count: int
+
+
+Step = (
+    SendRequests | Wait | ChangeState | RestartEndpoint | ReportLatency | SendInvalidEvent | BreakConnections
+)
+
+ENDPOINT_NUMBERS = st.integers(0, 11)
+
+STEPS: st.SearchStrategy[list[Step]] = st.lists(
     st.one_of(
-        st.tuples(st.just("requests"), st.integers(1, 6)),
-        st.tuples(st.just("wait"), st.integers(1, 400)),
-        st.tuples(st.just("state"), st.integers(0, 11), st.sampled_from([0, 1, 2])),
-        st.tuples(st.just("restart"), st.integers(0, 11)),
-        st.tuples(st.just("slow"), st.floats(0, 4000)),
-        st.tuples(st.just("noise"), st.integers(0, 5)),
-        st.tuples(st.just("break"), st.integers(0, 3)),
+        st.builds(SendRequests, st.integers(1, 6)),
+        st.builds(Wait, st.integers(1, 400)),
+        st.builds(ChangeState, ENDPOINT_NUMBERS, st.sampled_from([0, 1, 2])),
+        st.builds(RestartEndpoint, ENDPOINT_NUMBERS),
+        st.builds(ReportLatency, st.floats(0, 4000)),
+        st.builds(SendInvalidEvent, st.integers(0, 5)),
+        st.builds(BreakConnections, st.integers(0, 3)),
     ),
     max_size=60,
 )
@@ -244,23 +297,23 @@
         self.simulation = simulation
         self.last_request_id = 0
 
-    def play(self, step: tuple[Any, ...]) -> None:
+    def play(self, step: Step) -> None:
         match step:
-            case ("requests", count):
-                for _ in range(count):
+            case SendRequests(request_count):
+                for _ in range(request_count):
                     self.send_request()
-            case ("wait", ms):
-                self.simulation.advance(self.simulation.now + ms * 4 * MS)
-            case ("state", n, state):
-                self.change_state(n, state)
-            case ("restart", n):
-                self.restart_endpoint(n)
-            case ("slow", value):
-                self.report_latency(value)
-            case ("noise", kind):
-                self.simulation.feed([INVALID_EVENTS[kind]])
-            case ("break", count):
-                self.break_connections(count)
+            case Wait(batches):
+                self.simulation.advance(self.simulation.now + batches * BATCH_NS)
+            case ChangeState(number, state):
+                self.change_state(number, state)
+            case RestartEndpoint(number):
+                self.restart_endpoint(number)
+            case ReportLatency(latency_ms):
+                self.report_latency(latency_ms)
+            case SendInvalidEvent(number):
+                self.simulation.feed([INVALID_EVENTS[number]])
+            case BreakConnections(connection_count):
+                self.break_connections(connection_count)
 
     def send_request(self) -> None:
         simulation = self.simulation
@@ -295,9 +348,7 @@
         simulation = self.simulation
         notes = [ConnectionNote(r, 0, h, SLOW_NOTE, ms) for r, h in simulation.established.items()]
         for note in notes:
-            if (
-                note.request_id in simulation.established
-            ):  # a note before it may have migrated this connection
+            if note.request_id in simulation.established:  # an earlier note may have migrated the connection
                 simulation.feed([note])
 
     def break_connections(self, count: int) -> None:
@@ -310,7 +361,7 @@
             simulation.feed([ended])
 
 
-def play(simulation: Simulation, steps: list[tuple[Any, ...]]) -> None:
+def play(simulation: Simulation, steps: list[Step]) -> None:
     simulation.feed([EndpointList(ListForm.CACHED, 1, tuple(entry(n) for n in range(12)))])
     player = Player(simulation)
     for step in steps:
@@ -322,47 +373,45 @@
     assert len(simulation.balancer.requests.waiting) == 0
 
 
-def check_effect(seed: int, failing: float, steps: list[tuple[Any, ...]], changes: dict[str, Any]) -> None:
-    play(Simulation(seed, failing, **changes), steps)
-
-
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(st.integers(0, 2**32), st.sampled_from([0.0, 0.2, 0.8]), STEPS)
-def test_rules_hold_for_repeatable_requests(seed: int, failing: float, steps: list[tuple[Any, ...]]) -> None:
-    check_effect(seed, failing, steps, {})
+def test_rules_hold_for_idempotent_requests(seed: int, failure_probability: float, steps: list[Step]) -> None:
+    play(Simulation(seed, failure_probability), steps)
 
 
 @settings(derandomize=True, deadline=None, max_examples=100)
 @given(st.integers(0, 2**32), st.sampled_from([0.2, 0.8]), STEPS)
-def test_rules_hold_for_requests_that_may_run_once(
-    seed: int, failing: float, steps: list[tuple[Any, ...]]
+def test_rules_hold_for_requests_that_are_not_idempotent(
+    seed: int, failure_probability: float, steps: list[Step]
 ) -> None:
-    check_effect(seed, failing, steps, effect("once"))
+    play(Simulation(seed, failure_probability, **effect("once")), steps)
 
 
 @settings(derandomize=True, deadline=None, max_examples=100)
 @given(st.integers(0, 2**32), st.sampled_from([0.2, 0.8]), st.sampled_from(["all", "zone"]), STEPS)
-def test_rules_hold_for_keyed_requests(
-    seed: int, failing: float, group: str, steps: list[tuple[Any, ...]]
+def test_rules_hold_for_requests_with_an_idempotency_key(
+    seed: int, failure_probability: float, group: str, steps: list[Step]
 ) -> None:
-    check_effect(seed, failing, steps, effect("by_key", group, windowNs=300 * MS))
+    play(Simulation(seed, failure_probability, **effect("by_key", group, windowNs=300 * MS)), steps)
 
 
 @settings(derandomize=True, deadline=None, max_examples=30)
 @given(st.integers(0, 2**32), STEPS)
-def test_the_same_events_give_the_same_actions(seed: int, steps: list[tuple[Any, ...]]) -> None:
-    logs = []
-    for _ in range(2):
-        simulation = Simulation(seed, 0.4)
-        log: list[Action] = []
-        step = simulation.balancer.step
-
-        def recorded(now: int, events: Any, step: Any = step, log: list[Action] = log) -> list[Action]:
-            actions: list[Action] = step(now, events)
-            log.extend(actions)
-            return actions
-
-        simulation.balancer.step = recorded  # type: ignore[method-assign]
-        play(simulation, steps)
-        logs.append(log)
-    assert logs[0] == logs[1]
+def test_same_events_give_the_same_actions(seed: int, steps: list[Step]) -> None:
+    assert actions_of_play(seed, steps) == actions_of_play(seed, steps)
+
+
+def actions_of_play(seed: int, steps: list[Step]) -> list[Action]:
+    """All actions of a balancer while the steps are played against a new simulation."""
+    simulation = Simulation(seed, 0.4)
+    actions: list[Action] = []
+    step = simulation.balancer.step
+
+    def record_actions(now_ns: int, events: Sequence[Event]) -> list[Action]:
+        step_actions = step(now_ns, events)
+        actions.extend(step_actions)
+        return step_actions
+
+    simulation.balancer.step = record_actions  # type: ignore[method-assign]
+    play(simulation, steps)
+    return actions
