--- a/tests/test_configuration_reloader.py
+++ b/tests/test_configuration_reloader.py
@@ -17,7 +17,7 @@
 from linnetshift.broker.broker import Broker
 from linnetshift.config.broker_file import BrokerConfig
 from linnetshift.config.errors import ConfigurationError
-from linnetshift.config.loader import ConfigurationFiles
+from linnetshift.config.loader import ConfigurationFiles, read_files
 from linnetshift.config.names import NameRegistry
 from linnetshift.config.proxy_file import ProxyConfig
 from linnetshift.discovery.endpoint_list import EndpointListUpdate
@@ -90,7 +90,7 @@
 
 def replace_read_files(monkeypatch: pytest.MonkeyPatch, **behaviour: Any) -> None:
     """Have `reload` get `return_value` or `side_effect` in place of the files' contents."""
-    monkeypatch.setattr(reload, "read_files", create_autospec(reload.read_files, **behaviour))
+    monkeypatch.setattr(reload, "read_files", create_autospec(read_files, **behaviour))
 
 
 @pytest.fixture(autouse=True)
