--- a/tests/connections.py
+++ b/tests/connections.py
@@ -104,7 +104,7 @@
         kind, *rest = fields
         assert isinstance(kind, int)
         payload = bytes([kind]) + b"".join(
-            struct.pack(">I", each) if isinstance(each, int) else ssh_string(each) for each in rest
+            struct.pack(">I", field) if isinstance(field, int) else ssh_string(field) for field in rest
         )
         self.send_payload(payload)
 
--- a/tests/emulated_peers.py
+++ b/tests/emulated_peers.py
@@ -93,17 +93,17 @@
 class DiscoveryServer:
     """Emulated discovery: answers calls with the list; a watch waits for a change.
 
-    `failing` answers every call with a 503, `silent` holds each call in `held_calls` until it is released,
-    `resets` resets one watch that waits.
+    `answers_503` answers every call with that status, `holds_calls` keeps each call in `held_calls` until it
+    is released, `resets_next_watch` resets one watch that waits.
     """
 
     def __init__(self, endpoints: list[EmulatedEndpoint], indent: int | None = None) -> None:
         self.endpoints = endpoints
         self.indent = indent
         self.rev = 1
-        self.failing = False
-        self.silent = False
-        self.resets = False
+        self.answers_503 = False
+        self.holds_calls = False
+        self.resets_next_watch = False
         self.held_calls: queue.Queue[HeldCall] = queue.Queue()
         self.replacement_answers: list[object] = []
         """Answers to give once each in place of the list, the last one first."""
@@ -115,7 +115,7 @@
 
     def listing(self) -> dict[str, Any]:
         """The whole list as JSON."""
-        return {"rev": self.rev, "all": True, "targets": [each.entry() for each in self.endpoints]}
+        return {"rev": self.rev, "all": True, "targets": [endpoint.entry() for endpoint in self.endpoints]}
 
     def next_answer(self) -> bytes:
         """The body of the next answer."""
@@ -124,9 +124,11 @@
 
     def wait_for_change(self, revision: int, timeout_s: float) -> bool:
         """Wait until the list is newer, with `list_changed` held; False where the watch is to be reset."""
-        self.list_changed.wait_for(lambda: self.rev > revision or self.failing or self.resets, timeout_s)
-        is_reset = self.resets
-        self.resets = False
+        self.list_changed.wait_for(
+            lambda: self.rev > revision or self.answers_503 or self.resets_next_watch, timeout_s
+        )
+        is_reset = self.resets_next_watch
+        self.resets_next_watch = False
         return not is_reset
 
     def change(self, **changes: str) -> None:
@@ -140,7 +142,7 @@
     def reset_watches(self) -> None:
         """Reset the watch that waits now; later calls are answered."""
         with self.list_changed:
-            self.resets = True
+            self.resets_next_watch = True
             self.list_changed.notify_all()
 
     def answer_once(self, answer: object) -> None:
@@ -155,10 +157,10 @@
         """Where it listens, as host:port."""
         return f"127.0.0.1:{self.server.server_address[1]}"
 
-    def fail(self, failing: bool) -> None:
+    def fail(self, is_failing: bool) -> None:
         """Begin or end to answer every call with a 503."""
         with self.list_changed:
-            self.failing = failing
+            self.answers_503 = is_failing
             self.list_changed.notify_all()
 
 
@@ -185,7 +187,7 @@
         """Answer a call, or a watch once the list changes."""
         discovery = self.server.discovery
         discovery.calls.put(self.path)
-        if discovery.silent:
+        if discovery.holds_calls:
             held = HeldCall(self.path, json.dumps(discovery.listing()).encode(), threading.Event())
             discovery.held_calls.put(held)
             held.release.wait()
@@ -193,13 +195,13 @@
             return
         query = parse_qs(urlsplit(self.path).query)
         with discovery.list_changed:
-            if "since" in query and not discovery.failing:
+            if "since" in query and not discovery.answers_503:
                 timeout_s = int(query["timeout_ms"][0]) / 1000
                 if not discovery.wait_for_change(int(query["since"][0]), timeout_s):
                     self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                     return
             body = discovery.next_answer()
-        self.answer(503 if discovery.failing else 200, body)
+        self.answer(503 if discovery.answers_503 else 200, body)
 
     def answer(self, status: int, body: bytes) -> None:
         """Send an answer; the program may be gone at a test's end."""
--- a/tests/running_proxy.py
+++ b/tests/running_proxy.py
@@ -91,8 +91,8 @@
 
     def next_attempted(self) -> EmulatedEndpoint:
         """The endpoint that the key's ranking sends the next attempt to."""
-        ready, _, _ = select.select([each.sock for each in self.endpoints], [], [], WAIT_S)
-        return next(each for each in self.endpoints if each.sock in ready)
+        ready, _, _ = select.select([endpoint.sock for endpoint in self.endpoints], [], [], WAIT_S)
+        return next(endpoint for endpoint in self.endpoints if endpoint.sock in ready)
 
     def serve_any(self) -> tuple[EmulatedEndpoint, PeerConnection]:
         """Serve the next attempt at whichever endpoint gets it."""
--- a/tests/test_admin_interface.py
+++ b/tests/test_admin_interface.py
@@ -135,7 +135,10 @@
     administrative_drains.drain_endpoint(endpoint(1))
     for form in (ListForm.FULL, ListForm.CACHED, ListForm.DELTA):
         entries = administrative_drains.overlay(listed(entry(1), entry(2), form=form)).entries
-        assert [each.state for each in entries] == [EndpointState.DRAINING, EndpointState.READY]
+        assert [listed_entry.state for listed_entry in entries] == [
+            EndpointState.DRAINING,
+            EndpointState.READY,
+        ]
     now_ns = 9 * S
     administrative_drains.restore_endpoint(endpoint(1))
     for started_ns in listed_starts_ns:
--- a/tests/test_bench_fleet_log.py
+++ b/tests/test_bench_fleet_log.py
@@ -84,7 +84,9 @@
     assert "s-1            failed 1 of 1  unreachable:1" in rows
     assert "rejections 2  without an attempt 2  most in a second 2, due back in one 2" in rows
     assert "health checks of s-2            timed-out:1" in rows
-    assert [round(each, 2) for durations in counts.start_durations.values() for each in durations] == [
+    assert [
+        round(duration, 2) for durations in counts.start_durations.values() for duration in durations
+    ] == [
         0.4,
         0.6,
     ]
--- a/tests/test_channel_packets.py
+++ b/tests/test_channel_packets.py
@@ -35,8 +35,8 @@
     """A stream that holds its peer's socket too: what is sent there arrives in it."""
 
     def __init__(self) -> None:
-        ours, self.peer = socket.socketpair()
-        super().__init__(Loop(), ours, lambda _: None)
+        own_end, self.peer = socket.socketpair()
+        super().__init__(Loop(), own_end, lambda _: None)
 
 
 @pytest.fixture
--- a/tests/test_decision_recordings.py
+++ b/tests/test_decision_recordings.py
@@ -34,7 +34,7 @@
     pairs = zip_longest(frames(expected), frames(actual))
     for number, (recorded, replayed) in enumerate(pairs):
         if recorded != replayed:
-            frames_hex = ["no frame" if each is None else each.hex() for each in (recorded, replayed)]
+            frames_hex = ["no frame" if frame is None else frame.hex() for frame in (recorded, replayed)]
             return f"frame {number} differs: recorded {frames_hex[0]}, replayed {frames_hex[1]}"
     return ""
 
--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -141,8 +141,8 @@
         balancer.step(balancer.now, [ended(send, 0, Outcome.ERROR)])
         assert balancer.endpoints[endpoint(0)].consecutive_errors == 1
         if event == "serves":
-            (again,) = only(balancer.step(balancer.now + S, [request(9)]), Send)
-            balancer.step(balancer.now, [ConnectionEstablished(9, 0, again.endpoint, MS)])
+            (next_send,) = only(balancer.step(balancer.now + S, [request(9)]), Send)
+            balancer.step(balancer.now, [ConnectionEstablished(9, 0, next_send.endpoint, MS)])
         else:
             balancer.step(balancer.now, [listed(entry(0, started_ns=balancer.now))])
         assert balancer.endpoints[endpoint(0)].consecutive_errors == 0
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -141,7 +141,7 @@
     short_timeouts = classmethod(lambda cls, _: cls(False, 200, 100 * MS, 300 * MS))
     monkeypatch.setattr(WatchTimeouts, "of", short_timeouts)
     with proxy_in_thread(tmp_path, **LONG_BACKOFF) as running:
-        running.discovery.silent = True
+        running.discovery.holds_calls = True
         running.discovery.change()  # completes the open watch; the next one is never answered
         assert "since=" in unanswered_call(running).path
         assert "since=" in unanswered_call(running).path
@@ -154,7 +154,7 @@
     # With a constant timeout, no call to an overloaded discovery server might ever be answered.
     monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(pushed, 40, 10 * MS, 20 * MS)))
     with proxy_in_thread(tmp_path, **LONG_BACKOFF) as running:
-        running.discovery.silent = True
+        running.discovery.holds_calls = True
         running.discovery.change()
         for _ in range(6):
             last_call = unanswered_call(running)
@@ -167,12 +167,12 @@
 def test_pushed_list_watch_recovers_after_timeouts_and_error_responses(tmp_path: Path) -> None:
     with started_proxy(tmp_path, endpoints=2, **PUSHED_LISTS, **LONG_BACKOFF) as running:
         best, other = ranked(running)
-        running.discovery.silent = True
+        running.discovery.holds_calls = True
         running.discovery.change()
         for _ in range(3):  # repeated while there is no answer
             unanswered_call(running)
         running.discovery.fail(True)
-        running.discovery.silent = False
+        running.discovery.holds_calls = False
         running.logged("event=discovery-call-failed .*503")
         running.logged("event=discovery-call-failed .*503")
         running.discovery.fail(False)
@@ -195,7 +195,7 @@
         best, other = environment.endpoints
         best.state = "DRAINING"
         environment.discovery.rev += 1
-        environment.discovery.silent = True
+        environment.discovery.holds_calls = True
         process = launch_process(str(environment.config), str(environment.broker_file))
         running = RunningProxy(process, environment.port, environment.channels_port)
         running.endpoints = environment.endpoints
@@ -207,7 +207,7 @@
             # Some of these keys rank the draining endpoint first.
             clients = [running.client(request_line(key)) for key in range(1, 9)]
             assert running.alive()
-            environment.discovery.silent = False
+            environment.discovery.holds_calls = False
             first_call.release.set()
             endpoints = []
             for _ in clients:
@@ -227,7 +227,7 @@
 @pytest.mark.parametrize("discovery", ["push", "ask"])
 def test_new_process_serves_when_discovery_never_answers(tmp_path: Path, discovery: str) -> None:
     with proxy_environment(tmp_path, discovery=discovery) as environment:
-        environment.discovery.silent = True
+        environment.discovery.holds_calls = True
         process = launch_process(str(environment.config), str(environment.broker_file))
         running = RunningProxy(process, environment.port, environment.channels_port)
         running.endpoints = environment.endpoints
@@ -248,12 +248,12 @@
     # A reload with the same address used to leave a watch that got no answer as it was.
     with started_proxy(tmp_path, endpoints=2, discovery=discovery, rules=LONG_BACKOFF["rules"]) as running:
         best, other = ranked(running)
-        running.discovery.silent = True
+        running.discovery.holds_calls = True
         running.discovery.change()
         unanswered_call(running)
         best.state = "DRAINING"
         running.discovery.rev += 1
-        running.discovery.silent = False
+        running.discovery.holds_calls = False
         running.process.send_signal(signal.SIGHUP)
         running.logged("event=configuration-reloaded")
         assert_request_avoids_draining_endpoint(running, best, other)
@@ -262,7 +262,7 @@
 def test_late_answer_from_former_address_is_ignored(tmp_path: Path) -> None:
     with started_proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
         best, other = ranked(running)
-        running.discovery.silent = True
+        running.discovery.holds_calls = True
         running.discovery.change()
         former_call = unanswered_call(running)  # its list has both endpoints serving, under the next revision
         new_server = DiscoveryServer(running.endpoints)
@@ -275,7 +275,7 @@
         assert running.next_attempted() is other
         other.serve()
         assert client.line() == b"UP r1\r\n"
-        running.discovery.silent = False
+        running.discovery.holds_calls = False
         assert not [line for line in running.unread_lines() if "event=endpoint-list-received" in line]
 
 
@@ -283,10 +283,10 @@
     with started_proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
         best, other = ranked(running)
         new_server = DiscoveryServer(running.endpoints)
-        new_server.silent = True
+        new_server.holds_calls = True
         running.reload("event=configuration-reloaded", discovery=new_server.address)
         assert new_server.held_calls.get(timeout=WAIT_S).path == "/catalog/members"
-        new_server.silent = False
+        new_server.holds_calls = False
         best.state = "DRAINING"
         new_server.rev += 1
         assert_request_avoids_draining_endpoint(running, best, other)
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -120,8 +120,8 @@
     for number, until in ((0, 5 * S), (1, 4 * S)):
         parts.endpoint(number).ejected_until = until
     assert parts.selection.wait_ns() == 0  # unreachable ones may be tried at any time
-    for each in parts.endpoints.values():
-        each.is_overloaded = True
+    for endpoint in parts.endpoints.values():
+        endpoint.is_overloaded = True
     assert parts.selection.wait_ns() == 3 * S
 
 
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -37,9 +37,9 @@
 
 def test_restart_clears_failures_and_slow_messages_of_the_old_process() -> None:
     parts = Parts(endpoints=2)
-    for each in parts.endpoints.values():
-        each.ejected_until = each.over_objective_until = 9 * S
-        each.consecutive_errors = 2
+    for listed_endpoint in parts.endpoints.values():
+        listed_endpoint.ejected_until = listed_endpoint.over_objective_until = 9 * S
+        listed_endpoint.consecutive_errors = 2
     parts.endpoints.apply(listed(entry(0, started_ns=1 * S), entry(1)))
     restarted, other = parts.endpoint(0), parts.endpoint(1)
     assert (restarted.ejected_until, restarted.over_objective_until, restarted.consecutive_errors) == (
--- a/tests/test_fleet_scenario.py
+++ b/tests/test_fleet_scenario.py
@@ -49,9 +49,9 @@
 
 
 def test_streams_of_a_scenario_are_independent_and_reproducible() -> None:
-    one, other = parse('name = "x"\nseed = 4'), parse('name = "x"\nseed = 5')
-    assert one.stream("a").random() == one.stream("a").random() != one.stream("b").random()
-    assert one.stream("a").random() != other.stream("a").random()
+    scenario, reseeded = parse('name = "x"\nseed = 4'), parse('name = "x"\nseed = 5')
+    assert scenario.stream("a").random() == scenario.stream("a").random() != scenario.stream("b").random()
+    assert scenario.stream("a").random() != reseeded.stream("a").random()
 
 
 def test_streams_leave_the_global_generator_alone() -> None:
--- a/tests/test_free_port.py
+++ b/tests/test_free_port.py
@@ -25,7 +25,7 @@
     assert free_port() not in (first, second)
 
 
-def test_oldest_reservation_ends() -> None:
+def test_oldest_reservation_ends_once_there_are_too_many() -> None:
     first = free_port()
     for _ in range(MAX_RESERVATIONS):
         free_port()
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -120,8 +120,8 @@
     )
     config = read_config(str(config_file))
     own = read_broker_file(str(broker_file), config.names, config.settings)
-    ours, theirs = socket.socketpair()
-    proxy = Proxy.start(config, own, predecessor=PredecessorState(ours, recorded, b"", []))
+    own_end, peer_end = socket.socketpair()
+    proxy = Proxy.start(config, own, predecessor=PredecessorState(own_end, recorded, b"", []))
     yield proxy
     proxy.frontend.close()
     proxy.channels.close()
@@ -129,8 +129,8 @@
     proxy.activation.vrrp.sock.close()
     assert proxy.admin_server.acceptor is not None
     proxy.admin_server.acceptor.close()
-    ours.close()
-    theirs.close()
+    own_end.close()
+    peer_end.close()
 
 
 def names_by_place(places: dict[str, int]) -> dict[int, str]:
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -10,8 +10,8 @@
 
 import pytest
 from conftest import S
-from connections import WAIT_S, PeerConnection
-from emulated_peers import DiscoveryServer, EmulatedEndpoint
+from connections import WAIT_S
+from emulated_peers import DiscoveryServer
 from proxy_harness import launch_process, limit_descriptors, proxy_environment, started_proxy
 from running_proxy import OPEN_LINE, RunningProxy
 
@@ -65,9 +65,9 @@
             discovery.fail(True)
         elif discovery_state == "full":
             discovery.server.socket.listen(0)
-            discovery.silent = True
+            discovery.holds_calls = True
         else:
-            discovery.silent = True
+            discovery.holds_calls = True
         running = []
         for number in range(PROCESSES):
             port = free_port()
@@ -83,7 +83,7 @@
             proxy.logged("event=process-started")
             assert proxy.alive()
         if discovery_state == "slow":  # it answers now, one call after the other
-            discovery.silent = False
+            discovery.holds_calls = False
             discovery.held_calls.get(timeout=WAIT_S).release.set()
         for number, proxy in enumerate(running):
             client = proxy.client(OPEN_LINE % (number + 1, 2000))
@@ -136,9 +136,7 @@
         other_discovery.rev = 5
         running.reload("event=configuration-reloaded", discovery=other_discovery.address)
         assert f"entries={ENDPOINTS} " in running.logged("event=endpoint-list-received .*rev=5")
-        client = running.open()
-        endpoint.serve()
-        assert client.line() == b"UP r1\r\n"
+        client, endpoint_end = running.establish()
         listed[7].state = "DRAINING"
         other_discovery.change()
         assert f"entries={ENDPOINTS} draining=1 " in running.logged("event=endpoint-list-received .*rev=6")
@@ -147,5 +145,8 @@
             for line in running.passed_lines
             if "endpoint-limit-exceeded" in line or "endpoint-entries-invalid" in line
         ]
-        assert isinstance(client, PeerConnection)
-        assert isinstance(endpoint, EmulatedEndpoint)
+        # The established connection outlives the change of the list, in both directions.
+        client.send(b"M 1\r\n")
+        assert endpoint_end.line() == b"M 1\r\n"
+        endpoint_end.send(b"R 1\r\n")
+        assert client.line() == b"R 1\r\n"
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -20,13 +20,13 @@
             while True:
                 received.append((yield))
 
-    ours, theirs = socket.socketpair()
-    with ours, theirs:
+    own_end, peer_end = socket.socketpair()
+    with own_end, peer_end:
         actor = RecordingActor(loop)
         actor.start(actor.run())
-        loop.watch(ours.fileno(), select.EPOLLIN, lambda mask: actor.post(Io(mask)))
+        loop.watch(own_end.fileno(), select.EPOLLIN, lambda mask: actor.post(Io(mask)))
         actor.set_timer(0, "due")
-        theirs.send(b"in time")
+        peer_end.send(b"in time")
         loop.run_once()
         loop.run_once()
     assert received[:2] == [Io(select.EPOLLIN), Timeout("due")]
@@ -47,13 +47,13 @@
             os.dup2(new_pair[0].fileno(), number)
         loop.watch(number, select.EPOLLOUT, lambda _: calls.append("new owner"))
 
-    for (ours, theirs), (other, _) in zip(pairs, reversed(pairs), strict=True):
-        theirs.send(b"x")
-        loop.watch(ours.fileno(), select.EPOLLIN, lambda _, closed=other: handle_first(closed))  # type: ignore[misc]
+    for (own_end, peer_end), (other, _) in zip(pairs, reversed(pairs), strict=True):
+        peer_end.send(b"x")
+        loop.watch(own_end.fileno(), select.EPOLLIN, lambda _, closed=other: handle_first(closed))  # type: ignore[misc]
     loop.run_once()
     assert calls == ["first"]
-    for ours, _ in pairs:
-        if ours.fileno() >= 0:
-            loop.unwatch(ours.fileno())
+    for own_end, _ in pairs:
+        if own_end.fileno() >= 0:
+            loop.unwatch(own_end.fileno())
     loop.run_once()
     assert calls == ["first", "new owner"]
--- a/tests/test_many_balancers.py
+++ b/tests/test_many_balancers.py
@@ -86,9 +86,16 @@
     return next(iter(balancer.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0))))).id
 
 
-def ranked(fleet: SimulatedBalancers, key: int) -> list[bytes]:
+def key_ranking_first(fleet: SimulatedBalancers, endpoint_id: bytes) -> int:
+    """The smallest key for which this endpoint is first in the ranking."""
+    return next(key for key in range(1, 400) if first_ranked(fleet, key) == endpoint_id)
+
+
+def ranked_ids(fleet: SimulatedBalancers, key: int) -> list[bytes]:
     balancer = fleet.balancers[0]
-    return [each.id for each in balancer.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))]
+    return [
+        candidate.id for candidate in balancer.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0)))
+    ]
 
 
 @pytest.mark.parametrize(("ms", "minimum", "maximum"), [(90.0, 8, 15), (1500.0, 29, 35)])
@@ -98,7 +105,7 @@
     migrated = 0
     for seed in range(0, 1000, 100):
         fleet = SimulatedBalancers(40, ENDPOINTS, seed)
-        key = next(key for key in range(1, 400) if first_ranked(fleet, key) == endpoint(3))
+        key = key_ranking_first(fleet, endpoint(3))
         numbers = [fleet.send_request(n % 40, key=key) for n in range(80)]
         fleet.run(fleet.now + 100 * MS)
         for n, number in enumerate(numbers):
@@ -113,7 +120,7 @@
     # Migrated within 2.5 s, 36 and 39 connections of two endpoints went to three of a third of their size,
     # while the new ones were not up yet and those two would have served for 6 s.
     fleet = SimulatedBalancers(balancer_count, ENDPOINTS)
-    key = next(key for key in range(1, 400) if first_ranked(fleet, key) == endpoint(3))
+    key = key_ranking_first(fleet, endpoint(3))
     for n in range(80):
         fleet.send_request(n % balancer_count, key=key)
     fleet.run(fleet.now + 100 * MS)
@@ -148,7 +155,7 @@
 
 
 def entry_of(endpoint_id: bytes) -> EndpointEntry:
-    return next(each for each in ENDPOINTS if each.endpoint == endpoint_id)
+    return next(listed_entry for listed_entry in ENDPOINTS if listed_entry.endpoint == endpoint_id)
 
 
 @pytest.mark.parametrize(
@@ -163,7 +170,7 @@
     # nobody drops any, a returning client was migrated, and its group's endpoint is as good as before.
     balancer_count = 40
     fleet = SimulatedBalancers(balancer_count, ENDPOINTS)
-    key = next(key for key in range(1, 400) if first_ranked(fleet, key) == endpoint(3))
+    key = key_ranking_first(fleet, endpoint(3))
     if has_drops:
         for balancer in fleet.balancers:
             for _ in range(8):
@@ -174,7 +181,7 @@
     chosen = [send.endpoint for send in fleet.sends]
     assert minimum <= chosen.count(endpoint(3)) / 200 <= maximum
     # Clients that are passed on get the same next endpoint at every balancer: a group has few endpoints.
-    second = next(each for each in ranked(fleet, key) if each != endpoint(3))
+    second = next(other for other in ranked_ids(fleet, key) if other != endpoint(3))
     assert chosen.count(endpoint(3)) + chosen.count(second) >= 0.8 * 200
 
 
@@ -189,8 +196,8 @@
     assert balancer.returning_clients.record_return(30 * S) == 0.0
 
 
-IN_SLOW_START = tuple(each._replace(started_ns=900 * MS) for each in ENDPOINTS)
-DRAINING_ENDPOINTS = tuple(each._replace(state=EndpointState.DRAINING) for each in ENDPOINTS)
+IN_SLOW_START = tuple(listed_entry._replace(started_ns=900 * MS) for listed_entry in ENDPOINTS)
+DRAINING_ENDPOINTS = tuple(listed_entry._replace(state=EndpointState.DRAINING) for listed_entry in ENDPOINTS)
 
 
 @pytest.mark.parametrize("balancer_count", [2, 40])
@@ -200,8 +207,8 @@
         ((), False),
         (DRAINING_ENDPOINTS, False),
         (IN_SLOW_START, True),
-        (tuple(each._replace(weight=0.0) for each in ENDPOINTS), True),
-        (tuple(each._replace(weight=float("nan")) for each in ENDPOINTS), True),
+        (tuple(listed_entry._replace(weight=0.0) for listed_entry in ENDPOINTS), True),
+        (tuple(listed_entry._replace(weight=float("nan")) for listed_entry in ENDPOINTS), True),
     ],
 )
 def test_request_is_rejected_at_once_when_no_endpoint_can_serve(
--- a/tests/test_memory_after_connections_end.py
+++ b/tests/test_memory_after_connections_end.py
@@ -75,7 +75,7 @@
 def count_objects() -> Counter[str]:
     """How many objects there are of each class, by its name; without the collector, cycles count too."""
     names = {counted: counted.__name__ for counted in (*CLASSES_PER_CONNECTION, *SHARED_CLASSES)}
-    return Counter(names[type(each)] for each in gc.get_objects() if type(each) in names)
+    return Counter(names[type(live)] for live in gc.get_objects() if type(live) in names)
 
 
 def wait_until_released(before: Counter[str]) -> None:
@@ -131,7 +131,9 @@
 def request_is_rejected(proxy: ProxyInThread) -> None:
     client = proxy.open(wait_ms=1000)
     while not select.select([client.sock], [], [], 0)[0]:
-        ready, _, _ = select.select([client.sock, *(each.sock for each in proxy.endpoints)], [], [], WAIT_S)
+        ready, _, _ = select.select(
+            [client.sock, *(endpoint.sock for endpoint in proxy.endpoints)], [], [], WAIT_S
+        )
         for listener in proxy.endpoints:
             if listener.sock in ready:
                 attempt = listener.accept()
@@ -316,15 +318,15 @@
 
 def actor_and_peer(loop: Loop) -> tuple[IdleActor, socket.socket]:
     """An actor with a stream that posts to it, and the socket at the other end."""
-    ours, theirs = socket.socketpair()
+    own_end, peer_end = socket.socketpair()
     actor = IdleActor(loop)
-    actor.stream = Stream(loop, ours, actor.post)
-    return actor, theirs
+    actor.stream = Stream(loop, own_end, actor.post)
+    return actor, peer_end
 
 
 def test_actor_ended_from_outside_releases_everything(without_collector: None) -> None:
     loop = Loop()
-    actor, theirs = actor_and_peer(loop)
+    actor, peer_end = actor_and_peer(loop)
     actor.start(actor.run())
     actor.stream.arm()
     actor.set_timer(600 * S, "one")
@@ -335,7 +337,7 @@
     loop.run_once()
     assert not actor.timers
     assert not actor.mailbox
-    assert theirs.recv(1) == b""
+    assert peer_end.recv(1) == b""
     actor_reference = weakref.ref(actor)
     del actor
     assert actor_reference() is None
@@ -362,10 +364,10 @@
 
 def test_closed_stream_keeps_no_buffer_and_no_callback(without_collector: None) -> None:
     loop = Loop()
-    actor, theirs = actor_and_peer(loop)
+    actor, peer_end = actor_and_peer(loop)
     stream = actor.stream
     assert isinstance(stream, Stream)
-    theirs.send(b"one\r\ntwo")
+    peer_end.send(b"one\r\ntwo")
     assert stream.fill() is None
     line = stream.line()
     stream.unsent += b"x" * 9000
@@ -380,16 +382,16 @@
     actor_reference = weakref.ref(actor)
     del actor
     assert actor_reference() is None
-    theirs.close()
+    peer_end.close()
 
 
 def test_read_buffer_grows_when_filled_and_keeps_its_content() -> None:
     loop = Loop()
-    actor, theirs = actor_and_peer(loop)
+    actor, peer_end = actor_and_peer(loop)
     stream = actor.stream
     assert isinstance(stream, Stream)
     long_line = bytes(range(32, 127)) * 40 + b"\r\n"
-    theirs.send(b"short\r\n" + long_line)
+    peer_end.send(b"short\r\n" + long_line)
     assert len(stream.view) == INITIAL_BUFFER_BYTES
     lines: list[bytes] = []
     while len(lines) < 2:
@@ -398,7 +400,7 @@
     assert lines == [b"short\r\n", long_line]
     assert len(stream.view) == 2 * MAX_LINE_BYTES
     stream.close()
-    theirs.close()
+    peer_end.close()
 
 
 def test_cancelled_timers_do_not_accumulate() -> None:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -8,7 +8,7 @@
 import pytest
 
 
-def test_example(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_runs_as_printed(capsys: pytest.CaptureFixture[str]) -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     (example,) = re.findall(r"```python\n(.*?)```", text, re.S)
     exec(compile(example, "README.md", "exec"), {})
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -72,8 +72,8 @@
     balancer = make_balancer(30, **effect("by_key", "zone"))
     send = single_send(balancer.step(2 * S, [request(1)]))
     zone = balancer.endpoints[send.endpoint].zone
-    (again,) = only(balancer.step(2 * S + MS, [ended(send, 0, Outcome.ERROR, MS)]), Send)
-    assert balancer.endpoints[again.endpoint].zone == zone
+    (retry,) = only(balancer.step(2 * S + MS, [ended(send, 0, Outcome.ERROR, MS)]), Send)
+    assert balancer.endpoints[retry.endpoint].zone == zone
 
     balancer = make_balancer(30, **effect("by_key", "cell", windowNs=100 * MS))
     send = single_send(balancer.step(2 * S, [request(1)]))
@@ -141,8 +141,8 @@
     assert half_open.endpoint == failed
     assert next_send.endpoint != failed
     balancer.step(4 * S + MS, [ConnectionEstablished(3, 0, failed, MS)])
-    (after,) = only(balancer.step(4 * S + 2 * MS, [request(5, group=5)]), Send)
-    assert after.endpoint == failed
+    (readmitted,) = only(balancer.step(4 * S + 2 * MS, [request(5, group=5)]), Send)
+    assert readmitted.endpoint == failed
 
 
 def test_slow_endpoint_is_avoided_until_its_messages_are_fast_again() -> None:
@@ -178,8 +178,8 @@
     balancer.step(2 * S + MS, [ConnectionEstablished(1, 0, send.endpoint, MS)])
     for kind in (LOAD_NOTE, SLOW_NOTE, 77):
         assert balancer.step(3 * S, [ConnectionNote(1, 0, send.endpoint, kind, value)]) == []
-    (again,) = only(balancer.step(3 * S + MS, [request(2, group=5)]), Send)
-    assert again.endpoint == send.endpoint
+    (next_send,) = only(balancer.step(3 * S + MS, [request(2, group=5)]), Send)
+    assert next_send.endpoint == send.endpoint
 
 
 def test_adopted_connections_are_counted_and_released() -> None:
@@ -424,8 +424,8 @@
         (first,) = only(balancer.step(2 * S, [request(number, key=5)]), Send)
         (second,) = only(balancer.step(2 * S, [ended(first, 0, Outcome.ERROR)]), Send)
         balancer.step(2 * S + MS, [ConnectionEstablished(number, 1, second.endpoint, MS)])
-    (again,) = only(balancer.step(2 * S + 2 * MS, [request(3, key=5)]), Send)
-    assert second.endpoint == again.endpoint != first.endpoint
+    (next_send,) = only(balancer.step(2 * S + 2 * MS, [request(3, key=5)]), Send)
+    assert second.endpoint == next_send.endpoint != first.endpoint
 
 
 def test_request_that_two_endpoints_fail_is_failed_without_blaming_them() -> None:
@@ -433,8 +433,8 @@
     (first,) = only(balancer.step(2 * S, [request(1)]), Send)
     (second,) = only(balancer.step(2 * S, [ended(first, 0, Outcome.ERROR)]), Send)
     assert balancer.step(2 * S, [ended(second, 1, Outcome.ERROR)]) == [Fail(1)]
-    (again,) = only(balancer.step(2 * S + MS, [request(2, key=1001)]), Send)
-    assert again.endpoint == first.endpoint
+    (next_send,) = only(balancer.step(2 * S + MS, [request(2, key=1001)]), Send)
+    assert next_send.endpoint == first.endpoint
 
 
 def test_failed_request_is_not_retried_at_same_endpoint() -> None:
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -67,11 +67,16 @@
 def test_too_long_list_is_cut_while_known_endpoints_are_still_updated(small_bounds: None) -> None:
     drains = AdministrativeDrains(lambda: 1)
     event = drains.limit_entries(listed(*entries(*range(20))))
-    assert [each.endpoint for each in event.entries] == [endpoint(number) for number in range(8)]
+    assert [listed_entry.endpoint for listed_entry in event.entries] == [
+        endpoint(number) for number in range(8)
+    ]
     drains.overlay(event)
     # Known endpoints are still updated; only new ones are dropped.
     change = listed(*entries(3, 4, state=EndpointState.DRAINING), *entries(50), form=ListForm.DELTA)
-    assert [each.endpoint for each in drains.limit_entries(change).entries] == [endpoint(3), endpoint(4)]
+    assert [listed_entry.endpoint for listed_entry in drains.limit_entries(change).entries] == [
+        endpoint(3),
+        endpoint(4),
+    ]
     drains.overlay(listed(*entries(5, state=EndpointState.REMOVED), form=ListForm.DELTA))
     assert len(drains.limit_entries(listed(*entries(51, 52), form=ListForm.DELTA)).entries) == 1
     # A full list frees the places of endpoints that it does not contain.
