--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -1,7 +1,7 @@
 """The decisions of one balancer: `Balancer.step` takes events and returns actions, without a clock or I/O.
 
-The messages in and out are in `events.py` and `actions.py`; this module says which component handles which
-event.
+Events are defined in `events.py`, actions in `actions.py`; this module dispatches each event to the
+components that handle it.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 from linnetshift.routing.tick_timer import TICK_TOKEN, TickTimer
 from linnetshift.routing.unresponsive_endpoints import UNRESPONSIVE_MESSAGE, UnresponsiveEndpoints
 
-MAX_NOTE_VALUE = 1e9  # NaN and absurd values of notes are ignored
+MAX_NOTE_VALUE = 1e9  # notes with a NaN, negative or larger value are ignored
 NS_PER_MS = 1e6
 NS_PER_US = 1e3
 
@@ -93,16 +93,16 @@
         return self.context.now
 
     def configure(self, settings: Settings) -> None:
-        """Apply new settings, also while running; what is known of endpoints and requests is kept.
+        """Apply new settings, at any time; the state of endpoints and requests is kept.
 
-        Classes may be added then, but those that exist keep their numbers.
+        Classes may be added, but existing ones must keep their numbers (`Settings.numbered_after`).
         """
         self.context.configure(settings)
         self.health_checks.configure()
         self.ranking.invalidate()
 
     def step(self, now_ns: int, events: Sequence[Event]) -> list[Action]:
-        """Handle events in their order; returns the resulting actions in the order to carry them out.
+        """Handle events in order; returns the resulting actions in the order in which to carry them out.
 
         `now_ns` is the time of the step on the caller's clock, in nanoseconds.
         """
@@ -113,7 +113,7 @@
         return self.context.actions
 
     def _dispatch(self, event: Event) -> None:
-        """Hand one event to the method for its type."""
+        """Dispatch an event by its type."""
         match event:
             case Request():
                 self._handle_request(event)
@@ -128,12 +128,12 @@
             case AdoptedConnection():
                 self._handle_adopted_connection(event)
             case _:
-                self._dispatch_other(event)
+                self._dispatch_non_request_event(event)
 
-    def _dispatch_other(
+    def _dispatch_non_request_event(
         self, event: EndpointList | EndpointSuspension | HealthCheckResult | PeerMessage | TimerFired
     ) -> None:
-        """Hand one event that belongs to no request to the method for its type."""
+        """Dispatch an event that belongs to no request by its type."""
         match event:
             case EndpointList():
                 self._handle_endpoint_list(event)
@@ -167,7 +167,7 @@
             self.lifecycle.reject(pending)
 
     def _skip_ranks(self, pending: PendingRequest) -> None:
-        """Let a returning client skip the best ranks, whose endpoints may have dropped it."""
+        """Skip some of the best-ranked endpoints, as one of them may have dropped the returning client."""
         probability = self.returning_clients.record_return(self.now)
         while probability and self.context.random.random() < probability:
             pending.skipped_ranks += 1
@@ -221,7 +221,7 @@
         if endpoint is None or event.request_id in self.requests:
             return
         request_class = self.settings.classes[event.klass]
-        no_deadline = 0  # none runs for an established connection
+        no_deadline = 0  # an established connection has none
         self.requests.adopt(PendingRequest(event, no_deadline, event.load_hint, request_class), endpoint)
 
     def _handle_endpoint_list(self, event: EndpointList) -> None:
@@ -237,10 +237,10 @@
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or not endpoint.health_check_sent_at:
             return
-        share = self.health_checks.handle_result(endpoint, event)
-        if share:
+        share_to_migrate = self.health_checks.handle_result(endpoint, event)
+        if share_to_migrate:
             misses_objectives = self.now < endpoint.majority_over_objective_until
-            self.migration.migrate_excess(endpoint, misses_objectives, lambda _: share)
+            self.migration.migrate_excess(endpoint, misses_objectives, lambda _: share_to_migrate)
         self.lifecycle.retry_waiting()
 
     def _handle_peer_message(self, event: PeerMessage) -> None:
--- a/linnetshift/routing/context.py
+++ b/linnetshift/routing/context.py
@@ -1,4 +1,4 @@
-"""What all components of one balancer share: settings, time, random draws and the actions of a step."""
+"""State shared by the components of one balancer: settings, time, random numbers and current actions."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from linnetshift.routing.actions import Action
 from linnetshift.routing.settings import Settings
 
-TICKS_PER_LATENCY_OBJECTIVE = 8  # waiting requests are retried this often within the shortest objective
+TICKS_PER_LATENCY_OBJECTIVE = 8  # of the shortest one; waiting requests are retried at each tick
 
 
 class RoutingContext:
-    """The settings in force, the time of the current step and the actions that it has led to so far."""
+    """The settings in force, the time of the current step and the actions emitted in it so far."""
 
     settings: Settings
     slow_start_window_ns: int
@@ -26,7 +26,7 @@
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """Take new settings and derive from them what several components need."""
+        """Apply new settings and recompute the values derived from them."""
         self.settings = settings
         self.slow_start_window_ns = settings.overload_window_ns or settings.warm_up_ns
         offered = settings.offered
@@ -34,10 +34,10 @@
         self.message_latency_objective_ns = min(c.message_latency_objective_ns for c in offered)
 
     def begin_step(self, now_ns: int) -> None:
-        """Start a step without actions; a clock that steps back must not make deadlines valid again."""
+        """Start a step without actions; time never goes back, or expired deadlines would be valid again."""
         self.now = max(self.now, now_ns)
         self.actions = []
 
     def emit(self, action: Action) -> None:
-        """Append an action to those of the current step."""
+        """Add an action to the current step."""
         self.actions.append(action)
