--- a/linnetshift/routing/actions.py
+++ b/linnetshift/routing/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the balancer returns from a step, in the order in which they are to be carried out.
+"""Actions returned by `Balancer.step`, in the order in which to carry them out.
 
 Each takes effect at the time of the step. Times are whole nanoseconds; `request_id` and `endpoint` are as in
 `linnetshift.routing.events`. Source: "Send these" in the simulator's wire protocol.
@@ -9,11 +9,11 @@
 from typing import NamedTuple
 
 ALL_PEERS = 0xFFFF
-"""Peer number that stands for every other instance: all bits of the wire's field."""
+"""Peer number that addresses every other instance: all bits of the wire field are set."""
 
 
 class Send(NamedTuple):
-    """Start an attempt; it ends by itself after `timeout_ns`.
+    """Start an attempt, which times out after `timeout_ns`.
 
     Attempts of one request are numbered 0, 1, 2 in the order of these actions. Each ends with exactly one
     `AttemptEnded`.
@@ -21,18 +21,18 @@
 
     request_id: int
     endpoint: bytes
-    timeout_ns: int  # ends with the client's deadline at the latest; a negative one expires at once
+    timeout_ns: int  # never past the client's deadline; a negative value expires at once
 
 
 class Reject(NamedTuple):
-    """Final answer: not done, and a retry does no harm."""
+    """Final answer: not served, and a retry is harmless."""
 
     request_id: int
-    retry_after_ns: int  # how long the client should stay away; 0: no advice
+    retry_after_ns: int  # how long the client should wait before a retry; 0: unspecified
 
 
 class Fail(NamedTuple):
-    """Final answer: not served, without a promise as to effects."""
+    """Final answer: not served; the request may have had an effect."""
 
     request_id: int
 
@@ -48,26 +48,26 @@
 
 
 class Migrate(NamedTuple):
-    """End an established connection in an orderly way; its client comes back with a new request."""
+    """Close an established connection gracefully; its client reconnects with a new request."""
 
     request_id: int
 
 
 class SetTimer(NamedTuple):
-    """Ask for a `TimerFired`; timers cannot be revoked, those no longer wanted are to be ignored."""
+    """Schedule a `TimerFired`; it cannot be cancelled, so the balancer ignores those no longer needed."""
 
     delay_ns: int  # from now
     token: int  # below 2**32; comes back with the event
 
 
 class HealthCheck(NamedTuple):
-    """Check an endpoint; `HealthCheckResult` answers."""
+    """Check an endpoint; a `HealthCheckResult` follows."""
 
     endpoint: bytes
 
 
 class SendPeerMessage(NamedTuple):
-    """Message to one peer by number, or to all with `ALL_PEERS`; it may get lost."""
+    """Send a message to one peer, or to all with `ALL_PEERS`; it may get lost."""
 
     peer: int
     data: bytes  # at most 256 bytes
@@ -80,16 +80,16 @@
 
 
 class Watch(NamedTuple):
-    """Start or stop watching discovery's list of endpoints for changes.
+    """Start or stop a watch on discovery's endpoint list.
 
-    One `EndpointList` answers the call, also where it fails; it includes the changes missed until then.
+    One `EndpointList` answers the call, even if it fails; it includes the changes missed until then.
     """
 
-    on: bool  # start; else stop
+    on: bool  # start the watch; else stop it
 
 
 class FetchList(NamedTuple):
-    """Ask discovery for the whole list once."""
+    """Fetch the whole endpoint list from discovery once."""
 
 
 Action = (
--- a/linnetshift/routing/events.py
+++ b/linnetshift/routing/events.py
@@ -1,18 +1,18 @@
-"""Events that a balancer is given, and the enumerations in their fields.
+"""Events passed to a balancer, and the enumerations in their fields.
 
-Source: "Handle these", "Parse a list" and "Tell outcomes apart" in the simulator's wire protocol; the values
-of the enumerations are those of the wire. Fields that mean the same everywhere:
+Source: "Handle these", "Parse a list" and "Tell outcomes apart" in the simulator's wire protocol;
+enumeration values are those on the wire. Fields that several events share:
 
-- Times are whole nanoseconds of the caller's clock, which has no particular start; `elapsed_ns` counts from
-  the send of the attempt or health check.
+- Times are whole nanoseconds of the caller's clock, whose epoch is arbitrary; `elapsed_ns` counts from the
+  send of the attempt or health check.
 - `endpoint` is an opaque byte string (the address on the wire) that can be compared and sorted.
 - `request_id` is an opaque integer, never used twice by one instance.
 - `attempt` is the number of an attempt of its request, from 0, in the order of sends.
-- `klass`, `tenant`, `zone` and `kind` are places in the lists of the settings, from 0.
-- `report` holds the values of a load report in the order of `Settings.report_columns`; empty where none came.
-- Fields for which a site has no value are 0.
+- `klass`, `tenant`, `zone` and `kind` are indexes into lists of the settings, from 0.
+- `report` holds the values of a load report in the order of `Settings.report_columns`; empty for none.
+- Fields for which a deployment has no value are 0.
 
-The messages declare enumerations as `int`: values come from the wire unchecked, and to turn each into a
+Enumeration fields are declared as `int`: values come from the wire unchecked, and converting each to a
 member would add to the cost of every message.
 """
 
@@ -23,88 +23,87 @@
 
 
 class EndpointState(IntEnum):
-    """What an endpoint may be sent."""
+    """State of an endpoint in the endpoint list."""
 
     READY = 0
-    """New connections."""
+    """Accepts new connections."""
     REMOVED = 1
-    """Nothing: it is gone. Only among changes; in a whole list such an endpoint is missing."""
+    """Gone. Occurs in deltas only; a full list omits the endpoint."""
     DRAINING = 2
-    """Nothing new: it finishes its connections."""
+    """Accepts no new connections, but finishes those it has."""
 
 
 class ListForm(IntEnum):
-    """What an `EndpointList` holds."""
+    """Content of an `EndpointList`."""
 
     DELTA = 0
     """The changed entries only."""
     FULL = 1
-    """The whole list; an endpoint that is missing is gone."""
+    """The whole list; endpoints missing from it are gone."""
     CACHED = 2
-    """The whole list as the instance last had it, which may be old; comes at its start."""
+    """The whole list as the instance last had it, possibly outdated; sent at its start."""
     FAILED = 3
-    """No entries: a call to discovery failed or the subscription broke. The list so far is kept."""
+    """No entries: a call to discovery failed or the watch broke. The current list stays in use."""
 
 
 class Outcome(IntEnum):
     """How an attempt or health check ended."""
 
     ERROR = 0
-    """The endpoint returned an error; it may have executed."""
+    """The endpoint returned an error; the attempt may have executed."""
     OK = 1
     """Served."""
     FULL = 2
-    """Rejected unseen by an endpoint that is at its limit or drains."""
+    """Rejected before execution by an endpoint that is at its limit or draining."""
     TIMEOUT = 3
-    """No answer in time; it may have executed, or may still execute."""
+    """No answer in time; the attempt may have executed, or may still execute."""
     CONNECT_FAILED = 4
-    """No connection in time: the endpoint is down, unreachable or takes no more connections."""
+    """No connection in time: the endpoint is down, unreachable or accepts no more connections."""
     RESET = 5
-    """The connection broke while the attempt was in flight; it may have executed."""
+    """The connection broke while the attempt was in flight; the attempt may have executed."""
     CANCELLED = 6
-    """Ended by `Cancel`; it may have executed."""
+    """Ended by `Cancel`; the attempt may have executed."""
     MOOT = 7
-    """Not sent: the request was over or established, its time was up, or it had all its attempts."""
+    """Not sent: the request was over, established, past its deadline or out of attempts."""
 
 
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
 """Outcomes that prove the attempt had no effect."""
 
-# Bits of `Request.flags`. Plain numbers, not an enumeration: they are tested for each request.
+# Bits of `Request.flags`; plain integers, as an enumeration would add to the cost of every request.
 RETRY = 2
 """The client marks the request as a retry; only where clients do so."""
 MID_FLOW = 8
-"""Packets of an open connection arrive here.
+"""The request carries packets of an open connection.
 
-Sent to the endpoint that holds the connection, also while that drains, it goes on unbroken; sent to any other
-it is reset and set up again.
+The connection continues if they are sent to the endpoint that holds it, even a draining one. Any other
+endpoint resets it, and it is set up again.
 """
 RETURNED = 16
-"""The client is back after its connection broke or was migrated."""
+"""The client reconnects after its connection broke or was migrated."""
 
 # Values of `ConnectionNote.kind`.
 LOAD_NOTE = 1
-"""The connection's load changed; the value is microseconds of work a second."""
+"""The connection's load changed; the value is in microseconds of work a second."""
 SLOW_NOTE = 2
-"""Messages take long at the connection's endpoint; the value is milliseconds that one takes there now."""
+"""Messages are slow at the connection's endpoint; the value is the time that one takes, in milliseconds."""
 
 
 class EndpointEntry(NamedTuple):
-    """One line of the list of endpoints."""
+    """One entry of the endpoint list."""
 
     endpoint: bytes
     zone: int
-    kind: int  # of machine
-    cell: int  # a few endpoints that know each other's idempotency keys; unique over all zones
+    kind: int  # machine type
+    cell: int  # endpoints of a cell share idempotency keys; unique over all zones
     state: int  # an `EndpointState`
-    # Relative to other endpoints; `Settings.weights_are_sizes` tells whether it varies with load.
-    weight: float
+    weight: float  # relative to other endpoints; may vary with load unless `Settings.weights_are_sizes`
     started_ns: int  # when it last started; 0: long ago
-    drain_within_ns: int = 0  # while it drains: how soon its connections must be gone; 0: not known
+    drain_within_ns: int = 0  # while it drains: time until its connections must be gone; 0: unknown
 
 
 class EndpointList(NamedTuple):
-    """What discovery says of the endpoints; comes in order and without gaps."""
+    """A list of endpoints, or changes to it, from discovery; delivered in order and without gaps."""
 
     form: int  # a `ListForm`
     version: int
@@ -112,29 +111,29 @@
 
 
 class EndpointSuspension(NamedTuple):
-    """Nothing new may be sent to an endpoint that is listed as ready, or again; connections there stay."""
+    """Starts or ends the suspension of a ready endpoint: no new connections, but existing ones stay."""
 
     endpoint: bytes
     is_suspended: bool
 
 
 class Request(NamedTuple):
-    """A client asks for a connection; one final answer is owed."""
+    """A client's request for a connection; it must get exactly one final answer."""
 
     request_id: int
     klass: int
     group: int  # connections of one group share work on an endpoint; 0: none
-    key: int  # what the request concerns; requests with the same key go together
+    key: int  # of the request's subject; requests with the same key are placed together
     load_hint: int  # expected load, in nanoseconds of work a second on a standard core
     flags: int  # bits: `RETRY`, `MID_FLOW`, `RETURNED`; 1: `load_hint` is valid
     tenant: int
-    budget_ns: int  # until the client gives up, often a part of the class's deadline
+    budget_ns: int  # time until the client gives up, often less than the class's deadline
 
 
 class AdoptedConnection(NamedTuple):
-    """A connection that was open through this instance when it started.
+    """A connection that was already open through this instance at its start.
 
-    It counts as established by attempt 0; `AttemptEnded` comes when it ends. Fields as in `Request`.
+    It counts as established by attempt 0; `AttemptEnded` follows when it ends. Fields as in `Request`.
     """
 
     request_id: int
@@ -148,7 +147,7 @@
 
 
 class ConnectionEstablished(NamedTuple):
-    """The attempt's connection is up: its timeout and deadline no longer run, only its end is to come."""
+    """The attempt's connection is established: its timeout and deadline no longer apply."""
 
     request_id: int
     attempt: int
@@ -157,7 +156,7 @@
 
 
 class ConnectionNote(NamedTuple):
-    """What is newly known of an attempt in flight."""
+    """New information on an attempt in flight."""
 
     request_id: int
     attempt: int
@@ -167,28 +166,28 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt or the connection that it established has ended; comes once for each `Send`."""
+    """An attempt or the connection that it established has ended; sent once for each `Send`."""
 
     request_id: int
     attempt: int
     endpoint: bytes
-    closed: bool  # the request is over, with this outcome or before; else its final answer is still owed
+    closed: bool  # the request is over, by this outcome or before; else its final answer is due
     elapsed_ns: int
     outcome: int  # an `Outcome`
     report: tuple[float, ...]
 
 
 class RequestWithdrawn(NamedTuple):
-    """The client left before its final answer; nothing more is owed.
+    """The client disconnected before its final answer, which is no longer needed.
 
-    It may follow an outcome with which the request has just ended: then its id is not known any more.
+    It may follow an outcome that has just ended the request: then its id is no longer known.
     """
 
     request_id: int
 
 
 class TimerFired(NamedTuple):
-    """A timer is due."""
+    """A timer has expired."""
 
     token: int  # as given to `SetTimer`
 
