--- a/linnetshift/routing/settings.py
+++ b/linnetshift/routing/settings.py
@@ -1,6 +1,6 @@
-"""Settings of a routing instance: request classes, tenants, rules and what the site allows.
+"""Settings of a routing instance: request classes, tenants, rules and limits of the deployment.
 
-They arrive as one JSON object when an instance starts, and again when they change. Keys, units and meanings
+They are sent as one JSON object when an instance starts, and again when they change. Keys, units and meanings
 are those of "Read your settings" in the simulator's wire protocol; times are whole nanoseconds.
 """
 
@@ -15,27 +15,27 @@
 from linnetshift.routing.settings_reader import SettingsError, SettingsReader, number_or
 
 CROSS_ZONE_COST_SCALE = 0.056
-"""The price of crossing data centres, in requests, at which an endpoint of another one has 1/e of its weight.
+"""Cross-zone cost, in requests, at which an endpoint in another zone has 1/e of its weight.
 
-Measured where a crossing costs 0.13 of a request: a tenth of the weight, as this scale gives, served best.
+At a cost of 0.13 requests, a tenth of the weight served best; this scale gives that.
 """
 
 DEFAULT_MUST_POLL_WITHIN_NS = 10_000_000_000
-"""How long a polling instance may go without polling where the site does not say; most sites have this."""
+"""Default of `mustAskInNs`: the value of most deployments."""
 
 WEIGHT_SOURCES_WITHOUT_SIZE = ("silent", "live")
 """Values of `weightSource` with which a listed weight is not the endpoint's size in standard cores."""
 
 
 class Effect(IntEnum):
-    """What a second execution of a request of a class would do."""
+    """What a second execution of a request would do."""
 
     IDEMPOTENT = 0
     """No further effect, whenever and wherever it runs."""
     IDEMPOTENT_BY_KEY = 1
     """No further effect within the idempotency window, on endpoints of the same `Scope`."""
     NOT_IDEMPOTENT = 2
-    """A second effect: it may be sent again only after proof that it never ran."""
+    """A second effect: a request may be sent again only after proof that it was not executed."""
 
 
 EFFECTS: Mapping[str, Effect] = {
@@ -43,11 +43,11 @@
     "by_key": Effect.IDEMPOTENT_BY_KEY,
     "once": Effect.NOT_IDEMPOTENT,
 }
-"""The effects under their values of `services[].effect`."""
+"""Effects by their value of `services[].effect`."""
 
 
 class Scope(IntEnum):
-    """Which endpoints discard the repeats of a request with an idempotency key together.
+    """Endpoints that share idempotency keys, so that any of them discards repeats.
 
     The names, in lower case, are the values of `services[].group`.
     """
@@ -58,7 +58,7 @@
 
 
 DISCOVERY_MUST_POLL: Mapping[str, bool] = {"push": False, "ask": True}
-"""Whether an instance has to poll for the list, under the values of `discovery`."""
+"""Whether an instance must poll for the list, by the value of `discovery`."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,15 +66,15 @@
     """The rules of one class of requests (`services[]`).
 
     Attributes:
-        name: What configuration files and log lines call it.
-        latency_objective_ns: Within this time an answer earns its full priority weight.
-        deadline_ns: How long a client waits in all, over all its attempts.
+        name: Its name in configuration files and log lines.
+        latency_objective_ns: An answer within this time earns the full priority weight.
+        deadline_ns: How long a client waits in total, over all attempts.
         message_latency_objective_ns: How long a message may take on an established connection.
         effect: What a second execution would do.
-        scope: Where repeats are discarded; matters with `Effect.IDEMPOTENT_BY_KEY` only.
-        idempotency_window_ns: For how long they are, from the send of the first possibly executed attempt.
-        priority_weight: What a request counts, relative to other classes.
-        max_attempts: Attempts that may be made for one request.
+        scope: Endpoints that discard repeats; used with `Effect.IDEMPOTENT_BY_KEY` only.
+        idempotency_window_ns: How long they do so, from the send of the first possibly executed attempt.
+        priority_weight: Value of a request relative to other classes.
+        max_attempts: Maximum number of attempts per request.
     """
 
     name: str
@@ -87,20 +87,20 @@
     priority_weight: float
     max_attempts: int
 
-    def may_retry(self, first_ns: int, at_ns: int) -> bool:
-        """Whether an execution at `at_ns` has no further effect.
+    def may_retry(self, first_sent_ns: int, at_ns: int) -> bool:
+        """Whether another execution at `at_ns` has no further effect.
 
-        `first_ns` is when the first attempt that may have executed was sent, on the same clock. Whether the
-        endpoint lies in the `scope` is for the caller to check.
+        `first_sent_ns` is when the first possibly executed attempt was sent, on the same clock. The caller
+        checks whether the endpoint lies in the `scope`.
         """
         if self.effect == Effect.IDEMPOTENT_BY_KEY:
-            return at_ns < first_ns + self.idempotency_window_ns
+            return at_ns < first_sent_ns + self.idempotency_window_ns
         return self.effect == Effect.IDEMPOTENT
 
-    def client_may_retry(self, first_ns: int, at_ns: int) -> bool:
+    def client_may_retry(self, first_sent_ns: int, at_ns: int) -> bool:
         """Whether a client may retry until `at_ns` without further effect, whichever proxy it reaches."""
         is_safe_on_every_endpoint = self.effect == Effect.IDEMPOTENT or self.scope == Scope.ALL
-        return is_safe_on_every_endpoint and self.may_retry(first_ns, at_ns)
+        return is_safe_on_every_endpoint and self.may_retry(first_sent_ns, at_ns)
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,9 +108,9 @@
     """One tenant (`tenants[]`).
 
     Attributes:
-        name: What configuration files and log lines call it.
+        name: Its name in configuration files and log lines.
         fraction: Its share of the service, 0 to 1.
-        quota_connections: Open connections that it may have over all proxies; 0.0 where the site sets none.
+        quota_connections: Maximum number of open connections over all proxies; 0.0 for no quota.
     """
 
     name: str
@@ -120,10 +120,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is given at its start, and again when the settings change.
+    """The settings of one instance.
 
-    A class's number is its place in `classes` and stands for its rules for good: classes that are no longer
-    offered keep theirs, for the requests that began with them.
+    A class's number is its index in `classes` and stands for the same rules as long as requests use it:
+    classes that are no longer offered keep theirs, for the requests that began with them.
 
     Attributes:
         node: Number of this instance, from 0.
@@ -131,27 +131,27 @@
         zone: Zone of this instance.
         classes: All classes that a request in progress may have.
         offered_numbers: Numbers of the classes that new requests may have, in the order of the settings.
-        tenants: Tenants by number; none at some sites.
-        must_poll: Whether list changes come only to instances that asked for them.
-        must_poll_within_ns: After this long without a poll, what was listed then counts as known.
-        answer_slack_ns: A final answer is in time until this long after the client's deadline.
-        drain_grace_ns: An endpoint may get attempts until this long after notice that it drains or is gone.
+        tenants: Tenants by number; may be empty.
+        must_poll: Whether list changes are sent only to instances that poll for them.
+        must_poll_within_ns: After this long without a poll, what is listed by then counts as known.
+        answer_slack_ns: How long after the client's deadline a final answer is still in time.
+        drain_grace_ns: How long an endpoint may get attempts after notice that it drains or is gone.
         initial_capacity_share: Share of its capacity that an endpoint has at its start, 0 to 1.
-        warm_up_ns: Age at which it has all of it.
-        overload_multiple: An endpoint that warms up fails when sent more than this multiple of its capacity.
-        overload_window_ns: The time over which that is counted; 0 where a site has no such rule.
-        connect_timeout_ns: After this a connection attempt has failed.
+        warm_up_ns: Age at which an endpoint has its full capacity.
+        overload_multiple: A warming endpoint fails when sent more than this multiple of its capacity.
+        overload_window_ns: The time over which that is counted; 0 where there is no such rule.
+        connect_timeout_ns: Time after which a connection attempt has failed.
         parallel_attempts: Whether a request may have two attempts in flight.
         may_health_check: Whether `HealthCheck` may be used.
         may_message_peers: Whether `SendPeerMessage` may be used.
         may_cancel: Whether `Cancel` may be used.
         max_retry_after_ns: Longest retry-after that clients obey; 0 where they get none.
-        weights_are_sizes: Whether weights are sizes in standard cores; live ones fall under load.
-        over_share_weight: What a request beyond its tenant's share counts, as a fraction of the weight.
+        weights_are_sizes: Whether weights are sizes in standard cores; others may fall under load.
+        over_share_weight: Value of a request beyond its tenant's share, as a fraction of its priority weight.
         report_columns: Names of the values of a load report, in order.
-        reports_message_time: Whether notes of message times are sent.
+        reports_message_time: Whether message times are reported in `ConnectionNote` events.
         step_ns: Shortest time between two batches of events.
-        cross_zone_cost: Price of an attempt that crosses zones, in requests; 0.0 where it is free.
+        cross_zone_cost: Cost of a cross-zone attempt, in requests; 0.0 where it is free.
     """
 
     node: int
@@ -183,7 +183,7 @@
 
     @classmethod
     def parse(cls, raw: Mapping[str, Any]) -> Settings:
-        """Read the settings object, skipping unknown keys; `SettingsError` names the path of a bad value."""
+        """Parse the settings object, ignoring unknown keys; `SettingsError` names the path of a bad value."""
         reader = SettingsReader(raw)
         rules = reader.required_object("rules")
         allowed = reader.required_object("allowed")
@@ -222,7 +222,7 @@
 
     @property
     def cross_zone_weight(self) -> float:
-        """Share of its weight that an endpoint of another data centre has; 1.0 where crossing is free."""
+        """Factor of the weight of an endpoint in another zone; 1.0 where crossing zones is free."""
         return math.exp(-self.cross_zone_cost / CROSS_ZONE_COST_SCALE)
 
     @property
@@ -231,21 +231,21 @@
         return [self.classes[number] for number in self.offered_numbers]
 
     def numbered_after(self, former: Settings, in_use: Collection[int] | None = None) -> Settings:
-        """Return these settings with the class numbers of `former`, which they replace.
+        """Return these settings with classes numbered as in `former`, the settings that they replace.
 
-        A class whose rules are new gets a number of its own. Numbers that are neither offered any more nor
-        `in_use` (None: all are) are reused, or each reload with other rules would leave a class behind for
-        good.
+        A class with new rules gets a number of its own. Numbers that are neither offered any more nor
+        `in_use` (None: all are) are reused; otherwise `classes` would grow with each reload that changes
+        rules.
         """
         classes = list(former.classes)
         offered_numbers = {classes.index(offered) for offered in self.classes if offered in classes}
-        used = range(len(classes)) if in_use is None else in_use
-        free = [n for n in range(len(classes)) if n not in offered_numbers and n not in used]
+        used_numbers = range(len(classes)) if in_use is None else in_use
+        free_numbers = [n for n in range(len(classes)) if n not in offered_numbers and n not in used_numbers]
         for offered in self.classes:
             if offered in (classes[number] for number in offered_numbers):
                 continue
-            if free:
-                number = free.pop(0)
+            if free_numbers:
+                number = free_numbers.pop(0)
                 classes[number] = offered
             else:
                 number = len(classes)
@@ -256,20 +256,20 @@
 
 
 class _MessageObjectives(NamedTuple):
-    """Objectives for the time of a message on an established connection, as the site gives them."""
+    """Message latency objectives of the classes, as given in the settings."""
 
-    values: list[Any]  # one for each class, in nanoseconds; some sites send fewer, or nulls
+    values: list[Any]  # in nanoseconds, by class; some deployments send fewer, or nulls
     shortest_ns: int
 
     def of_class(self, index: int) -> int:
-        """Return the objective in nanoseconds, 0 for none; a class added without one shares the shortest."""
+        """Return a class's objective in nanoseconds, 0 for none; classes beyond the list get the shortest."""
         if index < len(self.values):
             return int(number_or(self.values[index], 0))
         return self.shortest_ns
 
 
 def _read_message_objectives(family: SettingsReader) -> _MessageObjectives:
-    """Read `messageAimNs`; empty at sites that set none."""
+    """Read `messageAimNs`; empty where it is missing."""
     values = family.optional_list("messageAimNs")
     shortest_ns = int(min((number_or(value, 0) for value in values), default=0))
     return _MessageObjectives(values, shortest_ns)
@@ -302,7 +302,7 @@
         name=name,
         latency_objective_ns=latency_objective_ns,
         deadline_ns=service.positive_int("hardLimitNs"),
-        # Without an objective for messages that of the set-up serves: with 0 every endpoint would be slow.
+        # Defaults to the objective of the set-up: with 0, every endpoint would count as slow.
         message_latency_objective_ns=objectives.of_class(index) or latency_objective_ns,
         effect=service.required_choice("effect", EFFECTS),
         scope=_read_scope(service),
@@ -313,15 +313,15 @@
 
 
 def _read_scope(service: SettingsReader) -> Scope:
-    """Read `group` of one of `services`; all endpoints where it is left out."""
+    """Read `group` of one of `services`; all endpoints where it is missing."""
     name = service.optional_text("group", "all").upper()
     if name not in Scope.__members__:
-        raise service.unknown_value("group")
+        raise service.unknown_value_error("group")
     return Scope[name]
 
 
 def _read_tenants(reader: SettingsReader, family: SettingsReader) -> tuple[Tenant, ...]:
-    """Read `tenants`, with their connection quotas where the site has some."""
+    """Read `tenants`, with their connection quotas, if there are any."""
     quotas = family.optional_list("tenantQuotaConnections")
     tenants: list[Tenant] = []
     for index, values in enumerate(reader.optional_list("tenants")):
@@ -334,7 +334,7 @@
 
 
 def _read_max_retry_after_ns(allowed: SettingsReader) -> int:
-    """Read the longest retry-after; 0 where clients are not given any."""
+    """Read the longest retry-after; 0 where clients are given none."""
     if not allowed.values.get("retryAfter"):
         return 0
     return int(allowed.optional_number("maxRetryAfterNs", 0))
--- a/linnetshift/routing/settings_reader.py
+++ b/linnetshift/routing/settings_reader.py
@@ -1,7 +1,7 @@
 """Typed look-ups in the settings object, with errors that name the path of the value.
 
 The settings are JSON, already parsed. Their keys and units are listed under "Read your settings" in the
-simulator's wire protocol; this module knows none of them, only how values are read and errors worded.
+simulator's wire protocol; this module only reads values and words the errors.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     list: "a list",
     dict: "an object",
 }
-"""How an error names the JSON type that a value should have had."""
+"""The expected JSON types, as errors name them."""
 
 
 class SettingsError(ValueError):
@@ -30,10 +30,10 @@
     """Look-ups in one JSON object of the settings.
 
     The `required_...` methods raise `SettingsError` where the key is missing or its value has another type.
-    The `optional_...` methods are for values that some sites leave out or send as null, and never raise it.
+    The `optional_...` methods are for values that some deployments omit or send as null, and never raise it.
 
-    A value of an unexpected type in place of an optional object is not reported by its key: the first look-up
-    in it fails with the `AttributeError` of that type, which callers report as it is.
+    If an optional object has an unexpected type, the first look-up in it raises an `AttributeError` that does
+    not name the key; callers report it as it is.
     """
 
     __slots__ = ("path", "values")
@@ -44,7 +44,7 @@
         self.path = path
 
     def required_int(self, key: str) -> int:
-        """Return a whole number; `true` and `false` are none."""
+        """Return a whole number; `true` and `false` are not accepted."""
         number: int = self._required(key, int)
         return number
 
@@ -56,7 +56,7 @@
         return number
 
     def required_float(self, key: str) -> float:
-        """Return a number, which may be written without a fraction."""
+        """Return a number as a float; a whole number is accepted."""
         if key in self.values and type(self.values[key]) is int:
             return float(self.values[key])
         number: float = self._required(key, float)
@@ -77,41 +77,41 @@
         return SettingsReader(self._required(key, dict), f"{self.path}{key}.")
 
     def required_choice(self, key: str, choices: Mapping[str, Choice]) -> Choice:
-        """Return what the text under `key` stands for in `choices`."""
+        """Return the value of `choices` for the text under `key`."""
         value: str = self._required(key, str)
         if value not in choices:
-            raise self.unknown_value(key)
+            raise self.unknown_value_error(key)
         return choices[value]
 
     def optional_number(self, key: str, default: float) -> float:
-        """Return a number as a float, or `default` as it is where there is none."""
+        """Return a number as a float, or `default` unchanged where there is none."""
         return number_or(self.values.get(key), default)
 
     def optional_object(self, key: str) -> SettingsReader:
-        """Return a reader of the object under `key`, which is empty where there is none."""
+        """Return a reader of the object under `key`, or of an empty one where there is none."""
         return SettingsReader(self.values.get(key) or {}, f"{self.path}{key}.")
 
     def optional_list(self, key: str) -> list[Any]:
-        """Return the list under `key`, which is empty where there is none; its items are not checked."""
+        """Return the list under `key`, or an empty one; its items are not checked."""
         return self.values.get(key) or []
 
     def optional_text(self, key: str, default: object) -> str:
         """Return the value under `key` as text, whatever its type, or `default` as text."""
         return str(self.values.get(key, default))
 
-    def unknown_value(self, key: str) -> SettingsError:
-        """Return the error for a value of the right type that has no meaning here."""
+    def unknown_value_error(self, key: str) -> SettingsError:
+        """Return the error for a value of the right type that is not a known choice."""
         return SettingsError(f"settings key '{self.path}{key}' has a value this version does not know")
 
-    def _required(self, key: str, kind: type) -> Any:
+    def _required(self, key: str, expected_type: type) -> Any:
         if key not in self.values:
             raise SettingsError(f"settings key '{self.path}{key}' is missing")
         value = self.values[key]
-        if type(value) is not kind:
-            raise SettingsError(f"settings key '{self.path}{key}' must be {TYPE_DESCRIPTIONS[kind]}")
+        if type(value) is not expected_type:
+            raise SettingsError(f"settings key '{self.path}{key}' must be {TYPE_DESCRIPTIONS[expected_type]}")
         return value
 
 
 def number_or(value: Any, default: float) -> float:
-    """Return `value` as a float where it is a number, else `default` as it is."""
+    """Return `value` as a float if it is a number, else `default` unchanged."""
     return float(value) if isinstance(value, int | float) else default
