--- a/linnetshift/routing/endpoints.py
+++ b/linnetshift/routing/endpoints.py
@@ -20,60 +20,60 @@
 if TYPE_CHECKING:
     from linnetshift.routing.pending_requests import PendingRequest
 
-MAX_ERRORS = 2
-"""Errors from this many endpoints are the request's fault; to this many requests in a row, the endpoint's."""
+ERROR_THRESHOLD = 2
+"""Errors of this many endpoints are due to the request; on this many requests in a row, to the endpoint."""
 
 SLOW_DIVISOR = 3
-"""Messages are slow from a third of their latency objective on."""
+"""Messages count as slow from their latency objective divided by this on."""
 
 LATENCY_REPORT_TTL_NS = 2_500_000_000
-"""How long an endpoint counts as slow after a report; they come each second, two in a row may get lost."""
+"""How long an endpoint counts as slow after a report; reports come each second, and two may get lost."""
 
 NO_REQUEST = -1
-"""In `half_open_request`: no half-open attempt is out."""
+"""Value of `half_open_request` where no half-open attempt is in flight."""
 
-# How many balancers, on average, send an attempt at once to an endpoint that is ready again: two attempts
-# more than the slow-start budget are tolerated.
+# Recovery attempts that an endpoint gets from all balancers, on average, as soon as it is ready again; it
+# tolerates two attempts beyond its slow-start budget.
 RECOVERY_ATTEMPTS_OF_FLEET = 2.0
-MAX_WEIGHT = 1e9  # NaN and absurd weights count as 1
+MAX_WEIGHT = 1e9  # NaN, zero, negative and larger weights are replaced by 1
 NEVER_REPORTED_NS = -(1 << 62)  # before any time of the caller's clock
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """What this balancer knows of one endpoint; times are nanoseconds of the caller's clock."""
+    """One endpoint as this balancer knows it; times are nanoseconds of the caller's clock."""
 
     id: bytes
     zone: int = 0
     cell: int = 0
     kind: int = 0
     state: int = EndpointState.READY
-    is_suspended: bool = False  # nothing new may go there though it is listed as ready
+    is_suspended: bool = False  # gets no new connections though listed as ready
     weight: float = 1.0
     started_at: int = 0  # 0: long ago
-    drain_within_ns: int = 0  # how soon after it began to drain it may stop, 0 where that is not known
+    drain_within_ns: int = 0  # it may stop this long after it began to drain; 0: unknown
     draining_since: int = 0  # when this balancer learned that it drains or is gone
     in_flight: int = 0  # this balancer's attempts and connections there
-    established: dict[int, PendingRequest] = field(default_factory=dict)  # the connections among them, by id
-    established_by_group: dict[int, int] = field(default_factory=dict)  # how many of each group they are
-    over_objective_until: int = 0  # until then messages there count as slow, see `is_over_objective`
-    message_latency_ns: int = 0  # how long they took, 0 where that is not known
-    majority_over_objective_until: int = 0  # until then they miss the objective of most connections there
+    established: dict[int, PendingRequest] = field(default_factory=dict)  # connections by request id
+    established_by_group: dict[int, int] = field(default_factory=dict)  # their number by group
+    over_objective_until: int = 0  # messages count as slow until then, see `is_over_objective`
+    message_latency_ns: int = 0  # as last reported; 0: unknown
+    majority_over_objective_until: int = 0  # until then, they miss the objective of most connections
     ejected_until: int = 0
-    ejection_time_ns: int = 0  # length of the latest ejection, 0 when the endpoint never failed
-    is_overloaded: bool = False  # the ejection is for overload, not for being unreachable
+    ejection_time_ns: int = 0  # length of the latest ejection; 0: none since its start
+    is_overloaded: bool = False  # whether it was ejected as overloaded, not as unreachable
     ejected_at: int = 0
     load: float = 0.0  # share of its capacity in use, as last reported
     load_reported_at: int = NEVER_REPORTED_NS
     sends_since_report: int = 0  # this balancer's attempts there since the reported load changed
-    sends_before_report: int = 0  # and between the two changes before
-    health_check_sent_at: int = 0  # when the health check in flight was sent, 0 when none is
-    unresponsive_reports: dict[int, int] = field(default_factory=dict)  # balancer that reported, and when
+    sends_before_report: int = 0  # the same between the two latest changes
+    health_check_sent_at: int = 0  # send time of the health check in flight; 0: none
+    unresponsive_reports: dict[int, int] = field(default_factory=dict)  # time of the report, by balancer
     last_established_at: int = 0
-    answered_sent_at: int = 0  # when the latest attempt was sent that it has accepted
-    consecutive_errors: int = 0  # errors in a row, each to a request that had met none before
-    half_open_request: int = NO_REQUEST  # the request whose attempt tests it after an ejection
-    is_recovery_due: bool = False  # ready again: the next request goes there, as else none might for long
+    answered_sent_at: int = 0  # send time of the latest attempt that it accepted
+    consecutive_errors: int = 0  # errors in a row; only the first one of each request counts
+    half_open_request: int = NO_REQUEST  # request whose attempt tests it after an ejection
+    is_recovery_due: bool = False  # ready again: gets the next request, or might get none for long
 
     @property
     def accepts_new(self) -> bool:
@@ -81,13 +81,13 @@
         return self.state == EndpointState.READY and not self.is_suspended
 
     def add_established(self, pending: PendingRequest) -> None:
-        """Count a connection that was established here."""
+        """Add a connection that was established here."""
         self.established[pending.request.request_id] = pending
         group = pending.request.group
         self.established_by_group[group] = self.established_by_group.get(group, 0) + 1
 
     def remove_established(self, pending: PendingRequest) -> None:
-        """Count a connection out; does nothing for one that is not established here."""
+        """Remove a connection; does nothing if it is not established here."""
         if self.established.pop(pending.request.request_id, None) is not None:
             group = pending.request.group
             self.established_by_group[group] -= 1
@@ -102,11 +102,11 @@
         )
 
     def returns_errors(self) -> bool:
-        """Whether it answered so many requests in a row with an error that the next is likely to get one."""
-        return self.consecutive_errors >= MAX_ERRORS
+        """Whether it answered so many requests in a row with an error that the next one is likely to fail."""
+        return self.consecutive_errors >= ERROR_THRESHOLD
 
     def reset_health(self) -> None:
-        """Forget failures and slow messages: they were those of a process that has been replaced."""
+        """Clear failures and slow messages after a restart: they were those of the previous process."""
         self.over_objective_until = 0
         self.majority_over_objective_until = 0
         self.ejected_until = 0
@@ -122,13 +122,13 @@
     """
 
     def __init__(self, context: RoutingContext) -> None:
-        """Empty until the first list comes."""
+        """Start empty, until the first list."""
         self._context = context
         self._by_id: dict[bytes, Endpoint] = {}
         self._highest_weight_of_kind: dict[int, float] = {}
 
     def __len__(self) -> int:
-        """How many endpoints are known, with those that drain."""
+        """Number of endpoints, including those that drain."""
         return len(self._by_id)
 
     def __iter__(self) -> Iterator[bytes]:
@@ -152,13 +152,13 @@
         return self._by_id.values()
 
     def apply(self, update: EndpointList) -> list[Endpoint]:
-        """Apply a list or a change to it; returns the endpoints that connections must now leave."""
-        unavailable: list[Endpoint] = []  # not ready by this update: draining or removed
+        """Apply a full list or changes to it; returns unavailable endpoints with established connections."""
+        unavailable: list[Endpoint] = []  # draining or removed by this update
         if update.form in (ListForm.FULL, ListForm.CACHED):
             listed = {entry.endpoint for entry in update.entries}
             for endpoint in self._by_id.values():
                 if endpoint.id not in listed and endpoint.state != EndpointState.REMOVED:
-                    self._drain(endpoint, EndpointState.REMOVED)
+                    self._set_unavailable(endpoint, EndpointState.REMOVED)
                     unavailable.append(endpoint)
         for entry in update.entries:
             known = self._by_id.get(entry.endpoint)
@@ -172,13 +172,13 @@
         return [endpoint for endpoint in unavailable if endpoint.established]
 
     def suspend(self, event: EndpointSuspension) -> None:
-        """Suspend an endpoint or use it again; without effect on one that is not known."""
+        """Suspend or resume an endpoint; does nothing if it is not known."""
         endpoint = self._by_id.get(event.endpoint)
         if endpoint is not None:
             endpoint.is_suspended = event.is_suspended
 
     def warm_up_factor(self, endpoint: Endpoint) -> float:
-        """The share of its capacity that an endpoint is certain to have by now, 1.0 once it is warm."""
+        """The share of its capacity that an endpoint has by now at least, 1.0 once it is warm."""
         return warm_up_factor(self._context.settings, endpoint.started_at, self._context.now)
 
     def is_warming_up(self, endpoint: Endpoint) -> bool:
@@ -186,15 +186,15 @@
         return self.warm_up_factor(endpoint) < 1.0
 
     def capacity(self, endpoint: Endpoint) -> float:
-        """Its weight; where that falls with load, the highest that an endpoint of its kind ever had."""
+        """Its weight; where weights may fall with load, the highest ever seen for its kind."""
         if self._context.settings.weights_are_sizes:
             return endpoint.weight
         return self._highest_weight_of_kind[endpoint.kind]
 
     def is_fewer_than_balancers(self) -> bool:
-        """Whether each balancer sees too few connections to judge by.
+        """Whether there are fewer endpoints than balancers: each sees too few connections to judge by.
 
-        Unlike the number of its own connections, this does not change from one moment to the next.
+        Preferred to the number of its own connections, which fluctuates.
         """
         return self._context.settings.balancers > len(self._by_id)
 
@@ -205,24 +205,24 @@
         self._copy_attributes(endpoint, entry)
 
     def _update(self, endpoint: Endpoint, entry: EndpointEntry) -> None:
-        """Bring a known endpoint up to date, its state included."""
+        """Apply an entry, including its state, to a known endpoint."""
         if entry.started_ns != endpoint.started_at:
             endpoint.reset_health()
         self._copy_attributes(endpoint, entry)
         if entry.state != EndpointState.READY:
-            self._drain(endpoint, EndpointState(entry.state))
+            self._set_unavailable(endpoint, EndpointState(entry.state))
             return
         if endpoint.state != EndpointState.READY:
             endpoint.is_recovery_due = endpoint.is_recovery_due or self._draw_recovery_attempt()
         endpoint.state = EndpointState.READY
 
     def _draw_recovery_attempt(self) -> bool:
-        """Whether this balancer is one of those that send an attempt to an endpoint that is ready again."""
+        """Draw whether this balancer sends an attempt to an endpoint that is ready again."""
         context = self._context
         return context.random.random() * context.settings.balancers < RECOVERY_ATTEMPTS_OF_FLEET
 
     def _copy_attributes(self, endpoint: Endpoint, entry: EndpointEntry) -> None:
-        """Copy all of the entry but its state."""
+        """Copy everything but the state from an entry."""
         endpoint.zone = entry.zone
         endpoint.cell = entry.cell
         endpoint.kind = entry.kind
@@ -232,14 +232,14 @@
         highest_weight = self._highest_weight_of_kind.get(endpoint.kind, 0.0)
         self._highest_weight_of_kind[endpoint.kind] = max(highest_weight, endpoint.weight)
 
-    def _drain(self, endpoint: Endpoint, state: EndpointState) -> None:
-        """Set a state other than ready; the grace counts from the first update with such a state."""
+    def _set_unavailable(self, endpoint: Endpoint, state: EndpointState) -> None:
+        """Set a state other than ready; the drain grace starts with the first update that does."""
         if endpoint.state == EndpointState.READY:
             endpoint.draining_since = self._context.now
         endpoint.state = state
 
     def _delete_unused(self) -> None:
-        """Forget endpoints that are removed and have nothing in flight any more."""
+        """Delete removed endpoints that have nothing in flight."""
         unused = [e for e in self._by_id.values() if e.state == EndpointState.REMOVED and not e.in_flight]
         for endpoint in unused:
             del self._by_id[endpoint.id]
--- a/linnetshift/routing/retry_policy.py
+++ b/linnetshift/routing/retry_policy.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from linnetshift.routing.endpoints import MAX_ERRORS, Endpoint
+from linnetshift.routing.endpoints import ERROR_THRESHOLD, Endpoint
 from linnetshift.routing.events import NEVER_RAN
 from linnetshift.routing.pending_requests import PendingRequest
 from linnetshift.routing.settings import Effect, RequestClass, Scope
@@ -99,4 +99,4 @@
 def is_error_of_request(pending: PendingRequest) -> bool:
     """Whether so many endpoints that otherwise work returned an error that the request is the cause."""
     working = sum(not endpoint.returns_errors() for endpoint in pending.endpoints_that_erred)
-    return working >= MAX_ERRORS
+    return working >= ERROR_THRESHOLD
