--- a/linnetshift/routing/pending_requests.py
+++ b/linnetshift/routing/pending_requests.py
@@ -1,4 +1,4 @@
-"""The requests that await their final answer and the connections that are established."""
+"""The requests that await their final answer, and the established connections."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from linnetshift.routing.settings import RequestClass
 
 NO_ATTEMPT = -1
-"""In `last_attempt`: nothing was sent yet."""
+"""Value of `last_attempt` before the first attempt."""
 
 
 def key_hash(request: Request | AdoptedConnection) -> int:
-    """Hash of the group, else the client, else the request's own id, so that keyless requests spread."""
+    """Hash of the group, else the key, else the request's id, so that requests without a key spread."""
     return mix64(request.group or request.key or request.request_id)
 
 
@@ -26,32 +26,32 @@
 
     request: Request | AdoptedConnection
     deadline: int  # ns of the caller's clock
-    load_ns_per_s: float  # work of its connection; 0 when unknown
-    request_class: RequestClass  # with the rules that were in force when it arrived
+    load_ns_per_s: float  # load of its connection; 0: unknown
+    request_class: RequestClass  # with the rules in force at its arrival
     last_attempt: int = NO_ATTEMPT
-    endpoint: Endpoint | None = None  # where the latest attempt went, while it is in flight
-    attempt_sent_at: int = 0  # and when it was sent, ns of the caller's clock
+    endpoint: Endpoint | None = None  # of the attempt or connection in flight
+    attempt_sent_at: int = 0  # when the latest attempt was sent, ns of the caller's clock
     is_established: bool = False
     health_checks_sent: int = 0  # before its placement
     endpoints_tried: list[Endpoint] = field(default_factory=list)
     endpoints_that_erred: list[Endpoint] = field(default_factory=list)
-    skipped_ranks: int = 0  # best ranks that a returning client skips
-    warming_endpoint: bytes = b""  # the one that a slow-start token was drawn for
-    possibly_executed_on: Endpoint | None = None  # endpoint of the first attempt that may have had an effect
-    possibly_executed_at: int = 0  # and when that was sent
+    skipped_ranks: int = 0  # number of best ranks that a returning client skips
+    warming_endpoint: bytes = b""  # endpoint that a slow-start token was drawn for
+    possibly_executed_on: Endpoint | None = None  # by the first attempt that may have had an effect
+    possibly_executed_at: int = 0  # when that attempt was sent
 
     @property
     def is_first_mid_flow_attempt(self) -> bool:
-        """Whether the next attempt is the first one for packets of an open connection of one endpoint."""
+        """Whether the next attempt is the first one and carries packets of an open connection."""
         return bool(self.request.flags & MID_FLOW) and self.last_attempt == NO_ATTEMPT
 
 
 class PendingRequests:
     """The table of requests and established connections.
 
-    State: the requests by id, the ids of those that wait for an endpoint, oldest first, and how many attempts
-    are in flight that are not established yet; also the requests whose attempt may overrun its latency
-    objective, since nothing else could serve them when it was sent.
+    State: the requests by id, the ids of those that wait for an endpoint, oldest first, the number of
+    attempts in flight that are not established yet, and the requests whose attempt may overrun its latency
+    objective, as it had no alternative when it was sent.
     """
 
     def __init__(self, endpoints: EndpointTable) -> None:
@@ -63,7 +63,7 @@
         self._overrunning: dict[int, PendingRequest] = {}
 
     def __len__(self) -> int:
-        """Requests without their final answer and established connections."""
+        """Number of requests without a final answer and established connections."""
         return len(self._by_id)
 
     def __contains__(self, request_id: int) -> bool:
@@ -83,29 +83,29 @@
         self._by_id[pending.request.request_id] = pending
 
     def take_waiting(self) -> deque[int]:
-        """Empty the queue; returns the ids that were in it, oldest first."""
+        """Empty the queue of waiting requests; returns its ids, oldest first."""
         waiting = self.waiting
         self.waiting = deque()
         return waiting
 
     def are_few(self) -> bool:
-        """Whether there are at most as many as endpoints, so that they say little of the endpoints."""
+        """Whether there are at most as many requests and connections as endpoints, too few to judge by."""
         return len(self._by_id) <= len(self._endpoints)
 
     def overrunning(self) -> list[PendingRequest]:
-        """Those whose attempt in flight may overrun its latency objective, oldest first."""
+        """Requests whose attempt in flight may overrun its latency objective, oldest first."""
         return list(self._overrunning.values())
 
-    def begin_overrun(self, pending: PendingRequest) -> None:
-        """The attempt in flight may overrun its latency objective."""
+    def allow_overrun(self, pending: PendingRequest) -> None:
+        """Let the attempt in flight overrun its latency objective."""
         self._overrunning[pending.request.request_id] = pending
 
-    def end_overrun(self, pending: PendingRequest) -> None:
-        """It may no longer, or there is none; does nothing for one that never might."""
+    def revoke_overrun(self, pending: PendingRequest) -> None:
+        """Undo `allow_overrun`; does nothing for a request without it."""
         self._overrunning.pop(pending.request.request_id, None)
 
     def begin_attempt(self, pending: PendingRequest, endpoint: Endpoint) -> None:
-        """Count an attempt that is sent now."""
+        """Record an attempt that is sent to `endpoint`."""
         pending.last_attempt += 1
         pending.endpoint = endpoint
         pending.endpoints_tried.append(endpoint)
@@ -115,14 +115,14 @@
         self.setups_in_flight += 1
 
     def establish(self, pending: PendingRequest, endpoint: Endpoint) -> None:
-        """Count the attempt in flight as an established connection."""
-        self.end_overrun(pending)
+        """Turn the attempt in flight into an established connection."""
+        self.revoke_overrun(pending)
         pending.is_established = True
         endpoint.add_established(pending)
         self.setups_in_flight -= 1
 
     def adopt(self, pending: PendingRequest, endpoint: Endpoint) -> None:
-        """Add a connection that was established through this balancer before it started."""
+        """Add a connection that was established before this balancer started."""
         self.add(pending)
         pending.last_attempt = 0
         pending.endpoint = endpoint
@@ -131,11 +131,11 @@
         endpoint.in_flight += 1
 
     def end_attempt(self, pending: PendingRequest) -> None:
-        """Count out the attempt or connection in flight, if there is one."""
+        """Record the end of the attempt or connection in flight, if there is one."""
         endpoint = pending.endpoint
         if endpoint is None:
             return
-        self.end_overrun(pending)
+        self.revoke_overrun(pending)
         endpoint.in_flight -= 1
         if not pending.is_established:
             self.setups_in_flight -= 1
@@ -145,6 +145,6 @@
         pending.endpoint = None
 
     def remove(self, pending: PendingRequest) -> None:
-        """The request is over."""
+        """Remove a request that is over, and its attempt or connection in flight."""
         self._by_id.pop(pending.request.request_id, None)
         self.end_attempt(pending)
--- a/linnetshift/routing/request_lifecycle.py
+++ b/linnetshift/routing/request_lifecycle.py
@@ -140,7 +140,7 @@
         """Give up an attempt that is late, as one that has timed out."""
         assert pending.endpoint is not None
         elapsed_ns = self._context.now - pending.attempt_sent_at
-        self._requests.end_overrun(pending)
+        self._requests.revoke_overrun(pending)
         self._outlier_detection.record_failure(pending.endpoint, is_overload=False)
         self.record_setup(pending, elapsed_ns, has_failed=True)
         self._context.emit(Cancel(pending.request.request_id, pending.last_attempt))
@@ -161,7 +161,7 @@
         may_overrun = timeout_ns < remaining_ns and self._may_overrun(pending)
         context.emit(Send(request_id, endpoint.id, remaining_ns if may_overrun else timeout_ns))
         if may_overrun:
-            self._requests.begin_overrun(pending)
+            self._requests.allow_overrun(pending)
             self._tick_timer.start()
 
     def _queue(self, pending: PendingRequest) -> None:
