--- a/linnetshift/routing/request_lifecycle.py
+++ b/linnetshift/routing/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its final answer: attempts, waiting, retries, rejection."""
+"""The life cycle of a request, from arrival to final answer: attempts, waiting, retries, rejection."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 SETUP_FAILURES = frozenset({Outcome.ERROR, Outcome.TIMEOUT, Outcome.FULL, Outcome.RESET})
 EXTRA_SETUPS = 1000  # the concurrency limit is at most the number of balancers plus this
-MIN_WAIT_TICKS = 2  # with no more time left than that a request is rejected instead of queued
+MIN_WAIT_TICKS = 2  # a request with no more time left than this is rejected instead of queued
 
 
 class RequestLifecycle:
-    """Sends attempts and gives the one final answer. State: the concurrency limit of its set-ups."""
+    """Sends attempts and gives the one final answer. State: the concurrency limit of set-ups."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
             self._context.emit(Fail(request_id))
 
     def record_setup(self, pending: PendingRequest, elapsed_ns: int, has_failed: bool) -> None:
-        """Adapt the concurrency limit to a set-up that ended."""
+        """Adapt the concurrency limit to the result of a set-up."""
         self.concurrency_limit.record_setup(
             self._context.now,
             pending.request_class.latency_objective_ns,
@@ -82,7 +82,7 @@
         )
 
     def handle_attempt_ended(self, pending: PendingRequest, endpoint: Endpoint, event: AttemptEnded) -> None:
-        """An attempt or a connection on `endpoint` ended: answer or retry, unless the request is over."""
+        """Retry or answer a request whose attempt or connection on `endpoint` ended, unless it is over."""
         if event.outcome in SETUP_FAILURES and not pending.is_established:
             self.record_setup(pending, event.elapsed_ns, has_failed=True)
         if event.closed or pending.is_established:
@@ -92,7 +92,7 @@
             is_first = not pending.endpoints_that_erred
             pending.endpoints_that_erred.append(endpoint)
             self._outlier_detection.record_error(endpoint, is_first)
-        if retry_policy.is_error_of_request(pending):
+        if retry_policy.is_request_at_fault(pending):
             self._requests.remove(pending)
             self._context.emit(Fail(event.request_id))
             return
@@ -101,15 +101,15 @@
         self.place(pending)
 
     def _may_overrun(self, pending: PendingRequest) -> bool:
-        """Whether the attempt is not to be given up at its latency objective, as nothing else is left."""
+        """Whether the attempt may go on past its latency objective, as there is no alternative to it."""
         if not self._context.settings.may_cancel:
             return False
         return not self._selection.has_alternative(pending, pending.attempt_sent_at)
 
     def review_overrunning(self) -> None:
-        """Cancel attempts past their latency objective where another attempt could do better by now.
+        """Cancel attempts past their latency objective that have an alternative by now.
 
-        Called at each tick. A cancelled attempt is reported as ended, and its request is then placed anew.
+        Called at each tick. The request is placed again when the end of its cancelled attempt is reported.
         """
         overdue = [pending for pending in self._requests.overrunning() if self._is_overdue(pending)]
         for pending in overdue:
@@ -123,8 +123,8 @@
         return elapsed_ns >= pending.request_class.latency_objective_ns
 
     def _cancel_replaceable(self, overdue: list[PendingRequest]) -> None:
-        """Cancel those of the overdue attempts that another one could replace in time."""
-        since = min((pending.attempt_sent_at for pending in overdue), default=0)
+        """Cancel the overdue attempts that another attempt could replace in time."""
+        earliest_sent_at = min((pending.attempt_sent_at for pending in overdue), default=0)
         connect_timeout_ns = self._context.settings.connect_timeout_ns
         alternatives: dict[int, list[Endpoint]] = {}  # by the number of the class
         for pending in overdue:
@@ -132,12 +132,14 @@
                 continue
             klass = pending.request.klass
             if klass not in alternatives:
-                alternatives[klass] = self._selection.possible_alternatives(pending.request_class, since)
+                alternatives[klass] = self._selection.possible_alternatives(
+                    pending.request_class, earliest_sent_at
+                )
             if self._selection.has_alternative(pending, pending.attempt_sent_at, alternatives[klass]):
                 self._cancel(pending)
 
     def _cancel(self, pending: PendingRequest) -> None:
-        """Give up an attempt that is late, as one that has timed out."""
+        """Cancel an overdue attempt and record it like a timeout."""
         assert pending.endpoint is not None
         elapsed_ns = self._context.now - pending.attempt_sent_at
         self._requests.revoke_overrun(pending)
@@ -165,9 +167,9 @@
             self._tick_timer.start()
 
     def _queue(self, pending: PendingRequest) -> None:
-        """Queue the request; reject it at once where no endpoint could serve it before its deadline."""
-        shortest_ns = max(MIN_WAIT_TICKS * self._context.tick_ns, self._selection.wait_ns())
-        if pending.deadline - self._context.now <= shortest_ns:
+        """Queue the request, or reject it at once if no endpoint could serve it before its deadline."""
+        min_wait_ns = max(MIN_WAIT_TICKS * self._context.tick_ns, self._selection.wait_ns())
+        if pending.deadline - self._context.now <= min_wait_ns:
             self.reject(pending)
             return
         self._requests.waiting.append(pending.request.request_id)
--- a/linnetshift/routing/retry_policy.py
+++ b/linnetshift/routing/retry_policy.py
@@ -14,9 +14,10 @@
 
 
 def may_attempt(pending: PendingRequest, now: int, connect_timeout_ns: int) -> bool:
-    """Whether one more attempt may be sent now: in time, and within the number of attempts.
+    """Whether another attempt may be sent now: before the deadline and within the maximum number of attempts.
 
-    The idempotency window must still be open when the request has arrived, so after the connect timeout.
+    If an earlier one may have executed, the idempotency window must still be open after the connect timeout,
+    by which the request has reached the endpoint.
     `now` is in nanoseconds of the caller's clock, as deadlines are.
     """
     request_class = pending.request_class
@@ -28,12 +29,12 @@
 
 
 def may_execute_on(pending: PendingRequest, endpoint: Endpoint) -> bool:
-    """Whether one more attempt, on that endpoint, can take effect at most once."""
+    """Whether the request takes effect at most once if another attempt goes to `endpoint`."""
     return may_repeat_on(pending.request_class, pending.possibly_executed_on, endpoint)
 
 
 def may_repeat_on(request_class: RequestClass, first_endpoint: Endpoint | None, endpoint: Endpoint) -> bool:
-    """Whether what may have been executed on `first_endpoint` can take effect at most once on `endpoint`."""
+    """Whether what may have executed on `first_endpoint` (None: on none) may be repeated on `endpoint`."""
     if (
         first_endpoint is None
         or request_class.effect == Effect.IDEMPOTENT
@@ -48,10 +49,10 @@
 def attempt_timeout_ns(
     pending: PendingRequest, remaining_ns: int, connect_timeout_ns: int, is_congested: bool
 ) -> int:
-    """How long the next attempt may take, in nanoseconds.
+    """Timeout of the next attempt, in nanoseconds: the latency objective, so that time for another is left.
 
-    It leaves time for another attempt after it, unless that would be too short, would miss the idempotency
-    window or exceed the number of attempts, or set-ups are slow everywhere: then it gets all that remains.
+    All of `remaining_ns` where the other attempt would have too little time, would miss the idempotency
+    window or exceed the maximum number, or where set-ups are slow everywhere (`is_congested`).
     """
     request_class = pending.request_class
     objective_ns = request_class.latency_objective_ns
@@ -75,7 +76,7 @@
 
 
 def client_may_retry(pending: PendingRequest, until: int) -> bool:
-    """Whether it is harmless that the client sends the request again, at any balancer, until that time.
+    """Whether the client may harmlessly send the request again, to any balancer, until that time.
 
     `until` is in nanoseconds of the caller's clock.
     """
@@ -96,7 +97,7 @@
         pending.possibly_executed_at = sent_at
 
 
-def is_error_of_request(pending: PendingRequest) -> bool:
-    """Whether so many endpoints that otherwise work returned an error that the request is the cause."""
+def is_request_at_fault(pending: PendingRequest) -> bool:
+    """Whether enough endpoints that otherwise work returned an error for the request to be the cause."""
     working = sum(not endpoint.returns_errors() for endpoint in pending.endpoints_that_erred)
     return working >= ERROR_THRESHOLD
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -87,6 +87,6 @@
     parts = Parts()
     pending = parts.pending(1)
     pending.endpoints_that_erred = [parts.endpoint(0), parts.endpoint(1)]
-    assert retry_policy.is_error_of_request(pending)
+    assert retry_policy.is_request_at_fault(pending)
     parts.endpoint(1).consecutive_errors = 2
-    assert not retry_policy.is_error_of_request(pending)
+    assert not retry_policy.is_request_at_fault(pending)
