--- a/linnetshift/routing/snapshot.py
+++ b/linnetshift/routing/snapshot.py
@@ -1,8 +1,7 @@
-"""What a balancer has learned, in the form that a process hands to its successor.
+"""Export of what a balancer has learned, and its import by the successor process.
 
-The stored keys are those of the first version, whatever the attributes are called today, so that any two
-versions can hand over to each other. A value of an unexpected type is taken for another version's: it is left
-out and the rest is imported.
+Stored keys never change, even where attributes are renamed, so that any two versions can hand over to each
+other. A value of an unexpected type is taken for another version's: it is skipped and the rest is imported.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 class StoredValues:
-    """Reads one section of a stored state and collects the keys whose values have another type."""
+    """Reads one section of a stored state and collects the keys whose values have an unexpected type."""
 
     def __init__(self, section: str, values: Mapping[str, Any], rejected: list[str]) -> None:
         """`section` names these `values` in the keys appended to `rejected`, as `section.key`."""
@@ -36,7 +35,7 @@
 
 
 def export_balancer_state(balancer: Balancer) -> dict[str, Any]:
-    """The state under its stored keys, as JSON values; `import_balancer_state` takes it."""
+    """The state under its stored keys, as JSON values, for `import_balancer_state`."""
     limit = balancer.lifecycle.concurrency_limit
     load_shedding = balancer.admission.load_shedding
     slow_start = balancer.slow_start
@@ -68,9 +67,9 @@
 
 
 def import_balancer_state(balancer: Balancer, state: Mapping[str, Any]) -> list[str]:
-    """Take a predecessor's state, once the list is known; an endpoint that is not listed is left out.
+    """Import a predecessor's state, once the list is known; endpoints that are not listed are skipped.
 
-    Returns the keys whose values are of another type and were not taken. Raises KeyError where `hosts` or
+    Returns the keys whose values were skipped for an unexpected type. Raises KeyError where `hosts` or
     `node` is missing and ValueError where the id of an endpoint is not hexadecimal.
     """
     endpoints = {
--- a/linnetshift/routing/tick_timer.py
+++ b/linnetshift/routing/tick_timer.py
@@ -10,7 +10,7 @@
 
 
 class TickTimer:
-    """A one-shot timer, set again by whoever still needs it. State: whether it is running."""
+    """A one-shot timer, restarted by the components that still need it. State: whether it is running."""
 
     def __init__(self, context: RoutingContext) -> None:
         """The timer is not running at first."""
