--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -1,4 +1,4 @@
-"""Placement under the settings of different deployments; each figure follows from them, none from a site."""
+"""Placement under the settings of different deployments; expected figures follow from the settings alone."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def remote_share(balancer: Balancer) -> float:
-    """Return the share of keys whose first endpoint is in another zone."""
+    """Return the share of keys whose best-ranked endpoint is in another zone."""
     firsts = [next(iter(balancer.ranking.ranked(key_hash(request(n))))) for n in range(2000)]
     return sum(h.zone != balancer.settings.zone for h in firsts) / len(firsts)
 
@@ -35,8 +35,8 @@
 @pytest.mark.parametrize("zones", [1, 2, 5])
 @pytest.mark.parametrize("crossing_cost", [0.0, 0.014, 0.13])
 def test_remote_zone_share_follows_cross_zone_cost(crossing_cost: float, zones: int) -> None:
-    # A fixed share of a tenth, right for a cost of 0.13, lost a deployment with one of 0.014 a sixth of its
-    # score.
+    # A fixed share of a tenth, right for a cost of 0.13, reduced the score of a deployment with a cost of
+    # 0.014 by a sixth.
     balancer = make_balancer(0, fees={"crossZone": crossing_cost})
     balancer.step(2 * S, [listed(*(entry(n, zone=n % zones) for n in range(30)))])
     odds = (zones - 1) * math.exp(-crossing_cost / CROSS_ZONE_COST_SCALE)
@@ -44,7 +44,7 @@
 
 
 def establish(balancer: Balancer, connections: int, groups: int) -> dict[int, set[bytes]]:
-    """Establish so many connections, spread over the groups; return the endpoints of each group."""
+    """Establish connections, spread over the groups; return the endpoints of each group."""
     for n in range(1, connections + 1):
         for send in only(balancer.step(2 * S + n * MS, [request(n, group=1 + n % groups)]), Send):
             balancer.step(2 * S + n * MS, [ConnectionEstablished(n, 0, send.endpoint, MS)])
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("source", ["nominal", "live"])
 def test_changed_weights_keep_group_at_its_endpoints(source: str) -> None:
-    # Each drop of a live weight re-ranked the group: 5 groups were at 50 pairs of group and endpoint, of 16
+    # Each drop of a live weight re-ranked the groups: 5 groups used 50 pairs of group and endpoint, with 16
     # endpoints.
     balancer = make_balancer(8, weightSource=source)
     before = establish(balancer, 40, 4)
@@ -71,21 +71,21 @@
 
 def test_group_of_slow_endpoint_uses_next_ranked_one() -> None:
     balancer = make_balancer(8)
-    (home,) = establish(balancer, 12, 1)[1]
-    balancer.step(4 * S, [ConnectionNote(1, 0, home, SLOW_NOTE, 60.0)])
+    (group_endpoint,) = establish(balancer, 12, 1)[1]
+    balancer.step(4 * S, [ConnectionNote(1, 0, group_endpoint, SLOW_NOTE, 60.0)])
     (send,) = only(balancer.step(4 * S + MS, [request(500, group=1)]), Send)
-    assert send.endpoint != home
+    assert send.endpoint != group_endpoint
 
 
 def test_balancer_with_few_connections_of_group_follows_shared_ranking() -> None:
-    # With 3 of 600 connections each, 200 balancers would have used 200 choices of their own.
+    # With 3 of 600 connections each, 200 balancers would have chosen 200 times independently.
     balancer = make_balancer(8)
-    (home,) = establish(balancer, 3, 1)[1]
+    (group_endpoint,) = establish(balancer, 3, 1)[1]
     balancer.step(
-        4 * S, [listed(*(entry(n, weight=0.001 if endpoint(n) == home else 1.0) for n in range(8)))]
+        4 * S, [listed(*(entry(n, weight=0.001 if endpoint(n) == group_endpoint else 1.0) for n in range(8)))]
     )
     (send,) = only(balancer.step(4 * S + MS, [request(500, group=1)]), Send)
-    assert send.endpoint != home
+    assert send.endpoint != group_endpoint
 
 
 @pytest.mark.parametrize("end", ["ended", "migrated", "removed"])
@@ -98,8 +98,8 @@
         for n in range(1, 7):
             balancer.step(4 * S, [ended(Send(n, only_endpoint.id, 0), 0, Outcome.OK, closed=True)])
     elif end == "migrated":
-        for item in list(only_endpoint.established.values()):
-            balancer.migration.migrate(item, only_endpoint)
+        for connection in list(only_endpoint.established.values()):
+            balancer.migration.migrate(connection, only_endpoint)
     else:
         balancer.step(4 * S, [listed()])
         for n in range(1, 7):
@@ -109,8 +109,8 @@
 
 
 def test_failing_endpoint_is_avoided_while_others_are_in_slow_start() -> None:
-    # Errors counted only once another endpoint had served the request: while the others were in slow
-    # start, the failing endpoint stayed first.
+    # An error was counted only after another endpoint had served the request. While the others were in slow
+    # start, none did, and the failing endpoint stayed first.
     balancer = make_balancer(2)
     failing = next(iter(balancer.ranking.ranked(key_hash(request(1, key=5))))).id
     balancer.step(2 * S, [listed(entry(0, started_ns=2 * S), entry(1, started_ns=2 * S))])
@@ -125,7 +125,7 @@
 
 
 def test_request_is_not_retried_at_endpoint_that_failed_it_though_it_serves_others() -> None:
-    # Success there clears the endpoint; the request that it answered with an error would get the same again.
+    # A success clears the endpoint's errors, but the request that it failed would fail there again.
     balancer = make_balancer(1)
     (send,) = only(balancer.step(2 * S, [request(1)]), Send)
     balancer.step(2 * S, [ended(send, 0, Outcome.ERROR)])
@@ -150,8 +150,8 @@
 
 @pytest.mark.parametrize("balancer_count", [1, 2, 5, 40])
 def test_balancer_without_known_load_sends_its_share_to_endpoints_in_slow_start(balancer_count: int) -> None:
-    # A process that took over while all endpoints were in slow start got no token: each request waited until
-    # its deadline.
+    # A process that took over while all endpoints were in slow start got no tokens, and each request waited
+    # until its deadline.
     balancer = make_balancer(0, balancers=balancer_count, rules={"warmUpNs": 10_000 * S})
     balancer.step(2 * S, [listed(entry(1, started_ns=2 * S))])
     starting, overload_window_ns, served = (
@@ -217,7 +217,7 @@
 
 
 def without(*paths: str) -> dict[str, Any]:
-    """Return settings with every optional key, less those at these paths."""
+    """Return settings with every optional key except those at these paths."""
     raw = raw_settings(
         allowed={"probing": True},
         report={"columns": ["outstanding", "x0"], "how": "pull"},
--- a/tests/test_discovery_poller.py
+++ b/tests/test_discovery_poller.py
@@ -1,4 +1,4 @@
-"""When discovery is polled."""
+"""Polling of discovery and its back-off."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def delay_after_failure(poller: DiscoveryPoller, parts: Parts, after_ns: int) -> int:
-    """The back-off after a call that failed so long after it began."""
+    """The back-off after a call that failed `after_ns` after its start."""
     parts.begin_step(parts.context.now + after_ns)
     poller.handle_list_failed()
     (timer,) = parts.context.actions
@@ -70,8 +70,8 @@
     return timer.delay_ns
 
 
-def test_calls_that_waited_in_vain_spread_over_the_longest_back_off() -> None:
-    # All that had failed together came again within 0.4 s, and their turns kept discovery crowded.
+def test_calls_that_failed_in_the_queue_spread_over_the_longest_back_off() -> None:
+    # Calls that had failed together were all repeated within 0.4 s, which kept discovery overloaded.
     delays = []
     for seed in range(200):
         parts = Parts(discovery="ask", balancers=24, rules={"mustAskInNs": 10 * S})
@@ -83,14 +83,14 @@
     assert 3200 * MS < max(delays) <= 3600 * MS
 
 
-def test_call_that_waited_in_vain_is_repeated_in_time_for_what_must_be_known() -> None:
+def test_call_that_failed_in_the_queue_is_repeated_before_the_list_counts_as_known() -> None:
     parts = Parts(discovery="ask", balancers=200, rules={"mustAskInNs": 10 * S})
     poller = DiscoveryPoller(parts.context)
     poller.poll_once()
     assert delay_after_failure(poller, parts, after_ns=2 * S) <= 4 * S
 
 
-def test_call_that_was_refused_at_once_or_was_a_watch_is_repeated_soon() -> None:
+def test_call_that_was_refused_at_once_or_a_watch_that_broke_is_repeated_soon() -> None:
     parts = Parts(discovery="ask", balancers=24, rules={"mustAskInNs": 10 * S})
     poller = DiscoveryPoller(parts.context)
     poller.poll_once()
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -47,7 +47,7 @@
 
 
 def test_all_connections_migrate_before_drained_endpoint_stops() -> None:
-    # Migrating a share of the remaining ones at each tick left the last to be cut off two seconds later.
+    # When a share of the remaining ones migrated at each tick, the last were cut off two seconds later.
     decisions = balancer_with_loaded_endpoint()
     draining_entry = entry(0, state=EndpointState.DRAINING, drain_within_ns=DRAIN_WITHIN_NS)
     decisions.step(1 * S, [listed(draining_entry, form=ListForm.DELTA)])
@@ -67,7 +67,7 @@
 
 
 def test_migration_rate_is_lower_with_warming_target() -> None:
-    # A wave of migrated clients would overload an endpoint that has just started.
+    # Many migrated clients at once would overload an endpoint that has just started.
     with_warm_target = balancer_with_loaded_endpoint()
     with_warming_target = balancer_with_loaded_endpoint(started_ns=1 * S)
     for decisions in (with_warm_target, with_warming_target):
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("nodes", [2, 40, 200])
 def test_few_proxies_of_a_fleet_send_to_restored_endpoint_at_once(nodes: int) -> None:
-    # Each of 200 sent its next connection there, where an endpoint that warms up could take two or three.
+    # Each of 200 proxies sent its next connection there, but a warming endpoint could take two or three.
     sent_to_restored = 0
     for seed in range(0, 10 * nodes, nodes):
         fleet = SimulatedBalancers(nodes, tuple(entry(number) for number in range(8)), seed)
--- a/tests/test_pending_requests.py
+++ b/tests/test_pending_requests.py
@@ -1,4 +1,4 @@
-"""The table of requests and what it counts of their attempts."""
+"""The table of requests and its counts of attempts and connections."""
 
 from __future__ import annotations
 
@@ -58,13 +58,13 @@
     assert not parts.requests.waiting
 
 
-def test_key_is_the_group_else_the_client_else_the_request() -> None:
+def test_hash_is_of_the_group_else_the_key_else_the_request_id() -> None:
     assert key_hash(request(1, group=9, key=5)) == key_hash(request(2, group=9, key=6))
     assert key_hash(request(1, key=5)) == key_hash(request(2, key=5)) != key_hash(request(2, key=6))
     assert key_hash(request(1, key=0)) != key_hash(request(2, key=0))
 
 
-def test_requests_are_few_up_to_one_an_endpoint() -> None:
+def test_requests_are_few_up_to_one_per_endpoint() -> None:
     parts = Parts(endpoints=2)
     for number, are_few in ((1, True), (2, True), (3, False)):
         parts.pending(number)
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its one final answer."""
+"""The life cycle of a request, from arrival to its one final answer."""
 
 from __future__ import annotations
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether one more attempt is allowed, where, and how long it may take."""
+"""Whether another attempt is allowed, on which endpoints, and its timeout."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     assert not retry_policy.client_may_retry(pending, 2 * S)
 
 
-def test_error_is_the_requests_own_when_two_endpoints_that_work_return_it() -> None:
+def test_request_is_at_fault_when_two_endpoints_that_work_return_an_error() -> None:
     parts = Parts()
     pending = parts.pending(1)
     pending.endpoints_that_erred = [parts.endpoint(0), parts.endpoint(1)]
--- a/tests/test_routing_snapshot.py
+++ b/tests/test_routing_snapshot.py
@@ -1,4 +1,4 @@
-"""The stored keys of a balancer's state, and values of another version."""
+"""Stored keys of a balancer's state, and values of another version's types."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 }
 
 
-def test_state_goes_in_and_out_under_the_stored_keys() -> None:
+def test_state_is_imported_and_exported_under_the_stored_keys() -> None:
     restored = balancer(1)
     assert import_balancer_state(restored, STATE) == []
     assert json.loads(json.dumps(export_balancer_state(restored))) == STATE
@@ -42,7 +42,7 @@
     assert restored.lifecycle.concurrency_limit.limit == 5.0
 
 
-def test_values_of_another_type_are_left_out_and_reported_and_the_rest_is_taken() -> None:
+def test_values_of_another_type_are_skipped_and_reported_and_the_rest_is_imported() -> None:
     restored = balancer(1)
     damaged = {
         **STATE,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_required_values_come_with_their_type() -> None:
+def test_required_values_are_returned_with_their_type() -> None:
     assert READER.required_int("count") == 3
     assert READER.positive_int("count") == 3
     assert READER.required_float("share") == 0.5
@@ -24,7 +24,7 @@
     assert READER.required_choice("name", {"push": Effect.IDEMPOTENT}) is Effect.IDEMPOTENT
 
 
-def test_whole_number_serves_as_float() -> None:
+def test_whole_number_is_read_as_float() -> None:
     value = READER.required_float("count")
     assert value == 3.0
     assert type(value) is float
@@ -78,7 +78,7 @@
     assert (number_or(4, 0), type(number_or(4, 0))) == (4.0, float)
 
 
-def test_class_takes_its_rules_and_site_wide_limits() -> None:
+def test_class_is_read_with_its_rules_and_the_limits_for_all_classes() -> None:
     settings = Settings.parse(raw_settings())
     (feed,) = settings.offered
     assert feed.name == "feed"
@@ -108,7 +108,7 @@
     ],
     ids=str,
 )
-def test_missing_message_objective_is_the_shortest_one_or_that_of_the_set_up(
+def test_missing_message_objective_defaults_to_the_shortest_one_or_the_set_ups(
     objectives: list[int | None] | None, expected: list[int]
 ) -> None:
     raw = raw_settings(services=services({}, {}), familyInfo={"messageAimNs": objectives})
--- a/tests/test_tick_timer.py
+++ b/tests/test_tick_timer.py
@@ -1,4 +1,4 @@
-"""The tick timer and the context that it reads the time of a tick from."""
+"""The tick timer, and the steps of the context that gives its interval."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     assert len(parts.context.actions) == 2
 
 
-def test_step_begins_without_actions_and_never_before_the_last_one() -> None:
+def test_step_begins_without_actions_and_time_never_goes_back() -> None:
     parts = Parts()
     parts.tick_timer.start()
     parts.begin_step(3 * S)
