--- a/linnetshift/routing/context.py
+++ b/linnetshift/routing/context.py
@@ -1,4 +1,4 @@
-"""State shared by the components of one balancer: settings, time, random numbers and current actions."""
+"""State shared by the components of one balancer: settings, time, random numbers, actions of the step."""
 
 from __future__ import annotations
 
--- a/linnetshift/routing/endpoints.py
+++ b/linnetshift/routing/endpoints.py
@@ -21,13 +21,16 @@
     from linnetshift.routing.pending_requests import PendingRequest
 
 ERROR_THRESHOLD = 2
-"""Errors of this many endpoints are due to the request; on this many requests in a row, to the endpoint."""
+"""Errors from this many endpoints are attributed to the request.
+
+Errors on this many requests in a row are attributed to the endpoint.
+"""
 
 SLOW_DIVISOR = 3
 """Messages count as slow from their latency objective divided by this on."""
 
 LATENCY_REPORT_TTL_NS = 2_500_000_000
-"""How long an endpoint counts as slow after a report; reports come each second, and two may get lost."""
+"""How long an endpoint counts as slow after a report; reports come each second, two in a row may be lost."""
 
 NO_REQUEST = -1
 """Value of `half_open_request` where no half-open attempt is in flight."""
--- a/linnetshift/routing/events.py
+++ b/linnetshift/routing/events.py
@@ -72,7 +72,7 @@
 
 # Bits of `Request.flags`; plain integers, as an enumeration would add to the cost of every request.
 RETRY = 2
-"""The client marks the request as a retry; only where clients do so."""
+"""The request is a retry; set only where clients mark them."""
 MID_FLOW = 8
 """The request carries packets of an open connection.
 
@@ -147,7 +147,7 @@
 
 
 class ConnectionEstablished(NamedTuple):
-    """The attempt's connection is established: its timeout and deadline no longer apply."""
+    """The attempt's connection is established: timeout and deadline no longer apply, only its end follows."""
 
     request_id: int
     attempt: int
