--- a/linnetshift/broker/active_request.py
+++ b/linnetshift/broker/active_request.py
@@ -10,10 +10,9 @@
 
 
 class DetachedClient:
-    """The client of a request that is over: it ignores whatever it is still called with.
+    """Replaces the client of a request that is over, and ignores every call.
 
-    A request that kept its real client would form a reference cycle with it, which only the garbage collector
-    could free.
+    Keeping the real client would leave a reference cycle that only the garbage collector frees.
     """
 
     is_congested = False
@@ -26,7 +25,7 @@
         """Drop the message."""
 
     def resume(self) -> None:
-        """Do nothing: there is nothing left to read."""
+        """Ignore the call."""
 
     def reject(self, retry_after_ns: int, breach: str) -> None:
         """Ignore the final answer."""
@@ -35,10 +34,10 @@
         """Ignore the final answer."""
 
     def migrate(self, reason: str) -> None:
-        """Do nothing: there is nobody left to migrate."""
+        """Ignore the request to migrate."""
 
     def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
-        """Do nothing: there is nobody left to notify."""
+        """Ignore the end of the connection."""
 
 
 DETACHED_CLIENT = DetachedClient()
@@ -48,45 +47,45 @@
 class ActiveRequest:
     """A client's request from its submission until it is rejected, fails or its connection ends.
 
-    Frontends fill in the first fields. The broker owns those from `id` on.
+    Frontends set the fields before `id`; the broker owns `id` and those after it.
     """
 
     client: Client
-    klass: int  # number of its request class in `Settings.classes`
-    tenant: int  # number of its tenant in the settings
-    key: int  # by which endpoints are ranked
+    klass: int  # index of the request class in `Settings.classes`
+    tenant: int  # number of the tenant in the settings
+    key: int  # ranks the endpoints by weighted rendezvous hashing
     group: int  # clients of one group share state at an endpoint; 0: none given
     flags: int  # RETRY, MID_FLOW and RETURNED of `routing.events`
     load_hint: int  # as given in the request line; 0: none given
     deadline: int  # for the final answer, in ns of the broker's clock
-    # The request line for an endpoint, given for how many milliseconds its answer is awaited.
+    # Encodes the request line for an endpoint, given its timeout in ms.
     encode_request_line: Callable[[int], bytes]
-    adopted_endpoint: bytes = b""  # the endpoint that held this connection before the proxy started
+    adopted_endpoint: bytes = b""  # served this connection before the proxy started; empty: no adoption
     id: int = 0  # unique in this process; 0 before the submission
-    began: int = 0  # when it was submitted, in ns of the broker's clock
-    attempts: int = 0  # how many have been started; the next one's number
-    possibly_executed_at: int = 0  # when the first attempt that may have been executed began; 0: none
-    attempt: Attempt | None = None  # the attempt that is under way or established
-    is_answered: bool = False  # its client has its final answer, or is owed none
-    # Answers in the balancer's place where it does not in time; for an adoption, starts its next attempt.
+    submitted_ns: int = 0  # in ns of the broker's clock
+    attempts: int = 0  # number of attempts started, and the number of the next one
+    possibly_executed_at: int = 0  # start of the first attempt that may have been executed, in ns; 0: none
+    attempt: Attempt | None = None  # in progress or established
+    is_answered: bool = False  # the final answer has been given, or none is owed
+    # Fails the request when the balancer does not answer in time; for an adoption, starts the next attempt.
     overdue_timer: TimerHandle | None = None
 
     def detach_client(self) -> Client:
-        """Mark the request as over, and give up its client, which is returned for a last notification."""
+        """Mark the request as over; returns its former client, for a last notification."""
         client = self.client
         self.client = DETACHED_CLIENT
         self.mark_answered()
         return client
 
     def mark_answered(self) -> None:
-        """Record that the final answer is given: nothing answers in the balancer's place any more."""
+        """Record that the final answer has been given, and cancel the timer."""
         self.is_answered = True
         if self.overdue_timer is not None:
             self.overdue_timer.cancel()
             self.overdue_timer = None
 
     def detach_connection(self) -> UpstreamConnection | None:
-        """End the current attempt, if any, and give up its connection, which is returned to be closed."""
+        """End the current attempt, if any; returns its connection, which the caller must close."""
         attempt = self.attempt
         self.attempt = None
         if attempt is None:
@@ -96,7 +95,7 @@
         return upstream
 
     def to_request_event(self, budget_ns: int) -> Request:
-        """The event that asks the balancer to place it within `budget_ns`."""
+        """The event that asks the balancer to place the request within `budget_ns`."""
         return Request(
             request_id=self.id,
             klass=self.klass,
@@ -109,7 +108,7 @@
         )
 
     def to_adopted_event(self, endpoint: bytes) -> AdoptedConnection:
-        """The event that tells the balancer of a connection which `endpoint` already served."""
+        """The event that reports to the balancer a connection that `endpoint` served before."""
         return AdoptedConnection(
             request_id=self.id,
             klass=self.klass,
@@ -124,21 +123,21 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """The attempt to have one endpoint serve a request, and the connection that results from it."""
+    """An attempt to have one endpoint serve a request, and the connection that results from it."""
 
     request: ActiveRequest
     number: int  # counted from 0 within the request
     endpoint: bytes
-    began: int  # in ns of the broker's clock, as is the deadline
-    deadline: int
-    upstream: UpstreamConnection | None = None  # set by the connector; None again once the attempt is over
+    began: int  # in ns of the broker's clock
+    deadline: int  # in ns of the broker's clock
+    upstream: UpstreamConnection | None = None  # set by the connector; None after the attempt ended
     is_established: bool = False
-    is_sent: bool = False  # its request line has gone out, or part of it: from now on it may be executed
-    load: float | None = None  # us of work a second, as the endpoint last reported for this connection
-    outcome_on_client_end: int = Outcome.CANCELLED  # how it ends when the client's side ends it
+    is_sent: bool = False  # the request line is sent, at least in part, so the request may be executed
+    load_us_per_s: float | None = None  # work per second, as the endpoint last reported for this connection
+    outcome_on_client_end: int = Outcome.CANCELLED  # outcome reported when the client ends the connection
 
     def to_ended_event(self, now_ns: int, outcome: int) -> AttemptEnded:
-        """The event that reports to the balancer how the attempt or its connection ended."""
+        """The event that reports the end of the attempt or its connection to the balancer."""
         request = self.request
         return AttemptEnded(
             request_id=request.id,
--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -19,15 +19,15 @@
     RequestWithdrawn,
 )
 
-# For how long after the proxy's start connections may be adopted: those that were open before it come back
+# Connections may be adopted for this long after the proxy's start; those that were open before it come back
 # within 40 s.
 ADOPTION_PERIOD_NS = 60_000_000_000
-# Pause before an adoption is attempted again whose endpoint could not be reached.
+# Delay before an adoption is retried whose endpoint could not be reached.
 ADOPTION_RETRY_NS = 200_000_000
 
 
 class AttemptTracker:
-    """Starts attempts as the balancer decides, and reports to it and to the client what becomes of them."""
+    """Starts the attempts that the balancer decides on; reports their outcomes to it and to the client."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         timers: Timers,
         inbox: EventInbox,
     ) -> None:
-        """The time of the call counts as the proxy's start."""
+        """Take the current time as the proxy's start."""
         self.table = table
         self.endpoints = endpoints
         self.connector = connector
@@ -50,10 +50,10 @@
     # ---- starts -----------------------------------------------------------------------------
 
     def send(self, request_id: int, endpoint: bytes, timeout_ns: int) -> None:
-        """Start an attempt as the balancer decided; `timeout_ns` 0: until the request's deadline.
+        """Start an attempt that the balancer decided on; `timeout_ns` 0 means until the request's deadline.
 
-        The decision is reported as moot where the request was answered or withdrawn meanwhile, has an attempt
-        under way (there must never be two at a time), or has a client whose end is about to be read.
+        Reports the attempt as moot, and starts none, if the request has been answered or withdrawn, already
+        has an attempt (there must never be two at a time), or its client has closed the connection.
         """
         request = self.table.requests.get(request_id)
         if request is None:
@@ -67,7 +67,7 @@
         self._open(request, endpoint, self.clock() + allowed_ns)
 
     def _report_moot(self, request_id: int, number: int, endpoint: bytes) -> None:
-        """Report an attempt that was decided on and not started, as nothing was to be gained by it."""
+        """Report an attempt that the balancer decided on and that was not started."""
         self.inbox.post(
             AttemptEnded(
                 request_id=request_id,
@@ -87,11 +87,11 @@
         self.connector.open(attempt)
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether the attempt's request line may go out now; asked at that very moment by whoever sends it.
+        """Whether the attempt's request line may be sent now; must be called immediately before sending.
 
-        While the connection came up, much may have changed since the balancer decided: the list may report
-        the endpoint as draining, operators may have drained it, the client may have left, and the deadline or
-        the idempotency window may have passed.
+        Since the balancer's decision, while the connection was being set up, the endpoint may have begun to
+        drain by the list or by an administrative drain, the client may have left, and the deadline or the
+        idempotency window may have passed.
         """
         request = attempt.request
         if request.attempt is not attempt or request.is_answered or not request.client.is_present:
@@ -110,32 +110,32 @@
         return request_class.may_retry(request.possibly_executed_at, now_ns)
 
     def _is_usable(self, endpoint: bytes) -> bool:
-        """Whether it is listed as ready, and was not seen to end since discovery confirmed that."""
+        """Whether the endpoint is listed as ready and not suspended."""
         is_listed_ready = self.endpoints.administrative_drains.is_listed_ready(endpoint)
         return is_listed_ready and not self.endpoints.unconfirmed.is_suspended(endpoint)
 
     # ---- adoption ---------------------------------------------------------------------------
 
     def begin_adoption(self, request: ActiveRequest) -> None:
-        """Reconnect the request with the endpoint that served it before the proxy's start.
+        """Reconnect the request to the endpoint that served it before the proxy's start.
 
-        After the adoption period it fails: adoptions bypass the balancer, and a client could choose any
-        endpoint by them, even a draining one.
+        Fails the request after the adoption period: adoptions bypass the balancer, so a client could use them
+        to choose any endpoint, even a draining one.
         """
-        if request.began - self._started_ns > ADOPTION_PERIOD_NS:
+        if request.submitted_ns - self._started_ns > ADOPTION_PERIOD_NS:
             self.table.fail(request.id)
         else:
             self._adopt(request)
 
     def _adopt(self, request: ActiveRequest) -> None:
-        # This bypasses the balancer, which sends nothing to an endpoint that operators have drained.
+        # Adoptions bypass the balancer, so administrative drains must be checked here.
         if self.endpoints.administrative_drains.is_drained(request.adopted_endpoint):
             self.table.fail(request.id)
         elif not request.is_answered:
             self._open(request, request.adopted_endpoint, request.deadline)
 
     def _retry_adoption(self, request: ActiveRequest, outcome: Outcome) -> None:
-        """Try the same endpoint again until the deadline while it cannot be reached: no other one will do."""
+        """Retry the endpoint until the deadline while it is unreachable: no other holds the connection."""
         if outcome not in NEVER_RAN or self.clock() + ADOPTION_RETRY_NS >= request.deadline:
             self.table.fail(request.id)
             return
@@ -144,7 +144,7 @@
     # ---- outcomes ---------------------------------------------------------------------------
 
     def handle_established(self, attempt: Attempt, receipt: memoryview) -> None:
-        """Give the final answer: the endpoint serves, and the connection is established from now on."""
+        """Mark the connection as established, and pass the endpoint's receipt on as the final answer."""
         request = attempt.request
         now_ns = self.clock()
         attempt.is_established = True
@@ -160,9 +160,9 @@
         request.client.handle_established(receipt)
 
     def handle_ended(self, attempt: Attempt, outcome: Outcome, reset: bool) -> None:
-        """The attempt's connection is closed: an established request ends, another one may be retried.
+        """Handle the close of the attempt's connection: ends an established request, may retry another one.
 
-        `reset`: the connection was reset, or broke off, rather than ended in order.
+        `reset` is True if the connection was reset or broke off, rather than being closed in order.
         """
         request = attempt.request
         if request.attempt is not attempt:
@@ -172,7 +172,7 @@
         self._end(attempt, outcome, reset)
 
     def _end(self, attempt: Attempt, outcome: Outcome, reset: bool) -> None:
-        """End the request of an established attempt; report another one, so that it may be retried."""
+        """End the request if the attempt was established; else report the attempt, which may be retried."""
         request = attempt.request
         request.detach_connection()
         if outcome not in NEVER_RAN and not request.possibly_executed_at:
@@ -189,17 +189,17 @@
         self._report_ended(attempt, outcome)
 
     def handle_client_ended(self, request: ActiveRequest, reset: bool) -> None:
-        """The client left, or has been migrated; no effect on a request that is over.
+        """Handle a client that left or has migrated; no effect on a request that is over.
 
-        `reset`: the endpoint's side is to end by a reset, as the client's did.
+        `reset` is True if the client's side was reset; the endpoint's side is then reset, too.
         """
         if request.id not in self.table.requests:
             return
         attempt = request.attempt
-        was_waiting = not request.is_answered
+        was_unanswered = not request.is_answered
         upstream = request.detach_connection()
         self.table.remove(request)
-        if was_waiting and not request.adopted_endpoint:
+        if was_unanswered and not request.adopted_endpoint:
             self.inbox.post(RequestWithdrawn(request.id))
         if attempt is None:
             return
@@ -212,7 +212,7 @@
             self._report_ended(attempt, attempt.outcome_on_client_end)
 
     def cancel(self, request_id: int, number: int) -> None:
-        """End the attempt of that number, unless it is over or established."""
+        """Cancel the request's attempt with that number, unless it is over or established."""
         request = self.table.requests.get(request_id)
         attempt = request.attempt if request is not None else None
         if attempt is None or attempt.number != number or attempt.is_established:
--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -1,4 +1,4 @@
-"""Watches established connections: unresponsive endpoints, slow messages and load reports."""
+"""Checks of established connections for unresponsive endpoints and slow messages, and load reports."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from linnetshift.broker.request_table import RequestTable
 from linnetshift.routing.events import LOAD_NOTE, SLOW_NOTE, ConnectionNote, Outcome
 
-# A message without a reply for this long is enough to migrate its client: a connection on which nothing comes
-# back must be ended or migrated within 7 s.
-STALLED_NS = 4_000_000_000
-# A healthy endpoint replies to a line at once, and so does an overloaded one. An endpoint that has owed a
-# reply for this long, and has sent nothing on any connection since, has vanished: all of its clients migrate.
-UNRESPONSIVE_NS = 400_000_000
+# A client is migrated when one of its messages has had no reply for this long: a connection without replies
+# must be ended or migrated within 7 s.
+STALLED_AFTER_NS = 4_000_000_000
+# Healthy and overloaded endpoints alike reply to a line at once. An endpoint that has owed a reply for this
+# long and has sent nothing on any connection since is unresponsive: all of its clients are migrated.
+UNRESPONSIVE_AFTER_NS = 400_000_000
 UNRESPONSIVE_REASON = "unresponsive"
 
 
@@ -49,33 +49,33 @@
         return by_endpoint
 
     def loads(self) -> dict[bytes, list[ConnectionLoad]]:
-        """What established connections ask of each endpoint."""
+        """Loads of the established connections, by endpoint."""
         return {
             endpoint: [
-                ConnectionLoad(attempt.load, attempt.request.group, upstream.oldest_unanswered_ns())
+                ConnectionLoad(attempt.load_us_per_s, attempt.request.group, upstream.oldest_unanswered_ns())
                 for attempt, upstream in connections
             ]
             for endpoint, connections in self.upstream_connections().items()
         }
 
     def review_unresponsive_endpoints(self) -> None:
-        """Migrate the clients of endpoints that vanished, and of connections that are stalled.
+        """Migrate the clients of unresponsive endpoints and of connections without replies.
 
-        Called several times a second: a machine that vanished neither answers nor resets.
+        Called several times a second: a machine that is gone neither replies nor resets connections.
         """
         for connections in self.upstream_connections().values():
             idle_ns = min(upstream.idle_ns() for _, upstream in connections)
-            longest_unanswered_ns = max(upstream.oldest_unanswered_ns() for _, upstream in connections)
-            has_vanished = longest_unanswered_ns > UNRESPONSIVE_NS and idle_ns >= longest_unanswered_ns
+            unanswered_ns = max(upstream.oldest_unanswered_ns() for _, upstream in connections)
+            is_unresponsive = unanswered_ns > UNRESPONSIVE_AFTER_NS and idle_ns >= unanswered_ns
             for attempt, upstream in connections:
                 if attempt.outcome_on_client_end != Outcome.CANCELLED:
-                    continue  # migrated before
-                if has_vanished or upstream.oldest_unanswered_ns() > STALLED_NS:
+                    continue  # already migrated
+                if is_unresponsive or upstream.oldest_unanswered_ns() > STALLED_AFTER_NS:
                     attempt.outcome_on_client_end = Outcome.RESET
                     self.migrate(attempt.request.id, UNRESPONSIVE_REASON)
 
     def review_latency(self) -> None:
-        """Notify the balancer of endpoints whose messages are slow, each on one connection; once a second."""
+        """Notify the balancer of slow endpoints, each by one of its connections; called once a second."""
         by_endpoint = self.upstream_connections()
         self.endpoints.deployment_facts.review(by_endpoint.keys(), self.clock())
         if not self.table.settings.reports_message_time:
@@ -85,13 +85,13 @@
             self._notify(first_attempts[endpoint], SLOW_NOTE, elapsed_ms)
 
     def record_load_report(self, attempt: Attempt, figure: float) -> None:
-        """Record a load report, which is the connection's load in us/s or the endpoint's message time in ms.
+        """Record a load report: the connection's load in us/s, or the endpoint's message time in ms.
 
-        Both come in a line of the same form; the figure itself shows which one it is.
+        Both have the same form on the wire and are told apart by the figure (see `ReportedMessageTimes`).
         """
         endpoint = attempt.endpoint
         if not self.endpoints.administrative_drains.is_known(endpoint):
-            return  # forgotten: nothing is kept under its name any more
+            return  # evicted from the list: nothing is stored for it
         estimator = self.endpoints.latency_estimator
         if self.table.settings.reports_message_time and estimator.record_if_message_time(
             endpoint, figure, self.clock()
@@ -99,11 +99,11 @@
             self.endpoints.deployment_facts.observe(Fact.MESSAGE_TIMES, MessageTimes.REPORTED)
             self._notify(attempt, SLOW_NOTE, figure)
             return
-        attempt.load = figure
+        attempt.load_us_per_s = figure
         self._notify(attempt, LOAD_NOTE, figure)
 
     def migrate(self, request_id: int, reason: str) -> None:
-        """Ask the client of an established connection to come back elsewhere; `reason` is for the log."""
+        """Ask the client of an established connection to migrate; `reason` is for the log."""
         request = self.table.requests.get(request_id)
         if request is None or request.attempt is None or not request.attempt.is_established:
             return
--- a/linnetshift/broker/request_table.py
+++ b/linnetshift/broker/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that are under way, and their final answers."""
+"""Requests in progress, and their final answers."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from linnetshift.routing.events import Outcome, RequestWithdrawn
 from linnetshift.routing.settings import Settings
 
-# The balancer answers by the deadline; this long after it, the broker answers in its place.
+# Time after a request's deadline at which the broker fails it, if the balancer has not answered it by then.
 OVERDUE_NS = 8_000_000
 
 
 class RequestTable:
-    """Requests from their submission to their end; each gets exactly one final answer.
+    """Holds requests from their submission to their end, and gives each exactly one final answer.
 
     Attributes:
         requests: by id, in the order of their submission, until they are rejected, fail or their connection
@@ -44,19 +44,19 @@
         self.contracts = contracts
 
     def configure(self, settings: Settings, contracts: Contracts) -> None:
-        """Apply settings and contracts while running; what is under way or used up goes on counting."""
+        """Apply reloaded settings and contracts; requests in progress and used tokens keep counting."""
         self.settings = settings
         contracts.replace(self.contracts, Counter(request.tenant for request in self.requests.values()))
         self.contracts = contracts
 
     def add(self, request: ActiveRequest) -> bool:
-        """Number the request and take it on, or reject it by its team's contract.
+        """Add the request under a new id, or reject it if its team's contract does not admit it.
 
-        Returns whether it was taken on.
+        Returns whether the request was added.
         """
         request.id = next(self._ids)
-        request.began = self.clock()
-        breach = self.contracts.admit(request.tenant, request.klass, request.flags, request.began)
+        request.submitted_ns = self.clock()
+        breach = self.contracts.admit(request.tenant, request.klass, request.flags, request.submitted_ns)
         if breach is not None:
             request.detach_client().reject(breach.wait_ns, breach.limit)
             return False
@@ -64,21 +64,21 @@
         return True
 
     def remove(self, request: ActiveRequest) -> Client:
-        """End the request; returns its client, which the request gives up, for a last notification."""
+        """Remove the request; returns its former client, for a last notification."""
         if self.requests.pop(request.id, None) is not None:
             self.contracts.release(request.tenant)
         return request.detach_client()
 
     def ask_balancer(self, request: ActiveRequest) -> None:
-        """Have the balancer place the request within the time left, and answer for it where it does not."""
-        budget_ns = max(1, request.deadline - request.began)
-        # By id: the timer would keep the request itself in memory until then, answered or not.
+        """Ask the balancer to place the request by its deadline; a timer fails it if no answer comes."""
+        budget_ns = max(1, request.deadline - request.submitted_ns)
+        # By id: a reference would keep an answered request in memory until the timer fires.
         answer_overdue = partial(self._answer_overdue, request.id)
         request.overdue_timer = self.timers.call_later(budget_ns + OVERDUE_NS, answer_overdue)
         self.inbox.post(request.to_request_event(budget_ns))
 
     def _answer_overdue(self, request_id: int) -> None:
-        """Answer in place of a balancer that has not, before the client gives up."""
+        """Fail a request that the balancer has not answered, before the client times out."""
         client = self._finish_unserved(request_id)
         if client is not None:
             self.inbox.post(RequestWithdrawn(request_id))
@@ -87,22 +87,22 @@
     # ---- final answers ----------------------------------------------------------------------
 
     def reject(self, request_id: int, retry_after_ns: int = 0) -> None:
-        """Answer that nothing was done and a retry does no harm; no effect on an answered request.
+        """Answer that nothing was done and a retry is harmless; no effect on an answered request.
 
-        `retry_after_ns` is how long the client should wait, 0 to leave that to it.
+        `retry_after_ns` is how long the client should wait; 0 leaves the delay to the client.
         """
         client = self._finish_unserved(request_id)
         if client is not None:
             client.reject(retry_after_ns, "")
 
     def fail(self, request_id: int) -> None:
-        """Answer that it is not served and may have had effects; no effect on an answered request."""
+        """Answer that the request failed and may have had effects; no effect on an answered request."""
         client = self._finish_unserved(request_id)
         if client is not None:
             client.fail()
 
     def answer_unserved(self, request: ActiveRequest) -> None:
-        """Answer now, without the balancer: reject where a retry is harmless, else fail."""
+        """Answer without waiting for the balancer: reject if a retry is harmless, else fail."""
         if self.is_retry_safe(request):
             self.reject(request.id)
         else:
@@ -120,7 +120,7 @@
         return self.settings.classes[request.klass].client_may_retry(first_executed_ns, retry_by_ns)
 
     def _finish_unserved(self, request_id: int) -> Client | None:
-        """End the request and its attempt; returns the client to answer, None where it has its answer."""
+        """Remove the request and abandon its attempt; returns the client, or None if it has been answered."""
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
             return None
