--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -1,8 +1,7 @@
-"""Requests, attempts and outcomes: events go to the balancer, and its actions are carried out.
+"""The broker: passes events to the balancer and carries out its actions.
 
-The broker knows no wire and no socket. Frontends submit requests, and connections to endpoints report what
-became of attempts. All that comes in during one turn of the event loop is decided in one step of the
-balancer.
+The broker is independent of wire formats and sockets. Frontends submit requests, and upstream connections
+report the outcomes of attempts. The balancer decides on all events of one turn of the event loop in one step.
 """
 
 from __future__ import annotations
@@ -38,17 +37,17 @@
 from linnetshift.routing.settings import Settings
 
 MIGRATED_REASON = "migrated"
-# The most events that one connection can add to the inbox in one turn of the event loop.
+# Maximum number of events that one connection can post in one turn of the event loop.
 MAX_EVENTS_PER_CONNECTION = 8
 
 
 class Broker:
-    """Connects frontends, upstream connections, discovery and the balancer with each other.
+    """Connects frontends, upstream connections, discovery and the balancer.
 
     Attributes:
         settings, contracts: as last configured.
-        balancer: decides on all events; its actions are carried out by `perform`.
-        requests: those under way, by id.
+        balancer: decides on all events; `perform` carries out its actions.
+        requests: requests in progress, by id.
         administrative_drains, latency_estimator, deployment_facts: views of the endpoints.
     """
 
@@ -63,9 +62,9 @@
         contracts: Contracts,
         list_lease: ListLease | None = None,
     ) -> None:
-        """`clock` gives ns of the system's monotonic clock; `seed` is the balancer's random source's.
+        """`clock` returns ns of the system's monotonic clock; `seed` is for the balancer's random source.
 
-        `list_lease` is renewed by whoever gets the endpoint list.
+        `list_lease` is renewed by the discovery client.
         """
         self.settings = settings
         self.balancer = Balancer(settings, seed)
@@ -87,16 +86,16 @@
 
     @property
     def contracts(self) -> Contracts:
-        """The contracts that requests are admitted by."""
+        """The contracts that admit requests."""
         return self.request_table.contracts
 
     @property
     def migrated(self) -> int:
-        """How many clients have been asked to migrate since the start."""
+        """Number of clients asked to migrate since the start."""
         return self.connection_review.migrated
 
     def configure(self, settings: Settings, contracts: Contracts) -> None:
-        """Apply settings and contracts while running; what is known and under way stays."""
+        """Apply reloaded settings and contracts; observations and requests in progress are kept."""
         self.settings = settings
         self.balancer.configure(settings)
         self.endpoint_views.configure(settings)
@@ -105,7 +104,7 @@
     # ---- the balancer -----------------------------------------------------------------------
 
     def process_events(self) -> None:
-        """Let the balancer decide on all events that have come in, and carry out its actions."""
+        """Pass all posted events to the balancer, and carry out its actions."""
         events = self.inbox.take()
         if not events:
             return
@@ -134,44 +133,44 @@
             case HealthCheck(endpoint):
                 self.connector.check_health(endpoint)
             case _:
-                pass  # peer messages have no receiver here, and the log lines are for the simulator
+                pass  # peer messages have no receiver here, and log lines are for the simulator
 
     def timer_fired(self, token: int) -> None:
-        """A timer that the balancer set has fired."""
+        """Notify the balancer that a timer which it set has fired."""
         self.inbox.post(TimerFired(token))
 
     # ---- endpoints --------------------------------------------------------------------------
 
     def handle_endpoint_list(self, event: EndpointList) -> None:
-        """Discovery reported a list or its changes, or failed to."""
+        """Handle a list or changes of it from discovery, or a failure of discovery."""
         self.endpoint_views.handle_endpoint_list(event)
 
     def handle_health_check_result(
         self, endpoint: bytes, outcome: Outcome, elapsed_ns: int, report: tuple[float, ...]
     ) -> None:
-        """A health check ended; `report` holds the load report's columns, or nothing."""
+        """Handle the end of a health check; `report` holds the load report's columns, or is empty."""
         self.endpoint_views.handle_health_check_result(endpoint, outcome, elapsed_ns, report)
 
     def record_refusal(self, endpoint: bytes) -> None:
-        """An endpoint refused a connection: its process has ended."""
+        """Record that an endpoint refused a connection, so its process has ended."""
         self.endpoint_views.record_unavailable(endpoint)
 
     def review_unconfirmed_endpoints(self) -> None:
-        """Suspend endpoints that were seen to end while the list is not confirmed; several times a second."""
+        """Update which unconfirmed endpoints are suspended; called several times a second."""
         self.endpoint_views.review_unconfirmed_endpoints()
 
     def drain_endpoint(self, endpoint: bytes) -> bool:
-        """Have nothing new sent there until it is restored; whether it was ever listed and is drained now."""
+        """Start an administrative drain; returns whether the endpoint is known and now drained."""
         return self.endpoint_views.drain_endpoint(endpoint)
 
     def restore_endpoint(self, endpoint: bytes) -> bool:
-        """Use a drained endpoint again at once; whether it was ever listed."""
+        """End an administrative drain; returns whether the endpoint is known."""
         return self.endpoint_views.restore_endpoint(endpoint)
 
     # ---- requests and their final answers ---------------------------------------------------
 
     def submit(self, request: ActiveRequest) -> None:
-        """Take a request over from a frontend; one final answer is owed to its client from here on."""
+        """Accept a request from a frontend, which gets exactly one final answer unless its client leaves."""
         if not self.request_table.add(request):
             return
         if request.adopted_endpoint:
@@ -180,11 +179,11 @@
             self.request_table.ask_balancer(request)
 
     def handle_client_ended(self, request: ActiveRequest, reset: bool) -> None:
-        """The client left, or has been migrated; no effect on a request that is over."""
+        """Handle a client that left or has migrated; no effect on a request that is over."""
         self.attempts.handle_client_ended(request, reset)
 
     def answer_unserved(self, request: ActiveRequest) -> None:
-        """Answer now, without the balancer: reject where a retry is harmless, else fail."""
+        """Answer without waiting for the balancer: reject if a retry is harmless, else fail."""
         self.request_table.answer_unserved(request)
 
     def is_retry_safe(self, request: ActiveRequest) -> bool:
@@ -202,15 +201,15 @@
     # ---- attempts ---------------------------------------------------------------------------
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether the attempt's request line may go out now; asked at that very moment."""
+        """Whether the attempt's request line may be sent now; must be called immediately before sending."""
         return self.attempts.may_send(attempt)
 
     def handle_established(self, attempt: Attempt, receipt: memoryview) -> None:
-        """The endpoint serves; `receipt` is its line that says so."""
+        """Handle the endpoint's acceptance of a request; `receipt` is its line that confirms it."""
         self.attempts.handle_established(attempt, receipt)
 
     def handle_attempt_ended(self, attempt: Attempt, outcome: Outcome, reset: bool = False) -> None:
-        """The attempt's connection is closed; `reset`: by a reset, or it broke off."""
+        """Handle the close of an attempt's connection; `reset` is True if it was reset or broke off."""
         self.attempts.handle_ended(attempt, outcome, reset)
 
     # ---- established connections ------------------------------------------------------------
@@ -220,23 +219,23 @@
         self.endpoint_views.record_response_time(attempt, elapsed_ns)
 
     def record_load_report(self, attempt: Attempt, figure: float) -> None:
-        """The endpoint reported a connection's load in us/s, or its message time in ms."""
+        """Record an endpoint's report of a connection's load in us/s, or of its message time in ms."""
         self.connection_review.record_load_report(attempt, figure)
 
     def migrate(self, request_id: int, reason: str) -> None:
-        """Ask the client of an established connection to come back elsewhere; `reason` is for the log."""
+        """Ask the client of an established connection to migrate; `reason` is for the log."""
         self.connection_review.migrate(request_id, reason)
 
     def loads(self) -> dict[bytes, list[ConnectionLoad]]:
-        """What established connections ask of each endpoint."""
+        """Loads of the established connections, by endpoint."""
         return self.connection_review.loads()
 
     def review_unresponsive_endpoints(self) -> None:
-        """Migrate the clients of endpoints that vanished; called several times a second."""
+        """Migrate the clients of unresponsive endpoints; called several times a second."""
         self.connection_review.review_unresponsive_endpoints()
 
     def review_latency(self) -> None:
-        """Notify the balancer of endpoints whose messages are slow; called once a second."""
+        """Notify the balancer of slow endpoints; called once a second."""
         self.connection_review.review_latency()
 
     # ---- resources --------------------------------------------------------------------------
@@ -244,7 +243,7 @@
     def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
         """Sizes and bounds of all containers, under their names in `GET /ops/census`.
 
-        `connections` is the most that may be open or waiting at once.
+        `connections` is the maximum number of connections that are open or waiting at once.
         """
         names = max_names()
         views = self.endpoint_views
--- a/linnetshift/broker/ports.py
+++ b/linnetshift/broker/ports.py
@@ -1,4 +1,4 @@
-"""What the broker needs of the parts around it, which implement these protocols."""
+"""Protocols of the parts that the broker depends on, which implement them."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 
 class TimerHandle(Protocol):
-    """A timer that is armed."""
+    """An armed timer."""
 
     def cancel(self) -> None:
-        """Disarm the timer; without effect once it has fired."""
+        """Disarm the timer; no effect once it has fired."""
 
 
 class Timers(Protocol):
-    """Timers, and processing at the end of a turn of the event loop."""
+    """Sets timers, and schedules processing at the end of a turn of the event loop."""
 
     def set_balancer_timer(self, delay_ns: int, token: int) -> None:
-        """Have `Broker.timer_fired` called with the token after the delay."""
+        """Call `Broker.timer_fired` with the token after the delay."""
 
     def call_later(self, delay_ns: int, callback: Callable[[], None], /) -> TimerHandle:
-        """Have `callback` called once after the delay."""
+        """Call `callback` once after the delay."""
 
     def schedule_processing(self) -> None:
-        """Have `Broker.process_events` called once the events at hand are all in."""
+        """Call `Broker.process_events` once all events of this turn of the event loop are posted."""
 
 
 class Discovery(Protocol):
     """The source of the endpoint list; results arrive through `Broker.handle_endpoint_list`."""
 
     def watch(self, is_on: bool) -> None:
-        """Start to watch the list for changes, or stop."""
+        """Start or stop watching the list for changes."""
 
     def fetch(self) -> None:
         """Fetch the whole list once."""
@@ -45,15 +45,15 @@
     def open(self, attempt: Attempt) -> None:
         """Start the attempt and set its `upstream`; its outcome is reported to the broker.
 
-        An endpoint whose address is unknown may be reported before this returns.
+        The failure of an attempt at an endpoint with an unknown address may be reported before this returns.
         """
 
     def check_health(self, endpoint: bytes) -> None:
-        """Start a health check, which is answered with `Broker.handle_health_check_result`."""
+        """Start a health check; its result goes to `Broker.handle_health_check_result`."""
 
 
 class Client(Protocol):
-    """The side that sent a request, on a line protocol connection or an SSH channel.
+    """The sender of a request, on a line protocol connection or an SSH channel.
 
     Exactly one of `handle_established`, `reject` and `fail` is called as the final answer, unless the client
     leaves first. Messages are slices of a read buffer, valid only until the call returns.
@@ -61,32 +61,32 @@
 
     @property
     def is_congested(self) -> bool:
-        """Whether messages should wait; `UpstreamConnection.resume` is called once they need not."""
+        """Whether messages should be held back, until `UpstreamConnection.resume` is called."""
 
     @property
     def is_present(self) -> bool:
-        """Whether it is still there, by a look at its socket at this very moment."""
+        """Whether the client is still connected, by the current state of its socket."""
 
     def handle_established(self, receipt: memoryview) -> None:
-        """Final answer: the endpoint serves it; `receipt` is the endpoint's line that says so."""
+        """Give the final answer: established; `receipt` is the endpoint's line that confirms it."""
 
     def deliver(self, message: memoryview) -> None:
-        """Pass on one message of the endpoint."""
+        """Pass on one message from the endpoint."""
 
     def resume(self) -> None:
-        """The endpoint's side is no longer congested: go on reading."""
+        """Continue reading, as the endpoint's side is no longer congested."""
 
     def reject(self, retry_after_ns: int, breach: str) -> None:
-        """Final answer: not done, a retry does no harm; `breach` names a contract's limit or is empty."""
+        """Give the final answer: not done, a retry is harmless; `breach` is a contract's limit or empty."""
 
     def fail(self) -> None:
-        """Final answer: not served, and the request may have had effects."""
+        """Give the final answer: not served, and the request may have had effects."""
 
     def migrate(self, reason: str) -> None:
-        """Ask the client to come back on a new connection, between two messages; `reason` is for the log."""
+        """Ask the client, between two messages, to migrate to a new connection; `reason` is for the log."""
 
     def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
-        """The endpoint's side of the established connection is over, with a reset or in order."""
+        """Handle the end of the endpoint's side of the established connection, by a reset or in order."""
 
 
 class UpstreamConnection(Protocol):
@@ -94,22 +94,22 @@
 
     @property
     def is_congested(self) -> bool:
-        """Whether messages should wait; `Client.resume` is called once they need not."""
+        """Whether messages should be held back, until `Client.resume` is called."""
 
     def deliver(self, message: memoryview) -> None:
-        """Pass on one message of the client, valid only until the call returns."""
+        """Pass on one message from the client, valid only until the call returns."""
 
     def resume(self) -> None:
-        """The client's side is no longer congested: go on reading."""
+        """Continue reading, as the client's side is no longer congested."""
 
     def oldest_unanswered_ns(self) -> int:
-        """How long the oldest message that wants a reply has waited for it; 0 when none waits."""
+        """Age of the oldest message that still awaits a reply; 0 if there is none."""
 
     def idle_ns(self) -> int:
-        """How long ago anything last came from the endpoint."""
+        """Time since data last arrived from the endpoint."""
 
     def handle_client_ended(self, reset: bool) -> None:
-        """End it the way the client ended its own."""
+        """End the connection, by a reset if the client's side was reset."""
 
     def abandon(self) -> None:
-        """Close it now and report nothing more."""
+        """Close the connection at once, without further reports to the broker."""
