--- a/linnetshift/broker/request_table.py
+++ b/linnetshift/broker/request_table.py
@@ -46,7 +46,7 @@
     def configure(self, settings: Settings, contracts: Contracts) -> None:
         """Apply reloaded settings and contracts; requests in progress and used tokens keep counting."""
         self.settings = settings
-        contracts.replace(self.contracts, Counter(request.tenant for request in self.requests.values()))
+        contracts.carry_over(self.contracts, Counter(request.tenant for request in self.requests.values()))
         self.contracts = contracts
 
     def add(self, request: ActiveRequest) -> bool:
@@ -58,7 +58,7 @@
         request.submitted_ns = self.clock()
         breach = self.contracts.admit(request.tenant, request.klass, request.flags, request.submitted_ns)
         if breach is not None:
-            request.detach_client().reject(breach.wait_ns, breach.limit)
+            request.detach_client().reject(breach.retry_after_ns, breach.limit)
             return False
         self.requests[request.id] = request
         return True
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("contract", "flags", "limit", "wait_ns"),
+    ("contract", "flags", "limit", "retry_after_ns"),
     [
         (Contract(services=frozenset()), 0, "service", 60 * S),
         (Contract(rate=TokenBucket(2.0, 1.0)), 0, "rate", S // 2),
@@ -76,7 +76,7 @@
     ],
 )
 def test_breach_names_its_limit_and_when_a_retry_is_admitted(
-    contract: Contract, flags: int, limit: str, wait_ns: int
+    contract: Contract, flags: int, limit: str, retry_after_ns: int
 ) -> None:
     contracts = Contracts({0: contract})
     if limit != "service":
@@ -84,8 +84,8 @@
     breach = contracts.admit(0, 0, flags, 1 * S)
     assert (breach is None) is (not limit)
     if breach is not None:
-        assert (breach.limit, breach.wait_ns) == (limit, wait_ns)
-        assert limit == "service" or contracts.admit(0, 0, flags, 1 * S + wait_ns) is None
+        assert (breach.limit, breach.retry_after_ns) == (limit, retry_after_ns)
+        assert limit == "service" or contracts.admit(0, 0, flags, 1 * S + retry_after_ns) is None
 
 
 def test_adoption_is_retried_while_its_endpoint_cannot_be_reached() -> None:
--- a/tests/test_broker_parts.py
+++ b/tests/test_broker_parts.py
@@ -114,7 +114,7 @@
     former = Contracts({0: Contract(rate=TokenBucket(1.0, 2.0)), 1: Contract()})
     assert former.admit(0, 0, 0, 1 * S) is None
     later = Contracts({0: Contract(rate=TokenBucket(1.0, 2.0), concurrency=2), 2: Contract(concurrency=1)})
-    later.replace(former, {0: 1})
+    later.carry_over(former, {0: 1})
     assert later.admit(0, 0, 0, 1 * S) is None
     assert later.teams[0].active == 2
     breach = later.admit(0, 0, 0, 2 * S)
