--- a/linnetshift/broker/administrative_drains.py
+++ b/linnetshift/broker/administrative_drains.py
@@ -1,7 +1,7 @@
-"""Endpoints that operators have drained: an overlay on every endpoint list on its way to the balancer.
+"""Administrative drains: an overlay on the endpoint lists that the balancer gets.
 
-A drained endpoint is listed as draining, whatever discovery reports of it, until it is restored. So the
-balancer needs no rule for it: it sends nothing new there and migrates what is established.
+Until it is restored, a drained endpoint is listed as draining even if discovery reports it as ready. So the
+balancer needs no separate rule: it sends no new requests there and migrates established connections.
 """
 
 from __future__ import annotations
@@ -12,52 +12,52 @@
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.events import EndpointEntry, EndpointList, EndpointState, ListForm
 
-# How soon connections must be gone: operators restart a drained endpoint some 2 s after their call.
+# Time within which connections must be gone: operators restart a drained endpoint about 2 s after their call.
 DRAIN_WITHIN_NS = 1_700_000_000
-# The most endpoints that may be listed at once; those beyond are left out. Machines are replaced under new
-# names, and a discovery service may go wrong: without bounds, names would pile up.
+# Maximum number of listed endpoints; those beyond are left out. Machines are replaced under new names, and a
+# discovery service may be faulty: without a bound, the number of names would grow indefinitely.
 MAX_LISTED = 8192
-# The most endpoints known: the listed ones, and removed ones, whose entries are needed for a restore.
+# Maximum number of known endpoints: the listed ones, and removed ones, whose entries a restore needs.
 MAX_KNOWN = 2 * MAX_LISTED
-# The most endpoints drained at once. A drain holds until its restore and is never dropped, so one more is
-# rejected.
+# Maximum number of drained endpoints. A drain lasts until the restore and is never evicted, so further drains
+# are rejected.
 MAX_DRAINED = 4096
 
-# Keys of the state that is handed over to another process.
+# Keys of the state handed over to another process.
 _REMOVED_KEY = "gone"
 _DRAINED_KEY = "out"
 _RESTORED_KEY = "back"
 
 
 class RestoredEndpoint(NamedTuple):
-    """When an endpoint was drained, and when it was restored, in ns of the system's monotonic clock."""
+    """Times at which an endpoint was drained and restored, in ns of the system's monotonic clock."""
 
     drained_at_ns: int
     restored_at_ns: int
 
 
 def is_full_list(event: EndpointList) -> bool:
-    """Whether an endpoint that the event does not name is not listed any more."""
+    """Whether the event holds the full list, so that endpoints without an entry are removed."""
     return event.form in (ListForm.FULL, ListForm.CACHED)
 
 
 def max_names() -> int:
-    """The most endpoints that may be known by name at once."""
+    """Maximum number of endpoints known by name."""
     return MAX_KNOWN + MAX_DRAINED
 
 
 class AdministrativeDrains:
-    """Every endpoint ever listed, and which of them operators have drained or restored.
+    """Holds the known endpoints, and which of them operators have drained or restored.
 
     Attributes:
-        listed: the latest entry of each endpoint as discovery reported it, removed ones included, those
-            reported longest ago first.
-        drained_at_ns: when each endpoint that is drained now was drained.
-        restored: endpoints restored since discovery last reported a restart of theirs.
+        listed: latest entry from discovery by endpoint, least recently reported first; includes removed
+            endpoints.
+        drained_at_ns: time of the drain, by currently drained endpoint.
+        restored: endpoints restored since discovery last reported that they restarted.
     """
 
     def __init__(self, clock: Callable[[], int]) -> None:
-        """Start with nothing listed; `clock` gives ns of the system's monotonic clock."""
+        """Start without endpoints; `clock` returns ns of the system's monotonic clock."""
         self.clock = clock
         self.version = 0  # of the latest list
         self.listed: dict[bytes, EndpointEntry] = {}
@@ -67,7 +67,7 @@
     # ---- the endpoint list ------------------------------------------------------------------
 
     def limit_entries(self, event: EndpointList) -> EndpointList:
-        """The event without the new entries beyond MAX_LISTED."""
+        """The event without new entries beyond MAX_LISTED."""
         if len(event.entries) + len(self.listed) <= MAX_LISTED:
             return event
         remaining = self._endpoints_listed_after(event)
@@ -82,7 +82,7 @@
         return event._replace(entries=tuple(accepted))
 
     def _endpoints_listed_after(self, event: EndpointList) -> set[bytes]:
-        """Endpoints listed now that the event does not remove by leaving them out of a full list."""
+        """Currently listed endpoints, less those that the event removes by their absence from a full list."""
         present = {
             endpoint for endpoint, entry in self.listed.items() if entry.state != EndpointState.REMOVED
         }
@@ -91,7 +91,7 @@
         return present & {entry.endpoint for entry in event.entries}
 
     def overlay(self, event: EndpointList) -> EndpointList:
-        """Record a list or its changes, and return it as the balancer is to see it."""
+        """Record a list or changes of it; returns the event with the overlay applied."""
         if event.form == ListForm.FAILED:
             return event
         self.version = event.version
@@ -101,7 +101,7 @@
                 if endpoint not in listed_now:
                     self.listed[endpoint] = entry._replace(state=EndpointState.REMOVED)
         for entry in event.entries:
-            self.listed.pop(entry.endpoint, None)  # to the end: those reported longest ago come first
+            self.listed.pop(entry.endpoint, None)  # reinsert at the end: least recently reported first
             self.listed[entry.endpoint] = entry
         return event._replace(entries=tuple(self._overlay_entry(entry) for entry in event.entries))
 
@@ -109,7 +109,7 @@
         restored = self.restored.get(entry.endpoint)
         if restored is not None and restored.restored_at_ns:
             if entry.started_ns > restored.drained_at_ns:
-                del self.restored[entry.endpoint]  # discovery has the exact time of the restart
+                del self.restored[entry.endpoint]  # discovery reports the exact time of the restart
             else:
                 entry = entry._replace(started_ns=restored.restored_at_ns)
         if entry.endpoint not in self.drained_at_ns:
@@ -119,12 +119,12 @@
         return entry._replace(drain_within_ns=DRAIN_WITHIN_NS)
 
     def entry_update(self, endpoint: bytes) -> EndpointList:
-        """What the balancer is to see of one known endpoint after a drain or restore."""
+        """The change to send to the balancer after a drain or restore of a known endpoint."""
         entry = self._overlay_entry(self.listed[endpoint])
         return EndpointList(ListForm.DELTA, self.version, (entry,))
 
-    def forget_removed(self) -> list[bytes]:
-        """Drop those removed for longest where more than MAX_KNOWN are known, and return which they were."""
+    def evict_removed(self) -> list[bytes]:
+        """Evict the endpoints removed longest ago beyond MAX_KNOWN; returns those evicted."""
         excess = len(self.listed) - MAX_KNOWN
         if excess <= 0:
             return []
@@ -133,42 +133,42 @@
             for endpoint, entry in self.listed.items()
             if entry.state == EndpointState.REMOVED and endpoint not in self.drained_at_ns
         ]
-        forgotten = removed[:excess]
-        for endpoint in forgotten:
+        evicted = removed[:excess]
+        for endpoint in evicted:
             del self.listed[endpoint]
             self.restored.pop(endpoint, None)
-        return forgotten
+        return evicted
 
     def is_known(self, endpoint: bytes) -> bool:
-        """Whether it was ever listed and is not forgotten since."""
+        """Whether the endpoint has been listed and not been evicted since."""
         return endpoint in self.listed
 
     def is_listed_ready(self, endpoint: bytes) -> bool:
-        """Whether discovery last reported that it serves; an administrative drain does not count."""
+        """Whether discovery last reported the endpoint as ready, regardless of administrative drains."""
         return endpoint in self.listed and self.listed[endpoint].state == EndpointState.READY
 
     def count_listed_ready(self) -> int:
-        """How many endpoints discovery last reported to serve."""
+        """Number of endpoints that discovery last reported as ready."""
         return sum(entry.state == EndpointState.READY for entry in self.listed.values())
 
     # ---- drains and restores ----------------------------------------------------------------
 
     def is_full(self) -> bool:
-        """Whether no more endpoints can be drained."""
+        """Whether the maximum number of endpoints is drained."""
         return len(self.drained_at_ns) >= MAX_DRAINED
 
     def is_drained(self, endpoint: bytes) -> bool:
-        """Whether operators have drained it and not restored it since."""
+        """Whether the endpoint is drained administratively."""
         return endpoint in self.drained_at_ns
 
     def drain_endpoint(self, endpoint: bytes) -> None:
-        """List it as draining from now on."""
+        """List the endpoint as draining until it is restored."""
         self.drained_at_ns[endpoint] = self.clock()
 
     def restore_endpoint(self, endpoint: bytes) -> None:
-        """List a drained endpoint as discovery does again.
+        """End the drain of an endpoint, which is listed again as discovery reports it.
 
-        It has been restarted meanwhile, so it is listed as started now unless discovery knows better.
+        Operators have restarted it, so its start time is now until discovery reports a start after the drain.
         """
         drained_at_ns = self.drained_at_ns.pop(endpoint)
         self.restored[endpoint] = RestoredEndpoint(drained_at_ns, self.clock())
@@ -176,7 +176,7 @@
     # ---- state and usage --------------------------------------------------------------------
 
     def export_state(self) -> dict[str, Any]:
-        """What another process needs to hold the same drains; `import_state` takes it."""
+        """The state that another process needs to apply the same drains, for `import_state`."""
         removed = [
             endpoint for endpoint, entry in self.listed.items() if entry.state == EndpointState.REMOVED
         ]
@@ -190,9 +190,9 @@
         }
 
     def import_state(self, state: dict[str, Any]) -> None:
-        """Take over exported drains, before the first list is recorded.
+        """Restore exported drains; must be called before the first list is recorded.
 
-        Raises AttributeError, KeyError, TypeError or ValueError where the state makes no sense.
+        Raises AttributeError, KeyError, TypeError or ValueError if the state is malformed.
         """
         for endpoint in map(str.encode, state[_REMOVED_KEY]):
             self.listed.setdefault(endpoint, EndpointEntry(endpoint, 0, 0, 0, EndpointState.REMOVED, 1.0, 0))
--- a/linnetshift/broker/endpoint_views.py
+++ b/linnetshift/broker/endpoint_views.py
@@ -1,4 +1,4 @@
-"""What the broker itself knows of endpoints: zones, start times, drains, latency and observed facts."""
+"""The broker's own data about endpoints: zones, start times, drains, latency and observed facts."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 class EndpointViews:
-    """Keeps the views of endpoints in step with the list, and passes the list on to the balancer."""
+    """Updates the views of endpoints from the endpoint list, and passes the list on to the balancer."""
 
     def __init__(
         self, settings: Settings, clock: Callable[[], int], inbox: EventInbox, lease: ListLease
     ) -> None:
-        """Start with no endpoints known; `lease` is that of the list."""
+        """Start without endpoints; `lease` is the lease on the endpoint list."""
         self.clock = clock
         self.inbox = inbox
-        self.zones: dict[bytes, int] = {}  # number of each endpoint's zone
-        self.started_ns: dict[bytes, int] = {}  # when each endpoint last started, as listed; 0: long ago
+        self.zones: dict[bytes, int] = {}  # zone number, by endpoint
+        self.started_ns: dict[bytes, int] = {}  # time of the last start as listed, by endpoint; 0: long ago
         self.administrative_drains = AdministrativeDrains(clock)
         self.unconfirmed = UnconfirmedEndpoints(lease, self.administrative_drains)
         self.latency_estimator = LatencyEstimator()
@@ -41,18 +41,18 @@
     # ---- the endpoint list and its administrative overlay -----------------------------------
 
     def handle_endpoint_list(self, event: EndpointList) -> None:
-        """Record a list or its changes from discovery, or that discovery failed."""
+        """Apply a list or changes of it from discovery, or handle a failure of discovery."""
         self.unconfirmed.handle_endpoint_list(event)
         self._apply(self.administrative_drains.overlay(event))
         self.review_unconfirmed_endpoints()
-        for endpoint in self.administrative_drains.forget_removed():
-            self.latency_estimator.forget(endpoint)
-            self.unconfirmed.forget(endpoint)
+        for endpoint in self.administrative_drains.evict_removed():
+            self.latency_estimator.evict(endpoint)
+            self.unconfirmed.evict(endpoint)
             self.zones.pop(endpoint, None)
             self.started_ns.pop(endpoint, None)
 
     def drain_endpoint(self, endpoint: bytes) -> bool:
-        """Have nothing new sent there until it is restored; whether it was ever listed and is drained now."""
+        """Start an administrative drain; returns whether the endpoint is known and now drained."""
         drains = self.administrative_drains
         if drains.is_full() and not drains.is_drained(endpoint):
             return False
@@ -62,7 +62,7 @@
         return drains.is_known(endpoint)
 
     def restore_endpoint(self, endpoint: bytes) -> bool:
-        """Use a drained endpoint again at once; whether it was ever listed."""
+        """End an administrative drain; returns whether the endpoint is known."""
         drains = self.administrative_drains
         if drains.is_drained(endpoint):
             drains.restore_endpoint(endpoint)
@@ -70,7 +70,7 @@
         return drains.is_known(endpoint)
 
     def _apply(self, event: EndpointList) -> None:
-        """Update every view by a list with its overlay, and post it to the balancer."""
+        """Update all views from a list with the overlay applied, and post it to the balancer."""
         is_full = is_full_list(event)
         if is_full:
             self.zones = {}
@@ -92,12 +92,12 @@
         self.inbox.post(event)
 
     def record_unavailable(self, endpoint: bytes) -> None:
-        """An endpoint refused a connection, so has no process, or sent a client away, so drains."""
+        """Record that an endpoint refused a connection (it has ended) or migrated a client (it drains)."""
         if self.administrative_drains.is_known(endpoint):
             self.unconfirmed.record_unavailable(endpoint, self.clock())
 
     def review_unconfirmed_endpoints(self) -> None:
-        """Notify the balancer of endpoints that it must not use, or may again, by the list's lease."""
+        """Update which endpoints are suspended, and notify the balancer of the changes."""
         for suspension in self.unconfirmed.review(self.clock()):
             self.inbox.post(suspension)
 
@@ -115,9 +115,9 @@
         """Record how long the endpoint took to reply to a message."""
         endpoint = attempt.endpoint
         if not self.administrative_drains.is_known(endpoint):
-            return  # forgotten: nothing is kept under its name any more
+            return  # evicted from the list: nothing is stored for it
         zone = self.zones.get(endpoint)
-        remote_zone = zone if zone != self.settings.zone else None  # None: none is crossed, or it is unknown
+        remote_zone = zone if zone != self.settings.zone else None  # None: own or unknown zone
         self.latency_estimator.record_response_time(endpoint, remote_zone, elapsed_ns, self.clock())
 
     def record_connection_ended(self, endpoint: bytes, outcome: Outcome) -> None:
--- a/linnetshift/broker/event_inbox.py
+++ b/linnetshift/broker/event_inbox.py
@@ -1,4 +1,4 @@
-"""Events that wait for the balancer's next step."""
+"""The queue of events for the balancer's next step."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class EventInbox:
-    """Collects what comes in during one turn of the event loop, to be decided on together."""
+    """Collects the events of one turn of the event loop, which the balancer decides on in one step."""
 
     def __init__(self, timers: Timers) -> None:
-        """Start empty; `timers` is asked to schedule processing whenever the first event comes in."""
+        """Start empty; `timers` schedules processing when the first event is posted."""
         self.timers = timers
         self.events: list[Event] = []
 
@@ -23,9 +23,9 @@
         self.events.append(event)
 
     def take(self) -> list[Event]:
-        """Empty the inbox; returns the events that waited, in the order for the balancer to see them.
+        """Empty the inbox; returns its events in the order in which the balancer is to process them.
 
-        Changes of endpoints go first: what came in the same turn must not be placed by an older list.
+        Changes of endpoints come first, so that requests of the same turn are placed by the latest list.
         """
         events = self.events
         self.events = []
--- a/linnetshift/broker/migration_balance.py
+++ b/linnetshift/broker/migration_balance.py
@@ -1,19 +1,19 @@
-"""Clients that came from other proxies, less those that went there.
+"""The number of clients that came from other proxies, less those that went there.
 
-From it the latency estimator infers how many of their clients the other proxies have lost to this one.
+The latency estimator derives from it how many clients of the other proxies are connected here.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# How long a client from another proxy counts as lost there: about as long as a connection lasts.
-MIGRATION_MEMORY_NS = 30_000_000_000
+# Time in which the balance decays to 0: about as long as a connection lasts.
+MIGRATION_DECAY_NS = 30_000_000_000
 
 
 @dataclass(slots=True)
 class MigrationBalance:
-    """A count of clients that fades linearly to nothing within MIGRATION_MEMORY_NS after its last change."""
+    """A balance of clients that decays linearly to 0 within MIGRATION_DECAY_NS after its last change."""
 
     net: float = 0.0
     updated_ns: int = 0
@@ -21,19 +21,19 @@
     def record_migrated_in(self, now_ns: int) -> None:
         """Record a client that returned after its connection had ended.
 
-        Where this proxy did not migrate or lose it before, it came from another proxy.
+        Unless this proxy migrated or lost it before, it came from another proxy.
         """
         self._add(1.0, now_ns)
 
     def record_migrated_out(self, now_ns: int) -> None:
-        """Record a client that was asked to migrate or lost its connection, and will return to some proxy."""
+        """Record a client that was asked to migrate or lost its connection, and will return to any proxy."""
         self._add(-1.0, now_ns)
 
     def net_in(self, now_ns: int) -> float:
-        """Clients here that came from other proxies; negative where more have left than came."""
-        return self.net * max(0.0, 1.0 - (now_ns - self.updated_ns) / MIGRATION_MEMORY_NS)
+        """Number of clients here that came from other proxies; negative if more have left."""
+        return self.net * max(0.0, 1.0 - (now_ns - self.updated_ns) / MIGRATION_DECAY_NS)
 
     def _add(self, change: float, now_ns: int) -> None:
-        faded = min(1.0, (now_ns - self.updated_ns) / MIGRATION_MEMORY_NS)
-        self.net = self.net * (1.0 - faded) + change
+        decayed_share = min(1.0, (now_ns - self.updated_ns) / MIGRATION_DECAY_NS)
+        self.net = self.net * (1.0 - decayed_share) + change
         self.updated_ns = now_ns
--- a/linnetshift/broker/snapshot.py
+++ b/linnetshift/broker/snapshot.py
@@ -1,7 +1,7 @@
-"""What a proxy has observed of its endpoints, in a form that the process which replaces it can take over.
+"""State snapshot of a proxy's observations of its endpoints, for the process that replaces it.
 
-Without it the new process would send clients back to the endpoints that the old one had just migrated them
-from, and would have to detect each overload again.
+Without it the new process would send clients back to endpoints that the old one had just migrated them from,
+and would have to detect each overload again.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 
 def export_state(balancer: Balancer, latency_estimator: LatencyEstimator) -> dict[str, Any]:
-    """The state under its stored keys, of values that JSON can hold."""
+    """The state under its stored keys; all values can be encoded as JSON."""
     return {**export_balancer_state(balancer), **latency_estimator.export_state()}
 
 
 def import_state(balancer: Balancer, latency_estimator: LatencyEstimator, state: Mapping[str, Any]) -> None:
-    """Take over an exported state, once the endpoint list is known.
+    """Restore an exported state; must be called once the endpoint list is known.
 
-    Endpoints that are not listed any more and unknown keys are left out, as the other process may be of
-    another version. A part that makes no sense does not keep the others from being taken; the error of the
-    first such part is raised at the end (AttributeError, KeyError, TypeError or ValueError).
+    Ignores endpoints that are no longer listed, and unknown keys, as the other process may run another
+    version. A malformed section does not prevent the import of the others; the error of the first one
+    (AttributeError, KeyError, TypeError or ValueError) is raised at the end.
     """
     first_error: Exception | None = None
     for import_section in (
@@ -42,7 +42,7 @@
 
 
 def _import_balancer(balancer: Balancer, state: Mapping[str, Any]) -> None:
-    """Raise ValueError with the keys whose values have another type, once all others are taken."""
+    """Import the balancer's state; raises ValueError with the keys whose values have another type."""
     rejected = import_balancer_state(balancer, state)
     if rejected:
         raise ValueError(f"values of another type: {', '.join(rejected)}")
--- a/tests/test_broker_parts.py
+++ b/tests/test_broker_parts.py
@@ -11,7 +11,7 @@
 from linnetshift.broker.endpoint_views import EndpointViews
 from linnetshift.broker.event_inbox import EventInbox
 from linnetshift.broker.latency_estimator import LatencyEstimator
-from linnetshift.broker.migration_balance import MIGRATION_MEMORY_NS, MigrationBalance
+from linnetshift.broker.migration_balance import MIGRATION_DECAY_NS, MigrationBalance
 from linnetshift.broker.request_table import OVERDUE_NS
 from linnetshift.broker.snapshot import export_state, import_state
 from linnetshift.discovery.list_lease import ListLease
@@ -104,9 +104,9 @@
         migrations.record_migrated_in(1 * S)
     migrations.record_migrated_out(1 * S)
     assert migrations.net_in(1 * S) == 3.0
-    assert migrations.net_in(1 * S + MIGRATION_MEMORY_NS // 2) == 1.5
-    assert migrations.net_in(1 * S + 2 * MIGRATION_MEMORY_NS) == 0.0
-    migrations.record_migrated_out(1 * S + MIGRATION_MEMORY_NS)
+    assert migrations.net_in(1 * S + MIGRATION_DECAY_NS // 2) == 1.5
+    assert migrations.net_in(1 * S + 2 * MIGRATION_DECAY_NS) == 0.0
+    migrations.record_migrated_out(1 * S + MIGRATION_DECAY_NS)
     assert migrations.net == -1.0
 
 
