--- a/linnetshift/broker/deployment_facts.py
+++ b/linnetshift/broker/deployment_facts.py
@@ -1,7 +1,7 @@
-"""Facts about the deployment that no setting states, as observed of its endpoints.
+"""Facts about the deployment that are not in the settings, as observed from its endpoints.
 
-They are logged for operators. No decision depends on them: decisions follow the settings and what each
-endpoint itself shows.
+They are logged for operators. No decision depends on them: decisions use the settings and the observations of
+each endpoint.
 """
 
 from __future__ import annotations
@@ -12,12 +12,13 @@
 from linnetshift.observability.resource_usage import ResourceUsage
 from linnetshift.routing.events import EndpointEntry, EndpointState
 
-# An endpoint that migrates its clients does so as it begins to drain, seconds before the list reports it.
+# Connections that remain this long after the list reports a drain show that the endpoint keeps serving: an
+# endpoint that migrates its clients does so as it begins to drain, seconds before the list reports it.
 DRAIN_SETTLING_NS = 1_000_000_000
 
 
 class Fact(StrEnum):
-    """What a fact is about; the values appear in the log."""
+    """The subject of a fact; the values appear in the log."""
 
     DRAIN = "drain"
     REPORTS = "reports"
@@ -25,42 +26,42 @@
 
 
 class DrainBehaviour(StrEnum):
-    """What endpoints do with their clients while they drain."""
+    """How endpoints treat their clients while they drain."""
 
     MIGRATES_CLIENTS = "sends-away"
     KEEPS_SERVING = "serves-on"
 
 
 class HealthReports(StrEnum):
-    """Whether answers to health checks carry a load report."""
+    """Whether answers to health checks contain a load report."""
 
     FIGURES = "figures"
     NONE = "none"
 
 
 class MessageTimes(StrEnum):
-    """Whether endpoints report the time that a message takes."""
+    """Whether endpoints report message times."""
 
     REPORTED = "told"
 
 
 class DeploymentFacts:
-    """The facts observed so far, and those not yet logged."""
+    """Holds the observed facts, and those not yet logged."""
 
     def __init__(self) -> None:
-        """Start with nothing observed."""
+        """Start without facts."""
         self.known: dict[Fact, str] = {}
         self.unreported: list[tuple[Fact, str]] = []
-        self.draining_since_ns: dict[bytes, int] = {}  # when the list first reported that an endpoint drains
+        self.draining_since_ns: dict[bytes, int] = {}  # when the list first reported the drain
 
     def observe(self, fact: Fact, value: str) -> None:
-        """Record a fact; it is reported once, and again when it changes."""
+        """Record a fact; it is reported once, and again whenever its value changes."""
         if self.known.get(fact) != value:
             self.known[fact] = value
             self.unreported.append((fact, value))
 
     def take_unreported(self) -> list[tuple[Fact, str]]:
-        """Facts that were observed or changed since the last call, oldest first."""
+        """Facts observed or changed since the last call, oldest first."""
         unreported = self.unreported
         self.unreported = []
         return unreported
@@ -68,9 +69,9 @@
     def handle_endpoint_list(
         self, entries: Collection[EndpointEntry], is_full_list: bool, now_ns: int
     ) -> None:
-        """Record which endpoints drain by themselves; `is_full_list`: those without an entry are not listed.
+        """Record which endpoints drain; `is_full_list` means that endpoints without an entry are not listed.
 
-        An entry with `drain_within_ns` is an administrative drain, which does not show how endpoints drain.
+        Ignores administrative drains (entries with `drain_within_ns`), which do not show how endpoints drain.
         """
         listed_now = {entry.endpoint for entry in entries}
         draining = {
@@ -86,9 +87,9 @@
         self.draining_since_ns.update(dict.fromkeys(draining - self.draining_since_ns.keys(), now_ns))
 
     def review(self, connected: Collection[bytes], now_ns: int) -> None:
-        """Observe that endpoints keep serving while they drain, where one has and is still connected.
+        """Record that endpoints keep serving while they drain, if one of them still has connections.
 
-        `connected` are the endpoints with established connections.
+        `connected` holds the endpoints with established connections.
         """
         for endpoint, since_ns in self.draining_since_ns.items():
             if now_ns - since_ns > DRAIN_SETTLING_NS and endpoint in connected:
@@ -96,13 +97,13 @@
                 return
 
     def record_migration_request(self) -> None:
-        """An endpoint asked a client to migrate."""
+        """Record that an endpoint asked a client to migrate."""
         self.observe(Fact.DRAIN, DrainBehaviour.MIGRATES_CLIENTS)
 
     def record_health_report(self, has_figures: bool) -> None:
-        """A health check that asked for a load report was answered, with figures or without."""
+        """Record whether the answer to a health check that asked for a load report contains one."""
         self.observe(Fact.REPORTS, HealthReports.FIGURES if has_figures else HealthReports.NONE)
 
     def resource_usage(self, max_names: int) -> dict[str, ResourceUsage]:
-        """Sizes and bounds, under their names in `GET /ops/census`; `max_names`: most endpoints known."""
+        """Sizes and bounds, under their names in `GET /ops/census`; `max_names` bounds known endpoints."""
         return {"learned.drains": ResourceUsage(len(self.draining_since_ns), max_names)}
