--- a/linnetshift/config/broker_file.py
+++ b/linnetshift/config/broker_file.py
@@ -1,4 +1,4 @@
-"""The broker file: a TOML document that turns on channels, VRRP and contracts."""
+"""The broker file: a TOML document that configures channels, VRRP and contracts."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 DEFAULT_FILE = Path(__file__).parent.parent.parent / "deploy" / "broker.toml"
 
-# RFC 9568, section 5.2: one octet each for the virtual router's number, the priority and the number of
-# addresses, twelve bits for the interval in centiseconds.
+# RFC 9568, section 5.2: one octet each for the virtual router id, the priority and the number of addresses,
+# twelve bits for the interval in centiseconds.
 MAX_VRID = 255
 MAX_PRIORITY = 255
 MAX_ADDRESSES = 255
@@ -34,12 +34,12 @@
 DEFAULT_PRIORITY = 100
 DEFAULT_INTERVAL_CS = 100
 
-NumbersByClass = dict[str, set[int]]
-"""All numbers that a class of a name has or had, by the name."""
+ClassNumbers = dict[str, set[int]]
+"""All current and former numbers of the classes of one name, by that name."""
 
 
 class BrokerConfig(NamedTuple):
-    """The contents of the broker file; what it does not turn on is off."""
+    """The contents of the broker file; features that it does not enable are off."""
 
     channels: Address | None = None
     vrrp: VrrpConfig | None = None
@@ -47,9 +47,9 @@
 
 
 def read_broker_file(path: str | None, names: NameRegistry, settings: Settings) -> BrokerConfig:
-    """Read `path`, or `deploy/broker.toml` where it is empty; raises ConfigurationError.
+    """Read `path`, or `deploy/broker.toml` if it is empty; raises ConfigurationError.
 
-    A missing `deploy/broker.toml` turns everything off; a missing file that was named is an error.
+    If `deploy/broker.toml` is missing, all features are off; a missing file at `path` is an error.
     """
     file = Path(path) if path else DEFAULT_FILE
     if not path and not file.exists():
@@ -73,7 +73,7 @@
 
 
 def _parse_document(document: dict[str, Any], names: NameRegistry, settings: Settings) -> BrokerConfig:
-    """Raises KeyError for a missing key, and other built-in errors for values of a wrong type or range."""
+    """Raises KeyError for a missing key, and INVALID_VALUE_ERRORS for values of a wrong type or range."""
     channels = document.get("channels", {})
     vrrp = document.get("vrrp", {})
     return BrokerConfig(
@@ -94,39 +94,44 @@
         addresses=tuple(str(ipaddress.IPv4Address(address)) for address in raw.get("addresses", [])),
     )
     if not 1 <= config.vrid <= MAX_VRID or not 1 <= config.priority <= MAX_PRIORITY:
-        raise ValueError("vrrp's vrid and priority lie between 1 and 255")
+        raise ValueError(
+            f"vrrp's vrid and priority must be 1 to {MAX_VRID}, got {config.vrid} and {config.priority}"
+        )
     if not 1 <= config.interval_cs <= MAX_INTERVAL_CS or len(config.addresses) > MAX_ADDRESSES:
-        raise ValueError("vrrp's interval_cs lies between 1 and 4095, with at most 255 addresses")
+        raise ValueError(
+            f"vrrp's interval_cs must be 1 to {MAX_INTERVAL_CS}, with at most {MAX_ADDRESSES} addresses; "
+            f"got {config.interval_cs} and {len(config.addresses)} addresses"
+        )
     return config
 
 
 def _parse_contracts(raw: list[dict[str, Any]], names: NameRegistry, settings: Settings) -> Contracts:
-    """The contracts by the number of their team.
+    """The contracts, by the number of their team.
 
-    A contract names services, and covers every class that has or had that name, whatever its rules.
+    A contract names services and applies to every class that has or had such a name, regardless of its rules.
     """
-    numbers: NumbersByClass = {}
+    class_numbers: ClassNumbers = {}
     for number, request_class in enumerate(settings.classes):
-        numbers.setdefault(request_class.name, set()).add(number)
+        class_numbers.setdefault(request_class.name, set()).add(number)
     teams: dict[int, Contract] = {}
     for item in raw:
         team = str(item["team"])
-        contract = _parse_contract(item, team, names, numbers)
+        contract = _parse_contract(item, team, names, class_numbers)
         teams[names.tenants[team]] = contract
     return Contracts(teams)
 
 
 def _parse_contract(
-    item: dict[str, Any], team: str, names: NameRegistry, numbers: NumbersByClass
+    item: dict[str, Any], team: str, names: NameRegistry, class_numbers: ClassNumbers
 ) -> Contract:
     services = item.get("services")
     service_names = [str(service) for service in services or []]
     _check_known("team", team, names.tenants)
     for name in service_names:
-        _check_known("service", name, numbers)
+        _check_known("service", name, class_numbers)
     classes: frozenset[int] | None = None
     if services is not None:
-        classes = frozenset().union(*(numbers[str(service)] for service in services))
+        classes = frozenset().union(*(class_numbers[str(service)] for service in services))
     return Contract(
         services=classes,
         rate=_parse_token_bucket(item, "rate_per_s", "rate_burst"),
@@ -141,11 +146,13 @@
 
 
 def _parse_token_bucket(item: dict[str, Any], rate_key: str, burst_key: str) -> TokenBucket | None:
-    """The token bucket that the two keys describe, in requests a second and requests; None without a rate."""
+    """The token bucket of a rate in requests per second and a burst in requests; None without a rate."""
     if rate_key not in item:
         return None
     rate = float(item[rate_key])
     burst = float(item.get(burst_key, max(1.0, rate)))
     if not 0.0 < rate < math.inf or not 1.0 <= burst < math.inf:
-        raise ValueError(f"{rate_key} must be above 0 and {burst_key} 1 or more")
+        raise ValueError(
+            f"{rate_key} must be above 0 and {burst_key} 1 or more, both finite; got {rate:g} and {burst:g}"
+        )
     return TokenBucket(rate, burst)
--- a/linnetshift/config/errors.py
+++ b/linnetshift/config/errors.py
@@ -1,21 +1,21 @@
 """Errors of the configuration files and of the environment variables that name them.
 
-Every text is one line: it goes to standard error at a start and into the log at a reload.
+Messages are single lines, printed to standard error at the start and logged at a reload.
 """
 
 from __future__ import annotations
 
-# What reading a value of a wrong type or out of its range raises; the files' readers report it as
+# Built-in errors raised for values of a wrong type or range; the readers of the files convert them to
 # InvalidValueError.
 INVALID_VALUE_ERRORS = (ValueError, TypeError, AttributeError, OverflowError)
 
 
 class ConfigurationError(Exception):
-    """The configuration cannot be used; the text says which value is wrong and why."""
+    """The configuration is invalid; the message names the wrong value and the reason."""
 
 
 class EnvironmentVariableError(ConfigurationError):
-    """An environment variable is missing or names something that cannot be used."""
+    """An environment variable is missing or its value is invalid."""
 
     def __init__(self, variable: str, reason: str) -> None:
         """The message is the name of the variable followed by `reason`."""
@@ -24,19 +24,19 @@
 
 
 class RestartRequiredError(ConfigurationError):
-    """A reload found a change that only a new process can take up."""
+    """A reload found a change that takes effect only after a restart."""
 
     def __init__(self, section: str) -> None:
-        """`section` is the table of the broker file that has changed."""
+        """`section` is the changed table of the broker file."""
         super().__init__(f"a change of [{section}] needs a restart")
         self.section = section
 
 
 class ConfigurationFileError(ConfigurationError):
-    """A configuration file cannot be used; `file` is its path."""
+    """A configuration file is invalid; `file` is its path."""
 
     def __init__(self, file: object, text: str) -> None:
-        """`text` is the whole message, which names the file."""
+        """`text` is the complete message, including the path."""
         super().__init__(text)
         self.file = str(file)
 
@@ -50,10 +50,10 @@
 
 
 class FileSyntaxError(ConfigurationFileError):
-    """A configuration file is not a document of its format."""
+    """A configuration file cannot be parsed."""
 
     def __init__(self, file: object, file_format: str, reason: object) -> None:
-        """`file_format` is JSON or TOML, `reason` what its parser says."""
+        """`file_format` is JSON or TOML, `reason` the parser's message."""
         super().__init__(file, f"{file} is not {file_format}: {reason}")
 
 
@@ -69,7 +69,7 @@
     """A configuration file lacks a required key; `key` is its dotted path in the document."""
 
     def __init__(self, file: object, key: object) -> None:
-        """`key` is the dotted path as far as the reader of the value knows it."""
+        """`key` is the dotted path, or its last part where the reader has only that."""
         super().__init__(file, f"{file}: key {key!r} is missing")
         self.key = str(key)
 
@@ -78,5 +78,5 @@
     """A value in a configuration file has a wrong type or is out of its range."""
 
     def __init__(self, file: object, reason: object) -> None:
-        """`reason` names the value, by its path where the reader of the value knows it."""
+        """`reason` names the value, by its dotted path where available."""
         super().__init__(file, f"{file}: {reason}")
--- a/linnetshift/config/loader.py
+++ b/linnetshift/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads both configuration files that the environment names."""
+"""Reads the two configuration files named by environment variables."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ConfigurationFiles(NamedTuple):
-    """The contents of both files, read together."""
+    """The contents of both files."""
 
     proxy: ProxyConfig
     broker: BrokerConfig
--- a/linnetshift/config/names.py
+++ b/linnetshift/config/names.py
@@ -1,4 +1,4 @@
-"""Numbers for the names in the settings: classes, tenants, zones and endpoint kinds."""
+"""Maps names in the settings to numbers: classes, tenants, zones and endpoint kinds."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 UNKNOWN_NUMBER = -1  # the number of a name that the settings do not list
 
-# The most names of one kind, with those that are no longer listed. Numbers are never reused, so without a
-# limit the tables would grow with every renaming for as long as the process lives.
+# Maximum number of names of one kind, including names no longer listed. Numbers are never reused, so without
+# a limit every renaming would grow the tables until the process ends.
 MAX_NAMES = 4096
 
 
 class NumberedNames(NamedTuple):
-    """The three kinds of names whose numbers last as long as the process; each maps a name to its number."""
+    """Numbers by name, for the three kinds of names that keep their numbers until the process ends."""
 
     tenants: dict[str, int]
     zones: dict[str, int]
@@ -22,11 +22,11 @@
 
 
 class NameRegistry:
-    """The number of each class, tenant, zone and endpoint kind, by its name.
+    """The numbers of classes, tenants, zones and endpoint kinds, by name.
 
-    Requests and endpoints in use refer to tenants, zones and kinds by number. Such a number therefore belongs
-    to its name for good, whatever the order of the lists in later settings. The number of a class stands for
-    its rules: a class that changes gets a new one (`Settings.numbered_after`).
+    Requests and endpoints refer to tenants, zones and kinds by number. These names therefore keep their
+    numbers until the process ends, regardless of the order of the lists in later settings. The number of a
+    class identifies its rules: a class that changes gets a new one (`Settings.numbered_after`).
     """
 
     def __init__(
@@ -35,9 +35,9 @@
         parsed_settings: Settings,
         former: NameRegistry | None = None,
     ) -> None:
-        """Number what the settings list, after the numbers that `former` has given.
+        """Number the names in the settings; names in `former` keep their numbers.
 
-        Raises ValueError where there would be more than `MAX_NAMES` of one kind.
+        Raises ValueError if there are more than `MAX_NAMES` names of one kind.
         """
         former_numbers = former.numbered_names() if former is not None else NumberedNames({}, {}, {})
         self.classes = {
@@ -52,10 +52,10 @@
         return NumberedNames(self.tenants, self.zones, self.kinds)
 
     def adopt(self, later: NameRegistry) -> dict[str, int]:
-        """Take up the names of reloaded settings, in place, as other parts hold this registry.
+        """Add the names of reloaded settings in place, as other parts hold references to this registry.
 
-        Returns the classes that are no longer offered, by name. They stay known until `forget_classes`:
-        clients learn of the change later.
+        Returns the numbers of discontinued classes, by name. These stay known until `forget_classes` removes
+        them, as clients learn of the change later.
         """
         for known, listed in zip(self.numbered_names(), later.numbered_names(), strict=True):
             known.update(listed)
@@ -64,23 +64,26 @@
         return discontinued
 
     def forget_classes(self, discontinued: dict[str, int], offered: tuple[int, ...]) -> None:
-        """Make discontinued classes unknown, but for those that have been offered again or replaced since."""
+        """Remove discontinued classes, except those offered again or replaced since."""
         for name, number in discontinued.items():
             if number not in offered and self.classes.get(name) == number:
                 del self.classes[name]
 
     @staticmethod
     def names_in(listed: object) -> list[str]:
-        """The names in a list of the settings, whose items are names or objects with a key `name`."""
+        """The names in a list from the settings, whose items are names or objects with a key `name`."""
         items = listed if isinstance(listed, list) else []
         return [str(item.get("name") if isinstance(item, dict) else item) for item in items]
 
     @classmethod
     def _number(cls, listed: object, former_numbers: dict[str, int]) -> dict[str, int]:
-        """The numbers in `former_numbers`, and the next ones for names that are new."""
+        """A copy of `former_numbers`, with the next numbers added for new names in `listed`."""
         numbers = dict(former_numbers)
         for name in cls.names_in(listed):
             numbers.setdefault(name, len(numbers))
         if len(numbers) > MAX_NAMES:
-            raise ValueError("more names of one kind since the start than can be kept; that needs a restart")
+            raise ValueError(
+                f"more names of one kind since the start than can be kept: {len(numbers)} of {MAX_NAMES}; "
+                "that needs a restart"
+            )
         return numbers
--- a/linnetshift/config/platform_listener.py
+++ b/linnetshift/config/platform_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket for clients that the platform holds and passes to the process."""
+"""The client listening socket, where the platform opens it and passes it to the process."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def platform_listener() -> socket.socket | None:
-    """The listening socket of the platform, or None where it passes none.
+    """The listening socket passed by the platform, or None if there is none.
 
-    Raises EnvironmentVariableError where the variable names a descriptor that is no listening socket.
+    Raises EnvironmentVariableError if the variable is not the descriptor of a listening socket.
     """
     descriptor = os.environ.get(LISTENER_VARIABLE)
     if not descriptor:
--- a/linnetshift/config/proxy_file.py
+++ b/linnetshift/config/proxy_file.py
@@ -1,4 +1,4 @@
-"""The proxy file: the JSON document in which the platform names addresses and settings."""
+"""The proxy file: a JSON document with addresses and settings, written by the platform."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 PROXY_FILE_VARIABLE = "GW_CONFIG"  # its path
 ADMIN_ADDRESS_VARIABLE = "GW_ADMIN_ADDR"  # takes precedence over the key `admin_addr`
 
-Keys = dict[str, Any]
-"""The keys of an object, each with the `Keys` of its value, which are empty where that is no object."""
+KeyTree = dict[str, Any]
+"""The keys of an object, each with the `KeyTree` of its value, which is empty if that is not an object."""
 
 
 class ProxyConfig(NamedTuple):
@@ -36,12 +36,12 @@
     listen: Address
     discovery: Address
     seed: int  # of the random source
-    cached_list: EndpointListUpdate  # the endpoints that the platform knew when it wrote the file
+    cached_list: EndpointListUpdate  # the endpoint list at the time the file was written
     settings: Settings
     names: NameRegistry
-    max_sockets: int  # the platform's limit; 0 where it gives none
-    admin: Address | None  # of the admin server; None where it is off
-    keys: Keys  # of the whole document
+    max_sockets: int  # the platform's limit; 0 if it sets none
+    admin: Address | None  # of the admin server; None if it is off
+    keys: KeyTree  # of the whole document
 
 
 def read_config(
@@ -49,9 +49,9 @@
 ) -> ProxyConfig:
     """Read and validate the proxy file; raises ConfigurationError.
 
-    `former` is the configuration in use at a reload: its numbers are kept, and a file that lacks a key which
-    that one had is rejected. `classes_in_use` are numbers of classes that something under way refers to;
-    None where that is not known.
+    `former` is the current configuration at a reload: names keep its numbers, and a file without one of its
+    keys is rejected. `classes_in_use` holds the numbers of classes that requests or connections refer to, or
+    is None if that is unknown.
     """
     if not path:
         raise EnvironmentVariableError(PROXY_FILE_VARIABLE, "does not name a configuration file")
@@ -65,7 +65,7 @@
 
 
 def _load_document(path: str) -> dict[str, Any]:
-    """The JSON object in the file, which has an object `settings`."""
+    """The JSON object in the file, checked to contain an object `settings`."""
     try:
         with open(path, encoding="utf-8") as file:
             document: Any = json.load(file)
@@ -81,7 +81,7 @@
 def _parse_document(
     document: dict[str, Any], former: ProxyConfig | None, classes_in_use: Collection[int] | None
 ) -> ProxyConfig:
-    """Raises KeyError for a missing key, and other built-in errors for values of a wrong type or range."""
+    """Raises KeyError for a missing key, and INVALID_VALUE_ERRORS for values of a wrong type or range."""
     _check_keys(document, former.keys if former is not None else {})
     listen = parse_address(str(document["listen"]))
     discovery = parse_address(str(document["discovery"]))
@@ -100,14 +100,14 @@
         names=names,
         max_sockets=int((document.get("limits") or {}).get("sockets") or 0),
         admin=_admin_address(document),
-        keys=_keys_of(document),
+        keys=_key_tree(document),
     )
 
 
 def _with_registered_zone(settings: Settings, raw_zones: object, names: NameRegistry) -> Settings:
-    """The settings with this proxy's zone as numbered by the registry.
+    """The settings with this proxy's zone number from the registry.
 
-    The file gives it as an index into its own list of zones, whose order may change between two reloads.
+    The file contains it as an index into its own list of zones, whose order may change at a reload.
     """
     zones = names.names_in(raw_zones)
     if 0 <= settings.zone < len(zones):
@@ -120,14 +120,14 @@
     return parse_address(str(address)) if address else None
 
 
-def _keys_of(document: dict[str, Any]) -> Keys:
-    return {key: _keys_of(value) if isinstance(value, dict) else {} for key, value in document.items()}
+def _key_tree(document: dict[str, Any]) -> KeyTree:
+    return {key: _key_tree(value) if isinstance(value, dict) else {} for key, value in document.items()}
 
 
-def _check_keys(document: Any, keys: Keys, path: str = "") -> None:
-    """Raise KeyError with the dotted path of a key that the former file had and this one lacks.
+def _check_keys(document: Any, keys: KeyTree, path: str = "") -> None:
+    """Raise KeyError with the dotted path of the first key in `keys` that the document lacks.
 
-    Such a file counts as broken, even where it is valid JSON and the missing key optional.
+    At a reload, a file without a former key is rejected as broken, even if the key is optional.
     """
     for key, nested_keys in keys.items():
         if not isinstance(document, dict) or key not in document:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration files: what their errors name, and which numbers names get."""
+"""Configuration files: error messages, and the numbers assigned to names."""
 
 from __future__ import annotations
 
@@ -33,8 +33,15 @@
 }
 
 
+RATE_ERROR = ": rate_per_s must be above 0 and rate_burst 1 or more, both finite; got 0 and 1"
+VRRP_KEYS = 'enabled = true\nlisten = "127.0.0.1:1"\npeers = []\n'
+VRRP_INTERVAL_ERROR = (
+    ": vrrp's interval_cs must be 1 to 4095, with at most 255 addresses; got 0 and 0 addresses"
+)
+
+
 def write_proxy_file(folder: Path, document: object) -> Path:
-    """Write a proxy file with this content; its path."""
+    """Write a proxy file with the given content; returns its path."""
     file = folder / "config.json"
     file.write_text(document if isinstance(document, str) else json.dumps(document))
     return file
@@ -66,12 +73,12 @@
     assert isinstance(caught.value, ConfigurationError)
 
 
-def test_error_of_unreadable_proxy_file_gives_the_systems_reason(tmp_path: Path) -> None:
+def test_error_of_unreadable_proxy_file_has_the_system_error_text(tmp_path: Path) -> None:
     with pytest.raises(UnreadableFileError, match=r"^cannot read .*none.json: No such file or directory$"):
         read_config(str(tmp_path / "none.json"))
 
 
-def test_missing_key_that_the_former_file_had_is_named_by_its_path(tmp_path: Path) -> None:
+def test_error_of_key_missing_since_the_former_file_names_its_path(tmp_path: Path) -> None:
     former = read_config(str(write_proxy_file(tmp_path, {**DOCUMENT, "limits": {"sockets": 9, "cores": 1}})))
     file = write_proxy_file(tmp_path, {**DOCUMENT, "limits": {"sockets": 9}})
     with pytest.raises(MissingKeyError) as caught:
@@ -80,14 +87,14 @@
     assert str(caught.value) == f"{file}: key 'limits.cores' is missing"
 
 
-def test_missing_variable_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_error_of_missing_variable_names_it(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("GW_CONFIG", raising=False)
     with pytest.raises(EnvironmentVariableError, match=r"^GW_CONFIG does not name a configuration file$"):
         read_files()
 
 
 @pytest.mark.parametrize("descriptor", ["x", "987654"])
-def test_descriptor_that_is_no_listening_socket_is_rejected(
+def test_descriptor_that_is_not_a_listening_socket_is_rejected(
     monkeypatch: pytest.MonkeyPatch, descriptor: str
 ) -> None:
     monkeypatch.setenv("GW_LISTEN_FD", descriptor)
@@ -98,7 +105,7 @@
     assert caught.value.variable == "GW_LISTEN_FD"
 
 
-def test_admin_address_of_the_environment_takes_precedence(
+def test_admin_address_from_the_environment_takes_precedence(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     file = str(write_proxy_file(tmp_path, {**DOCUMENT, "admin_addr": "127.0.0.1:3"}))
@@ -119,7 +126,9 @@
             ": a contract names the unknown service 'none'",
         ),
         ('[[contract]]\nteam = "acme"\nservices = 0\n', ": 'int' object is not iterable"),
-        ('[[contract]]\nteam = "acme"\nrate_per_s = 0\n', ": rate_per_s must be above 0 and rate_burst 1"),
+        ('[[contract]]\nteam = "acme"\nrate_per_s = 0\n', RATE_ERROR),
+        (f"[vrrp]\n{VRRP_KEYS}vrid = 256\n", ": vrrp's vrid and priority must be 1 to 255, got 256 and 100"),
+        (f"[vrrp]\n{VRRP_KEYS}vrid = 1\ninterval_cs = 0\n", VRRP_INTERVAL_ERROR),
     ],
 )
 def test_error_of_unusable_broker_file_names_the_file_and_the_reason(
@@ -133,7 +142,7 @@
     assert str(caught.value).startswith(f"{file}{text}")
 
 
-def test_disabled_tables_of_the_broker_file_turn_nothing_on(tmp_path: Path) -> None:
+def test_disabled_tables_of_the_broker_file_enable_nothing(tmp_path: Path) -> None:
     config = read_config(str(write_proxy_file(tmp_path, DOCUMENT)))
     file = tmp_path / "broker.toml"
     file.write_text("[channels]\nenabled = false\n[vrrp]\nenabled = false\n")
@@ -148,12 +157,12 @@
     return NameRegistry(raw, Settings.parse(raw), former)
 
 
-def test_name_keeps_its_number_when_later_lists_have_another_order() -> None:
+def test_name_keeps_its_number_if_the_order_of_later_lists_differs() -> None:
     first = registry(zones=["a", "b"], models=[{"name": "m"}])
     later = registry(first, zones=["c", "b"], models=["n", "m"])
     assert later.zones == {"a": 0, "b": 1, "c": 2}
     assert later.kinds == {"m": 0, "n": 1}
-    assert first.zones == {"a": 0, "b": 1}  # numbering the later names leaves the former registry alone
+    assert first.zones == {"a": 0, "b": 1}  # the former registry is unchanged
 
 
 def test_registry_adopts_later_names_in_place() -> None:
@@ -164,14 +173,14 @@
     assert zones == {"a": 0, "b": 1}
 
 
-def test_discontinued_class_is_known_until_it_is_forgotten() -> None:
+def test_discontinued_class_is_known_until_it_is_removed() -> None:
     names, later = registry(), registry()
     name, number = next(iter(names.classes.items()))
     later.classes = {"later": number + 1}
     discontinued = names.adopt(later)
     assert discontinued == {name: number}
     assert names.classes == {name: number, "later": number + 1}
-    names.forget_classes(discontinued, (number, number + 1))  # it has been offered again since
+    names.forget_classes(discontinued, (number, number + 1))  # offered again since
     assert name in names.classes
     names.forget_classes(discontinued, (number + 1,))
     assert names.classes == {"later": number + 1}
@@ -180,5 +189,7 @@
 def test_names_of_one_kind_beyond_the_limit_are_rejected() -> None:
     full = registry(zones=[str(number) for number in range(MAX_NAMES)])
     assert len(full.zones) == MAX_NAMES
-    with pytest.raises(ValueError, match="more names of one kind since the start than can be kept"):
+    with pytest.raises(
+        ValueError, match="more names of one kind since the start than can be kept: 4097 of 4096; "
+    ):
         registry(full, zones=["one more"])
