--- a/linnetshift/observability/resource_usage.py
+++ b/linnetshift/observability/resource_usage.py
@@ -1,7 +1,7 @@
-"""How much of everything the program holds, and how much it may.
+"""Sizes and bounds of the containers that live as long as the process.
 
-Each owner of a container that lives as long as the program reports its size and its bound; `docs/memory.md`
-has the table, and `GET /ops/census` the current figures.
+Each owner of such a container reports its usage; `docs/memory.md` lists the containers, and `GET /ops/census`
+returns the current figures.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 
 class ResourceUsage(NamedTuple):
-    """A container's size and the most that it may ever hold, both in entries."""
+    """A container's size and its upper bound, both in entries."""
 
     size: int
     bound: int
 
 
 def over_bound(resource_usage: Mapping[str, ResourceUsage]) -> list[str]:
-    """The names of the containers that hold more than they may; always empty unless there is a fault."""
+    """Names of the containers that exceed their bounds; empty unless the program has a fault."""
     return [name for name, usage in resource_usage.items() if usage.size > usage.bound]
