--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""The broker by itself, with fakes of the parts around it."""
+"""Unit tests of the broker, with fakes of its ports."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from linnetshift.util.token_bucket import TokenBucket
 
 
-def test_request_that_the_balancer_forgets_fails_after_its_deadline() -> None:
+def test_request_that_the_balancer_does_not_answer_fails_after_its_deadline() -> None:
     surroundings = FakeSurroundings()
     surroundings.broker.balancer.step = lambda now_ns, events: []  # type: ignore[method-assign]
     surroundings.submit(1 * S)
@@ -28,7 +28,7 @@
     request = surroundings.submit()
     (attempt,) = surroundings.attempts
     surroundings.broker.perform(Send(request.id, endpoint(2), 0))
-    assert surroundings.attempts == [attempt]  # a fault of the balancer must not break the rule
+    assert surroundings.attempts == [attempt]  # at most one at a time, even if the balancer is faulty
     surroundings.broker.handle_established(attempt, memoryview(b"UP\r\n"))
     surroundings.broker.perform(Fail(request.id))
     surroundings.broker.perform(Reject(request.id, 0))
@@ -45,7 +45,7 @@
     assert [attempt.number for attempt in surroundings.attempts] == [0, 1]
 
 
-def test_attempt_that_ends_after_its_request_changes_nothing() -> None:
+def test_end_of_an_attempt_after_its_request_has_no_effect() -> None:
     surroundings = FakeSurroundings()
     request = surroundings.submit()
     surroundings.broker.handle_client_ended(request, False)
@@ -56,7 +56,7 @@
 
 
 def test_ended_request_releases_its_contract() -> None:
-    # A request that is over but still counts would in time lock its team out.
+    # Requests that stay counted after their end would exhaust the team's concurrency limit.
     surroundings = FakeSurroundings(Contracts({0: Contract(concurrency=1)}))
     first = surroundings.submit()
     surroundings.submit()
@@ -75,7 +75,7 @@
         (Contract(retries=TokenBucket(4.0, 1.0)), 0, "", 0),
     ],
 )
-def test_breach_names_its_limit_and_when_a_retry_is_admitted(
+def test_breach_has_its_limit_and_the_time_until_a_retry_is_admitted(
     contract: Contract, flags: int, limit: str, retry_after_ns: int
 ) -> None:
     contracts = Contracts({0: contract})
@@ -88,8 +88,8 @@
         assert limit == "service" or contracts.admit(0, 0, flags, 1 * S + retry_after_ns) is None
 
 
-def test_adoption_is_retried_while_its_endpoint_cannot_be_reached() -> None:
-    # A proxy that was stalled at its start mistook connections that had come up for refused ones.
+def test_adoption_is_retried_while_its_endpoint_is_unreachable() -> None:
+    # Fault: a proxy that stalled during its start took connections that had come up for refused ones.
     surroundings = FakeSurroundings()
     request = surroundings.submit_adoption(endpoint(1))
     for _ in range(3):
@@ -101,8 +101,8 @@
     assert surroundings.client_calls == ["fail"]
 
 
-class UnansweredConnection:
-    """A connection whose endpoint owes an answer."""
+class FakeUpstreamConnection:
+    """An upstream connection with fixed times since the oldest unanswered message and the last data."""
 
     def __init__(self, unanswered_ns: int, idle_ns: int) -> None:
         self._unanswered_ns = unanswered_ns
@@ -116,30 +116,30 @@
 
 
 @pytest.mark.parametrize(
-    ("waits", "migrated"),
+    ("unanswered_and_idle_ns", "migrated"),
     [
-        ([(1200 * MS, 1300 * MS), (0, 1900 * MS)], 2),  # nothing came since on any connection: all migrate
-        ([(1200 * MS, 1300 * MS), (0, 100 * MS)], 0),  # another connection was answered meanwhile
+        ([(1200 * MS, 1300 * MS), (0, 1900 * MS)], 2),  # no data since on any connection: all migrate
+        ([(1200 * MS, 1300 * MS), (0, 100 * MS)], 0),  # data arrived on another connection since
         ([(300 * MS, 300 * MS)], 0),
-        ([(500 * MS, 500 * MS)], 1),  # each further second costs a twentieth of what losing a zone does
+        ([(500 * MS, 500 * MS)], 1),  # each further second costs a twentieth of losing a zone
         ([(5 * S, 5 * S), (0, 100 * MS)], 1),
     ],
 )
-def test_clients_migrate_off_a_vanished_endpoint_and_off_stalled_connections(
-    waits: list[tuple[int, int]], migrated: int
+def test_clients_migrate_from_unresponsive_endpoints_and_connections_without_replies(
+    unanswered_and_idle_ns: list[tuple[int, int]], migrated: int
 ) -> None:
-    # Each connection waited 4 s by itself, while a vanished machine's were all without service.
+    # Fault: each connection to a machine that was gone waited 4 s, and none of them was served meanwhile.
     surroundings = FakeSurroundings()
-    for unanswered_ns, idle_ns in waits:
+    for unanswered_ns, idle_ns in unanswered_and_idle_ns:
         surroundings.submit()
-        surroundings.attempts[-1].upstream = UnansweredConnection(unanswered_ns, idle_ns)  # type: ignore[assignment]
+        surroundings.attempts[-1].upstream = FakeUpstreamConnection(unanswered_ns, idle_ns)  # type: ignore[assignment]
         surroundings.broker.handle_established(surroundings.attempts[-1], memoryview(b"UP\r\n"))
     surroundings.broker.review_unresponsive_endpoints()
     assert surroundings.client_calls.count(("migrate", "unresponsive")) == migrated
 
 
 def test_adoption_after_the_adoption_period_fails() -> None:
-    # An adoption bypasses the balancer: any client could choose one that drains or is still warming up.
+    # Adoptions bypass the balancer: a client could choose an endpoint that drains or is warming up.
     surroundings = FakeSurroundings()
     surroundings.now += attempts.ADOPTION_PERIOD_NS + 1
     request = surroundings.submit_adoption(endpoint(1))
--- a/tests/test_broker_parts.py
+++ b/tests/test_broker_parts.py
@@ -1,4 +1,4 @@
-"""The broker's parts one by one: inbox, endpoint views, migrations, contracts and the state handed over."""
+"""Unit tests of the broker's parts: inbox, endpoint views, migration balance, contracts, state snapshot."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from linnetshift.util.token_bucket import TokenBucket
 
 
-def inbox_of(surroundings: FakeSurroundings) -> EventInbox:
+def make_inbox(surroundings: FakeSurroundings) -> EventInbox:
     return EventInbox(surroundings)
 
 
-def test_inbox_gives_endpoint_lists_first_and_keeps_the_order_of_the_rest() -> None:
-    inbox = inbox_of(FakeSurroundings())
+def test_inbox_returns_endpoint_lists_first_and_other_events_in_order() -> None:
+    inbox = make_inbox(FakeSurroundings())
     change = listed(entry(1), form=ListForm.DELTA)
     posted: list[Event] = [TimerFired(1), RequestWithdrawn(2), change, TimerFired(3)]
     for event in posted:
@@ -42,11 +42,11 @@
     assert inbox.take() == []
 
 
-def test_inbox_schedules_processing_once_a_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_inbox_schedules_processing_once_per_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     surroundings = FakeSurroundings()
     scheduled: list[None] = []
     monkeypatch.setattr(surroundings, "schedule_processing", lambda: scheduled.append(None))
-    inbox = inbox_of(surroundings)
+    inbox = make_inbox(surroundings)
     for _ in range(2):
         inbox.post(TimerFired(1))
         inbox.post(TimerFired(2))
@@ -57,16 +57,16 @@
 @pytest.fixture
 def views() -> EndpointViews:
     endpoint_views = EndpointViews(
-        Settings.parse(raw_settings()), lambda: 5 * S, inbox_of(FakeSurroundings()), ListLease(5 * S)
+        Settings.parse(raw_settings()), lambda: 5 * S, make_inbox(FakeSurroundings()), ListLease(5 * S)
     )
     endpoint_views.handle_endpoint_list(listed(entry(1, started_ns=S), entry(2)))
     endpoint_views.inbox.take()
     return endpoint_views
 
 
-def test_drained_endpoint_is_shown_as_draining_until_it_is_restored(views: EndpointViews) -> None:
+def test_drained_endpoint_is_listed_as_draining_until_it_is_restored(views: EndpointViews) -> None:
     assert views.drain_endpoint(endpoint(1))
-    assert views.drain_endpoint(endpoint(1))  # a second call changes nothing
+    assert views.drain_endpoint(endpoint(1))  # no effect: already drained
     assert views.restore_endpoint(endpoint(1))
     assert not views.drain_endpoint(endpoint(9))
     events = views.inbox.take()
@@ -76,7 +76,7 @@
     ]
 
 
-def test_restarted_endpoint_loses_its_observations(views: EndpointViews) -> None:
+def test_restart_drops_the_observations_of_the_endpoint(views: EndpointViews) -> None:
     for number in (1, 2):
         views.latency_estimator.record_reset(endpoint(number), 5 * S)
     views.handle_endpoint_list(listed(entry(1, started_ns=4 * S), entry(2), form=ListForm.DELTA))
@@ -84,21 +84,21 @@
     assert views.started_ns[endpoint(1)] == 4 * S
 
 
-def test_whole_list_replaces_zones_and_weights(views: EndpointViews) -> None:
+def test_full_list_replaces_zones_weights_and_start_times(views: EndpointViews) -> None:
     views.handle_endpoint_list(listed(entry(2)))
     assert set(views.zones) == set(views.latency_estimator.weights) == set(views.started_ns) == {endpoint(2)}
 
 
-def test_end_of_an_established_connection_counts_by_its_outcome(views: EndpointViews) -> None:
+def test_end_of_an_established_connection_is_recorded_by_its_outcome(views: EndpointViews) -> None:
     views.record_connection_ended(endpoint(1), Outcome.OK)
     assert (views.latency_estimator.migrations.net, views.latency_estimator.reset_at_ns) == (0.0, {})
     views.record_connection_ended(endpoint(1), Outcome.RESET)
-    views.record_connection_ended(endpoint(9), Outcome.RESET)  # forgotten meanwhile
+    views.record_connection_ended(endpoint(9), Outcome.RESET)  # not known
     assert views.latency_estimator.reset_at_ns == {endpoint(1): 5 * S}
     assert views.latency_estimator.migrations.net == -2.0
 
 
-def test_migrations_fade_within_the_memory() -> None:
+def test_migration_balance_decays_to_zero() -> None:
     migrations = MigrationBalance()
     for _ in range(4):
         migrations.record_migrated_in(1 * S)
@@ -110,7 +110,7 @@
     assert migrations.net == -1.0
 
 
-def test_reloaded_contracts_go_on_from_what_is_used_up() -> None:
+def test_reloaded_contracts_keep_the_used_tokens_and_active_counts() -> None:
     former = Contracts({0: Contract(rate=TokenBucket(1.0, 2.0)), 1: Contract()})
     assert former.admit(0, 0, 0, 1 * S) is None
     later = Contracts({0: Contract(rate=TokenBucket(1.0, 2.0), concurrency=2), 2: Contract(concurrency=1)})
@@ -133,14 +133,14 @@
         surroundings.advance_to(2 * S + OVERDUE_NS)
     else:
         getattr(table, answer)(request.id)
-    table.fail(request.id)  # has its answer
+    table.fail(request.id)  # no effect: already answered
     assert len(surroundings.client_calls) == 1
     assert request.client is DETACHED_CLIENT
     assert not table.requests
     assert not table.unanswered()
 
 
-def test_bad_part_of_a_handed_over_state_keeps_no_other_from_being_taken() -> None:
+def test_malformed_section_of_a_snapshot_does_not_prevent_the_import_of_others() -> None:
     estimator = LatencyEstimator()
     estimator.record_reset(endpoint(1), 3 * S)
     state = export_state(balancer(), estimator)
