--- a/tests/test_deployment_facts.py
+++ b/tests/test_deployment_facts.py
@@ -1,4 +1,4 @@
-"""Facts that are observed of a deployment, and their log lines."""
+"""Facts observed about a deployment, and their log lines."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     ("entries", "is_full_list", "connected", "after_ns", "facts"),
     [
         ([DRAINING], False, [endpoint(1)], 2 * S, [("drain", "serves-on")]),
-        ([DRAINING], False, [endpoint(1)], S // 2, []),  # it may be migrating them at this moment
+        ([DRAINING], False, [endpoint(1)], S // 2, []),  # it may still be migrating clients
         ([DRAINING], False, [endpoint(2)], 2 * S, []),
-        ([DRAINING._replace(drain_within_ns=S)], False, [endpoint(1)], 2 * S, []),  # operators drained it
+        ([DRAINING._replace(drain_within_ns=S)], False, [endpoint(1)], 2 * S, []),  # administrative drain
     ],
 )
-def test_drain_behaviour_follows_from_connections_that_stay_established(
+def test_connections_that_remain_during_a_drain_show_that_endpoints_keep_serving(
     entries: list[Any],
     is_full_list: bool,
     connected: list[bytes],
@@ -33,14 +33,14 @@
 ) -> None:
     deployment_facts = DeploymentFacts()
     deployment_facts.handle_endpoint_list(entries, is_full_list, 5 * S)
-    # A delta that does not name it changes nothing.
+    # A delta without an entry for the endpoint has no effect.
     deployment_facts.handle_endpoint_list([entry(3)], False, 5 * S + 1)
     deployment_facts.review(connected, 5 * S + after_ns)
     assert deployment_facts.take_unreported() == facts
 
 
 @pytest.mark.parametrize(("later", "is_full_list"), [([entry(3)], True), ([entry(1)], False), ([], True)])
-def test_drain_that_is_over_is_forgotten(later: list[Any], is_full_list: bool) -> None:
+def test_end_of_a_drain_removes_its_record(later: list[Any], is_full_list: bool) -> None:
     deployment_facts = DeploymentFacts()
     deployment_facts.handle_endpoint_list([DRAINING], False, 1 * S)
     deployment_facts.handle_endpoint_list(later, is_full_list, 2 * S)
@@ -49,7 +49,7 @@
     assert not deployment_facts.draining_since_ns
 
 
-def test_fact_is_reported_once_and_again_when_it_changes() -> None:
+def test_fact_is_reported_once_and_again_after_a_change() -> None:
     deployment_facts = DeploymentFacts()
     deployment_facts.record_migration_request()
     deployment_facts.record_migration_request()
--- a/tests/test_latency_estimator.py
+++ b/tests/test_latency_estimator.py
@@ -1,4 +1,4 @@
-"""Which endpoints count as slow: by their replies, or by the loads that they report."""
+"""Detection of slow endpoints from reply times, reported loads and reported message times."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
     ("weight", "proxies", "count", "expected_slow"),
     [(2.0, 1, 5, False), (2.0, 1, 20, True), (2.0, 2, 10, True), (6.0, 2, 10, False)],
 )
-def test_endpoint_is_slow_by_its_reported_loads_though_replies_are_fast(
+def test_endpoint_with_high_reported_loads_is_slow_despite_fast_replies(
     weight: float, proxies: int, count: int, expected_slow: bool
 ) -> None:
-    # Replies came at once from endpoints that missed every objective: by them alone none was ever slow.
+    # Fault: endpoints that missed every objective still replied at once, so none of them counted as slow.
     estimator = configured_estimator(weight, proxies)
     estimator.record_response_time(ENDPOINT, None, MS // 20, 1 * S)
     assert bool(estimator.review(connections(80_000.0, count), 1 * S)) is expected_slow
@@ -46,13 +46,13 @@
 
 
 def test_endpoint_with_unanswered_message_is_slow_but_not_over_objective() -> None:
-    # Two crashed endpoints were mistaken for congestion, and whole groups were rejected for seconds after.
+    # Fault: two crashed endpoints were taken for overload, and whole groups were rejected for seconds.
     assert configured_estimator().review(connections(None, 1, oldest_unanswered_ns=2 * S), 1 * S) == [
         (ENDPOINT, 40.0)
     ]
 
 
-def test_round_trip_to_a_remote_zone_does_not_count() -> None:
+def test_round_trip_to_a_remote_zone_is_subtracted_from_reply_times() -> None:
     estimator = configured_estimator()
     for reply_time_ms in (20, 21, 22):
         estimator.record_response_time(ENDPOINT, 1, reply_time_ms * MS, 1 * S)
@@ -68,8 +68,8 @@
     assert not estimator.review(connections(80_000.0, 1), 3 * S)
 
 
-def test_endpoint_that_reset_a_connection_is_slow_for_a_while() -> None:
-    # The work that has piled up there shows in no reply and no load; its clients would hash back to it.
+def test_endpoint_that_reset_a_connection_is_slow_for_the_penalty_time() -> None:
+    # Its backlog shows neither in replies nor in loads, and its clients would be placed there again.
     estimator = configured_estimator()
     estimator.record_reset(ENDPOINT, 1 * S)
     assert estimator.review(connections(None, 1), 2 * S) == [(ENDPOINT, 40.0)]
@@ -87,15 +87,15 @@
 @pytest.mark.parametrize(
     ("migrated_in", "migrated_out", "expected_slow"),
     [
-        (0, 0, True),  # the other proxy holds as many
-        (8, 0, False),  # it is away: its clients are the ones that migrated in
-        (8, 8, True),  # they were migrated from here before
+        (0, 0, True),  # the other proxy has as many connections
+        (8, 0, False),  # the other proxy is down, and its clients migrated in
+        (8, 8, True),  # the clients had migrated from here before
     ],
 )
-def test_clients_of_a_proxy_that_is_away_count_once(
+def test_clients_of_a_proxy_that_is_down_count_once(
     migrated_in: int, migrated_out: int, expected_slow: bool
 ) -> None:
-    # With one of two proxies gone every endpoint looked full, and most keys were rejected for 10 s.
+    # Fault: with one of two proxies down, every endpoint looked full and most keys were rejected for 10 s.
     estimator = configured_estimator(proxies=2)
     for _ in range(migrated_in):
         estimator.migrations.record_migrated_in(1 * S)
@@ -105,7 +105,7 @@
 
 
 def test_loads_of_the_first_connections_to_report_are_not_assumed_for_the_rest() -> None:
-    # After a restart the first to report were the heavy ones; every endpoint looked overloaded.
+    # Fault: after a restart, heavy connections reported first, and every endpoint looked overloaded.
     estimator = configured_estimator(weight=4.0)
     heavy = [ConnectionLoad(400_000.0, 1, 0)] * 2
     assert not estimator.review({ENDPOINT: heavy + [ConnectionLoad(None, 1, 0)] * 10}, 1 * S)
@@ -115,8 +115,8 @@
 @pytest.mark.parametrize(
     ("figures", "message_times_ms"),
     [
-        # Seen in a fleet of 40 proxies: the same small figure at each of them at once, a second apart, while
-        # no message was answered in time. Taken for loads, they made an overloaded endpoint look idle.
+        # Overloaded endpoints reported the same small figures to all 40 proxies of a fleet once a second.
+        # Fault: taken for loads, these made an overloaded endpoint look idle.
         (
             [(0, 89.5), (1000, 237.3), (2001, 609.0), (3000, 1055.5), (4000, 5.7)],
             [89.5, 237.3, 609.0, 1055.5, 5.7],
@@ -124,11 +124,11 @@
         (
             [(0, 1551.7), (1001, 1628.7)],
             [1628.7],
-        ),  # overloaded long before its first connection here
+        ),  # overloaded before its first connection here
         (
             [(0, 2512.7), (4200, 2512.7), (5000, 70_000.0), (6000, 43_868.9)],
             [],
-        ),  # idle ones' loads, and usual ones
+        ),  # loads of idle and of typical connections
     ],
 )
 def test_small_figure_one_report_interval_after_another_is_a_message_time(
@@ -142,7 +142,7 @@
     ] == message_times_ms
 
 
-def test_reported_message_time_holds_until_the_next() -> None:
+def test_reported_message_time_is_valid_until_the_next_report() -> None:
     estimator = configured_estimator()
     assert estimator.record_if_message_time(ENDPOINT, 89.5, 5 * S)
     assert estimator.review(connections(None, 1), 5 * S + 900 * MS) == [(ENDPOINT, 89.5)]
@@ -154,7 +154,7 @@
     assert not estimator.reported_times.small_figure_at_ns
 
 
-def test_observations_of_endpoint_without_connections_are_dropped_but_for_its_reset() -> None:
+def test_observations_of_endpoint_without_connections_are_dropped_except_its_reset() -> None:
     estimator = configured_estimator()
     assert estimator.record_if_message_time(ENDPOINT, 89.5, 5 * S)
     estimator.record_response_time(ENDPOINT, None, 90 * MS, 5 * S)
@@ -170,16 +170,16 @@
 @pytest.mark.parametrize(
     ("proxies", "loads", "expected_slow"),
     [
-        (40, [200_000.0], False),  # one heavy connection by chance: forty of them would fill four endpoints
-        (40, [70_000.0, 70_000.0], True),  # two are few, but would be eighty
+        (40, [200_000.0], False),  # one heavy connection, by chance: forty would fill four endpoints
+        (40, [70_000.0, 70_000.0], True),  # two connections, extrapolated to eighty
         (2, [70_000.0] * 14, True),
         (2, [70_000.0] * 5, False),
     ],
 )
-def test_load_of_few_connections_is_not_assumed_at_every_other_proxy(
+def test_load_of_a_single_connection_is_not_extrapolated_to_all_proxies(
     proxies: int, loads: list[float], expected_slow: bool
 ) -> None:
-    # At 40 proxies 47 of 95 clients were migrated in the first 2 s, off endpoints that were healthy.
+    # Fault: with 40 proxies, 47 of 95 clients were migrated from healthy endpoints in the first 2 s.
     estimator = configured_estimator(proxies=proxies)
     established = {ENDPOINT: [ConnectionLoad(load, 1, 0) for load in loads]}
     assert bool(estimator.review(established, 1 * S)) is expected_slow
@@ -189,7 +189,7 @@
     ("source", "expected_slow"), [("nominal", True), ("rough", True), ("live", False), ("silent", False)]
 )
 def test_loads_count_only_where_weights_are_sizes(source: str, expected_slow: bool) -> None:
-    # A live weight is the size over the connections there: all endpoints looked full.
+    # Fault: live weights, the size divided by the connections there, made all endpoints look full.
     settings = Settings.parse(raw_settings(weightSource=source))
     estimator = configured_estimator(0.3)
     estimator.configure(50 * MS, 1, settings.weights_are_sizes)
@@ -197,8 +197,8 @@
 
 
 @pytest.mark.parametrize("objective_ms", [10, 20, 50])
-def test_endpoint_is_slow_at_the_same_utilization_whatever_the_objective(objective_ms: int) -> None:
-    # A message counted as 7 ms of work whatever the objective: at 20 ms every idle endpoint was slow.
+def test_endpoint_is_slow_at_the_same_utilization_for_any_objective(objective_ms: int) -> None:
+    # Fault: with 7 ms of work per message for any objective, all idle endpoints were slow at 20 ms.
     estimator = LatencyEstimator()
     estimator.configure(objective_ms * MS, 1)
     estimator.weights[ENDPOINT] = 2.0
--- a/tests/test_latency_objectives.py
+++ b/tests/test_latency_objectives.py
@@ -1,4 +1,4 @@
-"""Two classes with latency objectives far apart: each is placed and migrated, and sheds load, by its own."""
+"""Placement, migration and load shedding of two classes, each by its own latency objective."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 STRICT, LOOSE = 0, 1
 
 
-def two_classes() -> Balancer:
+def balancer_with_two_classes() -> Balancer:
     base = raw_settings()["services"][0]
     services: list[dict[str, Any]] = [{**base, "name": "strict"}, {**base, "name": "loose"}]
     return make_balancer(8, services=services, familyInfo={"messageAimNs": [20 * MS, 400 * MS]})
@@ -32,11 +32,11 @@
     ("message_time_ms", "strict_placed", "loose_placed"),
     [(5.0, True, True), (30.0, False, True), (300.0, False, False)],
 )
-def test_slow_endpoint_is_avoided_by_classes_whose_objective_it_misses(
+def test_slow_endpoint_is_avoided_only_by_classes_whose_objective_it_misses(
     message_time_ms: float, strict_placed: bool, loose_placed: bool
 ) -> None:
-    # A loose class was kept off endpoints that served it well, by the objective of a strict one.
-    balancer = two_classes()
+    # Fault: a loose class avoided endpoints within its objective, due to the objective of a strict one.
+    balancer = balancer_with_two_classes()
     home = establish(balancer, 1, LOOSE)
     balancer.step(3 * S, [ConnectionNote(1, 0, home, SLOW_NOTE, message_time_ms)])
     assert (establish(balancer, 2, STRICT) == home) is strict_placed
@@ -44,13 +44,13 @@
 
 
 def test_only_class_over_its_objective_is_migrated() -> None:
-    balancer = two_classes()
+    balancer = balancer_with_two_classes()
     home = establish(balancer, 1, LOOSE)
     for number in range(2, 40):
         establish(balancer, number, STRICT if number % 10 == 0 else LOOSE)
     migrated: set[int] = set()
     for second in range(3, 15):
-        # 30 ms is over the strict objective and far below the loose one.
+        # Over the strict objective (20 ms), far below the loose one (400 ms).
         actions = balancer.step(second * S, [ConnectionNote(1, 0, home, SLOW_NOTE, 30.0)])
         migrated.update(migration.request_id for migration in only(actions, Migrate))
     assert migrated
@@ -60,7 +60,7 @@
 
 
 def test_load_is_shed_once_most_endpoints_are_over_the_objective() -> None:
-    balancer = two_classes()
+    balancer = balancer_with_two_classes()
     request_ids = {}
     for key in range(200):
         (send,) = only(balancer.step(2 * S, [request(key + 1, klass=LOOSE, key=key + 1)]), Send)
