--- a/tests/test_unconfirmed_endpoints.py
+++ b/tests/test_unconfirmed_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that were seen to end or to drain, and what discovery has confirmed since."""
+"""Suspension of endpoints that were observed to end or to drain, until discovery answers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def listed_drains(count: int) -> AdministrativeDrains:
-    """The list as discovery last gave it, with so many endpoints that are ready."""
+    """Administrative drains with a list of `count` ready endpoints."""
     drains = AdministrativeDrains(lambda: 0)
     drains.overlay(listed(*(entry(number) for number in range(count))))
     return drains
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def unconfirmed(lease: ListLease) -> UnconfirmedEndpoints:
-    """Endpoint 1 was seen to end at 1 s."""
+    """Four endpoints, of which endpoint 1 was observed to end at 1 s."""
     endpoints = UnconfirmedEndpoints(lease, listed_drains(4))
     endpoints.record_unavailable(endpoint(1), 1 * S)
     return endpoints
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("update", [listed(entry(1)), listed(entry(2))])
-def test_list_that_tells_of_the_endpoint_ends_its_suspension(
+def test_list_that_confirms_the_endpoint_ends_its_suspension(
     unconfirmed: UnconfirmedEndpoints, lease: ListLease, update: EndpointList
 ) -> None:
     unconfirmed.review(6 * S)
@@ -62,10 +62,10 @@
     assert unconfirmed.review(20 * S) == []
 
 
-def test_answer_without_the_endpoint_counts_once_discovery_must_have_noticed(
+def test_answer_without_the_endpoint_ends_its_suspension_after_the_detection_delay(
     unconfirmed: UnconfirmedEndpoints, lease: ListLease
 ) -> None:
-    # An answer a moment after the end may be from before discovery learned of it.
+    # An earlier answer may precede the detection of the end by discovery.
     lease.renew(2 * S)
     unconfirmed.handle_endpoint_list(NO_CHANGES)
     assert unconfirmed.review(8 * S) == [SUSPENSION]
@@ -75,10 +75,10 @@
     assert unconfirmed.review(20 * S) == []
 
 
-def test_no_more_than_half_of_the_ready_endpoints_are_suspended_those_that_ended_last(
+def test_at_most_half_of_the_ready_endpoints_are_suspended_the_latest_ended_first(
     lease: ListLease,
 ) -> None:
-    # A restart of one endpoint after the other took all of them out of use while discovery was down.
+    # Fault: endpoints restarted one after the other during an outage of discovery, and all were suspended.
     endpoints = UnconfirmedEndpoints(lease, listed_drains(5))
     for number in (3, 0, 4, 1):
         endpoints.record_unavailable(endpoint(number), (10 + number) * S)
@@ -97,7 +97,7 @@
     assert endpoints.review(20 * S) == []
 
 
-def test_request_is_not_sent_to_a_suspended_endpoint_though_it_is_listed_as_ready() -> None:
+def test_request_is_not_sent_to_a_suspended_endpoint_listed_as_ready() -> None:
     surroundings = FakeSurroundings()
     broker = surroundings.broker
     first = surroundings.submit().attempt
@@ -112,7 +112,7 @@
     assert broker.may_send(second)
 
 
-def test_request_on_its_way_is_not_sent_once_its_endpoint_is_suspended() -> None:
+def test_request_line_is_not_sent_if_the_endpoint_is_suspended_during_the_attempt() -> None:
     surroundings = FakeSurroundings()
     attempt = surroundings.submit(wait_ns=60 * S).attempt
     assert attempt is not None
@@ -124,7 +124,7 @@
     assert not surroundings.broker.may_send(attempt)
 
 
-def test_endpoint_that_sent_a_client_away_is_suspended_too() -> None:
+def test_endpoint_that_migrated_a_client_is_suspended() -> None:
     surroundings = FakeSurroundings()
     attempt = surroundings.submit(wait_ns=60 * S).attempt
     assert attempt is not None
@@ -134,11 +134,11 @@
     assert surroundings.broker.endpoint_views.unconfirmed.is_suspended(attempt.endpoint)
 
 
-def test_endpoint_that_ended_and_returned_gets_no_request_while_discovery_answers_nothing(
+def test_endpoint_that_ended_and_returned_gets_no_request_while_discovery_does_not_answer(
     tmp_path: Path,
 ) -> None:
-    # It used to: by then discovery had listed it as removed, and that counted as known. A call that waits
-    # before it fails is one of a crowded discovery, not of one that is down.
+    # Fault: it got requests after discovery had listed it as removed, which the proxy was expected to know.
+    # Calls fail after a wait here, which indicates a crowded discovery; one that is down refuses at once.
     with started_proxy(tmp_path, endpoints=2, discovery="ask") as running:
         best, other = ranked(running)
         running.discovery.fail(True, after_s=0.5)
@@ -156,7 +156,7 @@
         running.logged(f"event=endpoint-resumed endpoint={best.uid}")
 
 
-def test_endpoint_of_a_cancelled_attempt_is_not_taken_for_one_that_has_ended() -> None:
+def test_endpoint_of_a_cancelled_attempt_is_not_suspended() -> None:
     surroundings = FakeSurroundings()
     broker = surroundings.broker
     request = surroundings.submit()
@@ -169,7 +169,7 @@
 
 
 def test_endpoint_that_ended_and_returned_serves_while_discovery_refuses_all_calls(tmp_path: Path) -> None:
-    # It got nothing as long as an outage of discovery lasted.
+    # Fault: it got no requests until the end of an outage of discovery.
     with started_proxy(tmp_path, endpoints=2, discovery="ask") as running:
         best, other = ranked(running)
         running.discovery.fail(True)
@@ -177,7 +177,7 @@
         connections = [running.open(), other.serve()]
         assert connections[0].line() == b"UP r1\r\n"
         best.listen_again()
-        until_s = time.monotonic() + 7.0  # past the lease of the list
+        until_s = time.monotonic() + 7.0  # beyond the lease on the list
         while time.monotonic() < until_s:
             running.logged("event=discovery-call-failed .*503")
         client = running.open()
