--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -156,7 +156,7 @@
         self.endpoint_views.record_unavailable(endpoint)
 
     def review_unconfirmed_endpoints(self) -> None:
-        """Update which unconfirmed endpoints are suspended; called several times a second."""
+        """Suspend or resume unconfirmed endpoints; called several times a second."""
         self.endpoint_views.review_unconfirmed_endpoints()
 
     def drain_endpoint(self, endpoint: bytes) -> bool:
--- a/linnetshift/broker/contracts.py
+++ b/linnetshift/broker/contracts.py
@@ -89,7 +89,7 @@
         return contract.admit(service, bool(flags & RETRY), now_ns)
 
     def carry_over(self, former: Contracts, active: Mapping[int, int]) -> None:
-        """Copy token levels from `former` at a reload, so that limits change but used tokens stay used.
+        """Carry over usage at a reload: copies the token levels of `former`, and sets the active counts.
 
         `active` is the number of open requests and connections, by team.
         """
--- a/linnetshift/broker/latency_estimator.py
+++ b/linnetshift/broker/latency_estimator.py
@@ -218,7 +218,7 @@
         return mean
 
     def _fleet_multiple(self, own_connections: int, now_ns: int) -> float:
-        """The ratio of all proxies' connections to this proxy's.
+        """The ratio of all proxies' connections to this proxy's, from 1 to the number of proxies.
 
         While another proxy is down, its clients are connected here; counting them twice would make every
         endpoint look full.
