--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -189,7 +189,6 @@
 def test_names_of_one_kind_beyond_the_limit_are_rejected() -> None:
     full = registry(zones=[str(number) for number in range(MAX_NAMES)])
     assert len(full.zones) == MAX_NAMES
-    with pytest.raises(
-        ValueError, match="more names of one kind since the start than can be kept: 4097 of 4096; "
-    ):
+    with pytest.raises(ValueError, match=r"kept: 4097 of 4096; that needs a restart$") as caught:
         registry(full, zones=["one more"])
+    assert str(caught.value).startswith("more names of one kind since the start than can be kept: ")
