--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -230,7 +230,7 @@
             return
         self._discovery_poller.handle_list_received()
         for endpoint in self.endpoints.apply(event):
-            self.migration.begin_leaving(endpoint)
+            self.migration.begin_gradual_migration(endpoint)
         self.ranking.invalidate()
 
     def _handle_health_check_result(self, event: HealthCheckResult) -> None:
--- a/linnetshift/routing/endpoint_selection.py
+++ b/linnetshift/routing/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request's next attempt goes to."""
+"""Selection of the endpoint for a request's next attempt."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class EndpointSelection:
-    """Goes through a key's endpoints by rank and passes over those that must not or should not be used.
+    """Selects the best-ranked endpoint of a key that is eligible and not avoided.
 
-    Has no state of its own: it reads that of the components that it is given, records the endpoint that a
-    slow-start token was drawn for in the request, and has health checks sent.
+    Stateless: reads the state of the given components, records in the request the endpoint drawn with a
+    slow-start token, and triggers health checks.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         slow_start: SlowStart,
         health_checks: HealthChecks,
     ) -> None:
-        """`health_checks` sends the checks that a placement awaits."""
+        """`health_checks` sends the checks whose results a placement waits for."""
         self._context = context
         self._endpoints = endpoints
         self._requests = requests
@@ -41,11 +41,11 @@
         self._health_checks = health_checks
 
     def choose(self, pending: PendingRequest, is_mid_flow: bool) -> Endpoint | None:
-        """The key's best eligible endpoint that is neither avoided nor tried before.
+        """Return the key's best eligible endpoint that is neither avoided nor already tried.
 
-        If there is none, the best that is avoided for a reason that may have passed, else the best that was
-        tried without an error. None where the request must wait: no endpoint may have it, or the result of a
-        health check is awaited.
+        Falls back to the best avoided endpoint whose reason may no longer hold, then to the best one that was
+        tried without an error. Returns None if the request has to wait: no endpoint is eligible, or a health
+        check is pending.
         """
         last_resort: Endpoint | None = None
         already_tried: Endpoint | None = None
@@ -59,48 +59,48 @@
                 if last_resort is None and self._is_last_resort(endpoint, pending.request_class):
                     last_resort = endpoint
             elif self._health_checks.check_before_placement(endpoint, pending):
-                return None  # the request is placed once its result is in, or has been missing for too long
+                return None  # placed when the result arrives or the check is overdue
             else:
                 return endpoint
         return last_resort or already_tried
 
     def find_alternative(
-        self, pending: PendingRequest, endpoint: Endpoint, is_last_chance: bool = False
+        self, pending: PendingRequest, endpoint: Endpoint, is_stopping_soon: bool = False
     ) -> Endpoint | None:
-        """The endpoint that a connection would migrate to from `endpoint`, None where there is none.
+        """Return the endpoint that a connection on `endpoint` can migrate to, or None.
 
-        Avoided endpoints are no alternative, nor those that still warm up, unless `endpoint` is about to stop
-        (`is_last_chance`): then any ready one is.
+        Avoided endpoints and those warming up are excluded unless `endpoint` stops soon: then any ready one
+        qualifies.
         """
         for other in self._preference_order(pending):
             if other is endpoint:
                 continue
-            if not is_last_chance and self.is_avoided(other, pending.request_class):
+            if not is_stopping_soon and self.is_avoided(other, pending.request_class):
                 continue
-            if self._may_receive(other, is_mid_flow=False) or (is_last_chance and other.accepts_new):
+            if self._may_receive(other, is_mid_flow=False) or (is_stopping_soon and other.accepts_new):
                 return other
         return None
 
     def is_avoided(self, endpoint: Endpoint, request_class: RequestClass) -> bool:
-        """Whether `endpoint` is slow, ejected, overloaded or has a half-open attempt out.
+        """Whether `endpoint` is slow, ejected, overloaded or has a half-open attempt in flight.
 
-        Endpoints of a lower rank are preferred to it then.
+        Lower-ranked endpoints are then preferred.
         """
         now = self._context.now
         if endpoint.is_over_objective(now, request_class) or now < endpoint.ejected_until:
             return True
         if endpoint.half_open_request != NO_REQUEST:
             return True
-        return self._health_checks.advises_against(endpoint)
+        return self._health_checks.should_avoid(endpoint)
 
     def has_alternative(
         self, pending: PendingRequest, sent_at: int, among: Iterable[Endpoint] | None = None
     ) -> bool:
-        """Whether another attempt could do better than the latest one, which was sent at `sent_at`.
+        """Whether another attempt could succeed where the latest one, sent at `sent_at`, has not.
 
-        It could where the request may use an endpoint that it has not tried, or where any endpoint, the same
-        included, has accepted an attempt that was sent later: then it is the connection that fails. `among`
-        are the endpoints to look at, all by default.
+        True if the request may use an endpoint that it has not tried, or if any endpoint, including the same
+        one, accepted an attempt sent later: then the fault is in the connection. `among` limits the endpoints
+        to consider; default is all.
         """
         first_endpoint = pending.possibly_executed_on or pending.endpoint
         for endpoint in self._endpoints.values() if among is None else among:
@@ -116,7 +116,7 @@
         return False
 
     def possible_alternatives(self, request_class: RequestClass, since: int) -> list[Endpoint]:
-        """What `has_alternative` has to look at for requests of a class, sent at `since` or later."""
+        """The endpoints that `has_alternative` considers for requests of a class sent at `since` or later."""
         return [
             endpoint
             for endpoint in self._endpoints.values()
@@ -125,13 +125,13 @@
         ]
 
     def _may_be_chosen(self, endpoint: Endpoint, request_class: RequestClass) -> bool:
-        """Whether a ready endpoint may be chosen, as a last resort or with a slow-start token included."""
+        """Whether a ready endpoint may be chosen, including as a last resort or with a slow-start token."""
         return not self.is_avoided(endpoint, request_class) or self._is_last_resort(endpoint, request_class)
 
     def wait_ns(self) -> float:
-        """Nanoseconds until a request that joins the queue may be served, 0 where a warm endpoint may do so.
+        """Estimated nanoseconds until a newly queued request can be placed; 0 if a warm endpoint can take it.
 
-        An endpoint that returns errors or is overloaded serves none before its ejection is over.
+        Endpoints that return errors or are overloaded take no requests until their ejection ends.
         """
         now = self._context.now
         warm_up_ns = self._context.settings.warm_up_ns
@@ -140,8 +140,8 @@
         for endpoint in self._endpoints.values():
             if not endpoint.accepts_new:
                 continue
-            is_bad = endpoint.is_overloaded or endpoint.returns_errors()
-            ejection_ns = endpoint.ejected_until - now if is_bad else 0
+            is_blocked_while_ejected = endpoint.is_overloaded or endpoint.returns_errors()
+            ejection_ns = endpoint.ejected_until - now if is_blocked_while_ejected else 0
             is_warming_up = self._endpoints.is_warming_up(endpoint)
             warming_ns = endpoint.started_at + warm_up_ns - now if is_warming_up else 0
             shortest_ns = min(shortest_ns, max(ejection_ns, warming_ns, 0))
@@ -150,10 +150,10 @@
         return min(shortest_ns, self._slow_start.wait_ns(usable, len(self._requests.waiting)))
 
     def _eligible(self, pending: PendingRequest, is_mid_flow: bool) -> Iterator[Endpoint]:
-        """Endpoints that may have the attempt, best first.
+        """Yield the endpoints eligible for the attempt, best first.
 
-        Before the ranking come the warming endpoint that a slow-start token was drawn for and those that are
-        due for a recovery attempt; packets of an open connection follow the ranking alone.
+        The warming endpoint selected by a slow-start token and those due for a recovery attempt precede the
+        ranking; packets of an open connection follow the ranking alone.
         """
         drawn = None if is_mid_flow else self._draw_warming_endpoint(pending)
         before_ranking = [
@@ -171,10 +171,10 @@
                 yield endpoint
 
     def _draw_warming_endpoint(self, pending: PendingRequest) -> Endpoint | None:
-        """The warming endpoint that this request goes to, if it gets a slow-start token."""
-        self._ranking.candidates()  # also brings slow start's shares up to date
+        """Return the warming endpoint drawn for this request with a slow-start token, or None."""
+        self._ranking.candidates()  # also updates the slow-start shares
         shares = self._slow_start.shares
-        previous = pending.warming_endpoint  # drawn when this request was placed before
+        previous = pending.warming_endpoint  # drawn at an earlier placement of this request
         if previous not in shares or self._endpoints[previous] in pending.endpoints_tried:
             context = self._context
             drawn = self._slow_start.draw(context.now, context.slow_start_window_ns, context.random.random)
@@ -182,12 +182,12 @@
         return self._endpoints.get(pending.warming_endpoint)
 
     def _preference_order(self, pending: PendingRequest) -> Iterator[Endpoint]:
-        """The ranking, but endpoints that have connections of the group first: each of them pays an overhead.
+        """The ranking, with endpoints that already serve the group first: each further one adds overhead.
 
-        A balancer with at most as many requests and connections as endpoints keeps to the ranking instead:
-        it knows too few connections, and each balancer would concentrate a group elsewhere. Nor does it know
-        why a client came back: unless some skip their best ranks, all would return to an endpoint that drops
-        them.
+        A balancer with no more requests and connections than endpoints uses the plain ranking: it knows too
+        few connections, and each balancer would concentrate a group on other endpoints. The plain ranking is
+        rotated by the request's skipped ranks: a balancer cannot tell why a client returned, and without
+        skips all dropped clients would return to the endpoint that dropped them.
         """
         group = pending.request.group
         ranked = self._ranking.ranked(key_hash(pending.request))
@@ -198,7 +198,7 @@
         return iter(endpoints[skipped:] + endpoints[:skipped])
 
     def _may_receive(self, endpoint: Endpoint, is_mid_flow: bool) -> bool:
-        """Whether it is ready and warm; packets of open connections may also go to one in its drain grace."""
+        """Whether it is ready and warm, or, for packets of open connections, within its drain grace."""
         if endpoint.is_suspended and not is_mid_flow:
             return False
         if endpoint.state == EndpointState.READY:
@@ -213,8 +213,8 @@
     def _is_last_resort(self, endpoint: Endpoint, request_class: RequestClass) -> bool:
         """Whether an avoided endpoint may get the attempt if there is no better one.
 
-        It may where it was ejected as unreachable, reports too high a load or has not answered a health
-        check: each may have passed by now.
+        True if it was ejected as unreachable, reported too high a load or did not answer a health check: that
+        may be over.
         """
         return (
             not endpoint.is_over_objective(self._context.now, request_class)
--- a/linnetshift/routing/health_checks.py
+++ b/linnetshift/routing/health_checks.py
@@ -81,7 +81,7 @@
         """Count a request, returning or not."""
         self._arrivals.add(self._context.now)
 
-    def advises_against(self, endpoint: Endpoint) -> bool:
+    def should_avoid(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint is too loaded by its latest report, or the check in flight is overdue."""
         now = self._context.now
         if now - endpoint.load_reported_at < AVOID_LOADED_NS and self._current_load(endpoint) >= MAX_LOAD:
--- a/linnetshift/routing/migration.py
+++ b/linnetshift/routing/migration.py
@@ -1,4 +1,4 @@
-"""Migration: which established connections are migrated to another endpoint, and how many at once."""
+"""Migration of established connections: which ones move to another endpoint, and how many at once."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from linnetshift.routing.pending_requests import PendingRequest
 from linnetshift.routing.tick_timer import TickTimer
 
-UNRESPONSIVE_SHARE = 0.05  # of this balancer's connections at an unresponsive endpoint, migrated at each tick
-DEFAULT_DRAIN_NS = 5_000_000_000  # how long connections have to leave an endpoint that does not say so itself
-LAST_CHANCE_TICKS = 12  # at the end of that time, in which connections migrate to any ready endpoint
+UNRESPONSIVE_SHARE = 0.05  # of this balancer's connections on an unresponsive endpoint, migrated per tick
+DEFAULT_DRAIN_NS = 5_000_000_000  # time to migrate connections off an endpoint that announces no drain time
+STOPPING_SOON_TICKS = 12  # last ticks of a drain, in which connections migrate to any ready endpoint
 
 ShareToMigrate = Callable[[int], float]
-"""The share of connections to migrate, by the message latency objective (ns) of their class."""
+"""Maps the message latency objective of a class, in ns, to the share of its connections to migrate."""
 
 
 class Migration:
     """Migrates connections off endpoints that are slow, loaded, unresponsive or draining.
 
-    State: the endpoints that connections leave gradually, some at each tick.
+    State: the endpoints with a gradual migration in progress, which moves some connections at each tick.
     """
 
     def __init__(
@@ -34,71 +34,71 @@
         admission: AdmissionControl,
         tick_timer: TickTimer,
     ) -> None:
-        """Start with no endpoint to leave."""
+        """No gradual migration is in progress at first."""
         self._context = context
         self._selection = selection
         self._admission = admission
         self._tick_timer = tick_timer
-        self._leaving: dict[bytes, Endpoint] = {}
+        self._migrating_off: dict[bytes, Endpoint] = {}
 
     def __len__(self) -> int:
-        """How many endpoints connections are leaving gradually."""
-        return len(self._leaving)
+        """How many endpoints have a gradual migration in progress."""
+        return len(self._migrating_off)
 
-    def begin_leaving(self, endpoint: Endpoint) -> None:
-        """Migrate its connections gradually, if it has any: it drains, is gone or is unresponsive."""
+    def begin_gradual_migration(self, endpoint: Endpoint) -> None:
+        """Start migrating any connections off an endpoint that drains, was removed or is unresponsive."""
         if endpoint.established:
-            self._leaving[endpoint.id] = endpoint
+            self._migrating_off[endpoint.id] = endpoint
             self._tick_timer.start()
 
     def handle_established(self, endpoint: Endpoint) -> None:
-        """A connection was established there: it responds, and is left only if it drains or is gone."""
-        self._leaving.pop(endpoint.id, None)
+        """Stop the gradual migration, as the endpoint responds, unless it drains or was removed."""
+        self._migrating_off.pop(endpoint.id, None)
         if endpoint.state != EndpointState.READY:
-            self.begin_leaving(endpoint)
+            self.begin_gradual_migration(endpoint)
 
     def handle_tick(self) -> None:
-        """Migrate the next connections of each endpoint that connections are leaving."""
-        for endpoint in list(self._leaving.values()):
-            self._migrate_next(endpoint)
+        """Continue each gradual migration; end it if no connection is left or the endpoint has recovered."""
+        for endpoint in list(self._migrating_off.values()):
+            self._migrate_due(endpoint)
             is_recovered = (
                 endpoint.state == EndpointState.READY and self._context.now >= endpoint.ejected_until
             )
             if not endpoint.established or is_recovered:
-                del self._leaving[endpoint.id]
-        if self._leaving:
+                del self._migrating_off[endpoint.id]
+        if self._migrating_off:
             self._tick_timer.start()
 
     def migrate_excess(self, endpoint: Endpoint, misses_objectives: bool, share: ShareToMigrate) -> None:
-        """Migrate a few of this balancer's connections, heaviest first; each balancer does so by itself.
+        """Migrate part of this balancer's connections, heaviest first; each balancer decides independently.
 
-        `share` gives how many by the objective of their class: those that are served in time there stay.
-        While the endpoint `misses_objectives` for most, connections that are not admitted go first.
+        `share` gives the part by the objective of the class; connections with a share of 0 stay. While the
+        endpoint `misses_objectives` of most, connections that are not admitted migrate first.
         """
         not_admitted = self._not_admitted(endpoint) if misses_objectives else []
-        # Rounded up or down at random, here and below, so that small shares migrate some in the long run.
+        # Counts are rounded randomly, here and below, so that small shares migrate some over time.
         count = int(len(endpoint.established) * SHED_STEP + self._context.random.random())
         for pending in not_admitted[:count]:
             self.migrate(pending, endpoint)
-        # While most endpoints are slow and more can be shed, no endpoint is better. Otherwise admitted
-        # connections must migrate too, or the overload of their endpoint would last.
+        # While most endpoints are slow and more load can be shed, migration does not help. Otherwise admitted
+        # connections must migrate too, or their endpoint would stay overloaded.
         load_shedding = self._admission.load_shedding
         is_shedding = load_shedding.is_congested and not load_shedding.is_at_minimum
         if not not_admitted and not (misses_objectives and is_shedding):
             self._migrate_heaviest(endpoint, share)
 
     def migrate(self, pending: PendingRequest, endpoint: Endpoint) -> None:
-        """Migrate one connection, which no longer counts as established there."""
+        """Migrate one connection; it no longer counts as established on `endpoint`."""
         endpoint.remove_established(pending)
         self._context.emit(Migrate(pending.request.request_id))
 
     def _not_admitted(self, endpoint: Endpoint) -> list[PendingRequest]:
-        """Its connections whose keys load shedding would not admit now."""
+        """The connections on `endpoint` whose keys load shedding does not currently admit."""
         established = endpoint.established.values()
         return [pending for pending in established if not self._admission.admits(pending.request)]
 
     def _migrate_heaviest(self, endpoint: Endpoint, share: ShareToMigrate) -> None:
-        """Migrate as many as the shares add up to, those with the largest share and load first."""
+        """Migrate as many connections as the shares add up to, by descending share, then load."""
         shares = {
             pending: share(pending.request_class.message_latency_objective_ns)
             for pending in endpoint.established.values()
@@ -110,10 +110,11 @@
             if self._selection.find_alternative(pending, endpoint):
                 self.migrate(pending, endpoint)
 
-    def _migrate_next(self, endpoint: Endpoint) -> None:
+    def _migrate_due(self, endpoint: Endpoint) -> None:
         """Migrate the connections that are due at this tick.
 
-        They leave a draining endpoint evenly until it stops, and an unresponsive one by UNRESPONSIVE_SHARE.
+        On a draining endpoint they are spread evenly over the ticks until it stops; on an unresponsive one
+        they are UNRESPONSIVE_SHARE at each tick.
         """
         context = self._context
         is_ready = endpoint.state == EndpointState.READY
@@ -121,7 +122,7 @@
         remaining_ticks = max(1, (stops_at - context.now) // context.tick_ns)
         share = UNRESPONSIVE_SHARE if is_ready else 1.0 / remaining_ticks
         count = int(len(endpoint.established) * share + context.random.random())
-        is_last_chance = not is_ready and remaining_ticks <= LAST_CHANCE_TICKS
+        is_stopping_soon = not is_ready and remaining_ticks <= STOPPING_SOON_TICKS
         for pending in list(endpoint.established.values())[:count]:
-            if self._selection.find_alternative(pending, endpoint, is_last_chance) is not None:
+            if self._selection.find_alternative(pending, endpoint, is_stopping_soon) is not None:
                 self.migrate(pending, endpoint)
--- a/linnetshift/routing/unresponsive_endpoints.py
+++ b/linnetshift/routing/unresponsive_endpoints.py
@@ -53,4 +53,4 @@
         endpoint.unresponsive_reports = recent | {reporter: now}
         if len(endpoint.unresponsive_reports) >= MIN_REPORTERS:
             self._outlier_detection.record_failure(endpoint, is_overload=False)
-            self._migration.begin_leaving(endpoint)
+            self._migration.begin_gradual_migration(endpoint)
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to when the best by rank is not to have it."""
+"""Endpoint selection when the best-ranked endpoint is not eligible or is avoided."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     return list(parts.ranking.ranked(key_hash(pending.request)))
 
 
-def test_avoided_endpoints_are_passed_over_and_an_unreachable_one_is_used_when_all_are() -> None:
+def test_avoided_endpoints_are_skipped_and_an_unreachable_one_is_used_when_all_are_avoided() -> None:
     parts = Parts(endpoints=3)
     pending = parts.pending(1)
     first, second, third = ranked(parts, pending)
@@ -28,7 +28,7 @@
     assert parts.selection.choose(pending, is_mid_flow=False) is second
 
 
-def test_tried_endpoint_comes_last_and_one_that_erred_not_at_all() -> None:
+def test_tried_endpoint_is_chosen_last_and_one_that_returned_an_error_never() -> None:
     parts = Parts(endpoints=2)
     pending = parts.pending(1)
     first, second = ranked(parts, pending)
@@ -52,7 +52,7 @@
     assert parts.selection.choose(pending, is_mid_flow=False) is first
 
 
-def test_endpoint_due_for_a_recovery_attempt_goes_before_the_ranking() -> None:
+def test_endpoint_due_for_a_recovery_attempt_precedes_the_ranking() -> None:
     parts = Parts(endpoints=3)
     pending = parts.pending(1)
     last = ranked(parts, pending)[-1]
@@ -60,14 +60,14 @@
     assert parts.selection.choose(pending, is_mid_flow=False) is last
 
 
-def test_packets_of_open_connections_go_to_a_draining_endpoint_within_its_grace() -> None:
+def test_packets_of_open_connections_go_to_a_draining_endpoint_within_its_drain_grace() -> None:
     parts = Parts(endpoints=1)
     pending = parts.pending(1)
     parts.endpoints.apply(listed(entry(0, state=EndpointState.DRAINING), form=ListForm.DELTA))
     endpoint = parts.endpoint(0)
     assert parts.selection.choose(pending, is_mid_flow=True) is endpoint
     assert parts.selection.choose(pending, is_mid_flow=False) is None
-    parts.begin_step(1 * S + 496 * MS)  # the grace less one step of the clock
+    parts.begin_step(1 * S + 496 * MS)  # the drain grace minus one clock step
     assert parts.selection.choose(pending, is_mid_flow=True) is None
 
 
@@ -83,7 +83,7 @@
     assert parts.selection.choose(pending, is_mid_flow=False) is parts.endpoint(0)
 
 
-def test_group_stays_where_it_is_established_unless_the_balancer_has_few_requests() -> None:
+def test_group_prefers_endpoints_that_serve_it_unless_the_balancer_has_few_requests() -> None:
     parts = Parts(endpoints=3)
     first, second, _ = ranked(parts, parts.pending(1, group=5))
     parts.connection(2, second, group=5)
@@ -100,32 +100,32 @@
     assert parts.selection.choose(pending, is_mid_flow=False) is ranked(parts, pending)[2]
 
 
-def test_avoided_endpoint_is_an_alternative_only_to_one_that_is_about_to_stop() -> None:
+def test_avoided_endpoint_is_an_alternative_only_for_one_that_stops_soon() -> None:
     parts = Parts(endpoints=2)
     pending = parts.pending(1)
     leaving, other = parts.endpoint(0), parts.endpoint(1)
     assert parts.selection.find_alternative(pending, leaving) is other
     other.ejected_until = 9 * S
     assert parts.selection.find_alternative(pending, leaving) is None
-    assert parts.selection.find_alternative(pending, leaving, is_last_chance=True) is other
+    assert parts.selection.find_alternative(pending, leaving, is_stopping_soon=True) is other
     other.started_at = parts.context.now
-    assert parts.selection.find_alternative(pending, leaving, is_last_chance=True) is other
+    assert parts.selection.find_alternative(pending, leaving, is_stopping_soon=True) is other
     other.state = EndpointState.DRAINING
-    assert parts.selection.find_alternative(pending, leaving, is_last_chance=True) is None
+    assert parts.selection.find_alternative(pending, leaving, is_stopping_soon=True) is None
 
 
-def test_wait_is_until_an_ejected_endpoint_returns_and_none_where_one_may_serve() -> None:
+def test_wait_lasts_until_the_first_ejection_ends_and_is_zero_if_an_endpoint_can_be_tried() -> None:
     parts = Parts(endpoints=2)
     assert parts.selection.wait_ns() == 0
     for number, until in ((0, 5 * S), (1, 4 * S)):
         parts.endpoint(number).ejected_until = until
-    assert parts.selection.wait_ns() == 0  # unreachable ones may be tried at any time
+    assert parts.selection.wait_ns() == 0  # unreachable endpoints may be tried at any time
     for endpoint in parts.endpoints.values():
         endpoint.is_overloaded = True
     assert parts.selection.wait_ns() == 3 * S
 
 
-def test_slow_start_shares_are_up_to_date_when_the_first_request_comes() -> None:
+def test_slow_start_shares_are_up_to_date_when_the_first_request_arrives() -> None:
     parts = Parts(endpoints=0)
     parts.begin_step(100 * S)
     parts.endpoints.apply(listed(entry(0, started_ns=100 * S)))
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -75,10 +75,10 @@
     loaded, healthy = parts.endpoint(0), parts.endpoint(1)
     assert check_and_answer(parts, loaded, 40.0, 1.5) == pytest.approx(0.3 * 0.75 / 1.5)
     assert check_and_answer(parts, healthy, 40.0, 0.84) == 0.0
-    assert parts.health_checks.advises_against(loaded)
-    assert not parts.health_checks.advises_against(healthy)
+    assert parts.health_checks.should_avoid(loaded)
+    assert not parts.health_checks.should_avoid(healthy)
     parts.begin_step(parts.context.now + 3 * S)
-    assert not parts.health_checks.advises_against(loaded)
+    assert not parts.health_checks.should_avoid(loaded)
 
 
 def test_sends_since_the_report_add_to_the_reported_load() -> None:
@@ -87,9 +87,9 @@
     for _ in range(40):
         check_and_answer(parts, endpoint, 10.0, 0.8)
     assert parts.health_checks.load_per_connection == pytest.approx(0.08, rel=0.05)
-    assert not parts.health_checks.advises_against(endpoint)
+    assert not parts.health_checks.should_avoid(endpoint)
     endpoint.sends_since_report = 1
-    assert parts.health_checks.advises_against(endpoint)
+    assert parts.health_checks.should_avoid(endpoint)
 
 
 @pytest.mark.parametrize("report", [(), (1.0,), (1.0, -1.0), (1.0, float("nan")), (1.0, 1e9)])
@@ -114,9 +114,9 @@
     endpoint = parts.endpoint(0)
     parts.health_checks.check(endpoint)
     parts.begin_step(parts.context.now + 100 * MS)
-    assert not parts.health_checks.advises_against(endpoint)
+    assert not parts.health_checks.should_avoid(endpoint)
     parts.begin_step(parts.context.now + 1)
-    assert parts.health_checks.advises_against(endpoint)
+    assert parts.health_checks.should_avoid(endpoint)
 
 
 def test_slow_answer_counts_as_slow_messages() -> None:
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,4 +1,4 @@
-"""Which established connections migrate, and how many at once."""
+"""Migration: which established connections move, and how many at once."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     assert migrated(parts) == []
 
 
-def test_connections_that_are_not_admitted_leave_a_slow_endpoint_first() -> None:
+def test_connections_that_are_not_admitted_migrate_first_off_a_slow_endpoint() -> None:
     parts = Parts()
     endpoint = parts.endpoint(0)
     parts.admission.load_shedding.admitted_share = 0.5
@@ -52,7 +52,7 @@
         assert bool(migrated(parts)) is migrates
 
 
-def test_connections_leave_a_draining_endpoint_gradually_until_it_stops() -> None:
+def test_connections_migrate_off_a_draining_endpoint_evenly_until_it_stops() -> None:
     parts = Parts()
     endpoint = parts.endpoint(0)
     for number in range(1, 21):
@@ -60,7 +60,7 @@
     (draining,) = parts.endpoints.apply(
         listed(entry(0, state=EndpointState.DRAINING, drain_within_ns=500 * MS), form=ListForm.DELTA)
     )
-    parts.migration.begin_leaving(draining)
+    parts.migration.begin_gradual_migration(draining)
     assert parts.context.actions == [SetTimer(50 * MS, 1 << 16)]
     counts = []
     for tick in range(1, 11):
@@ -74,13 +74,13 @@
     assert not endpoint.established
 
 
-def test_connections_leave_an_unresponsive_endpoint_until_it_recovers() -> None:
+def test_connections_migrate_off_an_unresponsive_endpoint_until_it_recovers() -> None:
     for end in ("ejection ends", "established"):
         parts = Parts()
         endpoint = parts.endpoint(0)
         endpoint.ejected_until = 2 * S
         parts.connection(1, endpoint)
-        parts.migration.begin_leaving(endpoint)
+        parts.migration.begin_gradual_migration(endpoint)
         parts.migration.handle_tick()
         assert len(parts.migration) == 1
         if end == "established":
@@ -91,8 +91,8 @@
         assert len(parts.migration) == 0
 
 
-def test_endpoint_without_connections_starts_no_migration() -> None:
+def test_no_gradual_migration_starts_for_an_endpoint_without_connections() -> None:
     parts = Parts()
-    parts.migration.begin_leaving(parts.endpoint(0))
+    parts.migration.begin_gradual_migration(parts.endpoint(0))
     assert len(parts.migration) == 0
     assert parts.context.actions == []
