--- a/linnetshift/routing/load_shedding.py
+++ b/linnetshift/routing/load_shedding.py
@@ -12,7 +12,7 @@
 from linnetshift.routing.endpoints import Endpoint, EndpointTable
 from linnetshift.routing.events import AdoptedConnection, EndpointState, Request
 from linnetshift.routing.pending_requests import key_hash
-from linnetshift.routing.rendezvous_hashing import MASK, mix64
+from linnetshift.routing.rendezvous_hashing import HASH_MASK, mix64
 
 # Shares of the endpoints that miss their objectives: above the first each review admits fewer keys, up to the
 # second slowly more.
@@ -51,7 +51,7 @@
 
     def admits_key(self, key: int) -> bool:
         """Whether requests of that hashed key are admitted."""
-        return self.admitted_share >= 1.0 or mix64(key ^ ADMISSION_SALT) < self.admitted_share * MASK
+        return self.admitted_share >= 1.0 or mix64(key ^ ADMISSION_SALT) < self.admitted_share * HASH_MASK
 
     @property
     def is_at_minimum(self) -> bool:
--- a/linnetshift/routing/ranking.py
+++ b/linnetshift/routing/ranking.py
@@ -1,4 +1,4 @@
-"""The ranking of the listed endpoints for a key: weighted rendezvous hashing over a cached candidate list.
+"""Ranks the listed endpoints for a key by weighted rendezvous hashing over a cached candidate list.
 
 A request's key (its group, else its client) is hashed once and mixed with the hash of each listed endpoint;
 the endpoint with the highest -weight / log(h) comes first.
@@ -16,34 +16,34 @@
 from linnetshift.routing.endpoints import Endpoint, EndpointTable
 from linnetshift.routing.events import EndpointState
 from linnetshift.routing.group_affinity import GroupSizeEstimator
-from linnetshift.routing.rendezvous_hashing import MASK, endpoint_hash, rank
+from linnetshift.routing.rendezvous_hashing import HASH_MASK, endpoint_hash, rank
 from linnetshift.routing.slow_start import NS_PER_S, SlowStart, token_rate
 
 if TYPE_CHECKING:
     import numpy.typing as npt
 
-# Warm-up raises weights in steps, so that balancers whose clocks differ by milliseconds have the same
+# Weights rise in steps during warm-up, so that balancers whose clocks differ by milliseconds agree on the
 # ranking.
 WARM_UP_STEPS = 8
-FOREVER_NS = MASK  # after any time of the caller's clock
+NO_EXPIRY_NS = HASH_MASK  # later than any time of the caller's clock
 
 
 @dataclass(frozen=True, slots=True)
 class Candidates:
-    """The endpoints that a key is ranked over, sorted by id; the arrays have their order and length."""
+    """The endpoints to rank, sorted by id; the arrays are parallel to `endpoints`."""
 
     endpoints: list[Endpoint]
     hashes: npt.NDArray[np.uint64]
     inverse_weights: npt.NDArray[np.float64]
-    total_capacity: float  # in weights, each times its warm-up factor
+    total_capacity: float  # in weights; each endpoint's scaled by its warm-up factor
     valid_until: int  # ns of the caller's clock
 
 
 class EndpointRanking:
     """Ranks endpoints by key and updates slow start whenever the candidates change.
 
-    State: the candidates (cached until a list update, or the next step of a warm-up), how many connections
-    the predecessor process still has, and how many connections fill an endpoint of weight 1.
+    State: the candidates (cached until a list update or the next warm-up step), the number of connections
+    that the predecessor process still holds, and how many connections fill an endpoint of weight 1.
     """
 
     def __init__(
@@ -53,37 +53,37 @@
         slow_start: SlowStart,
         group_sizes: GroupSizeEstimator,
     ) -> None:
-        """The candidates are computed at the first use."""
+        """Candidates are computed on first use."""
         self._context = context
         self._endpoints = endpoints
         self._slow_start = slow_start
         self._group_sizes = group_sizes
         self._cached: Candidates | None = None
         self.predecessor_connections = 0
-        # Weight 1 is a standard core; by the loads that connections were reported with, 0.0 before the first.
+        # Weight 1 is a standard core. Estimated from the reported loads of connections; 0.0 before the first.
         self.connections_per_weight = 0.0
 
     def invalidate(self) -> None:
-        """Drop the cached candidates, as the list or the settings changed."""
+        """Discard the cached candidates after a change of the list or the settings."""
         self._cached = None
 
     def candidates(self) -> Candidates:
-        """The listed endpoints to rank now; updates slow start where they are computed anew."""
+        """Return the current candidates; recomputing them also updates slow start."""
         if self._cached is None or self._context.now >= self._cached.valid_until:
-            self._cached = self._make_candidates()
+            self._cached = self._compute_candidates()
         return self._cached
 
     def ranked(self, key: int) -> Iterator[Endpoint]:
-        """Listed endpoints for a hashed key, best first; ties are broken by the order of ids."""
+        """Iterate over the listed endpoints for a hashed key, best first; ties are in the order of ids."""
         candidates = self.candidates()
         order = rank(key, candidates.hashes, candidates.inverse_weights)
         return map(candidates.endpoints.__getitem__, order)
 
-    def _make_candidates(self) -> Candidates:
+    def _compute_candidates(self) -> Candidates:
         context = self._context
         listed = [e for e in self._endpoints.values() if e.state != EndpointState.REMOVED]
         listed.sort(key=lambda endpoint: endpoint.id)
-        factors = [self._stepped_warm_up_factor(endpoint) for endpoint in listed]
+        factors = [self._quantized_warm_up_factor(endpoint) for endpoint in listed]
         weights = [endpoint.weight * factor for endpoint, factor in zip(listed, factors, strict=True)]
         capacities = [self._endpoints.capacity(e) * f for e, f in zip(listed, factors, strict=True)]
         total_capacity = sum(capacities)
@@ -95,20 +95,20 @@
             hashes=np.array([endpoint_hash(endpoint.id) for endpoint in listed], dtype=np.uint64),
             inverse_weights=1.0 / (self._zone_weights(listed) * np.array(weights)),
             total_capacity=total_capacity,
-            valid_until=context.now + step_ns if is_any_warming_up else FOREVER_NS,
+            valid_until=context.now + step_ns if is_any_warming_up else NO_EXPIRY_NS,
         )
 
-    def _stepped_warm_up_factor(self, endpoint: Endpoint) -> float:
-        """The warm-up factor, rounded down to a whole step but never to 0."""
+    def _quantized_warm_up_factor(self, endpoint: Endpoint) -> float:
+        """The warm-up factor rounded down to a multiple of 1 / WARM_UP_STEPS, at least one step."""
         factor = self._endpoints.warm_up_factor(endpoint)
-        steps = int(factor * WARM_UP_STEPS) or 1  # a weight of 0 would have no inverse
+        steps = int(factor * WARM_UP_STEPS) or 1  # weights must not be 0, as they are inverted
         return steps / WARM_UP_STEPS
 
     def _zone_weights(self, listed: list[Endpoint]) -> npt.NDArray[np.float64]:
-        """Factor of each endpoint's weight by its zone.
+        """The factor by which the zone of each endpoint scales its weight.
 
-        Where crossing zones has a price a key gets an endpoint in each zone, as far as there are enough
-        endpoints for all groups.
+        Where crossing zones has a cost, keys prefer endpoints of the balancer's own zone, as far as there are
+        enough endpoints to serve each group in every zone.
         """
         settings = self._context.settings
         zone_spread = 1.0
@@ -118,7 +118,7 @@
         return np.array([1.0 if e.zone == settings.zone else other_zone_weight for e in listed])
 
     def _update_slow_start(self, listed: list[Endpoint], capacities: list[float], total: float) -> None:
-        """Set the token rate, and the shares: by capacity over all zones, so the same at each balancer."""
+        """Set the token rate, and the shares by capacity over all zones, which are equal at each balancer."""
         settings = self._context.settings
         self._slow_start.shares = {
             endpoint.id: capacity / total
@@ -136,7 +136,7 @@
         )
 
     def _update_connections_per_weight(self) -> None:
-        """Estimate it anew from the connections whose loads are known; without any, the last value stays."""
+        """Re-estimate from the connections whose load is known; keep the last value if there are none."""
         loads = [
             pending.load_ns_per_s
             for endpoint in self._endpoints.values()
@@ -144,5 +144,5 @@
             if pending.load_ns_per_s
         ]
         if loads:
-            # A standard core does NS_PER_S of work a second; this is that over the mean load of a connection.
+            # A standard core does NS_PER_S of work a second; divided by the mean load of a connection.
             self.connections_per_weight = NS_PER_S * len(loads) / sum(loads)
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -11,7 +11,7 @@
 from linnetshift.routing.actions import Send
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import EndpointState, ListForm
-from linnetshift.routing.rendezvous_hashing import MASK, costs, mix64
+from linnetshift.routing.rendezvous_hashing import HASH_MASK, costs, mix64
 from linnetshift.routing.settings import Settings
 
 
@@ -25,7 +25,7 @@
     keys = range(1, 8001)
     chosen = list(first_endpoints(balancer, keys).values())
     for number, share in ((1, 1 / 8), (2, 2 / 8), (3, 5 / 8)):
-        # five standard deviations of a binomial draw
+        # five standard deviations of a binomial distribution
         bound = 5 * (share * (1 - share) / len(keys)) ** 0.5
         assert abs(chosen.count(endpoint(number)) / len(keys) - share) < bound
 
@@ -46,7 +46,7 @@
     assert endpoint(4) not in after.values()
 
 
-def test_added_endpoint_takes_keys_and_moves_no_others() -> None:
+def test_added_endpoint_moves_no_keys_between_other_endpoints() -> None:
     balancer = make_balancer(10)
     before = first_endpoints(balancer, range(1, 2001))
     balancer.step(2 * S, [listed(entry(50), form=ListForm.DELTA)])
@@ -54,7 +54,7 @@
     assert {after[key] for key in before if after[key] != before[key]} == {endpoint(50)}
 
 
-def test_balancers_agree_whatever_the_order_of_their_lists() -> None:
+def test_ranking_does_not_depend_on_the_order_of_the_list() -> None:
     first, second = make_balancer(0, seed=1), make_balancer(0, seed=2)
     entries = [entry(n) for n in range(12)]
     first.step(2 * S, [listed(*entries)])
@@ -76,9 +76,9 @@
     assert all(800 < chosen.count(endpoint(n)) < 1200 for n in range(1, 6))
 
 
-def test_hash_stays_strictly_inside_unit_interval() -> None:
-    for key in (0, 1, MASK):
-        key_costs = costs(key, np.array([0, 1, MASK, (key * 3) & MASK], dtype=np.uint64))
+def test_costs_are_finite_and_positive_for_extreme_hashes() -> None:
+    for key in (0, 1, HASH_MASK):
+        key_costs = costs(key, np.array([0, 1, HASH_MASK, (key * 3) & HASH_MASK], dtype=np.uint64))
         assert np.all(np.isfinite(key_costs))
         assert np.all(key_costs > 0.0)
 
@@ -97,7 +97,7 @@
     assert len({send.endpoint for send in sends}) > 10
 
 
-def test_endpoint_in_slow_start_takes_growing_share() -> None:
+def test_share_of_an_endpoint_in_slow_start_grows() -> None:
     balancer = Balancer(Settings.parse(raw_settings()), 1)
     balancer.step(100 * S, [listed(*(entry(n) for n in range(9)), entry(9, started_ns=100 * S))])
     shares = []
@@ -125,7 +125,7 @@
     assert parts.ranking.candidates() is not candidates
 
 
-def test_slow_start_rate_counts_connections_of_both_processes() -> None:
+def test_slow_start_rate_includes_connections_of_the_predecessor() -> None:
     for predecessor, rate in ((0, 0.5 * 3.0 * 7 / 0.7 / 10), (7, 0.5 * 3.0 * 14 / 0.7 / 10)):
         parts = Parts(endpoints=1)
         for number in range(7):
