--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -184,7 +184,7 @@
         self.migration.handle_established(endpoint)
         self.lifecycle.record_setup(pending, event.elapsed_ns, has_failed=False)
         if not pending.request.flags & (MID_FLOW | RETURNED | RETRY):
-            self.slow_start.record_established(self.now)
+            self.slow_start.record_first_arrival(self.now)
 
     def _handle_note(self, event: ConnectionNote) -> None:
         endpoint = self.endpoints.get(event.endpoint)
--- a/linnetshift/routing/slow_start.py
+++ b/linnetshift/routing/slow_start.py
@@ -1,15 +1,15 @@
-"""Slow start: how many requests all balancers together may place at endpoints that warm up.
+"""Slow start: limits the requests that all balancers together place on endpoints that are warming up.
 
 The slow-start budget of an endpoint is what it can take without failing: `Settings.overload_multiple` times
-the capacity that it has by then, counted over the overload window (`Settings.overload_window_ns`, or the
-warm-up time where that is 0).
-
-The fleet's budget for a warming endpoint, divided by the number of balancers, is far less than one connection
-in the time that the budget is counted over. Balancers that each saved up for a whole connection had the
-budget when no request came, and warming endpoints were idle beside overloaded ones. So a balancer's tokens
-are for requests that *may* go to a warming endpoint; whether one does, and to which, is drawn by the
-endpoints' shares of the fleet's capacity. The part of the traffic that goes to an endpoint is then the same
-at every balancer, however uneven their traffic, and its sum is bounded without any message between them.
+its current capacity, counted over the overload window (`Settings.overload_window_ns`, or the warm-up time if
+that is 0).
+
+One balancer's part of the budget for a warming endpoint is far less than one connection per overload window.
+If each balancer accumulated a whole connection per endpoint, budget would be unused at balancers without
+requests, and warming endpoints would stay idle while others are overloaded. So a token only allows a request
+to be considered for the warming endpoints; a random draw by their shares of the total capacity selects one of
+them or none. Each endpoint then gets the same part of the traffic at every balancer, however unevenly traffic
+is distributed, and the sum is bounded without messages between balancers.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from linnetshift.util.decaying_counter import DecayingCounter
 from linnetshift.util.token_bucket import TokenBucket
 
-# Share of the slow-start budget that placements use; the rest allows for chance and heavy connections.
+# Share of the slow-start budget that placements use; the rest covers chance and heavy connections.
 BUDGET_SHARE = 0.5
-# Assumed load of a fleet that reports none: with less in reserve it would not survive any fault.
+# Assumed load of endpoints that report none: with less spare capacity they could not absorb any fault.
 ASSUMED_LOAD = 0.7
-# Capacity of the token bucket, in overload windows: a wave may find every balancer's bucket full.
+# Capacity of the token bucket, in overload windows: at a burst every balancer's bucket may be full.
 BURST_WINDOWS = 1.0
 NS_PER_S = 1e9
-ARRIVAL_WINDOW_NS = 10_000_000_000  # over which the rate of first arrivals is measured
+ARRIVAL_WINDOW_NS = 10_000_000_000  # window of the rate of first arrivals
 
 
 def _arrival_counter() -> DecayingCounter:
@@ -37,45 +37,47 @@
 
 
 def _empty_bucket(now: int = 0) -> TokenBucket:
-    """An empty bucket, so that a process that is killed and restarted gains no tokens by it."""
+    """Start empty, so that a process gains no tokens by being killed and restarted."""
     return TokenBucket(rate_per_s=0.0, capacity=0.0, level=0.0, refilled_at_ns=now)
 
 
 @dataclass(slots=True)
 class SlowStart:
-    """A balancer's part of the requests that warming endpoints may get.
+    """One balancer's part of the slow-start budget.
 
-    State: the tokens and their rate, the warming endpoints' shares, and the rate of first arrivals.
+    State: the tokens and their rate, the shares of the warming endpoints, and the rate of first arrivals
+    (connections of new clients: neither retries, returns nor open connections).
     """
 
     token_bucket: TokenBucket = field(default_factory=_empty_bucket)
     tokens_per_s: float = 0.0
-    shares: dict[bytes, float] = field(default_factory=dict)  # of the fleet's capacity, by warming endpoint
+    shares: dict[bytes, float] = field(default_factory=dict)  # of the total capacity, by warming endpoint
     first_arrivals_per_s: DecayingCounter = field(default_factory=_arrival_counter)
 
-    def record_established(self, now: int) -> None:
-        """Count a first arrival; waves of returning clients or retries say nothing of capacity."""
+    def record_first_arrival(self, now: int) -> None:
+        """Count a first arrival; bursts of returning clients or retries do not reflect capacity."""
         self.first_arrivals_per_s.add(now, NS_PER_S / ARRIVAL_WINDOW_NS)
 
     def draw(self, now: int, window_ns: int, random: Callable[[], float]) -> bytes | None:
-        """The warming endpoint that one more request goes to, if any; takes a token where there is one.
+        """Take a token if available and return the warming endpoint drawn for a request, or None.
 
-        `random` returns a float of 0 to 1, and is called once for the token and once for the endpoint.
+        `random` returns a float from 0 to 1. It is called for the token and, if that is granted, again for
+        the endpoint.
         """
         if not self.shares:
-            self.token_bucket = _empty_bucket(now)  # nothing is saved up for when the first starts
+            self.token_bucket = _empty_bucket(now)  # no tokens accrue before an endpoint starts to warm up
             return None
         bucket = self.token_bucket
         bucket.rate_per_s = self.tokens_per_s
         bucket.capacity = self.tokens_per_s * window_ns / NS_PER_S * BURST_WINDOWS
         bucket.refill(now)
-        # Less than a whole token is taken too, and counts as one with that probability.
+        # A fraction of a token is taken too, and grants the request with that probability.
         if random() >= bucket.take():
             return None
         return self._endpoint_at(random())
 
     def _endpoint_at(self, position: float) -> bytes | None:
-        """The endpoint whose share of 0 to 1 holds `position`; None for the part of the warm endpoints."""
+        """Return the endpoint whose share of the range 0 to 1 holds `position`, None for the warm ones."""
         for endpoint, share in self.shares.items():
             position -= share
             if position < 0.0:
@@ -83,7 +85,7 @@
         return None
 
     def wait_ns(self, endpoints: Collection[bytes], requests_ahead: int) -> float:
-        """Nanoseconds until a request behind so many others gets a token for one of these endpoints."""
+        """Nanoseconds until a request with `requests_ahead` before it gets a token for one of `endpoints`."""
         useful_tokens_per_s = self.tokens_per_s * sum(
             self.shares.get(endpoint, 0.0) for endpoint in endpoints
         )
@@ -94,13 +96,13 @@
 def token_rate(
     settings: Settings, first_arrivals_per_s: float, established: int, capacity: float, endpoints: int
 ) -> float:
-    """How many tokens a second one balancer gets for warming endpoints.
+    """Return the tokens per second that one balancer gets for warming endpoints.
 
-    The rate that would fill the whole fleet within the warm-up time fills a warming endpoint in that time. A
-    balancer's part of the fleet is `capacity`, in connections by the loads that were reported, or what is
-    `established` through it if more; with `capacity` 0.0, for none reported, that over ASSUMED_LOAD. A higher
-    rate of first arrivals is taken instead. The rate is at least that of all balancers together sending each
-    of the `endpoints` one connection in the overload window.
+    Based on the rate that would fill all endpoints within the warm-up time, which fills a warming one in that
+    time. A balancer's part of all endpoints is the larger of `capacity`, in connections as estimated from
+    reported loads, and the connections `established` through it. Without load reports `capacity` is 0.0, and
+    the part is `established` / ASSUMED_LOAD. A higher rate of first arrivals replaces that rate. The minimum
+    lets all balancers together send each of the `endpoints` one connection per overload window.
     """
     connections = max(established, capacity) if capacity else established / ASSUMED_LOAD
     fill_per_s = connections * NS_PER_S / settings.warm_up_ns
@@ -110,7 +112,7 @@
 
 
 def warm_up_factor(settings: Settings, started_at: int, now: int) -> float:
-    """The share of its capacity that an endpoint is certain to have; `started_at` 0: it started long ago."""
+    """Return the share of its capacity that an endpoint is sure to have; `started_at` 0 means long ago."""
     age = (now - started_at) / settings.warm_up_ns if started_at else 1.0
     if age >= 1.0:
         return 1.0
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start and the concurrency limit: decisions of one balancer, and the sum of those of many."""
+"""Slow start and the concurrency limit: decisions of one balancer, and the total over many balancers."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
 @given(st.lists(st.integers(0, 20 * S), max_size=40), st.floats(0.0, 5.0), st.floats(0.0, 6.0))
 def test_tokens_taken_in_any_window_are_bounded_by_rate_and_capacity(
-    gaps: list[int], rate: float, depth: float
+    gaps: list[int], rate: float, bucket_capacity: float
 ) -> None:
-    # Fractions of a token count as the probability of one: their sum is what many balancers spend together.
-    bucket = TokenBucket(rate, depth, level=0.0)
+    # A fraction of a token grants a request with that probability, so the sum of fractions is what many
+    # balancers spend together.
+    bucket = TokenBucket(rate, bucket_capacity, level=0.0)
     now, spent = 0, list[tuple[int, float]]()
     for gap in gaps:
         now += gap
@@ -37,11 +38,11 @@
         for last in range(first, len(spent)):
             until = spent[last][0]
             total = sum(part for _, part in spent[first : last + 1])
-            assert total <= rate * (until - since) / 1e9 + depth + 1e-6
+            assert total <= rate * (until - since) / 1e9 + bucket_capacity + 1e-6
 
 
-def test_bucket_starts_empty_and_gives_fraction_as_probability() -> None:
-    # Levels drawn at the start gave every process that was killed and restarted half a token on the mean.
+def test_bucket_starts_empty_and_returns_the_fraction_of_a_token_taken() -> None:
+    # A random initial level would give each process that is killed and restarted half a token on average.
     bucket = SlowStart().token_bucket
     bucket.rate_per_s, bucket.capacity = 0.5, 4.0
     assert not bucket.take() > 0.0
@@ -62,7 +63,7 @@
         (1.0, 1.0, 3, 3 * S),
     ],
 )
-def test_wait_follows_level_rate_and_requests_ahead(
+def test_wait_depends_on_level_rate_and_requests_ahead(
     level: float, rate: float, ahead: int, wait: float
 ) -> None:
     slow_start = SlowStart(TokenBucket(0.0, 0.0, level), 2.0 * rate, {b"a": 0.25, b"b": 0.25, b"c": 0.1})
@@ -87,15 +88,15 @@
 
 
 class RestartFigures(NamedTuple):
-    """What the restarted endpoints got while they warmed up."""
+    """Connections of the restarted endpoints while they warmed up."""
 
     sent: int
     capacity: float  # connections that they could take in that time
-    fullest_window: float  # as a share of what may overload an endpoint (1.0)
+    fullest_window: float  # the highest; 1.0 is the load that may overload an endpoint
 
 
 class EndpointRestart:
-    """Some endpoints restart under steady arrivals, while all balancers know of it at once."""
+    """Some endpoints restart under steady arrivals; all balancers get the new list at the same time."""
 
     def __init__(self, balancer_count: int, uneven: bool, seed: int) -> None:
         endpoints = tuple(entry(n, zone=0) for n in range(ENDPOINTS))
@@ -123,7 +124,7 @@
         return self.figures(restarted_at, fleet.sends[sends_before:])
 
     def send_request(self) -> None:
-        group = int(1 / (self.draws.random() + 0.02))  # few groups have most clients
+        group = int(1 / (self.draws.random() + 0.02))  # a few groups have most of the clients
         (balancer,) = self.draws.choices(range(len(self.fleet.balancers)), self.arrival_weights)
         self.fleet.send_request(balancer, key=self.draws.getrandbits(60) | 1, group=group)
 
@@ -141,7 +142,7 @@
         return RestartFigures(sent, RESTARTED_ENDPOINTS * sum(capacity_per_s), fullest_window)
 
     def allowed_in_window(self, age_s: float) -> float:
-        """Return the connections allowed in a window; a warm endpoint takes at least the present mean."""
+        """Return the connections allowed in a window; a warm endpoint takes at least the current mean."""
         rules = self.fleet.balancers[0].settings
         initial_share = rules.initial_capacity_share
         warm_up_factor = min(1.0, initial_share + (1 - initial_share) * age_s / WARM_UP_S)
@@ -163,9 +164,9 @@
 def test_many_balancers_use_half_of_slow_start_capacity_and_never_exceed_it(
     balancer_count: int, uneven: bool, restarts: bool
 ) -> None:
-    # Each balancer saved for a whole connection at each endpoint: 200 balancers sent 46 where the endpoints
-    # in slow start have capacity for 300. In a release of half the servers the warm ones dropped clients for
-    # the whole day beside idle restarted ones.
+    # Guards against balancers that each accumulate tokens for a whole connection per endpoint: 200 of them
+    # sent 46 connections where the endpoints in slow start have capacity for 300. In a release of half the
+    # servers, the warm ones dropped clients for a whole day while the restarted ones were idle.
     restart = EndpointRestart(balancer_count, uneven, seed=balancer_count)
     figures = restart.run(restarts_balancers=restarts)
     assert figures.fullest_window <= 1.0
@@ -175,10 +176,10 @@
 @pytest.mark.parametrize(
     ("balancer_count", "has_warm_endpoint", "left_ns", "is_queued"),
     [
-        (2, False, S, False),  # one in 2 s, half of it safety margin: a token in 4 s
+        (2, False, S, False),  # one connection in 2 s, half of it safety margin: a token every 4 s
         (2, False, 5 * S, True),
-        (2, False, 9 * S, True),  # and a second in 8 s
-        (40, False, 5 * S, False),  # a token in 80 s, but warm in 10 s
+        (2, False, 9 * S, True),  # second token after 8 s
+        (40, False, 5 * S, False),  # a token every 80 s, but warm after 10 s
         (40, False, 11 * S, True),
         (2, True, S, False),  # the warm one is ejected for 50 s
         (40, True, 5 * S, False),
@@ -188,7 +189,8 @@
 def test_request_without_token_before_deadline_is_rejected_at_once(
     balancer_count: int, has_warm_endpoint: bool, left_ns: int, is_queued: bool
 ) -> None:
-    # 29 clients waited 2.9 s of 3 for servers in slow start and were then rejected: too late to retry.
+    # Guards against late rejections: 29 clients waited 2.9 s of their 3 s for servers in slow start and were
+    # rejected too late to retry.
     balancer = make_balancer(0, balancers=balancer_count)
     balancer.step(
         100 * S,
@@ -201,14 +203,14 @@
     rejections = only(balancer.step(100 * S + MS, [request(1, budget_ns=left_ns)]), Reject)
     assert bool(rejections) is not is_queued
     assert all(rejection.retry_after_ns > 0 for rejection in rejections)
-    # Not all requests behind the first can get a token: those are rejected now, not at their deadline.
+    # Later requests that cannot get a token in time are rejected now, not at their deadline.
     actions = balancer.step(100 * S + 2 * MS, [request(n, budget_ns=left_ns) for n in range(2, 40)])
     rejected = only(actions, Reject)
     assert len(rejected) == (0 if left_ns > 10 * S else 37 if left_ns > 8 * S else 38)
 
 
 def test_concurrency_limits_of_balancers_sharing_a_store_converge() -> None:
-    # One limit starts high and one low; the store serves 20 at once, beyond that all set-ups are slow.
+    # One limit starts high and one low. The store serves 20 set-ups at once; with more, all are slow.
     limits = [ConcurrencyLimit(), ConcurrencyLimit()]
     limits[0].limit = 60.0
     for second in range(400):
