--- a/linnetshift/routing/outlier_detection.py
+++ b/linnetshift/routing/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: an endpoint that fails is ejected for a time, and with a lost zone or cell all of it."""
+"""Outlier detection: ejects failing endpoints for a time, and whole zones or cells that are down."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 from linnetshift.routing.pending_requests import PendingRequest
 
 MIN_ENDPOINTS_DOWN = 3
-"""A zone or cell is lost with so many of its endpoints down at once, if more than are seen to work."""
+"""A zone or cell is down if at least so many of its endpoints are, and more are down than recently worked."""
 
-MIN_EJECTION_CONNECT_TIMEOUTS = 4  # length of the first ejection; the longest one is the warm-up time
-# Factors of an ejection's length, drawn at random so that the half-open attempts of many balancers spread.
+MIN_EJECTION_CONNECT_TIMEOUTS = 4  # length of the first ejection; the longest is the warm-up time
+# Bounds of the random factor of an ejection's length, which spreads the half-open attempts of many balancers.
 MIN_EJECTION_JITTER = 0.75
 MAX_EJECTION_JITTER = 1.25
 UNREACHABLE_OUTCOMES = frozenset({Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT})
 
 
 class OutlierDetection:
-    """Decides how long an endpoint is left out after a failure.
+    """Decides how long an endpoint is ejected after a failure.
 
     State: the ejection fields of the endpoints.
     """
 
     def __init__(self, context: RoutingContext, endpoints: EndpointTable) -> None:
-        """No endpoint is ejected."""
+        """No endpoint is ejected at first."""
         self._context = context
         self._endpoints = endpoints
 
     def record_outcome(self, endpoint: Endpoint, outcome: int, was_established: bool) -> None:
-        """An attempt, or an established connection, ended there."""
+        """Record how an attempt or an established connection on `endpoint` ended."""
         if outcome == Outcome.FULL or (outcome == Outcome.RESET and was_established):
-            # Otherwise dropped connections would come straight back to the endpoint that dropped them.
+            # Otherwise dropped connections would return at once to the endpoint that dropped them.
             self.record_failure(endpoint, is_overload=True)
         elif outcome in UNREACHABLE_OUTCOMES and not was_established:
             self.record_failure(endpoint, is_overload=False)
 
     def record_established(self, endpoint: Endpoint, request_id: int, elapsed_ns: int) -> None:
-        """A connection was established there: it responds, and a half-open attempt has succeeded.
+        """Record that a connection was established: a half-open attempt of that request has succeeded.
 
-        `elapsed_ns` is how long that took.
+        `elapsed_ns` is the time from the send of the attempt.
         """
         now = self._context.now
         endpoint.last_established_at = now
@@ -50,13 +50,13 @@
         endpoint.consecutive_errors = 0
 
     def record_error(self, endpoint: Endpoint, is_first_of_request: bool) -> None:
-        """A request was answered with an error, whether or not another endpoint serves it later."""
+        """Record an error response, even if another endpoint serves the request later."""
         endpoint.consecutive_errors += is_first_of_request
         if endpoint.returns_errors():
             self.record_failure(endpoint, is_overload=False)
 
     def record_failure(self, endpoint: Endpoint, is_overload: bool) -> None:
-        """Eject an endpoint, for twice as long each time while half-open attempts go on failing."""
+        """Eject an endpoint; the time doubles with each failure soon after the previous ejection."""
         now = self._context.now
         if now < endpoint.ejected_until:
             # The same failure, seen by another request.
@@ -68,18 +68,18 @@
         jitter = self._context.random.uniform(MIN_EJECTION_JITTER, MAX_EJECTION_JITTER)
         endpoint.ejected_until = now + int(endpoint.ejection_time_ns * jitter)
         others = self._endpoints.values()
-        self._eject_lost_group([other for other in others if other.zone == endpoint.zone], endpoint)
-        self._eject_lost_group([other for other in others if other.cell == endpoint.cell], endpoint)
+        self._eject_if_down([other for other in others if other.zone == endpoint.zone], endpoint)
+        self._eject_if_down([other for other in others if other.cell == endpoint.cell], endpoint)
 
     def begin_half_open_attempt(self, endpoint: Endpoint, request_id: int) -> None:
-        """Make an attempt that is sent soon after an ejection the half-open one, whose end others await."""
+        """Mark an attempt sent soon after an ejection as half-open: other requests wait for its end."""
         if endpoint.ejection_time_ns and self._failed_recently(endpoint):
             endpoint.half_open_request = request_id
 
     def handle_attempt_overdue(self, pending: PendingRequest) -> None:
-        """An attempt is past its latency objective and goes on: as a half-open one it has failed.
+        """Treat a half-open attempt that is past its latency objective as failed.
 
-        Otherwise all other requests would wait for its end.
+        Otherwise all other requests would wait until it ends.
         """
         endpoint = pending.endpoint
         if endpoint is not None and endpoint.half_open_request == pending.request.request_id:
@@ -95,21 +95,21 @@
     def _failed_recently(self, endpoint: Endpoint) -> bool:
         return self._context.now < endpoint.ejected_until + 2 * endpoint.ejection_time_ns
 
-    def _eject_lost_group(self, group: list[Endpoint], endpoint: Endpoint) -> None:
-        """Eject all of a lost zone or cell, rather than find each endpoint down by a failed attempt."""
+    def _eject_if_down(self, members: list[Endpoint], endpoint: Endpoint) -> None:
+        """Eject the other members of a zone or cell that is down, without a failed attempt at each."""
         now = self._context.now
-        # A failure this recent counts as down even if it looked like overload: the group broke all at once.
+        # A failure this recent counts as down even if it looked like overload: a zone or cell fails at once.
         recent_ns = 2 * self._context.settings.connect_timeout_ns
-        ejected = [e for e in group if now < e.ejected_until]
+        ejected = [e for e in members if now < e.ejected_until]
         down = sum(not e.is_overloaded or now - e.ejected_at < recent_ns for e in ejected)
         working = [
             e
-            for e in group
+            for e in members
             if now < e.last_established_at + 2 * endpoint.ejection_time_ns and now >= e.ejected_until
         ]
         if down < MIN_ENDPOINTS_DOWN or down <= len(working):
             return
-        for other in group:
+        for other in members:
             if now >= other.ejected_until and other not in working:
                 other.ejected_until = endpoint.ejected_until
                 other.ejection_time_ns = endpoint.ejection_time_ns
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: which share of the keys is admitted."""
+"""Load shedding: the admitted share of the keys."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         assert load_shedding.admitted_share == pytest.approx(share)
 
 
-def test_one_slow_endpoint_alone_sheds_nothing() -> None:
+def test_a_single_slow_endpoint_does_not_cause_shedding() -> None:
     load_shedding = LoadShedding()
     load_shedding.review(1 * S, 1, 1)
     assert load_shedding.admitted_share == 1.0
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection of endpoints that fail, one by one or with their zone."""
+"""Ejection of failing endpoints and of whole zones."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 FIRST_NS = 800 * MS  # four connect timeouts
 
 
-def test_ejection_time_doubles_while_failures_go_on_and_is_reset_after_a_pause() -> None:
+def test_ejection_time_doubles_with_repeated_failures_and_is_reset_after_a_pause() -> None:
     parts = Parts()
     failing = parts.endpoint(0)
     times = []
@@ -27,7 +27,7 @@
     assert failing.ejection_time_ns == FIRST_NS
 
 
-def test_failure_while_ejected_neither_prolongs_it_nor_marks_an_overload() -> None:
+def test_failure_while_ejected_neither_extends_the_ejection_nor_marks_an_overload() -> None:
     parts = Parts()
     failing = parts.endpoint(0)
     parts.outlier_detection.record_failure(failing, is_overload=True)
@@ -71,7 +71,7 @@
     assert endpoint.ejected_until
 
 
-def test_zone_is_ejected_when_three_of_it_are_down_and_no_more_work() -> None:
+def test_zone_is_ejected_when_three_of_its_endpoints_are_down_and_fewer_work() -> None:
     parts = Parts(endpoints=15)
     parts.begin_step(100 * S)
     zone = [e for e in parts.endpoints.values() if e.zone == 0]
@@ -83,7 +83,7 @@
     assert not any(e.ejected_until for e in parts.endpoints.values() if e.zone)
 
 
-def test_zone_is_not_ejected_while_as_many_of_it_work() -> None:
+def test_zone_is_not_ejected_while_as_many_of_its_endpoints_work_as_are_down() -> None:
     parts = Parts(endpoints=21)
     parts.begin_step(100 * S)
     zone = [e for e in parts.endpoints.values() if e.zone == 0]
