--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -155,7 +155,7 @@
         pending = PendingRequest(event, deadline, event.load_hint, request_class)
         self.requests.add(pending)
         if not event.flags & (RETRY | RETURNED):
-            self.health_checks.earn_credit()
+            self.health_checks.increase_budget()
         self.group_sizes.record_client(event.group)
         if event.flags & RETURNED and self.endpoints.is_fewer_than_balancers():
             self._skip_ranks(pending)
--- a/linnetshift/routing/concurrency_limit.py
+++ b/linnetshift/routing/concurrency_limit.py
@@ -1,40 +1,41 @@
-"""How many connection set-ups one balancer may have in flight.
+"""Concurrency limit of the connection set-ups that one balancer has in flight.
 
-What all balancers send to a shared store adds up, and none sees the sum. So each balancer adapts its limit to
-the outcomes of its own set-ups: additive increase, multiplicative decrease, as in congestion control.
-Balancers that share a bottleneck converge to equal limits whose sum it can serve, whatever their number.
+The load of all balancers on a shared store adds up, and none of them sees the sum. So each balancer adapts
+its limit to the outcomes of its own set-ups: additive increase, multiplicative decrease, as in congestion
+control. Balancers that share a bottleneck converge to equal limits whose sum it can serve, whatever their
+number.
 """
 
 from __future__ import annotations
 
 INITIAL_LIMIT = 8.0
 MIN_LIMIT = 2.0
-CONGESTED_FAILURE_SHARE = 0.3  # of recent set-ups slow or failed, from which the limit is lowered
-DECREASE_FACTOR = 0.7  # applied at most once within a latency objective
-OUTCOME_WEIGHT = 0.1  # of the latest set-up in the share
+CONGESTED_FAILURE_SHARE = 0.3  # of recent set-ups; above it a failed or slow set-up lowers the limit
+DECREASE_FACTOR = 0.7  # applied at most once per latency objective
+OUTCOME_WEIGHT = 0.1  # of the latest set-up in the moving average of failures
 
 
 class ConcurrencyLimit:
-    """State: the limit, the share of recent set-ups that failed or were slow, and the latest decrease."""
+    """State: the limit, the share of recent set-ups that failed or were slow, and when it last decreased."""
 
     def __init__(self) -> None:
-        """Start low, so that a restarted process does not add to an overload."""
+        """Start low, so that a restarted process does not worsen an overload."""
         self.limit = INITIAL_LIMIT
         self.failure_share = 0.0
         self.decreased_at = 0
 
     @property
     def is_congested(self) -> bool:
-        """Whether so many set-ups fail that another endpoint would not help."""
+        """Whether so many set-ups fail or are slow that another endpoint would not help."""
         return self.failure_share >= CONGESTED_FAILURE_SHARE
 
     def record_setup(
         self, now: int, latency_objective_ns: int, elapsed_ns: int, has_failed: bool, max_limit: float
     ) -> None:
-        """Count a set-up that ended; `max_limit` bounds the increase.
+        """Record a set-up that ended; `max_limit` bounds the increase.
 
-        Where set-ups are slow everywhere (a store past its rate) another endpoint does not help. Without
-        a limit, returning clients and retries queue up behind work that nobody waits for any more.
+        If set-ups are slow at all endpoints (an overloaded store), another endpoint does not help. Without a
+        limit, returning clients and retries would queue behind requests whose clients have already given up.
         """
         has_failed_or_is_slow = has_failed or elapsed_ns > latency_objective_ns
         self.failure_share += OUTCOME_WEIGHT * (has_failed_or_is_slow - self.failure_share)
--- a/linnetshift/routing/health_checks.py
+++ b/linnetshift/routing/health_checks.py
@@ -10,29 +10,29 @@
 from linnetshift.routing.pending_requests import PendingRequest, PendingRequests
 from linnetshift.util.decaying_counter import DecayingCounter
 
-MAX_LOAD = 0.85  # share of its capacity in use from which an endpoint is avoided
-TARGET_LOAD = 0.75  # that migration aims at
-MIGRATION_GAIN = 0.3  # share of the excess that migrates at each report, as reports may be seconds old
-CHECKS_PER_REQUEST = 3  # credit that a first request adds, and the most before any placement
+MAX_LOAD = 0.85  # share of capacity in use from which an endpoint is avoided
+TARGET_LOAD = 0.75  # load that migration aims for
+MIGRATION_GAIN = 0.3  # share of the excess migrated per report; low, as reports may be seconds old
+CHECKS_PER_REQUEST = 3  # checks that a new client's request adds to the budget, and the most per placement
 MAX_SAVED_CHECKS = CHECKS_PER_REQUEST * 4
-LOAD_REPORT_TTL_NS = 500_000_000  # how long no further check is needed after a report
+LOAD_REPORT_TTL_NS = 500_000_000  # no further check is needed for this long after a report
 AVOID_LOADED_NS = 3_000_000_000  # how long a loaded endpoint is avoided after its report
-REPORT_WEIGHT = 0.1  # of the latest report in the moving average of one connection's load
+REPORT_WEIGHT = 0.1  # of the latest report in the moving average of the load per connection
 ARRIVAL_WINDOW_NS = 1_000_000_000
 MAX_REPORTED_LOAD = 1e6
-MIN_REPORTED_CONNECTIONS = 8.0  # fewer say too little of the load of a single one
+MIN_REPORTED_CONNECTIONS = 8.0  # with fewer the load per connection is too inaccurate
 MAX_REPORTED_CONNECTIONS = 1e6
 LOAD_COLUMN = "x0"
 CONNECTIONS_COLUMN = "outstanding"
 NO_COLUMN = -1
-OVERDUE_TICKS = 2  # a health check without a result for longer makes its endpoint an avoided one
+OVERDUE_TICKS = 2  # an endpoint is avoided while a health check has been in flight for longer
 
 
 class HealthChecks:
-    """Sends health checks within a budget and keeps what their results say.
+    """Sends health checks within a budget and records their results.
 
-    State: the checks that may still be sent, the rate of arrivals, the average load of one connection, and
-    the load fields of the endpoints.
+    State: the budget of checks, the rate of arrivals, the average load per connection, and the load fields of
+    the endpoints.
     """
 
     _load_column: int
@@ -45,18 +45,18 @@
         requests: PendingRequests,
         outlier_detection: OutlierDetection,
     ) -> None:
-        """Start without credit and without any load report."""
+        """Start with an empty budget and no load reports."""
         self._context = context
         self._endpoints = endpoints
         self._requests = requests
         self._outlier_detection = outlier_detection
-        self._credit = 0.0
+        self._check_budget = 0.0
         self._arrivals = DecayingCounter(ARRIVAL_WINDOW_NS)
         self.load_per_connection = 0.0
         self.configure()
 
     def configure(self) -> None:
-        """Find the columns of the load reports in the settings."""
+        """Look up the columns of the load reports in the settings."""
         settings = self._context.settings
         columns = settings.report_columns
         has_load = settings.may_health_check and LOAD_COLUMN in columns
@@ -66,44 +66,44 @@
 
     @property
     def reports_load(self) -> bool:
-        """Whether results of health checks carry a load."""
+        """Whether results of health checks include a load."""
         return self._load_column != NO_COLUMN
 
     def may_check_for_migration(self) -> bool:
-        """Whether a check may be sent to learn how many connections to migrate."""
-        return self.reports_load and self._credit >= 1.0
+        """Whether the budget allows a check that tells how many connections to migrate."""
+        return self.reports_load and self._check_budget >= 1.0
 
-    def earn_credit(self) -> None:
-        """Allow some more checks, as a request arrived that is neither a retry nor of a returning client."""
-        self._credit = min(self._credit, MAX_SAVED_CHECKS) + CHECKS_PER_REQUEST
+    def increase_budget(self) -> None:
+        """Allow more checks for a request that is neither a retry nor from a returning client."""
+        self._check_budget = min(self._check_budget, MAX_SAVED_CHECKS) + CHECKS_PER_REQUEST
 
     def record_arrival(self) -> None:
-        """Count a request, returning or not."""
+        """Count a request, including those of returning clients."""
         self._arrivals.add(self._context.now)
 
     def should_avoid(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is too loaded by its latest report, or the check in flight is overdue."""
+        """Whether an endpoint's estimated load is too high or its health check is overdue."""
         now = self._context.now
-        if now - endpoint.load_reported_at < AVOID_LOADED_NS and self._current_load(endpoint) >= MAX_LOAD:
+        if now - endpoint.load_reported_at < AVOID_LOADED_NS and self._estimated_load(endpoint) >= MAX_LOAD:
             return True
         return 0 < endpoint.health_check_sent_at < now - OVERDUE_TICKS * self._context.tick_ns
 
     def is_load_report_current(self, endpoint: Endpoint) -> bool:
-        """Whether the latest report is recent enough to decide by."""
+        """Whether the latest report is no older than LOAD_REPORT_TTL_NS."""
         return self._context.now - endpoint.load_reported_at <= LOAD_REPORT_TTL_NS
 
     def check_before_placement(self, endpoint: Endpoint, pending: PendingRequest) -> bool:
-        """Check an endpoint before a connection is placed there; returns whether to wait for the result.
+        """Check an endpoint before a placement if needed; returns whether to wait for the result.
 
-        No check is needed where established connections say enough already. With many balancers each has
-        fewer connections than there are endpoints, and none would notice an overload or a loss otherwise.
+        No check is needed if established connections already show the endpoint's state. With many balancers,
+        each has fewer connections than endpoints and would not notice an overload or failure without checks.
         """
         if not self._context.settings.may_health_check:
             return False
         if not self.reports_load and (endpoint.established or not self._requests.are_few()):
             return False
-        is_known = self._context.now - endpoint.load_reported_at < LOAD_REPORT_TTL_NS
-        if is_known or pending.health_checks_sent >= CHECKS_PER_REQUEST:
+        is_report_recent = self._context.now - endpoint.load_reported_at < LOAD_REPORT_TTL_NS
+        if is_report_recent or pending.health_checks_sent >= CHECKS_PER_REQUEST:
             return False
         if not endpoint.health_check_sent_at:
             pending.health_checks_sent += 1
@@ -114,44 +114,44 @@
         """Send a health check unless one is in flight."""
         if not endpoint.health_check_sent_at:
             endpoint.health_check_sent_at = self._context.now
-            self._credit -= 1.0
+            self._check_budget -= 1.0
             self._context.emit(HealthCheck(endpoint.id))
 
     def handle_result(self, endpoint: Endpoint, event: HealthCheckResult) -> float:
-        """Take the result of the check in flight.
+        """Record the result of the check in flight.
 
-        Returns the share of this balancer's connections there to migrate because of the load, 0.0 for none.
+        Returns the share of this balancer's connections to migrate because of the load, 0.0 for none.
         """
         sent_at = endpoint.health_check_sent_at
         endpoint.health_check_sent_at = 0
         if event.outcome != Outcome.OK:
             self._record_failure(endpoint, event.outcome)
             return 0.0
-        # A result without a load still shows that the endpoint answers, and how fast.
+        # A result without a load still shows that the endpoint responds, and its latency.
         endpoint.load_reported_at = self._context.now
         self._record_latency(endpoint, event.elapsed_ns)
         is_complete = len(event.report) == len(self._context.settings.report_columns)
         if sent_at < endpoint.started_at or not is_complete:
             return 0.0
-        return self._take_report(endpoint, event.report)
+        return self._apply_load_report(endpoint, event.report)
 
     def _record_failure(self, endpoint: Endpoint, outcome: int) -> None:
-        if outcome != Outcome.FULL:  # too many checks at once say nothing of the endpoint
+        if outcome != Outcome.FULL:  # rejected for too many checks: says nothing about the endpoint
             is_overload = outcome != Outcome.CONNECT_FAILED
             self._outlier_detection.record_failure(endpoint, is_overload)
 
     def _record_latency(self, endpoint: Endpoint, elapsed_ns: int) -> None:
-        """From two thirds of the message objective on, messages there count as slow."""
+        """Mark the endpoint as slow if the check took two thirds of the message latency objective or more."""
         if elapsed_ns * 3 >= self._context.message_latency_objective_ns * 2 > 0:
             endpoint.over_objective_until = self._context.now + LATENCY_REPORT_TTL_NS
             endpoint.message_latency_ns = elapsed_ns // 2
 
-    def _take_report(self, endpoint: Endpoint, report: tuple[float, ...]) -> float:
-        """Record load and connections; returns the share of this balancer's connections to migrate."""
+    def _apply_load_report(self, endpoint: Endpoint, report: tuple[float, ...]) -> float:
+        """Record the load, in all and per connection; returns the share of connections to migrate."""
         if not self.reports_load:
             return 0.0
         load = report[self._load_column]
-        if not 0.0 <= load < MAX_REPORTED_LOAD:  # also where it is NaN
+        if not 0.0 <= load < MAX_REPORTED_LOAD:  # NaN is rejected too
             return 0.0
         connections = report[self._connections_column] if self._connections_column != NO_COLUMN else 0.0
         if load != endpoint.load:
@@ -164,11 +164,11 @@
             return 0.0
         return (load - TARGET_LOAD) / load * MIGRATION_GAIN
 
-    def _current_load(self, endpoint: Endpoint) -> float:
-        """The reported load plus an estimate of what all balancers have sent since.
+    def _estimated_load(self, endpoint: Endpoint) -> float:
+        """The reported load plus an estimate of the load that all balancers have sent since.
 
-        Reports are up to seconds old: at a balancer's start a hundred connections can follow one report. In a
-        wave of arrivals the other balancers send as many as this one.
+        Reports may be seconds old: when a balancer starts, a hundred connections can follow one report. In a
+        burst of arrivals the other balancers are assumed to send as many as this one.
         """
         balancers = min(self._context.settings.balancers, max(1.0, self._arrivals.value))
         sends = endpoint.sends_since_report + endpoint.sends_before_report / 2
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The limit of set-ups in flight: additive increase, multiplicative decrease."""
+"""Concurrency limit of set-ups: additive increase, multiplicative decrease."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     assert concurrency_limit.limit == MIN_LIMIT
 
 
-def test_limit_grows_slowly_while_set_ups_still_fail() -> None:
+def test_limit_increases_slowly_while_some_set_ups_fail() -> None:
     concurrency_limit = ConcurrencyLimit()
     concurrency_limit.failure_share = 0.3
     assert concurrency_limit.is_congested
--- a/tests/test_message_latency.py
+++ b/tests/test_message_latency.py
@@ -54,7 +54,7 @@
     endpoint = parts.endpoint(0)
     for number in range(1, 41):
         parts.connection(number, endpoint)
-    parts.health_checks.earn_credit()
+    parts.health_checks.increase_budget()
     make_message_latency(parts).handle_report(endpoint, 500 * MS)
     assert parts.context.actions == [HealthCheck(endpoint.id)]
     without_load = Parts()
