--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -37,7 +37,7 @@
 from linnetshift.routing.group_affinity import GroupSizeEstimator
 from linnetshift.routing.health_checks import HealthChecks
 from linnetshift.routing.load_shedding import AdmissionControl
-from linnetshift.routing.message_latency import SLOW_MESSAGE, MessageLatency
+from linnetshift.routing.message_latency import SLOW_ENDPOINT_PREFIX, MessageLatency
 from linnetshift.routing.migration import Migration
 from linnetshift.routing.outlier_detection import OutlierDetection
 from linnetshift.routing.pending_requests import PendingRequest, PendingRequests
@@ -47,7 +47,7 @@
 from linnetshift.routing.settings import Settings
 from linnetshift.routing.slow_start import SlowStart
 from linnetshift.routing.tick_timer import TICK_TOKEN, TickTimer
-from linnetshift.routing.unresponsive_endpoints import UNRESPONSIVE_MESSAGE, UnresponsiveEndpoints
+from linnetshift.routing.unresponsive_endpoints import UNRESPONSIVE_ENDPOINT_PREFIX, UnresponsiveEndpoints
 
 MAX_NOTE_VALUE = 1e9  # NaN and absurd values of notes are ignored
 NS_PER_MS = 1e6
@@ -248,9 +248,9 @@
         is_from_peer = event.sender < self.settings.balancers and event.sender != self.settings.node
         if endpoint is None or not is_from_peer:
             return
-        if event.data[:1] == UNRESPONSIVE_MESSAGE:
+        if event.data[:1] == UNRESPONSIVE_ENDPOINT_PREFIX:
             self._unresponsive.handle_report(endpoint, event.sender)
-        elif event.data[:1] == SLOW_MESSAGE:
+        elif event.data[:1] == SLOW_ENDPOINT_PREFIX:
             self._message_latency.handle_peer_report(endpoint)
 
     def _handle_timer_fired(self, event: TimerFired) -> None:
--- a/linnetshift/routing/message_latency.py
+++ b/linnetshift/routing/message_latency.py
@@ -1,4 +1,4 @@
-"""What follows from the time that messages take at an endpoint."""
+"""Reactions to the message latency of endpoints: avoidance, migration, load shedding, notices to peers."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from linnetshift.routing.load_shedding import AdmissionControl
 from linnetshift.routing.migration import Migration
 
-SLOW_MESSAGE = b"h"
-"""Opens a message to peers: messages are slow at the endpoint whose id follows."""
+SLOW_ENDPOINT_PREFIX = b"h"
+"""First byte of a message to peers: messages are slow on the endpoint whose id follows."""
 
 # Shares of a balancer's connections to migrate off a slow endpoint at each report, once a second. The first
-# applies from two thirds of the objective on (below that the endpoint is only avoided). Above the objective
-# the second grows by itself with each QUEUED_WORK_NS of latency, since so much more work is queued there, up
-# to the third.
+# applies from two thirds of the objective on; below that the endpoint is only avoided. From the objective on
+# the second applies, once more for each QUEUED_WORK_NS of latency, as that much work is queued; the third is
+# the maximum.
 NEAR_OBJECTIVE_SHARE = 0.05
 OVER_OBJECTIVE_SHARE = 0.1
 MAX_SHARE = 0.4
@@ -25,7 +25,7 @@
 
 
 def share_to_migrate(latency_ns: int, objective_ns: int) -> float:
-    """The share of the connections with that objective to migrate where messages take `latency_ns`."""
+    """Return the share of connections with that objective to migrate when messages take `latency_ns`."""
     if latency_ns >= objective_ns:
         return min(MAX_SHARE, OVER_OBJECTIVE_SHARE * (1.0 + latency_ns / QUEUED_WORK_NS))
     return NEAR_OBJECTIVE_SHARE if latency_ns * 3 >= objective_ns * 2 else 0.0
@@ -41,14 +41,14 @@
         health_checks: HealthChecks,
         migration: Migration,
     ) -> None:
-        """The components that act on a slow endpoint."""
+        """The arguments are the components that react to slow messages."""
         self._context = context
         self._admission = admission
         self._health_checks = health_checks
         self._migration = migration
 
     def handle_report(self, endpoint: Endpoint, latency_ns: int) -> None:
-        """A message to that endpoint took `latency_ns`, as the broker measured or estimated it."""
+        """Handle a report that a message to `endpoint` took `latency_ns`, as measured or estimated."""
         context = self._context
         report_valid_until = context.now + LATENCY_REPORT_TTL_NS
         is_slow = latency_ns * SLOW_DIVISOR >= context.message_latency_objective_ns
@@ -59,34 +59,34 @@
         endpoint.majority_over_objective_until = report_valid_until if misses_objectives else 0
         self._admission.review()
         if is_slow:
-            self._relieve(endpoint, latency_ns, misses_objectives)
+            self._migrate_or_check(endpoint, latency_ns, misses_objectives)
 
     def handle_peer_report(self, endpoint: Endpoint) -> None:
-        """Another balancer's connections there are slow; the message does not say by how much."""
+        """Handle a peer's report of slow messages on `endpoint`; its latency is not part of the message."""
         until = self._context.now + LATENCY_REPORT_TTL_NS
         endpoint.over_objective_until = max(endpoint.over_objective_until, until)
         endpoint.message_latency_ns = 0
 
-    def _relieve(self, endpoint: Endpoint, latency_ns: int, misses_objectives: bool) -> None:
-        """Migrate connections, by the load of a health check where the endpoint reports it."""
+    def _migrate_or_check(self, endpoint: Endpoint, latency_ns: int, misses_objectives: bool) -> None:
+        """Migrate connections; where endpoints report their load, a health check determines the share."""
         if not self._health_checks.may_check_for_migration():
             self._migration.migrate_excess(endpoint, misses_objectives, partial(share_to_migrate, latency_ns))
         elif not self._health_checks.is_load_report_current(endpoint):
-            self._health_checks.check(endpoint)  # its result tells how much to migrate
+            self._health_checks.check(endpoint)  # its result determines the share to migrate
 
     def _notify_peers(self, endpoint: Endpoint) -> None:
-        """Balancers without a connection there learn nothing of it, and would send migrated clients back.
+        """Notify peers: those without a connection there would otherwise send migrated clients back.
 
-        Each sends with a probability, so that all together send about one message.
+        Each balancer sends with a probability of 1 / balancers, so that together they send about one message.
         """
         context = self._context
-        # Drawn for each report, needed or not: the order of draws is part of the recorded decisions.
+        # Drawn for every report, even if unused: the order of random draws is part of the recorded decisions.
         is_drawn = context.random.random() * context.settings.balancers < 1.0
         if endpoint.over_objective_until and context.settings.may_message_peers and is_drawn:
-            context.emit(SendPeerMessage(ALL_PEERS, SLOW_MESSAGE + endpoint.id))
+            context.emit(SendPeerMessage(ALL_PEERS, SLOW_ENDPOINT_PREFIX + endpoint.id))
 
     def _misses_most_objectives(self, endpoint: Endpoint, latency_ns: int) -> bool:
-        """Whether messages miss the objective of most of this balancer's connections there."""
+        """Whether messages miss the objective of at least half of this balancer's connections there."""
         objectives_ns = [
             pending.request_class.message_latency_objective_ns for pending in endpoint.established.values()
         ]
--- a/tests/test_group_affinity.py
+++ b/tests/test_group_affinity.py
@@ -1,4 +1,4 @@
-"""Group sizes estimated from recent clients of one of many balancers, and how many endpoints a group uses."""
+"""Estimate of group sizes from recent clients, and the number of endpoints that a group uses."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 def mean_endpoints_per_group(groups: int, balancer_count: int) -> float:
-    """Return the mean number of endpoints per group; balancers in three zones, crossing is expensive."""
+    """Return the mean number of endpoints per group, with balancers in three zones and costly crossing."""
     endpoints = tuple(entry(n) for n in range(24))
     fleet = SimulatedBalancers(balancer_count, endpoints, fees={"crossZone": 0.1}, perZone=True)
     draws = random.Random(groups)
-    for balancer in fleet.balancers:  # clients seen before
+    for balancer in fleet.balancers:  # earlier clients
         for _ in range(30):
             balancer.group_sizes.record_client(draws.randrange(groups) + 1)
         balancer.step(fleet.now, [listed(*endpoints)])
@@ -47,7 +47,8 @@
 
 
 def test_group_uses_every_zone_only_when_groups_are_few() -> None:
-    # 56 groups at some 150 endpoints in all loaded 54 servers more than all connections together.
+    # Guards against group overhead: 56 groups, together on some 150 endpoints counted per group, loaded 54
+    # servers more than all connections did.
     few, many = mean_endpoints_per_group(4, 60), mean_endpoints_per_group(60, 60)
-    assert few >= 2.5  # large groups are spread over the three zones
+    assert few >= 2.5  # large groups spread over the three zones
     assert many <= 2.2
--- a/tests/test_message_latency.py
+++ b/tests/test_message_latency.py
@@ -1,4 +1,4 @@
-"""Reports of slow messages: avoided endpoints, migrations, notices to peers."""
+"""Message latency reports: avoidance, migration, notices to peers, load shedding."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize(
     ("latency_ms", "is_slow", "is_over"), [(19, False, False), (20, True, False), (60, True, True)]
 )
-def test_endpoint_is_slow_from_a_third_of_the_objective_and_over_it_at_all_of_it(
+def test_endpoint_is_slow_from_a_third_of_the_objective_and_over_it_from_the_objective_on(
     latency_ms: int, is_slow: bool, is_over: bool
 ) -> None:
     parts = Parts()
@@ -49,7 +49,7 @@
     assert parts.context.actions == []
 
 
-def test_load_is_checked_before_migration_where_it_is_reported() -> None:
+def test_health_check_precedes_migration_where_endpoints_report_their_load() -> None:
     parts = Parts(allowed={"probing": True}, report={"columns": ["outstanding", "x0"], "how": "pull"})
     endpoint = parts.endpoint(0)
     for number in range(1, 41):
@@ -85,7 +85,7 @@
     assert parts.admission.load_shedding.admitted_share == 0.65
 
 
-def test_endpoint_is_over_the_objective_of_most_when_half_of_its_connections_miss_theirs() -> None:
+def test_majority_is_over_the_objective_when_half_of_the_connections_miss_theirs() -> None:
     base = raw_settings()["services"][0]
     services = [{**base, "name": "strict"}, {**base, "name": "loose"}]
     parts = Parts(services=services, familyInfo={"messageAimNs": [20 * MS, 400 * MS]})
--- a/tests/test_returning_clients.py
+++ b/tests/test_returning_clients.py
@@ -1,4 +1,4 @@
-"""How likely a returning client was dropped."""
+"""Estimated probability that a returning client was dropped."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from linnetshift.routing.returning_clients import ReturningClients
 
 
-def test_probability_is_the_share_of_drops_among_returns() -> None:
+def test_probability_follows_the_ratio_of_drops_to_returns_up_to_its_maximum() -> None:
     returning_clients = ReturningClients()
     assert returning_clients.record_return(1 * S) == 0.0
     returning_clients.record_drop(1 * S)
@@ -18,7 +18,7 @@
     assert returning_clients.record_return(1 * S) == pytest.approx(0.3)  # not more, however many drops
 
 
-def test_each_count_decays_when_the_other_changes() -> None:
+def test_both_counters_decay_when_either_changes() -> None:
     returning_clients = ReturningClients()
     returning_clients.record_drop(1 * S)
     returning_clients.record_return(6 * S)
--- a/tests/test_unresponsive_endpoints.py
+++ b/tests/test_unresponsive_endpoints.py
@@ -1,4 +1,4 @@
-"""Unresponsive endpoints, found by the reports of two balancers."""
+"""Detection of unresponsive endpoints by reports of two balancers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert len(parts.migration) == 1
 
 
-def test_endpoint_is_ejected_by_reports_of_two_peers_but_not_by_two_of_one() -> None:
+def test_endpoint_is_ejected_by_reports_of_two_peers_but_not_by_two_reports_of_one() -> None:
     parts, unresponsive = make_parts()
     endpoint = parts.endpoint(0)
     for reporter, is_ejected in ((1, False), (1, False), (2, True)):
@@ -38,7 +38,7 @@
         assert (endpoint.ejected_until > 0) is is_ejected
 
 
-def test_old_reports_and_those_before_an_established_connection_do_not_count() -> None:
+def test_reports_expire_and_those_before_an_established_connection_do_not_count() -> None:
     parts, unresponsive = make_parts()
     old, established = parts.endpoint(0), parts.endpoint(1)
     for endpoint in (old, established):
@@ -52,7 +52,7 @@
     assert not established.ejected_until
 
 
-def test_failure_that_two_peers_know_of_already_is_not_reported() -> None:
+def test_failure_that_two_peers_have_reported_is_not_reported_again() -> None:
     parts, unresponsive = make_parts()
     endpoint = parts.endpoint(0)
     unresponsive.handle_report(endpoint, 1)
