--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -1,4 +1,4 @@
-"""The actor that lets the balancer decide on all events of one turn of the event loop together."""
+"""Actor that passes all events of one turn of the event loop to the balancer in one step."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from linnetshift.event_loop.timers import MS, Timeout, Timer
 from linnetshift.observability import log
 
-# How often the broker looks for unresponsive endpoints: well under the 400 ms without an answer after which
-# it counts one as unresponsive.
+# Interval of the check for unresponsive endpoints: well below the 400 ms without an answer after which an
+# endpoint counts as unresponsive.
 REVIEW_INTERVAL_NS = 125 * MS
 
 # Message latencies are reviewed, and new deployment facts logged, once a second.
@@ -24,7 +24,7 @@
 
 
 class ConfirmProcessing(NamedTuple):
-    """Call `done` once the balancer has decided on everything that is queued by now."""
+    """Call `done` once the balancer has processed all events that are queued now."""
 
     done: Callable[[], None]
 
@@ -35,47 +35,47 @@
     number: int
 
 
-PROCESS_EVENTS = ProcessEvents()  # posted for every event: one object serves all
+PROCESS_EVENTS = ProcessEvents()  # posted for every event; shared, as it has no fields
 
 
 class DecisionLoop(Actor):
-    """Runs the broker's queued events through the balancer, and the broker's periodic reviews.
+    """Runs the balancer on the broker's queued events, and the broker's periodic reviews.
 
-    It implements the broker's `Timers` port. `broker` is set before `run` starts, as the broker is
-    constructed with this port.
+    Implements the broker's `Timers` port. `broker` is set after construction and before `run` starts, as the
+    broker's constructor takes this port.
     """
 
     broker: Broker
 
     def __init__(self, loop: Loop, waits_for_discovery: bool = False) -> None:
-        """`waits_for_discovery`: decide nothing before discovery's first call has ended."""
+        """`waits_for_discovery`: process no events until the first call to discovery has ended."""
         super().__init__(loop)
         self.waits_for_discovery = waits_for_discovery
 
     def handle_discovery_ready(self) -> None:
-        """A call to discovery has ended, with an answer or without; decisions begin with the first."""
+        """Handle the end of a call to discovery, answered or not; processing starts after the first."""
         if self.waits_for_discovery:
             self.waits_for_discovery = False
             self.schedule_processing()
 
     def schedule_processing(self) -> None:
-        """Have the balancer decide once the events at hand are all queued."""
+        """Schedule processing for when the events of this turn are all queued."""
         self.post(PROCESS_EVENTS)
 
     def when_processed(self, done: Callable[[], None]) -> None:
-        """Have `done` called once the balancer has decided on everything that is queued by now."""
+        """Schedule `done` to be called once the balancer has processed all events that are queued now."""
         self.post(ConfirmProcessing(done))
 
     def set_balancer_timer(self, delay_ns: int, token: int) -> None:
-        """Have the balancer's timer with this token fire after the delay."""
+        """Schedule the balancer's timer with this token to fire after the delay."""
         self.call_later(delay_ns, lambda: self.broker.timer_fired(token))
 
     def call_later(self, delay_ns: int, fire: Callable[[], None]) -> Timer:
-        """Have `fire` called after the delay, outside this actor's mailbox."""
+        """Schedule `fire` to be called after the delay, not through this actor's mailbox."""
         return self.loop.call_later(delay_ns, fire)
 
     def run(self) -> ActorCoroutine:
-        """Handle messages for as long as the process lives."""
+        """Handle messages until the process ends."""
         self.set_timer(REVIEW_INTERVAL_NS, Review(1))
         while True:
             match (yield):
@@ -102,6 +102,6 @@
         try:
             self.broker.process_events()
         except Exception as error:  # noqa: BLE001
-            # Faults are contained here: one in the decisions must not end the established connections. They
-            # go on, and the broker itself answers requests that get no decision.
+            # Faults are contained here: one in the decisions must not end established connections. They
+            # continue, and the broker itself answers requests that get no decision.
             log.exception(error)
--- a/linnetshift/util/__init__.py
+++ b/linnetshift/util/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that belong to no single concern and depend on nothing else in the project."""
+"""General-purpose helpers that depend on nothing else in the project."""
--- a/linnetshift/util/decaying_counter.py
+++ b/linnetshift/util/decaying_counter.py
@@ -1,4 +1,4 @@
-"""A counter of recent events whose value falls linearly with time."""
+"""A counter of recent events whose value decays over time."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 class DecayingCounter:
     """Counts events over about the last `window_ns`.
 
-    At each update the value is scaled by the share of the window that has not passed since the last update.
-    Times are nanoseconds of the caller's clock and must not decrease.
+    Decays linearly between updates: each update scales the value by the share of the window not yet elapsed
+    since the previous update. Times are nanoseconds of the caller's clock and must not decrease.
     """
 
     window_ns: int
@@ -18,15 +18,15 @@
     updated_at: int = 0
 
     def decayed(self, now: int) -> float:
-        """The value at that time; the counter is left as it is."""
+        """Return the value at `now` without changing the counter."""
         return self.value * max(0.0, 1.0 - (now - self.updated_at) / self.window_ns)
 
     def decay(self, now: int) -> None:
-        """Make the value at that time the new starting point."""
+        """Update the value to that at `now`."""
         self.value = self.decayed(now)
         self.updated_at = now
 
     def add(self, now: int, amount: float = 1.0) -> None:
-        """Count `amount` events at that time."""
+        """Count `amount` events at `now`."""
         self.decay(now)
         self.value += amount
--- a/linnetshift/util/token_bucket.py
+++ b/linnetshift/util/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket on the caller's clock, for rate limits and paced admission."""
+"""Token bucket on the caller's clock, for rate limits and paced admission."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Allows `rate_per_s` tokens a second, of which up to `capacity` may be saved up.
+    """Accrues `rate_per_s` tokens per second, up to `capacity`.
 
-    It never reads a clock: callers pass the time in ns, from one clock that does not go back. A bucket is
-    full at first; one that must start empty is made with `level=0.0` and the time of its making. Rate and
-    capacity may be changed between two calls, and apply from the next refill on.
+    Never reads a clock: callers pass the time in ns, from one clock that does not go back. A bucket starts
+    full by default; for an empty one pass `level=0.0` and the current time as `refilled_at_ns`. Rate and
+    capacity may be changed between calls and apply from the next refill on.
     """
 
     rate_per_s: float
@@ -23,13 +23,13 @@
     refilled_at_ns: int = 0
 
     def refill(self, now_ns: int) -> None:
-        """Add what has accrued since the last refill, up to the capacity."""
+        """Add the tokens accrued since the last refill, up to the capacity."""
         accrued = self.rate_per_s * (now_ns - self.refilled_at_ns) / NS_PER_S
         self.level = min(self.capacity, self.level + accrued)
         self.refilled_at_ns = now_ns
 
     def wait_ns(self, now_ns: int) -> int:
-        """Refill, and return how long it is until a whole token is there; 0 when one is there now.
+        """Refill, and return the nanoseconds until a whole token is available, 0 if one is now.
 
         The rate must be above 0.
         """
@@ -39,9 +39,9 @@
         return math.ceil((1.0 - self.level) / self.rate_per_s * NS_PER_S)
 
     def take(self) -> float:
-        """Take one token, or what is left of one; how much was taken.
+        """Take one token, or the remaining fraction of one; returns the amount taken.
 
-        A caller that admits with the returned amount as probability keeps to the rate on average, also while
+        A caller that admits with the returned amount as probability keeps to the rate on average, even while
         the level is below one.
         """
         taken = min(1.0, self.level)
@@ -49,6 +49,6 @@
         return taken
 
     def copy_level(self, other: TokenBucket) -> None:
-        """Go on from the level of `other`, whose place this bucket takes."""
+        """Continue from the level of `other`, which this bucket replaces."""
         self.level = other.level
         self.refilled_at_ns = other.refilled_at_ns
--- a/tests/test_decaying_counter.py
+++ b/tests/test_decaying_counter.py
@@ -1,4 +1,4 @@
-"""The counter whose value falls linearly over a window."""
+"""The counter whose value decays linearly over a window."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from linnetshift.util.decaying_counter import DecayingCounter
 
 
-def test_value_falls_to_half_after_half_a_window_and_to_zero_after_it() -> None:
+def test_value_is_half_after_half_a_window_and_zero_after_a_whole_one() -> None:
     counter = DecayingCounter(10 * S)
     counter.add(20 * S, 4.0)
     assert [counter.decayed(at * S) for at in (20, 25, 30, 99)] == [4.0, 2.0, 0.0, 0.0]
-    assert counter.value == 4.0  # reading it changes nothing
+    assert counter.value == 4.0  # reading does not change it
 
 
 def test_event_is_added_to_the_decayed_value() -> None:
@@ -21,7 +21,7 @@
     assert (counter.value, counter.updated_at) == (3.0, 25 * S)
 
 
-def test_decay_makes_the_decayed_value_the_new_starting_point() -> None:
+def test_decay_updates_the_stored_value_and_time() -> None:
     counter = DecayingCounter(10 * S, 8.0, 0)
     counter.decay(5 * S)
     counter.decay(10 * S)
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -1,4 +1,4 @@
-"""The decision loop: when the broker's events are processed, and what a fault there does."""
+"""The decision loop: when the broker's events are processed, and the containment of faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StandInBroker:
-    """Records what the decision loop has it do."""
+    """Records the calls of the decision loop."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -45,7 +45,7 @@
     return decision_loop, broker
 
 
-def test_confirmation_follows_the_decision_on_all_that_was_queued() -> None:
+def test_confirmation_follows_the_processing_of_all_queued_events() -> None:
     decision_loop, broker = start_decision_loop()
     decision_loop.schedule_processing()
     decision_loop.when_processed(lambda: broker.calls.append("done"))
@@ -54,7 +54,7 @@
     assert broker.calls == ["process_events", "process_events", "done"]
 
 
-def test_nothing_is_decided_before_the_first_call_to_discovery_has_ended() -> None:
+def test_no_event_is_processed_before_the_first_call_to_discovery_has_ended() -> None:
     decision_loop, broker = start_decision_loop(waits_for_discovery=True)
     decision_loop.schedule_processing()
     decision_loop.when_processed(lambda: broker.calls.append("done"))
@@ -66,7 +66,7 @@
     assert broker.calls == ["done", "process_events"]
 
 
-def test_fault_in_a_decision_is_logged_and_contained(caplog: pytest.LogCaptureFixture) -> None:
+def test_fault_in_processing_is_logged_and_contained(caplog: pytest.LogCaptureFixture) -> None:
     decision_loop, broker = start_decision_loop()
     broker.fault = ValueError("a fault")
     with caplog.at_level(logging.ERROR, "linnetshift"):
@@ -86,6 +86,6 @@
     assert broker.calls.count("review_unresponsive_endpoints") == 2 * REVIEWS_PER_LATENCY_REVIEW
     assert broker.calls.count("review_latency") == 2
     assert broker.calls.count("review_unconfirmed_endpoints") == 2 * REVIEWS_PER_LATENCY_REVIEW
-    # Each of the reviews before it calls both of the others.
+    # The eight reviews up to it have each called the other two methods.
     assert broker.calls[2 * REVIEWS_PER_LATENCY_REVIEW] == "review_latency"
     assert [record.getMessage() for record in caplog.records] == 2 * ["deployment-fact-observed"]
--- a/tests/test_token_bucket.py
+++ b/tests/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket by itself."""
+"""Token bucket: burst, refill, and the state taken over by a replacement."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert bucket.wait_ns(1 * S + 250 * MS) == 0
 
 
-def test_saved_tokens_stay_within_the_capacity() -> None:
+def test_accrued_tokens_do_not_exceed_the_capacity() -> None:
     bucket = TokenBucket(rate_per_s=4.0, capacity=2.0, level=0.0)
     bucket.refill(100 * S)
     assert bucket.level == 2.0
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("level", [0.25, 1.0, 1.5])
-def test_replacing_bucket_goes_on_from_the_level_of_the_former(level: float) -> None:
+def test_replacement_bucket_continues_from_the_level_of_the_former_one(level: float) -> None:
     former = TokenBucket(rate_per_s=1.0, capacity=2.0, level=level, refilled_at_ns=3 * S)
     later = TokenBucket(rate_per_s=9.0, capacity=9.0)
     later.copy_level(former)
