--- a/linnetshift/simulation/__init__.py
+++ b/linnetshift/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions driven by the simulator: its wire, and the adapter that runs many instances."""
+"""Routing decisions driven by the simulator: the codec of its wire, and the adapter that runs instances."""
--- a/linnetshift/simulation/adapter.py
+++ b/linnetshift/simulation/adapter.py
@@ -1,8 +1,8 @@
 """Adapter between the simulator's wire and the routing decisions.
 
 Reads batches of events from standard input and writes one reply of actions for each to standard output, until
-the input ends. Each instance is a `Balancer` of its own; nothing is shared between them. Time is the batch's
-clock and nothing else.
+the input ends. Each instance is a separate `Balancer` that shares nothing with others. The only clock is that
+of the batches.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 
 class InstanceTable:
-    """The instances of this process, by the number that the simulator gives them."""
+    """The instances of this process by their numbers in the simulator."""
 
     def __init__(self) -> None:
-        """Start without instances; batches create them."""
+        """Start empty; batches create the instances."""
         self._instances: dict[int, Balancer] = {}
 
     def run_batch(self, frame: bytes) -> bytes:
-        """Decide one batch and return the reply; what its events raise becomes a fault of their instance.
+        """Process one batch and return the reply; an exception becomes a fault of its instance.
 
-        Raises WireError where the frame breaks the wire's rules.
+        Raises WireError if the frame is malformed.
         """
         now_ns, groups = decode_batch(frame)
         replies: list[tuple[int, list[Action]]] = []
@@ -40,51 +40,51 @@
             try:
                 actions = self._run_instance(number, now_ns, events)
             except Exception as error:  # noqa: BLE001
-                # Faults of an instance are contained here: whatever its decisions raise, the simulator has to
-                # learn which instance failed and why.
+                # Faults are contained here: for any exception the reply tells the simulator which instance
+                # failed and why.
                 fault = InstanceFault(number, f"{type(error).__name__}: {error}")
                 return encode_reply(replies, fault)
             replies.append((number, actions))
         return encode_reply(replies)
 
     def _run_instance(self, number: int, now_ns: int, events: Iterable[WireEvent]) -> list[Action]:
-        """Hand an instance its events in one step; events for one that does not run are ignored."""
-        pending: list[Event] = []
+        """Pass an instance its events in one step; events for an instance that is not running are ignored."""
+        queued: list[Event] = []
         for event in events:
             if isinstance(event, Create | Halt):
-                self._stop(number, now_ns, pending)
-                pending = []
+                self._stop(number, now_ns, queued)
+                queued = []
                 if isinstance(event, Create):
                     self._instances[number] = create_balancer(event)
             elif number in self._instances:
-                pending.append(event)
-        if pending:
-            return self._instances[number].step(now_ns, pending)
+                queued.append(event)
+        if queued:
+            return self._instances[number].step(now_ns, queued)
         return []
 
-    def _stop(self, number: int, now_ns: int, pending: list[Event]) -> None:
-        """End an instance, if it runs, after its last events; their actions are discarded."""
+    def _stop(self, number: int, now_ns: int, last_events: list[Event]) -> None:
+        """Process the last events of a running instance, discard the actions, and remove it."""
         balancer = self._instances.get(number)
         if balancer is not None:
-            balancer.step(now_ns, pending)
+            balancer.step(now_ns, last_events)
             del self._instances[number]
 
 
 def create_balancer(event: Create) -> Balancer:
-    """Start an instance without state; raises SettingsError, whose text names the key, on bad settings."""
+    """Create an instance without state; raises SettingsError, which names the key, for invalid settings."""
     try:
         raw = json.loads(event.settings)
     except ValueError as error:
         raise SettingsError(f"settings are not JSON: {error}") from None
     if not isinstance(raw, dict):
         raise SettingsError("settings are not a JSON object")
-    return Balancer(Settings.parse(raw), event.salt)
+    return Balancer(Settings.parse(raw), event.seed)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer the batches from `source` on `sink`, flushed one by one, until `source` ends.
+    """Write one reply to `sink`, flushed, for each batch from `source`, until `source` ends.
 
-    Raises WireError where the input ends inside a frame or breaks the wire's rules otherwise.
+    Raises WireError if the input ends inside a frame or is otherwise malformed.
     """
     instances = InstanceTable()
     while header := source.read(LENGTH_BYTES):
@@ -99,7 +99,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; returns 1 as exit status after malformed input or a closed output."""
+    """Serve standard input and output; returns exit status 1 after malformed input or a closed output."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/linnetshift/simulation/batch_decoder.py
+++ b/linnetshift/simulation/batch_decoder.py
@@ -1,11 +1,11 @@
 """Decoder of the batches on the simulator's wire: frames of events for many instances.
 
-All numbers are big-endian without padding. A frame is a header and records; a record is a code of one byte
-and the fields of that code, in the order of "Handle these" in the simulator's wire protocol.
+All numbers are big-endian without padding. A frame is a header and records; a record is a one-byte code and
+the fields of that code, in the order of "Handle these" in the simulator's wire protocol.
 
-Decoders are functions `(frame, offset) -> (event, offset behind it)` in a table by event code. They build the
-typed messages of `linnetshift.routing.events` directly, without a form in between, as they run for each
-message. Where the frame ends inside a record they raise `struct.error` or `WireError`.
+Decoders are functions `(frame, offset) -> (event, offset after it)` in a table by event code. As they run for
+each message, they build the typed messages of `linnetshift.routing.events` without an intermediate form. If
+the frame ends inside a record they raise `struct.error` or `WireError`.
 """
 
 from __future__ import annotations
@@ -41,11 +41,11 @@
 )
 
 BATCH_HEADER = Struct(">IIQ")
-"""Bytes of the frame, number of records, clock in nanoseconds."""
+"""Frame length in bytes, number of records, clock in nanoseconds."""
 FLOAT_BYTES = 4
 """Size of one value of a load report."""
 
-# As a plain number, since it is compared with for each record: a look-up in the enumeration costs more.
+# A plain number, as it is compared for each record: looking it up in the enumeration costs more.
 _SELECT_INSTANCE_EVENT = int(EventCode.SELECT_INSTANCE)
 
 _U32 = Struct(">I")
@@ -59,13 +59,13 @@
 _ATTEMPT_ENDED_HEAD = Struct(">I6sBBQHB")
 _HEALTH_CHECK_RESULT_HEAD = Struct(">HQ6sB")
 _PEER_MESSAGE_HEAD = Struct(">HH")
-_LOAD_REPORTS = [Struct(f">{count}f") for count in range(256)]  # by number of values, a single byte
+_LOAD_REPORTS = [Struct(f">{count}f") for count in range(256)]  # by number of values, which is one byte
 
 
 def frame_size(header: bytes) -> int:
-    """Length in bytes of the whole frame that `header` (the first four bytes or more) opens.
+    """Return the length in bytes of the whole frame that starts with `header`, at least four bytes.
 
-    Raises WireError where no frame has that length.
+    Raises WireError if the length is out of range.
     """
     size = int.from_bytes(header[:LENGTH_BYTES], "big")
     if not BATCH_HEADER.size <= size <= MAX_FRAME_BYTES:
@@ -76,7 +76,7 @@
 def decode_batch(frame: bytes) -> tuple[int, list[InstanceEvents]]:
     """Decode one whole frame into its clock, in nanoseconds, and its events by instance.
 
-    An instance may come more than once. Raises WireError where the frame breaks the wire's rules.
+    An instance may occur more than once. Raises WireError if the frame is malformed.
     """
     if len(frame) < BATCH_HEADER.size:
         raise WireError("frame is shorter than its header")
@@ -91,7 +91,7 @@
 
 
 def _decode_records(frame: bytes, count: int) -> list[InstanceEvents]:
-    """Decode the `count` records behind the header, which have to fill the frame."""
+    """Decode the `count` records after the header, which must fill the frame."""
     groups: list[InstanceEvents] = []
     events: list[WireEvent] | None = None
     offset = BATCH_HEADER.size
@@ -120,14 +120,14 @@
 
 
 def _decode_create(frame: bytes, offset: int) -> tuple[Create, int]:
-    """Decode `Create`: seed, and the settings behind their length."""
-    salt, size = _CREATE_HEAD.unpack_from(frame, offset)
+    """Decode `Create`: seed, length of the settings, settings."""
+    seed, size = _CREATE_HEAD.unpack_from(frame, offset)
     offset += _CREATE_HEAD.size
-    return Create(salt, _bytes_at(frame, offset, size)), offset + size
+    return Create(seed, _bytes_at(frame, offset, size)), offset + size
 
 
 def _decode_endpoint_list(frame: bytes, offset: int) -> tuple[EndpointList, int]:
-    """Decode `EndpointList`: form, version, and the entries behind their number."""
+    """Decode `EndpointList`: form, version, number of entries, entries."""
     form, version, count = _LIST_HEAD.unpack_from(frame, offset)
     offset += _LIST_HEAD.size
     size = count * _LIST_ENTRY.size
@@ -136,7 +136,7 @@
 
 
 def _decode_request(frame: bytes, offset: int) -> tuple[Request, int]:
-    """Decode `Request`; group, load hint and key come before other fields on the wire."""
+    """Decode `Request`; on the wire, group, load hint and key are in other places."""
     request_id, group, load_hint, klass, key, flags, tenant, budget_ns = _REQUEST.unpack_from(frame, offset)
     event = Request(request_id, klass, group, key, load_hint, flags, tenant, budget_ns)
     return event, offset + _REQUEST.size
@@ -150,7 +150,7 @@
 
 
 def _decode_attempt_ended(frame: bytes, offset: int) -> tuple[AttemptEnded, int]:
-    """Decode `AttemptEnded`: fixed fields, then a load report behind its number of values."""
+    """Decode `AttemptEnded`: fixed fields, number of values of the load report, values."""
     request_id, endpoint, closed, attempt, elapsed_ns, outcome, count = _ATTEMPT_ENDED_HEAD.unpack_from(
         frame, offset
     )
@@ -171,7 +171,7 @@
 
 
 def _decode_health_check_result(frame: bytes, offset: int) -> tuple[HealthCheckResult, int]:
-    """Decode `HealthCheckResult`: fixed fields, then a load report behind its number of values."""
+    """Decode `HealthCheckResult`: fixed fields, number of values of the load report, values."""
     outcome, elapsed_ns, endpoint, count = _HEALTH_CHECK_RESULT_HEAD.unpack_from(frame, offset)
     offset += _HEALTH_CHECK_RESULT_HEAD.size
     report = _LOAD_REPORTS[count].unpack_from(frame, offset)
@@ -179,7 +179,7 @@
 
 
 def _decode_peer_message(frame: bytes, offset: int) -> tuple[PeerMessage, int]:
-    """Decode `PeerMessage`: sender, and the data behind their length."""
+    """Decode `PeerMessage`: sender, length of the data, data."""
     sender, size = _PEER_MESSAGE_HEAD.unpack_from(frame, offset)
     offset += _PEER_MESSAGE_HEAD.size
     return PeerMessage(sender, _bytes_at(frame, offset, size)), offset + size
@@ -191,7 +191,7 @@
 
 
 def _decode_adopted_connection(frame: bytes, offset: int) -> tuple[AdoptedConnection, int]:
-    """Decode `AdoptedConnection`; its budget is skipped, as no deadline runs."""
+    """Decode `AdoptedConnection`; the budget is skipped, as it has no deadline."""
     fields = _ADOPTED_CONNECTION.unpack_from(frame, offset)
     request_id, _budget_ns, load_hint, key, flags, group, endpoint, tenant, klass = fields
     event = AdoptedConnection(request_id, klass, group, key, load_hint, flags, tenant, endpoint)
@@ -199,18 +199,18 @@
 
 
 def _decode_connection_note(frame: bytes, offset: int) -> tuple[ConnectionNote, int]:
-    """Decode `ConnectionNote`, whose fields have the order of the wire."""
+    """Decode `ConnectionNote`, whose fields are in wire order."""
     note = ConnectionNote._make(_CONNECTION_NOTE.unpack_from(frame, offset))
     return note, offset + _CONNECTION_NOTE.size
 
 
 def _decode_unknown(frame: bytes, offset: int) -> NoReturn:
-    """Reject a code that this version does not know, as the length of its record is unknown too."""
+    """Raise WireError for a code unknown to this version, as the length of its record is unknown too."""
     raise WireError(f"unknown event code {frame[offset - 1]}")
 
 
 def _bytes_at(frame: bytes, offset: int, size: int) -> bytes:
-    """Return `size` bytes; raises WireError where the frame ends before."""
+    """Return `size` bytes at `offset`; raises WireError if the frame is shorter."""
     if offset + size > len(frame):
         raise WireError("truncated record: a field runs past the end of the frame")
     return frame[offset : offset + size]
@@ -233,5 +233,5 @@
     EventCode.CONNECTION_NOTE: _decode_connection_note,
 }
 
-# By each value of the code's byte: a list is read faster than a map with enumeration members as keys.
+# Indexed by code: a list is faster than a mapping with enumeration members as keys.
 _DECODER_BY_CODE = [_DECODERS.get(code, _decode_unknown) for code in range(256)]
--- a/linnetshift/simulation/reply_encoder.py
+++ b/linnetshift/simulation/reply_encoder.py
@@ -1,8 +1,8 @@
-"""Encoder of the replies on the simulator's wire: one frame of actions for each batch.
+"""Encoder of the replies on the simulator's wire: one frame of actions per batch.
 
-All numbers are big-endian without padding. A frame is its length and records; a record is a code of one byte
-and the fields of that code, in the order of "Send these" in the simulator's wire protocol. A table has the
-code and the function that encodes the fields for each type of action.
+All numbers are big-endian without padding. A frame is its length and records; a record is a one-byte code and
+the fields of that code, in the order of "Send these" in the simulator's wire protocol. A table maps each type
+of action to its code and the function that encodes its fields.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 from linnetshift.simulation.wire import MAX_TEXT_BYTES, ActionCode, InstanceFault
 
 REPLY_HEADER = Struct(">I")
-"""Bytes of the frame, this field included."""
+"""Frame length in bytes, this field included."""
 
-# As a plain number, since it is written for each instance: a look-up in the enumeration costs more.
+# A plain number, as it is written for each instance: looking it up in the enumeration costs more.
 _SELECT_INSTANCE_ACTION = int(ActionCode.SELECT_INSTANCE)
 
 _SELECT_INSTANCE = Struct(">BI")
@@ -48,7 +48,7 @@
 def encode_reply(
     replies: Iterable[tuple[int, Iterable[Action]]], fault: InstanceFault | None = None
 ) -> bytes:
-    """Encode one reply frame from the actions by instance; instances without actions take no room."""
+    """Encode one reply frame from the actions by instance; instances without actions are omitted."""
     reply = bytearray(REPLY_HEADER.size)
     for instance, actions in replies:
         instance_start = len(reply)
@@ -69,7 +69,7 @@
 
 
 def _encode_text(text: str) -> bytes:
-    """Encode a text behind its length, cut to `MAX_TEXT_BYTES`."""
+    """Encode a text with its length in front, truncated to `MAX_TEXT_BYTES`."""
     data = text.encode()[:MAX_TEXT_BYTES]
     return _LENGTH.pack(len(data)) + data
 
@@ -78,22 +78,22 @@
 
 
 def _encode_send(action: Send) -> bytes:
-    """Encode request, timeout and endpoint."""
+    """Encode request id, timeout and endpoint."""
     return _SEND.pack(action.request_id, action.timeout_ns, action.endpoint)
 
 
 def _encode_reject(action: Reject) -> bytes:
-    """Encode request and retry-after."""
+    """Encode request id and retry-after."""
     return _REJECT.pack(action.request_id, action.retry_after_ns)
 
 
 def _encode_request_id(action: Fail | Migrate) -> bytes:
-    """Encode the request, the only field."""
+    """Encode the request id, the only field."""
     return _REQUEST_ID.pack(action.request_id)
 
 
 def _encode_cancel(action: Cancel) -> bytes:
-    """Encode request and attempt."""
+    """Encode request id and attempt."""
     return _CANCEL.pack(action.request_id, action.attempt)
 
 
@@ -108,22 +108,22 @@
 
 
 def _encode_send_peer_message(action: SendPeerMessage) -> bytes:
-    """Encode the peer, and the data behind their length."""
+    """Encode peer, length of the data, data."""
     return _PEER_MESSAGE_HEAD.pack(action.peer, len(action.data)) + action.data
 
 
 def _encode_log(action: Log) -> bytes:
-    """Encode the line behind its length."""
+    """Encode the line with its length in front."""
     return _encode_text(action.text)
 
 
 def _encode_watch(action: Watch) -> bytes:
-    """Encode on or off."""
+    """Encode whether the watch is on."""
     return _FLAG.pack(action.on)
 
 
 def _encode_fetch_list(_action: FetchList) -> bytes:
-    """Encode nothing: there are no fields."""
+    """Return no bytes, as there are no fields."""
     return b""
 
 
--- a/linnetshift/simulation/wire.py
+++ b/linnetshift/simulation/wire.py
@@ -1,7 +1,7 @@
-"""What is on the simulator's wire: codes of the records, messages beside events and actions, limits.
+"""Constants of the simulator's wire: record codes, messages other than events and actions, limits.
 
-Source: the simulator's wire protocol ("Read, decide, reply", "Handle these", "Send these"). Where
-its name for a record differs, the comment behind the code has it.
+Source: the simulator's wire protocol ("Read, decide, reply", "Handle these", "Send these"). Where its name
+for a record differs, the comment after the code gives it.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from linnetshift.routing.events import Event
 
 LENGTH_BYTES = 4
-"""Size of the field that opens a frame: the bytes of the whole frame, this field included."""
+"""Size of the length field at the start of a frame; the length includes this field."""
 MAX_FRAME_BYTES = 1 << 30
-"""Far above any batch (they can be megabytes long): a greater length means that the input is malformed."""
+"""Far above the megabytes that a batch can have; a greater length means that the input is malformed."""
 MAX_TEXT_BYTES = 0xFFFF
-"""Texts carry a length of two bytes; longer ones are cut."""
+"""Highest value of the two-byte length of a text; longer texts are truncated."""
 
 
 class WireError(ValueError):
-    """A frame that breaks the wire's rules; as the start of the next one is unknown, the process ends."""
+    """A malformed frame. The process ends, as the start of the next frame is unknown."""
 
 
 class Create(NamedTuple):
     """An instance starts without state."""
 
-    salt: int  # seed of its random numbers
+    seed: int  # of its random numbers
     settings: bytes  # JSON
 
 
@@ -38,15 +38,14 @@
 
 
 InstanceEvents = tuple[int, list[WireEvent]]
-"""Number of an instance, and its events that follow each other in a batch, in order of arrival.
+"""The number of an instance and a run of its events in a batch, in order of arrival.
 
-A plain pair: with named tuples for this and for the batch, decoding recorded batches took over 20% longer in
-a trial.
+A plain pair: with named tuples for this and for the batch, decoding of recorded batches took over 20% longer.
 """
 
 
 class InstanceFault(NamedTuple):
-    """An instance that failed and the error's text, which ends a reply."""
+    """The number of an instance that failed and the text of its error; the last record of a reply."""
 
     instance: int
     text: str
@@ -67,7 +66,7 @@
     HALT = 9
     ADOPTED_CONNECTION = 10  # AlreadyOpen
     CONNECTION_NOTE = 11  # Change
-    SELECT_INSTANCE = 12  # On: whose events the following records are
+    SELECT_INSTANCE = 12  # On: the instance of the following events
 
 
 class ActionCode(IntEnum):
@@ -85,4 +84,4 @@
     WATCH = 10  # Listen
     FETCH_LIST = 11  # Reload
     MIGRATE = 12  # Reassign
-    SELECT_INSTANCE = 13  # As: whose actions the following records are
+    SELECT_INSTANCE = 13  # As: the instance of the following actions
--- a/tests/test_simulation_codec.py
+++ b/tests/test_simulation_codec.py
@@ -1,4 +1,4 @@
-"""The binary codec and the adapter, down to malformed frames."""
+"""The binary codec and the adapter of the simulator, including malformed frames."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     return struct.pack(">IIQ", 16 + len(body), len(records) if count is None else count, now) + body
 
 
-def select_instance(node: int) -> bytes:
-    return struct.pack(">BI", 12, node)
+def select_instance(number: int) -> bytes:
+    return struct.pack(">BI", 12, number)
 
 
 def create_record(**changes: object) -> bytes:
@@ -71,7 +71,7 @@
 
 HALT = b"\x09"
 
-EVENTS = [  # pairs, since tuples of one content are equal whatever their type
+EVENTS = [  # pairs, since tuples with equal content are equal whatever their type
     (Request(1, 0, 2, 4, 3, 8, 5, 6), struct.pack(">BIQQBQHIQ", 2, 1, 2, 3, 0, 4, 8, 5, 6)),
     (
         AdoptedConnection(1, 0, 5, 3, 2, 16, 6, endpoint(1)),
@@ -105,10 +105,10 @@
     _, groups = decode_batch(
         frame(select_instance(1), timer, timer, select_instance(2), select_instance(1), timer)
     )
-    assert [(node, len(events)) for node, events in groups] == [(1, 2), (2, 0), (1, 1)]
+    assert [(number, len(events)) for number, events in groups] == [(1, 2), (2, 0), (1, 1)]
 
 
-ACTIONS = [  # pairs, since tuples of one content are equal whatever their type
+ACTIONS = [  # pairs, since tuples with equal content are equal whatever their type
     (Send(1, endpoint(2), 3), struct.pack(">BIq6s", 0, 1, 3, endpoint(2))),
     (Reject(1, 2), struct.pack(">BIQ", 1, 1, 2)),
     (Fail(1), struct.pack(">BI", 2, 1)),
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("data", MALFORMED.values(), ids=MALFORMED.keys())
-def test_a_malformed_frame_ends_the_adapter_with_one_plain_line(data: bytes) -> None:
+def test_malformed_frame_ends_the_adapter_with_exit_status_1_and_one_line_of_error(data: bytes) -> None:
     run = subprocess.run(
         [sys.executable, "-m", "linnetshift.simulation"], input=data, capture_output=True, timeout=60
     )
@@ -185,7 +185,7 @@
     assert output.count(b"\x0d\0\0\0\x02") == 1
 
 
-def test_instance_created_again_within_one_batch_has_no_former_state() -> None:
+def test_instance_created_again_within_one_batch_starts_without_state() -> None:
     start = frame(select_instance(1), create_record(), list_record(2, entry(1)), now=S)
     after_halt = frame(
         select_instance(1),
@@ -216,7 +216,7 @@
         (json.dumps(raw_settings(discovery="guess")).encode(), "'discovery' has a value"),
     ],
 )
-def test_bad_settings_are_a_fault_that_names_the_key(settings: bytes, text: str) -> None:
+def test_invalid_settings_cause_a_fault_that_names_the_key(settings: bytes, text: str) -> None:
     record = struct.pack(">BQI", 0, 7, len(settings)) + settings
     output = replies(frame(select_instance(4), record))
     assert output[4:9] == struct.pack(">BI", 13, 4)
@@ -224,7 +224,7 @@
     assert text.encode() in output
 
 
-def test_unknown_settings_are_skipped() -> None:
+def test_unknown_settings_are_ignored() -> None:
     assert replies(
         frame(select_instance(1), create_record(novelty={"x": 1}), list_record(2, entry(1)))
     ) == struct.pack(">I", 4)
@@ -251,21 +251,21 @@
     assert text in str(raised.value)
 
 
-def test_fault_ends_the_reply_behind_the_actions_of_other_instances() -> None:
+def test_fault_is_the_last_record_after_the_actions_of_other_instances() -> None:
     timer = struct.pack(">BIBQI", 13, 2, 4, 5, 6)
     fault = struct.pack(">BIBH", 13, 3, 9, 3) + b"bad"
     reply = encode_reply([(2, [SetTimer(5, 6)]), (3, [])], InstanceFault(3, "bad"))
     assert reply == struct.pack(">I", 4 + len(timer) + len(fault)) + timer + fault
 
 
-def test_long_texts_are_cut_to_the_maximum_length() -> None:
+def test_long_texts_are_truncated_to_the_maximum_length() -> None:
     reply = encode_reply([(1, [Log("x" * (MAX_TEXT_BYTES + 1))])])
     assert (
         reply == struct.pack(">IBIBH", 12 + MAX_TEXT_BYTES, 13, 1, 8, MAX_TEXT_BYTES) + b"x" * MAX_TEXT_BYTES
     )
 
 
-def test_fault_of_one_instance_leaves_the_actions_of_those_before_it() -> None:
+def test_fault_of_one_instance_keeps_the_actions_of_earlier_ones() -> None:
     start = frame(select_instance(1), create_record(), list_record(2, entry(1)), now=S)
     bad = struct.pack(">BQI", 0, 7, 1) + b"{"
     output = replies(start, frame(select_instance(1), request_record(1), select_instance(2), bad, now=2 * S))
