--- a/linnetshift/routing/endpoint_selection.py
+++ b/linnetshift/routing/endpoint_selection.py
@@ -182,7 +182,7 @@
         return self._endpoints.get(pending.warming_endpoint)
 
     def _preference_order(self, pending: PendingRequest) -> Iterator[Endpoint]:
-        """The ranking, with endpoints that already serve the group first: each further one adds overhead.
+        """The ranking, but endpoints with connections of the group first, as each further one adds overhead.
 
         A balancer with no more requests and connections than endpoints uses the plain ranking: it knows too
         few connections, and each balancer would concentrate a group on other endpoints. The plain ranking is
--- a/linnetshift/routing/message_latency.py
+++ b/linnetshift/routing/message_latency.py
@@ -16,8 +16,8 @@
 
 # Shares of a balancer's connections to migrate off a slow endpoint at each report, once a second. The first
 # applies from two thirds of the objective on; below that the endpoint is only avoided. From the objective on
-# the second applies, once more for each QUEUED_WORK_NS of latency, as that much work is queued; the third is
-# the maximum.
+# the second applies, and once more for each QUEUED_WORK_NS of latency, as that much work is queued; the third
+# is the maximum.
 NEAR_OBJECTIVE_SHARE = 0.05
 OVER_OBJECTIVE_SHARE = 0.1
 MAX_SHARE = 0.4
--- a/linnetshift/routing/outlier_detection.py
+++ b/linnetshift/routing/outlier_detection.py
@@ -37,7 +37,7 @@
             self.record_failure(endpoint, is_overload=False)
 
     def record_established(self, endpoint: Endpoint, request_id: int, elapsed_ns: int) -> None:
-        """Record that a connection was established: a half-open attempt of that request has succeeded.
+        """Record an established connection: the endpoint responds, and a half-open attempt has succeeded.
 
         `elapsed_ns` is the time from the send of the attempt.
         """
--- a/linnetshift/routing/slow_start.py
+++ b/linnetshift/routing/slow_start.py
@@ -26,7 +26,7 @@
 BUDGET_SHARE = 0.5
 # Assumed load of endpoints that report none: with less spare capacity they could not absorb any fault.
 ASSUMED_LOAD = 0.7
-# Capacity of the token bucket, in overload windows: at a burst every balancer's bucket may be full.
+# Capacity of the token bucket, in overload windows; a burst may find every balancer's bucket full.
 BURST_WINDOWS = 1.0
 NS_PER_S = 1e9
 ARRIVAL_WINDOW_NS = 10_000_000_000  # window of the rate of first arrivals
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -103,15 +103,15 @@
 def test_avoided_endpoint_is_an_alternative_only_for_one_that_stops_soon() -> None:
     parts = Parts(endpoints=2)
     pending = parts.pending(1)
-    leaving, other = parts.endpoint(0), parts.endpoint(1)
-    assert parts.selection.find_alternative(pending, leaving) is other
+    stopping, other = parts.endpoint(0), parts.endpoint(1)
+    assert parts.selection.find_alternative(pending, stopping) is other
     other.ejected_until = 9 * S
-    assert parts.selection.find_alternative(pending, leaving) is None
-    assert parts.selection.find_alternative(pending, leaving, is_stopping_soon=True) is other
+    assert parts.selection.find_alternative(pending, stopping) is None
+    assert parts.selection.find_alternative(pending, stopping, is_stopping_soon=True) is other
     other.started_at = parts.context.now
-    assert parts.selection.find_alternative(pending, leaving, is_stopping_soon=True) is other
+    assert parts.selection.find_alternative(pending, stopping, is_stopping_soon=True) is other
     other.state = EndpointState.DRAINING
-    assert parts.selection.find_alternative(pending, leaving, is_stopping_soon=True) is None
+    assert parts.selection.find_alternative(pending, stopping, is_stopping_soon=True) is None
 
 
 def test_wait_lasts_until_the_first_ejection_ends_and_is_zero_if_an_endpoint_can_be_tried() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -87,24 +87,26 @@
 WINDOW_S = 2  # overload window of the base settings
 
 
-class RestartFigures(NamedTuple):
+class RestartResult(NamedTuple):
     """Connections of the restarted endpoints while they warmed up."""
 
     sent: int
     capacity: float  # connections that they could take in that time
-    fullest_window: float  # the highest; 1.0 is the load that may overload an endpoint
+    peak_window_load: float  # the highest; 1.0 is the load that may overload an endpoint
 
 
 class EndpointRestart:
     """Some endpoints restart under steady arrivals; all balancers get the new list at the same time."""
 
-    def __init__(self, balancer_count: int, uneven: bool, seed: int) -> None:
+    def __init__(self, balancer_count: int, has_uneven_arrivals: bool, seed: int) -> None:
         endpoints = tuple(entry(n, zone=0) for n in range(ENDPOINTS))
         self.fleet = SimulatedBalancers(balancer_count, endpoints, rules={"warmUpNs": WARM_UP_S * S})
         self.draws = random.Random(seed)
-        self.arrival_weights = [1.0 / (1 + n % 10) if uneven else 1.0 for n in range(balancer_count)]
+        self.arrival_weights = [
+            1.0 / (1 + n % 10) if has_uneven_arrivals else 1.0 for n in range(balancer_count)
+        ]
 
-    def run(self, restarts_balancers: bool) -> RestartFigures:
+    def run(self, restarts_balancers: bool) -> RestartResult:
         fleet = self.fleet
         for _ in range(ESTABLISHED):
             self.send_request()
@@ -121,25 +123,25 @@
                 fleet.restart(self.draws.randrange(len(fleet.balancers)), new_list)
             self.send_request()
         fleet.run(fleet.now + S)
-        return self.figures(restarted_at, fleet.sends[sends_before:])
+        return self.evaluate(restarted_at, fleet.sends[sends_before:])
 
     def send_request(self) -> None:
         group = int(1 / (self.draws.random() + 0.02))  # a few groups have most of the clients
         (balancer,) = self.draws.choices(range(len(self.fleet.balancers)), self.arrival_weights)
         self.fleet.send_request(balancer, key=self.draws.getrandbits(60) | 1, group=group)
 
-    def figures(self, restarted_at: int, sends: list[SentAttempt]) -> RestartFigures:
+    def evaluate(self, restarted_at: int, sends: list[SentAttempt]) -> RestartResult:
         sent = 0
-        fullest_window = 0.0
+        peak_window_load = 0.0
         for number in range(RESTARTED_ENDPOINTS):
             times = [send.at for send in sends if send.endpoint == endpoint(number)]
             sent += len(times)
             for at in times:
                 allowed = self.allowed_in_window((at - restarted_at) / S)
                 recent = sum(at - WINDOW_S * S < other <= at for other in times)
-                fullest_window = max(fullest_window, recent / (allowed + 2 * math.sqrt(allowed) + 2))
+                peak_window_load = max(peak_window_load, recent / (allowed + 2 * math.sqrt(allowed) + 2))
         capacity_per_s = [self.allowed_in_window(second + 0.5) / WINDOW_S for second in range(WARM_UP_S)]
-        return RestartFigures(sent, RESTARTED_ENDPOINTS * sum(capacity_per_s), fullest_window)
+        return RestartResult(sent, RESTARTED_ENDPOINTS * sum(capacity_per_s), peak_window_load)
 
     def allowed_in_window(self, age_s: float) -> float:
         """Return the connections allowed in a window; a warm endpoint takes at least the current mean."""
@@ -150,7 +152,7 @@
 
 
 @pytest.mark.parametrize(
-    ("balancer_count", "uneven", "restarts"),
+    ("balancer_count", "has_uneven_arrivals", "restarts"),
     [
         (2, False, False),
         (2, True, False),
@@ -162,15 +164,15 @@
     ],
 )
 def test_many_balancers_use_half_of_slow_start_capacity_and_never_exceed_it(
-    balancer_count: int, uneven: bool, restarts: bool
+    balancer_count: int, has_uneven_arrivals: bool, restarts: bool
 ) -> None:
     # Guards against balancers that each accumulate tokens for a whole connection per endpoint: 200 of them
     # sent 46 connections where the endpoints in slow start have capacity for 300. In a release of half the
     # servers, the warm ones dropped clients for a whole day while the restarted ones were idle.
-    restart = EndpointRestart(balancer_count, uneven, seed=balancer_count)
-    figures = restart.run(restarts_balancers=restarts)
-    assert figures.fullest_window <= 1.0
-    assert figures.sent >= figures.capacity * (0.4 if restarts else 0.45)
+    restart = EndpointRestart(balancer_count, has_uneven_arrivals, seed=balancer_count)
+    result = restart.run(restarts_balancers=restarts)
+    assert result.peak_window_load <= 1.0
+    assert result.sent >= result.capacity * (0.4 if restarts else 0.45)
 
 
 @pytest.mark.parametrize(
