--- a/linnetshift/routing/ranking.py
+++ b/linnetshift/routing/ranking.py
@@ -130,9 +130,9 @@
         self._slow_start.tokens_per_s = token_rate(
             settings,
             first_arrivals_per_s=self._slow_start.first_arrivals_per_s.decayed(self._context.now),
-            established=self.predecessor_connections + own_connections,
+            established_count=self.predecessor_connections + own_connections,
             capacity=self.connections_per_weight * total / settings.balancers,
-            endpoints=len(listed),
+            endpoint_count=len(listed),
         )
 
     def _update_connections_per_weight(self) -> None:
--- a/linnetshift/routing/slow_start.py
+++ b/linnetshift/routing/slow_start.py
@@ -94,20 +94,25 @@
 
 
 def token_rate(
-    settings: Settings, first_arrivals_per_s: float, established: int, capacity: float, endpoints: int
+    settings: Settings,
+    first_arrivals_per_s: float,
+    established_count: int,
+    capacity: float,
+    endpoint_count: int,
 ) -> float:
     """Return the tokens per second that one balancer gets for warming endpoints.
 
     Based on the rate that would fill all endpoints within the warm-up time, which fills a warming one in that
-    time. A balancer's part of all endpoints is the larger of `capacity`, in connections as estimated from
-    reported loads, and the connections `established` through it. Without load reports `capacity` is 0.0, and
-    the part is `established` / ASSUMED_LOAD. A higher rate of first arrivals replaces that rate. The minimum
-    lets all balancers together send each of the `endpoints` one connection per overload window.
+    time. A balancer's part of all connections is `capacity`, as estimated from reported loads, or
+    `established_count`, those of this process and its predecessor, if that is more. Without load reports
+    `capacity` is 0.0, and the part is `established_count` / ASSUMED_LOAD. A higher rate of first arrivals
+    replaces that rate. The minimum lets all balancers together send each of the `endpoint_count` endpoints
+    one connection per overload window.
     """
-    connections = max(established, capacity) if capacity else established / ASSUMED_LOAD
+    connections = max(established_count, capacity) if capacity else established_count / ASSUMED_LOAD
     fill_per_s = connections * NS_PER_S / settings.warm_up_ns
     window_ns = settings.overload_window_ns or settings.warm_up_ns
-    min_per_s = endpoints * NS_PER_S / window_ns / settings.balancers
+    min_per_s = endpoint_count * NS_PER_S / window_ns / settings.balancers
     return BUDGET_SHARE * max(max(first_arrivals_per_s, fill_per_s) * settings.overload_multiple, min_per_s)
 
 
--- a/linnetshift/simulation/adapter.py
+++ b/linnetshift/simulation/adapter.py
@@ -34,9 +34,9 @@
 
         Raises WireError if the frame is malformed.
         """
-        now_ns, groups = decode_batch(frame)
+        now_ns, instance_events = decode_batch(frame)
         replies: list[tuple[int, list[Action]]] = []
-        for number, events in groups:
+        for number, events in instance_events:
             try:
                 actions = self._run_instance(number, now_ns, events)
             except Exception as error:  # noqa: BLE001
--- a/linnetshift/simulation/batch_decoder.py
+++ b/linnetshift/simulation/batch_decoder.py
@@ -84,15 +84,15 @@
     if size != len(frame):
         raise WireError(f"frame says {size} bytes but has {len(frame)}")
     try:
-        groups = _decode_records(frame, count)
+        instance_events = _decode_records(frame, count)
     except struct.error as error:  # a field runs past the end
         raise WireError(f"truncated record: {error}") from None
-    return now_ns, groups
+    return now_ns, instance_events
 
 
 def _decode_records(frame: bytes, count: int) -> list[InstanceEvents]:
     """Decode the `count` records after the header, which must fill the frame."""
-    groups: list[InstanceEvents] = []
+    instance_events: list[InstanceEvents] = []
     events: list[WireEvent] | None = None
     offset = BATCH_HEADER.size
     end = len(frame)
@@ -105,7 +105,7 @@
             (instance,) = _U32.unpack_from(frame, offset)
             offset += _U32.size
             events = []
-            groups.append((instance, events))
+            instance_events.append((instance, events))
             continue
         if events is None:
             raise WireError("event before any instance was named")
@@ -113,7 +113,7 @@
         events.append(event)
     if offset != end:
         raise WireError(f"{end - offset} bytes follow the last record")
-    return groups
+    return instance_events
 
 
 # ---- decoders, one for each event --------------------------------------------------------------
--- a/tests/test_simulation_codec.py
+++ b/tests/test_simulation_codec.py
@@ -102,10 +102,10 @@
 
 def test_events_are_grouped_by_instance_in_order() -> None:
     timer = struct.pack(">BI", 6, 4)
-    _, groups = decode_batch(
+    _, instance_events = decode_batch(
         frame(select_instance(1), timer, timer, select_instance(2), select_instance(1), timer)
     )
-    assert [(number, len(events)) for number, events in groups] == [(1, 2), (2, 0), (1, 1)]
+    assert [(number, len(events)) for number, events in instance_events] == [(1, 2), (2, 0), (1, 1)]
 
 
 ACTIONS = [  # pairs, since tuples with equal content are equal whatever their type
