--- a/linnetshift/simulation/batch_decoder.py
+++ b/linnetshift/simulation/batch_decoder.py
@@ -136,7 +136,7 @@
 
 
 def _decode_request(frame: bytes, offset: int) -> tuple[Request, int]:
-    """Decode `Request`; on the wire, group, load hint and key are in other places."""
+    """Decode `Request`, whose fields have another order on the wire."""
     request_id, group, load_hint, klass, key, flags, tenant, budget_ns = _REQUEST.unpack_from(frame, offset)
     event = Request(request_id, klass, group, key, load_hint, flags, tenant, budget_ns)
     return event, offset + _REQUEST.size
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -46,7 +46,7 @@
     assert endpoint(4) not in after.values()
 
 
-def test_added_endpoint_moves_no_keys_between_other_endpoints() -> None:
+def test_added_endpoint_takes_keys_and_moves_none_between_others() -> None:
     balancer = make_balancer(10)
     before = first_endpoints(balancer, range(1, 2001))
     balancer.step(2 * S, [listed(entry(50), form=ListForm.DELTA)])
