--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -18,7 +18,7 @@
     retry_after_text,
 )
 from linnetshift.frontends.channels.packets import PayloadReader
-from linnetshift.frontends.listener import ANSWER_RESERVE_NS
+from linnetshift.frontends.listener import ANSWER_MARGIN_NS
 from linnetshift.observability.log import MAX_LOGGED_CHARS
 from linnetshift.routing.events import RETRY, RETURNED
 
@@ -150,6 +150,6 @@
         group=open_request.group,
         flags=open_request.routing_flags,
         load_hint=0,
-        deadline=session.loop.ready_since + wait_ns - ANSWER_RESERVE_NS,
+        deadline=session.loop.ready_since + wait_ns - ANSWER_MARGIN_NS,
         encode_request_line=open_request.request_line_encoder(),
     )
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -23,7 +23,7 @@
 )
 from linnetshift.frontends.line_protocol.request_line import LINE_TOO_LONG, RequestLine, RequestLineError
 from linnetshift.frontends.line_protocol.request_reader import RequestReader
-from linnetshift.frontends.listener import ANSWER_RESERVE_NS
+from linnetshift.frontends.listener import ANSWER_MARGIN_NS
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
 
@@ -159,7 +159,7 @@
             group=request_line.group,
             flags=request_line.flags,
             load_hint=request_line.load_hint,
-            deadline=arrived_ns + wait_ns - ANSWER_RESERVE_NS,
+            deadline=arrived_ns + wait_ns - ANSWER_MARGIN_NS,
             encode_request_line=request_line.encode,
             adopted_endpoint=request_line.adopted_endpoint,
         )
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets, and what the frontends have in common."""
+"""Listening sockets, and the base class of the frontends."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from linnetshift.observability.log import Reason
 from linnetshift.routing.events import Outcome
 
-BACKLOG = 1024  # connections that the kernel keeps for a listening socket
-MAX_ACCEPTS_PER_WAKEUP = 64  # so that a flood leaves time for established connections
-MAX_ACCEPTS_AT_CLOSE = 2 * BACKLOG  # a full queue, and what joins it meanwhile
-# How long nothing is accepted while descriptors or buffers are short.
+BACKLOG = 1024  # maximum length of the kernel's accept queue
+MAX_ACCEPTS_PER_WAKEUP = 64  # leaves time for established connections in a flood
+MAX_ACCEPTS_AT_CLOSE = 2 * BACKLOG  # a full queue, and connections that join it meanwhile
+# How long accepting pauses when descriptors or socket buffers have run out.
 ACCEPT_PAUSE_NS = 50 * MS
-# How long before the deadline the answer is due: the client counts from when it sent the request, which was
-# before the loop saw it.
-ANSWER_RESERVE_NS = 4 * MS
+# How long before the deadline the answer is due: the client counts from when it sent the request, which is
+# earlier than when the loop received it.
+ANSWER_MARGIN_NS = 4 * MS
 DESCRIPTOR_SHORTAGE_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE})
-SHORTAGE_ERRNOS = DESCRIPTOR_SHORTAGE_ERRNOS | {errno.ENOBUFS, errno.ENOMEM}
+RESOURCE_SHORTAGE_ERRNOS = DESCRIPTOR_SHORTAGE_ERRNOS | {errno.ENOBUFS, errno.ENOMEM}
 
 
 class Acceptor:
-    """Owns a listening socket, passes each connection on and survives a shortage of descriptors.
+    """Owns a listening socket, hands over each accepted connection, and pauses when descriptors run out.
 
-    An inherited socket is shared with other processes: it is only watched, never bound or shut down, and
-    `listen` is not called on it again.
+    An inherited socket is shared with other processes: it is only watched, and never bound, shut down or
+    passed to `listen` again.
     """
 
     def __init__(
@@ -45,10 +45,10 @@
         inherited: socket.socket | None = None,
         make_room: Callable[[], bool] | None = None,
     ) -> None:
-        """Accept at once, on a new socket bound to `address` unless one is inherited; raises OSError.
+        """Start accepting, on a new socket bound to `address` unless one is inherited; raises OSError.
 
-        `on_accept` owns the socket that it is called with. `make_room` is called for want of a descriptor and
-        returns whether there may be one now; by default it is the loop's.
+        `on_accept` takes ownership of the socket that it is passed. `make_room` is called when no descriptor
+        is free, and returns whether one may be free now; by default it is the loop's.
         """
         self.loop = loop
         self.address = address
@@ -62,24 +62,24 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the socket is not closed yet."""
+        """Whether the socket has not been closed."""
         return self.listener.fileno() >= 0
 
     def set_paused(self, is_paused: bool) -> None:
-        """Leave new connections to another process that shares the socket, or accept them again."""
+        """Stop or resume accepting; meanwhile another process that shares the socket accepts."""
         self.is_paused = is_paused
         if is_paused and self.is_open:
             self.loop.unwatch(self.listener.fileno())
         self._watch()
 
     def close(self) -> None:
-        """Close the socket, after what is in its queue is accepted; a second call does nothing."""
+        """Accept what is queued, unless inherited or paused, and close the socket; idempotent."""
         if not self.is_open:
             return
         if not self.is_inherited and not self.is_paused:
-            # The kernel has accepted those in the queue for their clients; a close would reset them.
+            # To their clients, queued connections are established; closing would reset them.
             self._accept(MAX_ACCEPTS_AT_CLOSE)
-        # First: closing does not end epoll's interest in a socket that other processes hold too.
+        # Before closing: epoll keeps watching a closed socket that other processes still have open.
         self.loop.unwatch(self.listener.fileno())
         self.listener.close()
 
@@ -91,7 +91,7 @@
         self._accept(MAX_ACCEPTS_PER_WAKEUP)
 
     def _accept(self, limit: int) -> None:
-        """Accept at most `limit` connections from the queue; pause while descriptors or buffers are short."""
+        """Accept up to `limit` queued connections; pause if descriptors or buffers have run out."""
         for _ in range(limit):
             try:
                 sock, peer = self.listener.accept()
@@ -100,21 +100,21 @@
             except OSError as error:
                 if error.errno in DESCRIPTOR_SHORTAGE_ERRNOS and self.make_room():
                     continue
-                if error.errno in SHORTAGE_ERRNOS:
+                if error.errno in RESOURCE_SHORTAGE_ERRNOS:
                     self._pause_for(ACCEPT_PAUSE_NS)
                     log.info("accept-paused", error=error.strerror)
                     return
-                continue  # the peer was gone before it was accepted
+                continue  # the peer disconnected before it was accepted
             self.on_accept(sock, peer)
 
     def _pause_for(self, delay_ns: int) -> None:
-        """Stop watching for a while: the queue stays readable, and the loop would spin on it."""
+        """Stop watching for `delay_ns`: the socket stays readable, so the loop would spin."""
         self.loop.unwatch(self.listener.fileno())
         self.loop.call_later(delay_ns, self._watch)
 
 
 def _open_listener(address: Address) -> socket.socket:
-    """Return a socket that listens on the address; raises OSError, with nothing left open."""
+    """Return a socket that listens on `address`; raises OSError and leaves no descriptor open."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -127,54 +127,54 @@
 
 
 class Frontend(ABC):
-    """Accepts clients of one protocol, at an address that may change while the program runs."""
+    """Accepts clients of one protocol, at an address that may change while the process runs."""
 
     def __init__(
         self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
     ) -> None:
-        """Create a frontend that listens nowhere yet."""
+        """Create a frontend that does not listen yet."""
         self.loop = loop
         self.broker = broker
         self.names = names
         self.connection_limiter = connection_limiter
-        self.is_draining = False  # new clients are to go elsewhere: PING is answered with ERR
+        self.is_draining = False  # PING is answered with ERR, so that new clients go elsewhere
         self.acceptor: Acceptor | None = None
 
     @property
     def address(self) -> Address | None:
-        """Where this frontend listens; None while it does not."""
+        """The address that this frontend listens on; None while it does not listen."""
         return self.acceptor.address if self.acceptor is not None else None
 
     @abstractmethod
     def handle_connection(self, sock: socket.socket, peer: Address) -> None:
-        """Serve a connection that was accepted; owns the socket from now on."""
+        """Serve an accepted connection; takes ownership of the socket."""
 
     def listen(self, address: Address, inherited: socket.socket | None = None) -> None:
-        """Listen on the address unless this frontend does already; raises OSError."""
+        """Listen on `address` unless this frontend already does; raises OSError."""
         if address != self.address:
             self.use_acceptor(Acceptor(self.loop, address, self.handle_connection, inherited))
 
     def set_paused(self, is_paused: bool) -> None:
-        """Leave new connections to this process's successor, or accept them again."""
+        """Stop accepting, which leaves new connections to the successor, or resume."""
         self.is_draining = is_paused
         if self.acceptor is not None:
             self.acceptor.set_paused(is_paused)
 
     def use_acceptor(self, acceptor: Acceptor) -> None:
-        """Own this acceptor in place of the present one, which is closed; accepted connections go on."""
+        """Replace and close the current acceptor; accepted connections stay open."""
         self.close()
         self.is_draining = False
         self.acceptor = acceptor
 
     def close(self) -> None:
-        """Stop listening; accepted connections go on."""
+        """Stop listening; accepted connections stay open."""
         if self.acceptor is not None:
             self.acceptor.close()
             self.acceptor = None
 
 
 def endpoint_end_reason(outcome: int, is_reset: bool) -> Reason:
-    """The reason to log for an established connection that its endpoint ended with this `Outcome`."""
+    """Return the reason to log for an established connection that its endpoint ended with this `Outcome`."""
     if is_reset:
         return Reason.ENDPOINT_RESET
     if outcome == Outcome.OK:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""A listening socket: who closes it, and what happens to connections in its queue."""
+"""Closing and pausing an `Acceptor`, and what happens to queued connections and inherited sockets."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
 def test_failed_bind_leaves_no_descriptor_open(acceptor: Acceptor) -> None:
     address: Address = acceptor.listener.getsockname()
     loop = Loop()
-    before = len(os.listdir("/proc/self/fd"))
-    with pytest.raises(OSError, match="in use") as raised:  # the error is kept, and its frames with it
+    open_descriptors = len(os.listdir("/proc/self/fd"))
+    with pytest.raises(OSError, match="in use") as raised:  # `raised` keeps the error's frames alive
         Acceptor(loop, address, lambda _sock, _peer: None)
     assert raised.value.errno == errno.EADDRINUSE
-    assert len(os.listdir("/proc/self/fd")) == before
+    assert len(os.listdir("/proc/self/fd")) == open_descriptors
 
 
-def test_close_accepts_the_queue_first(acceptor: Acceptor, accepted: list[socket.socket]) -> None:
-    # They count as connected for their clients: a close would reset them.
+def test_close_accepts_queued_connections_first(acceptor: Acceptor, accepted: list[socket.socket]) -> None:
+    # To their clients, queued connections are established: closing without accepting would reset them.
     with connect(acceptor), connect(acceptor):
         acceptor.close()
         assert len(accepted) == 2
@@ -56,7 +56,7 @@
         acceptor.close()
 
 
-def test_close_of_a_paused_acceptor_leaves_the_queue(
+def test_close_of_a_paused_acceptor_accepts_nothing(
     acceptor: Acceptor, accepted: list[socket.socket]
 ) -> None:
     acceptor.set_paused(True)
@@ -65,7 +65,7 @@
     assert accepted == []
 
 
-def test_inherited_socket_is_closed_here_alone(accepted: list[socket.socket]) -> None:
+def test_close_of_an_inherited_socket_leaves_it_open_elsewhere(accepted: list[socket.socket]) -> None:
     with socket.create_server(ANY_PORT) as shared:
         acceptor = Acceptor(Loop(), ANY_PORT, lambda sock, _peer: accepted.append(sock), shared.dup())
         with connect(acceptor):
@@ -74,7 +74,9 @@
             shared.accept()[0].close()
 
 
-def test_pause_leaves_connections_until_it_ends(acceptor: Acceptor, accepted: list[socket.socket]) -> None:
+def test_paused_acceptor_accepts_queued_connections_after_resuming(
+    acceptor: Acceptor, accepted: list[socket.socket]
+) -> None:
     acceptor.set_paused(True)
     with connect(acceptor):
         assert acceptor.loop.handlers == {}
