--- a/linnetshift/frontends/channels/channel.py
+++ b/linnetshift/frontends/channels/channel.py
@@ -1,4 +1,4 @@
-"""One request as a channel of a session: flow control, data in both directions and the channel's end."""
+"""One request as a channel of a session: flow control, data in both directions and closing."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 
 MIGRATE_REQUEST = b"move@linnetshift"
 RESET_REQUEST = b"reset@linnetshift"
-# What a client may have under way on a channel, and so the most that is kept for a slow endpoint.
-WINDOW_BYTES = 32_768
-# Data in one packet; with several channels a packet is also one turn of writing.
+# Receive window of a channel, which also bounds the data buffered for a slow endpoint.
+RECEIVE_WINDOW_BYTES = 32_768
+# Most data in one packet; channels with pending data take turns packet by packet.
 MAX_DATA_BYTES = 16_384
 MAX_WINDOW_BYTES = 0xFFFFFFFF  # RFC 4254, section 5.2
-# An ending channel's last data is given up when the client has granted no window for it for so long.
+# Pending data of a closing channel is dropped when the client has not granted window for it within this time.
 CLOSE_TIMEOUT_NS = S
 
 
 class CloseTimeout(NamedTuple):
-    """Timer tag: the window for the last data of an ending channel has not been granted in time."""
+    """Timer tag: the client has not granted window for a closing channel's pending data in time."""
 
     channel: Channel
 
 
 class Channel:
-    """One request inside a session; the broker's client port (`broker.active_request.Client`).
+    """One request inside a session; implements the broker's `Client` (`broker.ports.Client`).
 
-    Windows are in bytes: `send_window` is what the client still takes, `receive_window` what it may still
-    send, `bytes_to_grant` what it has sent and has not been granted again. `pending` holds data that waits
-    for window or for the channel's turn to write; while `is_endpoint_paused`, the endpoint waits until it
-    is empty.
+    Windows are in bytes: `send_window` is how much the client still accepts, `receive_window` how much it may
+    still send, `bytes_to_grant` how much it has sent since its window was last extended. `pending` holds data
+    that waits for window or for the channel's turn to write. While `is_endpoint_paused`, the endpoint's
+    connection is resumed once `pending` is empty.
     """
 
     def __init__(
@@ -60,21 +60,21 @@
         send_window: int,
         max_packet_bytes: int,
     ) -> None:
-        """`sender_channel` is this side's number, `recipient_channel` the client's."""
+        """`sender_channel` is the proxy's number for the channel, `recipient_channel` the client's."""
         self.session = session
         self.sender_channel = sender_channel
         self.recipient_channel = recipient_channel
         self.send_window = send_window
         self.max_data_bytes = max(1, min(max_packet_bytes, MAX_DATA_BYTES))
-        self.receive_window = WINDOW_BYTES
+        self.receive_window = RECEIVE_WINDOW_BYTES
         self.bytes_to_grant = 0
         self.pending = bytearray()
         self.is_in_write_queue = False
         self.is_endpoint_paused = False
         self.is_confirmed = False
         self.is_close_sent = False
-        self.is_closing = False  # this side ends the channel once its pending data is sent
-        self.closing_request: bytes | None = None  # sent before CLOSE in place of EOF
+        self.is_closing = False  # CLOSE is sent after the pending data
+        self.closing_request: bytes | None = None  # request type sent before CLOSE in place of EOF
         self.end_reason = Reason.CHANNEL_CLOSED
         self.began_at = session.loop.now()
         self.endpoint = b""
@@ -84,21 +84,21 @@
 
     @property
     def is_congested(self) -> bool:
-        """Whether data waits for the client, so that the endpoint should pause."""
+        """Whether data is waiting for the client, so that the endpoint should pause."""
         return bool(self.pending)
 
     @property
     def is_present(self) -> bool:
-        """Whether the client has not left.
+        """Whether the client is still connected.
 
-        A client that leaves unread what it was sent is not read from, so its end may be waiting unseen: it
+        A client that does not read what it was sent is not read from, so its end could go undetected: it
         counts as gone.
         """
         stream = self.session.stream
         return self.sender_channel in self.session.channels and stream.reading and stream.is_present
 
     def handle_established(self, receipt: memoryview) -> None:
-        """An endpoint serves the request: confirm the channel with its receipt."""
+        """Confirm the channel, with the receipt of the endpoint that serves the request."""
         self.is_confirmed = True
         if self.request.attempt is not None:
             self.endpoint = self.request.attempt.endpoint
@@ -106,27 +106,27 @@
             encode_open_confirmation(
                 self.recipient_channel,
                 self.sender_channel,
-                WINDOW_BYTES,
+                RECEIVE_WINDOW_BYTES,
                 MAX_DATA_BYTES,
                 bytes(receipt).rstrip(b"\r\n"),
             )
         )
 
     def deliver(self, message: memoryview) -> None:
-        """Data from the endpoint, sent as far as window and socket allow."""
+        """Send data from the endpoint as far as window and socket allow, and keep the rest as pending."""
         self.pending += message
         self.session.enqueue_write(self)
         self.is_endpoint_paused = bool(self.pending)
 
     def resume(self) -> None:
-        """The endpoint takes messages again: the client may send as much as has been passed on."""
+        """Extend the client's window by what it has sent, since the endpoint is no longer congested."""
         if self.bytes_to_grant and self.is_confirmed and not self.is_close_sent:
             self.receive_window += self.bytes_to_grant
             self.session.write(encode_window_adjust(self.recipient_channel, self.bytes_to_grant))
             self.bytes_to_grant = 0
 
     def reject(self, retry_after_ns: int, breach: str) -> None:
-        """Answer that the request was not done and may be sent again; `breach` names a contract's limit."""
+        """Answer that the request was not executed; `breach` names a contract's limit or is empty."""
         text = retry_after_text(ceil_ms(retry_after_ns))
         if breach:
             reason = OpenFailureReason.ADMINISTRATIVELY_PROHIBITED
@@ -144,44 +144,44 @@
         self.session.remove_channel(self)
 
     def migrate(self, reason: str) -> None:
-        """End the channel with the request to open it anew elsewhere."""
+        """Close the channel and ask the client to open a new one."""
         self.session.broker.handle_client_ended(self.request, False)
         self.close(Reason(reason), MIGRATE_REQUEST)
 
     def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
-        """End the channel as the endpoint ended its connection."""
+        """Close the channel the way the endpoint ended its connection."""
         self.close(endpoint_end_reason(outcome, reset), RESET_REQUEST if reset else None)
 
     # ---- the client's side ----------------------------------------------------------------
 
     @property
     def upstream_connection(self) -> UpstreamConnection | None:
-        """The connection to the endpoint, while there is one."""
+        """The connection to the endpoint; None while there is none."""
         return self.request.attempt.upstream if self.request.attempt is not None else None
 
     def receive_data(self, data: memoryview) -> None:
-        """Pass data on; window is granted again once half of it is used and the endpoint keeps up."""
-        self._use_window(len(data))
+        """Pass data on; extends the window once half is used, unless the endpoint is congested."""
+        self._consume_window(len(data))
         upstream = self.upstream_connection
         if upstream is None:
             return
         upstream.deliver(data)
-        if not upstream.is_congested and self.bytes_to_grant >= WINDOW_BYTES // 2:
+        if not upstream.is_congested and self.bytes_to_grant >= RECEIVE_WINDOW_BYTES // 2:
             self.resume()
 
     def discard_data(self, size: int) -> None:
-        """Count data that is not passed on, and grant its window again."""
-        self._use_window(size)
+        """Count data that is not passed on, and extend the window by it at once."""
+        self._consume_window(size)
         self.resume()
 
-    def _use_window(self, size: int) -> None:
+    def _consume_window(self, size: int) -> None:
         if size > self.receive_window:
             raise ProtocolError("data beyond the channel's window")
         self.receive_window -= size
         self.bytes_to_grant += size
 
     def add_window(self, bytes_to_add: int) -> None:
-        """The client takes so many bytes more."""
+        """Extend the send window; raises ProtocolError beyond MAX_WINDOW_BYTES."""
         self.send_window += bytes_to_add
         if self.send_window > MAX_WINDOW_BYTES:
             raise ProtocolError("a window beyond 2^32 - 1")
@@ -189,7 +189,7 @@
             self.session.enqueue_write(self)
 
     def handle_close(self) -> None:
-        """The client closes the channel, or confirms this side's close."""
+        """Handle CLOSE: the client closes the channel, or confirms that this side has."""
         if not self.is_close_sent:
             self.is_close_sent = True
             self.session.write(encode_channel_close(self.recipient_channel))
@@ -199,7 +199,7 @@
     # ---- writing and closing ----------------------------------------------------------------
 
     def write_packet(self) -> None:
-        """Write one packet of pending data, so that each channel with data gets its turn."""
+        """Write one packet of pending data; once none is left, close or resume the endpoint as due."""
         size = min(len(self.pending), self.send_window, self.max_data_bytes)
         if size:
             with memoryview(self.pending) as view, view[:size] as data:
@@ -217,9 +217,9 @@
                 upstream.resume()
 
     def close(self, reason: Reason, channel_request: bytes | None) -> None:
-        """Close between two messages: pending data goes first, if the client takes it in time.
+        """Close between two messages, after pending data if the client grants window for it in time.
 
-        The client is sent `channel_request` before CLOSE, or EOF where it is None.
+        CLOSE is preceded by `channel_request`, or by EOF if that is None.
         """
         if self.is_closing or self.is_close_sent:
             return
@@ -232,7 +232,7 @@
             self.finish_close()
 
     def finish_close(self) -> None:
-        """Send what ends a closing channel; data that is still pending is dropped."""
+        """Send the final messages of a closing channel, and drop data that is still pending."""
         if self.is_close_sent:
             return
         if self.closing_request is not None:
@@ -243,7 +243,7 @@
         self.pending.clear()
         self.session.write(encode_channel_close(self.recipient_channel))
 
-    def report_end(self) -> None:
+    def log_end(self) -> None:
         """Log the channel's end."""
         log.connection_ended(
             "channel",
--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -1,4 +1,4 @@
-"""CHANNEL_OPEN: the form of a request on this frontend, its checks, and the channel made from it."""
+"""CHANNEL_OPEN: parsing and checking it, and creating its channel and request."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 # The bits of the flags field.
 RETRY_FLAG = 1
 RETURNED_FLAG = 2
-MAX_TENANT_CHARS = MAX_LOGGED_CHARS  # as many as are logged of a peer's text
-MAX_SESSION_CHANNELS = 256
-# When all sessions together have too many channels, clients come back after this.
+MAX_TENANT_CHARS = MAX_LOGGED_CHARS  # as much of a peer's text as is logged
+MAX_CHANNELS_PER_SESSION = 256
+# Retry delay for clients when all sessions together have too many channels.
 OVERLOADED_RETRY_AFTER_MS = 1000
-# Control characters, space, and what separates the NAME=VALUE pairs of a request line; the tenant is one.
+# Control characters, space and the separators of a request line's fields, one of which is the tenant.
 INVALID_TENANT_CHARACTERS = re.compile(r"[\x00-\x20,=\x7f]")
 
 
 class ChannelOpenError(ValueError):
-    """A channel that is not opened; reason and text go into CHANNEL_OPEN_FAILURE."""
+    """A CHANNEL_OPEN that is refused; reason and text are sent in CHANNEL_OPEN_FAILURE."""
 
     def __init__(self, reason: OpenFailureReason, text: str) -> None:
-        """`text` is for people; clients go by the reason."""
+        """`text` is human-readable; clients act on `reason`."""
         super().__init__(text)
         self.reason = reason
 
@@ -53,12 +53,12 @@
     tenant: str
     key: int
     group: int  # 0 for none
-    wait_ms: int  # how long the client waits for an answer; 0 for the class's deadline
+    wait_ms: int  # how long the client waits for an answer; 0: the class's deadline
     flags: int
 
     @classmethod
     def read(cls, payload: PayloadReader) -> ChannelOpenRequest:
-        """Read them in the order they have on the wire; older clients send no flags."""
+        """Read the fields in the order on the wire; older clients send no flags."""
         return cls(
             class_name=payload.text(),
             tenant=payload.text(),
@@ -70,18 +70,18 @@
 
     @property
     def has_valid_tenant(self) -> bool:
-        """Whether the tenant's name can stand in a request line."""
+        """Whether the tenant's name is allowed in a request line."""
         return len(self.tenant) <= MAX_TENANT_CHARS and INVALID_TENANT_CHARACTERS.search(self.tenant) is None
 
     @property
     def routing_flags(self) -> int:
-        """The flags as the routing events have them."""
+        """The flags as bits of `routing.events`."""
         retry = RETRY if self.flags & RETRY_FLAG else 0
         returned = RETURNED if self.flags & RETURNED_FLAG else 0
         return retry | returned
 
     def request_line_encoder(self) -> Callable[[int], bytes]:
-        """What encodes the endpoint's request line, given the milliseconds that remain for its answer."""
+        """Return a function that encodes the endpoint's request line for a deadline in milliseconds."""
         head = f"OPEN {secrets.randbits(64):016x} {self.key:016x} c={self.class_name},t={self.tenant},d="
         options = f",g={self.group:016x}" if self.group else ""
         if self.flags & RETRY_FLAG:
@@ -96,7 +96,7 @@
 
 
 def handle_channel_open(session: Session, payload: PayloadReader) -> None:
-    """Submit the request to the broker, or answer why the channel is not opened."""
+    """Submit the request to the broker, or answer with CHANNEL_OPEN_FAILURE."""
     channel_type = payload.text()
     sender_channel = payload.uint32()
     initial_window = payload.uint32()
@@ -119,7 +119,7 @@
 
 
 def find_class(session: Session, open_request: ChannelOpenRequest) -> int:
-    """The number of the request's class; raises ChannelOpenError where a field has an impossible value."""
+    """Return the number of the request's class; raises ChannelOpenError for an invalid field."""
     class_number = session.frontend.names.classes.get(open_request.class_name)
     if class_number is None or not open_request.has_valid_tenant or open_request.wait_ms > MAX_WAIT_MS:
         raise ChannelOpenError(
@@ -129,17 +129,17 @@
 
 
 def check_capacity(session: Session) -> None:
-    """Raise ChannelOpenError where no more channels are taken, here or in all sessions together."""
-    if session.frontend.is_draining or len(session.channels) >= MAX_SESSION_CHANNELS:
+    """Raise ChannelOpenError if the frontend drains, or the session or the frontend is full."""
+    if session.frontend.is_draining or len(session.channels) >= MAX_CHANNELS_PER_SESSION:
         raise ChannelOpenError(OpenFailureReason.RESOURCE_SHORTAGE, retry_after_text(0))
     if session.frontend.is_full:
-        # A channel costs its client nothing: without a bound, those that wait would fill memory.
+        # Channels cost a client nothing: without a limit, waiting ones would exhaust memory.
         text = retry_after_text(OVERLOADED_RETRY_AFTER_MS)
         raise ChannelOpenError(OpenFailureReason.RESOURCE_SHORTAGE, text)
 
 
 def create_request(channel: Channel, class_number: int, open_request: ChannelOpenRequest) -> ActiveRequest:
-    """The request as the broker takes it; its answer is due a little before the client stops waiting."""
+    """Return the request for the broker; its answer is due shortly before the client's deadline."""
     session = channel.session
     wait_ns = open_request.wait_ms * MS or session.broker.settings.classes[class_number].deadline_ns
     return ActiveRequest(
--- a/linnetshift/frontends/channels/frontend.py
+++ b/linnetshift/frontends/channels/frontend.py
@@ -1,4 +1,4 @@
-"""Accepts sessions and knows those that are open."""
+"""The frontend of the channels protocol: accepts sessions and keeps track of the open ones."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 
 
 class ChannelsFrontend(Frontend):
-    """Accepts sessions at the address of the broker's own file, while this proxy is to listen there."""
+    """Accepts sessions at the address in the broker file, while `ChannelsActivation` lets it listen."""
 
     def __init__(
         self, loop: Loop, broker: Broker, names: NameRegistry, connection_limiter: ConnectionLimiter
     ) -> None:
-        """A frontend that listens nowhere until it is given an address."""
+        """Create a frontend that does not listen yet."""
         super().__init__(loop, broker, names, connection_limiter)
         self.sessions: set[Session] = set()
         self.open_channels = 0  # of all sessions
 
     @property
     def is_full(self) -> bool:
-        """Whether all sessions together have as many channels as may be open."""
+        """Whether MAX_OPEN_CHANNELS channels are open."""
         return self.open_channels >= MAX_OPEN_CHANNELS
 
     def handle_connection(self, sock: socket.socket, peer: Address) -> None:
-        """Start a session on an accepted connection."""
+        """Start a session on an accepted connection; takes ownership of the socket."""
         session = Session(self, sock, peer)
         session.start(session.run())
 
     def drain(self) -> None:
-        """Accept no new session; each open one ends once its channels have."""
+        """Stop listening; each open session ends once it has no channels."""
         self.is_draining = True
         self.close()
         self._drain_sessions()
 
     def set_paused(self, is_paused: bool) -> None:
-        """Leave new sessions to the process that takes over, or accept them again."""
+        """Leave new sessions to the successor and drain the open ones, or accept sessions again."""
         super().set_paused(is_paused)
         if is_paused:
             self._drain_sessions()
@@ -55,12 +55,12 @@
             session.post(DrainStarted())
 
     def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
-        """Sessions and channels; `connections` is the most sockets that may be open at once."""
+        """Return the numbers of sessions and channels; at most `connections` sockets may be open."""
         return {
             "channels.sessions": ResourceUsage(len(self.sessions), connections),
             "channels.open": ResourceUsage(self.open_channels, MAX_OPEN_CHANNELS),
         }
 
     def channels(self) -> list[Channel]:
-        """The channels of all sessions."""
+        """Return the channels of all sessions."""
         return [channel for session in self.sessions for channel in session.channels.values()]
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -228,7 +228,7 @@
         channel.pending.clear()
         if not self.channels and not self.stream.closed:
             self.frontend.connection_limiter.add(self)
-        channel.report_end()
+        channel.log_end()
 
     # ---- writing ----------------------------------------------------------------------------
 
