--- a/linnetshift/frontends/channels/message_handlers.py
+++ b/linnetshift/frontends/channels/message_handlers.py
@@ -1,4 +1,4 @@
-"""What a session does with each message of the connection protocol that it receives."""
+"""Handlers for the messages of SSH's connection protocol that a session receives."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 MessageHandler = Callable[["Session", PayloadReader], None]
 
-SEQUENCE_NUMBER_MASK = 0xFFFFFFFF  # RFC 4253, section 6.4: they wrap after 2^32 packets
+SEQUENCE_NUMBER_MASK = 0xFFFFFFFF  # RFC 4253, section 6.4: wraps after 2^32 packets
 
 
 def handle_message(session: Session, payload: PayloadReader) -> None:
-    """Handle one payload; raises ProtocolError where it breaks the protocol."""
+    """Handle one payload; raises ProtocolError if it violates the protocol."""
     handler = HANDLERS.get(payload.byte())
     if handler is None:
         sequence_number = (session.packets_received - 1) & SEQUENCE_NUMBER_MASK
@@ -35,7 +35,7 @@
 
 
 def find_channel(session: Session, payload: PayloadReader) -> Channel:
-    """The channel that the message is for, from its recipient channel field."""
+    """Return the channel in the recipient channel field; raises ProtocolError if there is none."""
     channel = session.channels.get(payload.uint32())
     if channel is None or not (channel.is_confirmed or channel.is_close_sent):
         raise ProtocolError("no such channel")
@@ -55,12 +55,12 @@
 
 
 def _handle_channel_eof(session: Session, payload: PayloadReader) -> None:
-    # Not passed on: an endpoint takes the end of our sending as the end of the connection.
+    # Not passed on: an endpoint treats a FIN as the end of the connection in both directions.
     find_channel(session, payload)
 
 
 def _handle_extended_data(session: Session, payload: PayloadReader) -> None:
-    """There is no second stream to an endpoint: the data is counted and discarded."""
+    """Count and discard the data: the connection to the endpoint has no second stream."""
     channel = find_channel(session, payload)
     payload.uint32()  # the data type code
     channel.discard_data(len(payload.string()))
@@ -68,13 +68,13 @@
 
 def _handle_channel_request(session: Session, payload: PayloadReader) -> None:
     channel = find_channel(session, payload)
-    payload.string()  # the request type: none is known
+    payload.string()  # the request type; none is supported
     if payload.boolean() and not channel.is_close_sent:
         session.write(encode_channel_failure(channel.recipient_channel))
 
 
 def _handle_global_request(session: Session, payload: PayloadReader) -> None:
-    payload.string()  # the request name: none is known
+    payload.string()  # the request name; none is supported
     if payload.boolean():
         session.write(encode_request_failure())
 
@@ -84,7 +84,7 @@
 
 
 def _ignore(_session: Session, _payload: PayloadReader) -> None:
-    """Nothing to do, or the answer to a keep-alive: that anything came is noted by the read itself."""
+    """Do nothing; where it answers a keep-alive, the read itself has reset the unanswered count."""
 
 
 def _handle_unexpected_open_answer(_session: Session, _payload: PayloadReader) -> None:
--- a/linnetshift/frontends/channels/messages.py
+++ b/linnetshift/frontends/channels/messages.py
@@ -1,16 +1,16 @@
-"""The messages of SSH's connection protocol (RFC 4254) that are sent, their numbers and reason codes."""
+"""Messages of SSH's connection protocol (RFC 4254): numbers, reason codes and encoding."""
 
 from __future__ import annotations
 
 import struct
 from enum import IntEnum
 
-# RFC 4254 calls for the language of each human-readable text (RFC 3066).
+# RFC 4254 requires a language tag (RFC 3066) after each human-readable text.
 LANGUAGE_TAG = b"en"
 
 
 class MessageNumber(IntEnum):
-    """The first byte of a payload: RFC 4250, section 4.1.2."""
+    """The first byte of a payload (RFC 4250, section 4.1.2)."""
 
     DISCONNECT = 1
     IGNORE = 2
@@ -33,7 +33,7 @@
 
 
 class OpenFailureReason(IntEnum):
-    """Why a channel was not opened: RFC 4254, section 5.1."""
+    """Why a channel was not opened (RFC 4254, section 5.1)."""
 
     ADMINISTRATIVELY_PROHIBITED = 1
     CONNECT_FAILED = 2
@@ -42,7 +42,7 @@
 
 
 class DisconnectReason(IntEnum):
-    """Why a session was ended: RFC 4253, section 11.1."""
+    """Why a session was ended (RFC 4253, section 11.1)."""
 
     PROTOCOL_ERROR = 2
     PROTOCOL_VERSION_NOT_SUPPORTED = 8
@@ -50,12 +50,12 @@
 
 
 def encode_string(text: bytes | memoryview) -> bytes:
-    """A string as RFC 4251 has it: its length as uint32, then its bytes."""
+    """A string of RFC 4251, section 5: its length as uint32, then its bytes."""
     return struct.pack(">I", len(text)) + text
 
 
 def retry_after_text(retry_after_ms: int) -> str:
-    """How a failure to open says when the client may try again."""
+    """The text of an open failure that tells the client when to retry."""
     return f"come again after {retry_after_ms} ms"
 
 
@@ -66,12 +66,12 @@
 
 
 def encode_unimplemented(sequence_number: int) -> bytes:
-    """UNIMPLEMENTED: the answer to an unknown message, by the sequence number of its packet."""
+    """UNIMPLEMENTED: the answer to an unknown message, with its packet's sequence number."""
     return struct.pack(">BI", MessageNumber.UNIMPLEMENTED, sequence_number)
 
 
 def encode_global_request(name: bytes) -> bytes:
-    """GLOBAL_REQUEST with the wish for a reply."""
+    """GLOBAL_REQUEST with `want reply` set."""
     return struct.pack(">B", MessageNumber.GLOBAL_REQUEST) + encode_string(name) + b"\1"
 
 
@@ -83,7 +83,7 @@
 def encode_open_confirmation(
     recipient_channel: int, sender_channel: int, window: int, max_packet_bytes: int, receipt: bytes
 ) -> bytes:
-    """CHANNEL_OPEN_CONFIRMATION; the field specific to the channel type is the endpoint's receipt."""
+    """CHANNEL_OPEN_CONFIRMATION, with the endpoint's receipt as the channel type's own field."""
     head = struct.pack(
         ">BIIII",
         MessageNumber.CHANNEL_OPEN_CONFIRMATION,
@@ -102,7 +102,7 @@
 
 
 def encode_window_adjust(recipient_channel: int, bytes_to_add: int) -> bytes:
-    """CHANNEL_WINDOW_ADJUST: the other side may send so many bytes more."""
+    """CHANNEL_WINDOW_ADJUST: the other side may send `bytes_to_add` bytes more."""
     return struct.pack(">BII", MessageNumber.CHANNEL_WINDOW_ADJUST, recipient_channel, bytes_to_add)
 
 
@@ -122,11 +122,11 @@
 
 
 def encode_channel_request(recipient_channel: int, request_type: bytes) -> bytes:
-    """CHANNEL_REQUEST without the wish for a reply."""
+    """CHANNEL_REQUEST with `want reply` not set."""
     head = struct.pack(">BI", MessageNumber.CHANNEL_REQUEST, recipient_channel)
     return head + encode_string(request_type) + b"\0"
 
 
 def encode_channel_failure(recipient_channel: int) -> bytes:
-    """CHANNEL_FAILURE: the answer to a channel request that is not known."""
+    """CHANNEL_FAILURE: the answer to an unknown channel request."""
     return struct.pack(">BI", MessageNumber.CHANNEL_FAILURE, recipient_channel)
--- a/linnetshift/frontends/channels/packets.py
+++ b/linnetshift/frontends/channels/packets.py
@@ -12,33 +12,33 @@
 from linnetshift.frontends.channels.messages import DisconnectReason
 
 IDENTIFICATION = b"SSH-2.0-linnetshift\r\n"
-# RFC 4253, section 4.2: the identification with its line end.
+# RFC 4253, section 4.2; includes the line end.
 MAX_IDENTIFICATION_BYTES = 255
 IDENTIFICATION_PREFIX = b"SSH-"
-# Those that speak version 2.0; 1.99 is how a server says that it speaks older ones too (section 5.1).
+# Prefixes for version 2.0; a server that also supports older versions sends 1.99 (section 5.1).
 KNOWN_VERSIONS = (b"SSH-2.0-", b"SSH-1.99")
 
-# RFC 4253, section 6: without a cipher a packet is a multiple of 8 bytes, 4 of them padding at least.
+# RFC 4253, section 6: without a cipher, packets are multiples of 8 bytes with at least 4 bytes of padding.
 BLOCK_BYTES = 8
 MIN_PADDING_BYTES = 4
 LENGTH_FIELD_BYTES = 4
 PADDING_LENGTH_FIELD_BYTES = 1
 HEADER_BYTES = LENGTH_FIELD_BYTES + PADDING_LENGTH_FIELD_BYTES
-# RFC 4253, section 6.1: what every implementation must take, the length field included.
+# RFC 4253, section 6.1: the size that every implementation must accept, including the length field.
 MAX_PACKET_BYTES = 35_000
 
 
 class ProtocolError(ValueError):
-    """What the peer sent breaks the framing, a message's form or the order of messages."""
+    """The peer's input violates the framing, a message's format or the order of messages."""
 
     def __init__(self, text: str, reason: DisconnectReason = DisconnectReason.PROTOCOL_ERROR) -> None:
-        """Text and reason go into the DISCONNECT message."""
+        """`text` and `reason` are sent in the DISCONNECT message."""
         super().__init__(text)
         self.reason = reason
 
 
 def read_identification(stream: Stream) -> bool:
-    """Whether the peer's identification has come; lines before it are ignored (RFC 4253, section 4.2).
+    """Return whether the peer's identification has been read; skips lines before it (RFC 4253, section 4.2).
 
     Raises ProtocolError for a version other than 2.0 and for a line that is too long.
     """
@@ -55,7 +55,7 @@
 
 
 def encode_packet(payload: bytes) -> bytes:
-    """The payload as a packet, padded with random bytes to a multiple of the block size."""
+    """Return the payload as a packet, padded with random bytes to a multiple of the block size."""
     padding = BLOCK_BYTES - (len(payload) + HEADER_BYTES) % BLOCK_BYTES
     if padding < MIN_PADDING_BYTES:
         padding += BLOCK_BYTES
@@ -64,15 +64,15 @@
 
 
 def read_packet(stream: Stream) -> memoryview | None:
-    """The payload of the next packet in the stream's buffer, a slice of it; None until it is complete.
+    """Return the next packet's payload, a slice of the stream's buffer; None until the packet is complete.
 
-    Raises ProtocolError for lengths that no valid packet has.
+    Raises ProtocolError for invalid lengths.
     """
     received = stream.view[stream.start : stream.stop]
     if len(received) < LENGTH_FIELD_BYTES:
         return None
     length = int.from_bytes(received[:LENGTH_FIELD_BYTES], "big")
-    # Checked as soon as it is there: the rest of what can't become a packet is not waited for.
+    # Checked as soon as it is received, rather than waiting for the rest of an invalid packet.
     size = LENGTH_FIELD_BYTES + length
     is_too_short = length < PADDING_LENGTH_FIELD_BYTES + MIN_PADDING_BYTES
     if size > MAX_PACKET_BYTES or is_too_short or size % BLOCK_BYTES:
@@ -90,13 +90,13 @@
 class PayloadReader:
     """Reads the fields of one payload in order; all methods raise ProtocolError past its end.
 
-    `rest` is what has not been read yet, a slice of the stream's buffer that holds until the next read.
+    `rest` is the unread part, a slice of the stream's buffer that is valid until the stream reads again.
     """
 
     __slots__ = ("rest",)
 
     def __init__(self, payload: memoryview) -> None:
-        """A payload starts with its message number."""
+        """`payload` starts with the message number."""
         self.rest = payload
 
     def take(self, size: int) -> memoryview:
@@ -108,7 +108,7 @@
         return taken
 
     def byte(self) -> int:
-        """A byte, as a number."""
+        """A byte as an integer."""
         return self.take(1)[0]
 
     def boolean(self) -> bool:
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -1,6 +1,6 @@
-"""One client connection of the channels frontend: identification, packets, keep-alives, its channels.
+"""One client connection of the channels frontend: identification, packets, keep-alives and channels.
 
-A session ends when the client leaves or breaks the protocol, when it stops reading or answering, or when the
+A session ends when the client leaves, violates the protocol, or stops reading or answering, or when the
 proxy drains and the last channel has ended.
 """
 
@@ -49,14 +49,14 @@
 
 KEEPALIVE_REQUEST = b"keepalive@linnetshift"
 KEEPALIVE_NS = 15 * S
-# A session ends when nothing at all has come since this many keep-alives.
+# A session ends if nothing has been received since this many keep-alives.
 MAX_UNANSWERED_KEEPALIVES = 3
-# With more than this unread by the client, nothing more is read from it.
+# Reading from a client pauses while at least this much waits to be sent to it.
 MAX_UNSENT_BYTES = 65_536
 
 
 class SessionTimer(Enum):
-    """What a session's own timers are for."""
+    """Tags of a session's own timers."""
 
     IDENTIFICATION = "identification"
     PACKET = "packet"
@@ -64,14 +64,14 @@
 
 
 class DrainStarted(NamedTuple):
-    """Message of the frontend: the session ends once it has no channels."""
+    """Message from the frontend: the session ends once it has no channels."""
 
 
 class Session(StallDetector):
     """One client's connection and its channels."""
 
     def __init__(self, frontend: ChannelsFrontend, sock: socket.socket, peer: Address) -> None:
-        """A session on an accepted socket; `run` starts it."""
+        """Take ownership of an accepted socket; `run` starts the session."""
         super().__init__(frontend.loop)
         self.frontend = frontend
         self.broker = frontend.broker
@@ -81,15 +81,15 @@
         self.channel_numbers = count()
         self.channels_opened = 0
         self.write_queue: deque[Channel] = deque()
-        self.packets_received = 0  # the last one's sequence number is one less
-        self.unanswered_keepalives = 0  # since anything was received
-        self.packet_timer: Timer | None = None  # armed while a packet has come in part
+        self.packets_received = 0  # the last one's sequence number plus 1
+        self.unanswered_keepalives = 0  # sent since anything was received
+        self.packet_timer: Timer | None = None  # armed while a packet is incomplete
         self.packet_timer_armed_at = 0
         self.end_reason: Reason | None = None
         self.began_at = self.loop.now()
 
     def evict(self) -> None:
-        """Close the socket now, for want of descriptors."""
+        """Close the socket immediately to free its descriptor."""
         self.stream.close()
         self.end_reason = self.end_reason or Reason.EVICTED
         self.post(Stop())
@@ -97,7 +97,7 @@
     # ---- the coroutine ----------------------------------------------------------------------
 
     def run(self) -> ActorCoroutine:
-        """The session from its first byte until the socket is closed."""
+        """Run the session from its first byte until the socket is closed."""
         self.frontend.sessions.add(self)
         self.stream.arm()
         self.frontend.connection_limiter.add(self)
@@ -117,7 +117,7 @@
         self._report_end()
 
     def faulted(self, error: Exception) -> None:
-        """Contain a fault of this program: it ends this session alone."""
+        """Contain an internal error: only this session ends."""
         log.exception(error)
         self.end_reason = Reason.FAULT
         self._end_channels(is_reset=True)
@@ -179,7 +179,7 @@
                 self._shut_down()
 
     def _handle_io(self, mask: int) -> None:
-        """Write what the socket takes, channel by channel; then read once."""
+        """Write what the socket accepts, in turns of the channels; then read once."""
         if mask & select.EPOLLOUT:
             self.stream.flush()
             self.write_queued()
@@ -196,7 +196,7 @@
         self.stream.set_reading(len(self.stream.unsent) < MAX_UNSENT_BYTES)
 
     def _send_keepalive(self) -> None:
-        """Request any answer, even a failure: a half-open connection gives none."""
+        """Send a request that any peer answers, if only with a failure; a vanished peer does not."""
         self.unanswered_keepalives += 1
         if self.unanswered_keepalives > MAX_UNANSWERED_KEEPALIVES:
             self.end_reason = Reason.UNRESPONSIVE
@@ -214,14 +214,14 @@
     # ---- channels ---------------------------------------------------------------------------
 
     def add_channel(self, channel: Channel) -> None:
-        """Count a new channel; a session with a request is no longer evicted."""
+        """Add a new channel; a session with channels is not evicted."""
         self.channels[channel.sender_channel] = channel
         self.frontend.open_channels += 1
         self.frontend.connection_limiter.remove(self)
         self.channels_opened += 1
 
     def remove_channel(self, channel: Channel) -> None:
-        """Forget a channel and log its end; without any, the session may be evicted again."""
+        """Remove a channel and log its end; a session without channels may be evicted again."""
         if self.channels.pop(channel.sender_channel, None) is None:
             return
         self.frontend.open_channels -= 1
@@ -238,14 +238,14 @@
         self.update_stall_timer()
 
     def enqueue_write(self, channel: Channel) -> None:
-        """Have a channel with pending data written when its turn comes, or at once if the socket takes it."""
+        """Queue a channel with pending data, and write what the socket accepts now."""
         if not channel.is_in_write_queue:
             channel.is_in_write_queue = True
             self.write_queue.append(channel)
         self.write_queued()
 
     def write_queued(self) -> None:
-        """Write round robin, one packet a channel; one without window leaves the queue until it has some."""
+        """Write queued channels round robin, a packet each; one without window is dequeued until it has some."""
         self.update_stall_timer()
         while self.write_queue and not self.stream.is_congested:
             channel = self.write_queue.popleft()
@@ -272,10 +272,10 @@
         self.packet_timer_armed_at = self.loop.now()
 
     def _handle_packet_timeout(self) -> None:
-        """End a session that stops inside a packet: it could never be seen to be idle."""
+        """End a session whose packet stays incomplete; otherwise it would never count as idle."""
         elapsed_ns = self.loop.now() - self.packet_timer_armed_at
         if self.packet_timer is None or elapsed_ns < REQUEST_LINE_TIMEOUT_NS:
-            return  # the timer of a packet that has become complete
+            return  # stale: that packet has been completed
         if self.stream.reading:
             raise ProtocolError("a packet that does not end")
-        self._arm_packet_timer()  # reading is paused: the rest of the packet may have come
+        self._arm_packet_timer()  # reading is paused: the rest of the packet may be waiting
