--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -245,7 +245,7 @@
         self.write_queued()
 
     def write_queued(self) -> None:
-        """Write queued channels round robin, a packet each; one without window is dequeued until it has some."""
+        """Write queued channels round robin, a packet each; one without window leaves until it has some."""
         self.update_stall_timer()
         while self.write_queue and not self.stream.is_congested:
             channel = self.write_queue.popleft()
