--- a/linnetshift/frontends/line_protocol/messages.py
+++ b/linnetshift/frontends/line_protocol/messages.py
@@ -1,4 +1,4 @@
-"""What the broker, the endpoint's connection and the frontend post to a client connection's mailbox.
+"""Messages that the broker, the endpoint's connection and the frontend post to a client connection.
 
 Each is handled at the connection's next turn. `Io`, `Timeout`, `Resume` and `Stop` of the event loop arrive
 in the same mailbox.
@@ -10,14 +10,14 @@
 
 
 class Accepted(NamedTuple):
-    """The endpoint has accepted the request, and the client was sent its receipt."""
+    """The endpoint has accepted the request, and its receipt has been sent to the client."""
 
 
 class Rejected(NamedTuple):
-    """The request was not executed and a retry is harmless."""
+    """The request was not executed, so a retry is safe."""
 
     retry_after_ns: int
-    breach: str  # the limit of a contract that was exceeded; the line protocol has no place for it
+    breach: str  # the contract limit that was exceeded; the line protocol has no field for it
 
 
 class Failed(NamedTuple):
@@ -25,7 +25,7 @@
 
 
 class MigrationRequested(NamedTuple):
-    """The client is to be migrated, between two lines of its endpoint."""
+    """The client is to be migrated; MOVE is sent between two lines from the endpoint."""
 
     reason: str  # the value of a `Reason`
 
@@ -38,4 +38,4 @@
 
 
 class ShutdownNotice(NamedTuple):
-    """This proxy takes no more requests."""
+    """This proxy is shutting down and accepts no more requests."""
--- a/linnetshift/frontends/line_protocol/request_line.py
+++ b/linnetshift/frontends/line_protocol/request_line.py
@@ -1,4 +1,4 @@
-"""The first line of a client: parsing, and the form in which it is sent to an endpoint."""
+"""The request line: parsing it, and encoding it for an endpoint."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from linnetshift.frontends.line_protocol import protocol
 from linnetshift.routing.events import RETRY, RETURNED
 
-LINE_TOO_LONG = "too long"  # the logged error of any line over the protocol's limit
+LINE_TOO_LONG = "too long"  # the logged error of any line over the length limit
 HEXADECIMAL_DIGITS = b"0123456789abcdefABCDEF"
 LOAD_HINT_LIMIT = 2.0**63  # exclusive: the decisions hold the hint in a signed 64-bit number
 
-# A field as it came: its name, b"=" or nothing, and its value.
+# A field as received: its name, b"=" (empty if absent) and its value.
 Field = tuple[bytes, bytes, bytes]
 
 
 class RequestLineError(ValueError):
-    """A first line that breaks the protocol; the text says how, for the log."""
+    """A request line that violates the protocol; the text describes the violation for the log."""
 
 
 class RequestLine(NamedTuple):
-    """A parsed request line; classes and tenants are given by their numbers in the `NameRegistry`."""
+    """A parsed request line; class and tenant are their numbers in the `NameRegistry`."""
 
     id: int
     klass: int
@@ -32,24 +32,24 @@
     group: int
     flags: int  # RETRY and RETURNED of `routing.events`
     load_hint: int
-    wait_ns: int  # how long the client waits for its answer; 0 where the line does not say
-    adopted_endpoint: bytes  # empty for a new connection
-    head: list[bytes]  # the tokens before the fields, as they came
+    wait_ns: int  # how long the client waits for its answer; 0: not given
+    adopted_endpoint: bytes  # empty unless the connection is adopted
+    head_tokens: list[bytes]  # the tokens before the fields, as received
     fields: list[Field]
 
     def encode(self, remaining_ms: int) -> bytes:
-        """Return the line for an endpoint, whose answer is waited for that long; the rest is as it came."""
+        """Return the line for an endpoint: as received, but with `remaining_ms` as its deadline, if any."""
         if not self.fields:
-            return b" ".join(self.head) + protocol.LINE_END
+            return b" ".join(self.head_tokens) + protocol.LINE_END
         fields = b",".join(
             name + separator + (b"%d" % remaining_ms if name == protocol.DEADLINE_FIELD else value)
             for name, separator, value in self.fields
         )
-        return b" ".join([*self.head, fields]) + protocol.LINE_END
+        return b" ".join([*self.head_tokens, fields]) + protocol.LINE_END
 
 
 def parse_request_line(line: bytes, names: NameRegistry) -> RequestLine:
-    """Parse a whole line with its end; raises `RequestLineError`."""
+    """Parse a complete line, including its line end; raises `RequestLineError`."""
     tokens = _split_tokens(line)
     fields = [field.partition(b"=") for field in tokens[3].split(b",")] if len(tokens) == 4 else []
     values = {name: value for name, _, value in fields}
@@ -70,13 +70,13 @@
         load_hint=_parse_load_hint(values.get(protocol.LOAD_HINT_FIELD, b"")),
         wait_ns=wait_ms * MS,
         adopted_endpoint=adopted_endpoint,
-        head=tokens[:3],
+        head_tokens=tokens[:3],
         fields=fields,
     )
 
 
 def _split_tokens(line: bytes) -> list[bytes]:
-    """Return the three tokens of the head and, where there are any, the fields as a fourth."""
+    """Return the three head tokens and, if there are any fields, all of them as a fourth."""
     text = line[: -len(protocol.LINE_END)]
     tokens = text.split(b" ")
     if not line.endswith(protocol.LINE_END) or len(tokens) not in (3, 4) or tokens[0] != protocol.OPEN:
@@ -87,7 +87,7 @@
 
 
 def _decode(text: bytes) -> str:
-    """Decode a name; with bytes that are not UTF-8 it becomes one that no settings list."""
+    """Decode a name; invalid UTF-8 is replaced, so that the name is unknown to the settings."""
     return text.decode("utf-8", "replace")
 
 
@@ -98,10 +98,10 @@
 
 
 def _parse_wait_ms(text: bytes | None, is_adopted: bool) -> int:
-    """Return how long the client waits, 0 where it does not say.
+    """Return how long the client waits; 0 if not given.
 
-    An adopted connection may name a time beyond the limit, which is cut to it: it comes with the longest that
-    32 bits of microseconds hold.
+    For an adopted connection, a time over MAX_WAIT_MS is reduced to it rather than rejected: adopted
+    connections come with the longest time that 32 bits of microseconds hold.
     """
     if text is None:
         return 0
@@ -122,7 +122,7 @@
 
 
 def _parse_load_hint(text: bytes) -> int:
-    """Return the client's estimate of the load that its connection brings; 0 without one."""
+    """Return the client's estimate of its connection's load; 0 if not given."""
     try:
         value = float(text or b"0")
     except ValueError:
