--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection, from accept to its end, and the client that the broker sees in it."""
+"""One client's connection, from accept to close, and its implementation of the broker's `Client`."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 if TYPE_CHECKING:
     from linnetshift.frontends.line_protocol.frontend import LineProtocolFrontend
 
-EARLY_INPUT = "talks on before its answer"  # the logged error of a client that does not await it
+EARLY_INPUT = "talks on before its answer"  # the logged error of input before the answer
 
 
 class ClientConnection(StallDetector):
     """One client's connection: an actor with three states, and the broker's `Client`.
 
     The states are awaiting the request line (`RequestReader`), awaiting the answer, and established
-    (`MessageRelay`). What the broker calls is posted to the mailbox, except for lines from the endpoint,
-    which are written at once.
+    (`MessageRelay`). Calls from the broker are posted to the mailbox, except that lines from the endpoint are
+    written at once.
     """
 
     stream: Stream
 
     def __init__(self, frontend: LineProtocolFrontend, sock: socket.socket, peer: Address) -> None:
-        """Own an accepted socket; nothing is read before `run`."""
+        """Take ownership of an accepted socket; nothing is read before `run`."""
         super().__init__(frontend.loop)
         self.frontend = frontend
         self.broker = frontend.broker
@@ -54,15 +54,15 @@
         self.request: ActiveRequest | None = None
         self.endpoint = b""  # the one that accepted the request
         self.client_request_id: int | None = None  # from the request line; unique among open connections
-        self.error = ""  # what was wrong with the client's input, for the log
+        self.error = ""  # how the client's input violated the protocol, for the log
         self.retry_after_ms = 0
 
     def evict(self) -> None:
-        """Close at once, for want of descriptors: it has sent no request yet, or its sending side has ended.
+        """Close at once to free a descriptor: no request was sent yet, or the sending side has ended.
 
-        In the former case it gets an answer first; in the latter, `send` has no effect any more.
+        In the former case the client is answered first; in the latter, `send` has no effect.
         """
-        self.stream.discard_input()  # a close over bytes unread would reset the answer away
+        self.stream.discard_input()  # closing with unread bytes sends a reset, which loses the answer
         self.stream.send(protocol.ERROR_LINE)
         self.stream.close()
         self.post(Stop())
@@ -71,16 +71,16 @@
 
     @property
     def is_congested(self) -> bool:
-        """Whether the client has left unread what it was sent."""
+        """Whether data waits to be sent, since the client does not read."""
         return self.stream.is_congested
 
     @property
     def is_present(self) -> bool:
-        """Whether the client still waits for its answer; input before the answer counts as leaving."""
+        """Whether the client still waits for its answer; early input counts as leaving."""
         return self.stream.has_nothing_unread
 
     def handle_established(self, receipt: memoryview) -> None:
-        """Send the endpoint's acceptance, a whole line."""
+        """Send the endpoint's receipt, a complete line."""
         if self.request is not None and self.request.attempt is not None:
             self.endpoint = self.request.attempt.endpoint
         self.stream.send(receipt)
@@ -92,7 +92,7 @@
         self.update_stall_timer()
 
     def resume(self) -> None:
-        """Go on relaying, since the endpoint takes lines again."""
+        """Resume relaying, since the endpoint is no longer congested."""
         self.post(Resume())
 
     def reject(self, retry_after_ns: int, breach: str) -> None:
@@ -104,17 +104,17 @@
         self.post(Failed())
 
     def migrate(self, reason: str) -> None:
-        """Ask the client to come back on a new connection, between two lines."""
+        """Ask the client to reconnect, between two lines."""
         self.post(MigrationRequested(reason))
 
     def handle_endpoint_ended(self, outcome: int, reset: bool) -> None:
-        """End this side as the endpoint ended its own."""
+        """End this side the way the endpoint ended its own."""
         self.post(EndpointEnded(outcome, reset))
 
     # ---- the actor --------------------------------------------------------------------------
 
     def run(self) -> ActorCoroutine:
-        """Go through the states in order; each ends with None or the reason to end the connection."""
+        """Run the states in order; each returns None, or the reason why the connection ends."""
         self.frontend.clients.add(self)
         self.stream.arm()
         self.frontend.connection_limiter.add(self)
@@ -131,22 +131,22 @@
         self._report_end(reason)
 
     def faulted(self, error: Exception) -> None:
-        """Contain a fault of this program: it ends this connection alone."""
+        """Contain an internal error: only this connection ends."""
         log.exception(error)
         if self.request is not None:
             self.broker.handle_client_ended(self.request, True)
         self.stream.close(End.RESET)
         self._report_end(Reason.FAULT)
 
-    def submit(self, request_line: RequestLine, arrived_ns: int) -> None:
-        """Submit the request to the broker; raises `RequestLineError` where the protocol forbids it.
+    def submit(self, request_line: RequestLine, received_at: int) -> None:
+        """Submit the request to the broker; raises `RequestLineError` for early input or an id in use.
 
-        `arrived_ns` is when the loop saw the line.
+        `received_at` is when the loop saw the line, in ns of its clock.
         """
         if self.stream.untaken_bytes:
             raise RequestLineError(EARLY_INPUT)
         if request_line.id in self.frontend.open_request_ids:
-            # An endpoint takes it for a copy of the other request and answers ERR; so would each retry's.
+            # Endpoints treat it as a duplicate of the open request: each attempt would be answered with ERR.
             raise RequestLineError("the id of an open invocation")
         self.client_request_id = request_line.id
         self.frontend.open_request_ids.add(request_line.id)
@@ -159,24 +159,24 @@
             group=request_line.group,
             flags=request_line.flags,
             load_hint=request_line.load_hint,
-            deadline=arrived_ns + wait_ns - ANSWER_MARGIN_NS,
+            deadline=received_at + wait_ns - ANSWER_MARGIN_NS,
             encode_request_line=request_line.encode,
             adopted_endpoint=request_line.adopted_endpoint,
         )
         self.broker.submit(self.request)
 
     def answer_bad_line(self, error: str) -> Reason:
-        """Answer input that breaks the protocol; `error` says for the log how it does."""
+        """Answer input that violates the protocol; `error` describes the violation for the log."""
         self.error = error
         self.stream.send(protocol.ERROR_LINE)
         return Reason.BAD_LINE
 
     def record_line_too_long(self) -> None:
-        """Keep for the log that a relayed line was too long; an established connection gets no answer."""
+        """Record for the log that a relayed line was too long; an established connection gets no answer."""
         self.error = LINE_TOO_LONG
 
     def _await_answer(self, request: ActiveRequest) -> Steps:
-        """Return None once the endpoint has accepted, else the reason why the connection ends."""
+        """Return None once the endpoint has accepted the request, else the reason why the connection ends."""
         while True:
             match (yield):
                 case Accepted():
@@ -194,25 +194,25 @@
                         return reason
 
     def _handle_early_input(self, request: ActiveRequest) -> Reason | None:
-        """Read before the answer is sent: a client that ends its side or sends more withdraws its request."""
+        """Read while awaiting the answer; a client that ends its side or sends more withdraws its request."""
         end = self.stream.fill()
         if end is not None and not request.is_answered:
             is_retry_safe = self.broker.is_retry_safe(request)
             self.broker.handle_client_ended(request, end is End.RESET)
-            # The client may have ended only its sending side, and still read.
+            # The client may have ended only its sending side and still be reading.
             self.stream.send(protocol.BUSY_LINE if is_retry_safe else protocol.ERROR_LINE)
             return Reason.WITHDRAWN
         if self.stream.untaken_bytes and not request.is_answered:
-            # Left unread, it would hide the end of the client's side; an endpoint could not use it.
+            # Left unread, the input would hide the end of the client's side; no endpoint could use it.
             self.broker.handle_client_ended(request, False)
             return self.answer_bad_line(EARLY_INPUT)
-        # If an answer is already in the mailbox, the input is for the relay, which reads an end once more;
-        # until then the end would wake the loop on every turn.
+        # If an answer is already in the mailbox, the input is for the relay, which reads the end again; until
+        # then, watching for input would wake the loop on every turn after an end.
         self.stream.set_reading(end is None)
         return None
 
     def _close(self, reason: Reason) -> Steps:
-        """Close as the other side ended; an orderly end waits until the client has read everything."""
+        """Close the way the other side ended; after an orderly end, wait until the client has read all."""
         end = End.FIN
         if reason in (Reason.ENDPOINT_RESET, Reason.CLIENT_RESET):
             end = End.RESET
--- a/linnetshift/frontends/line_protocol/message_relay.py
+++ b/linnetshift/frontends/line_protocol/message_relay.py
@@ -1,4 +1,4 @@
-"""The last state of a client connection: established, with lines relayed both ways."""
+"""The last state of a client connection: established, with lines relayed in both directions."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 class MessageRelay:
     """Relays the client's lines to the endpoint until either side ends.
 
-    The other direction needs no turn of this actor: the endpoint's connection calls
+    Lines from the endpoint do not use the mailbox: the endpoint's connection calls
     `ClientConnection.deliver`. Lives as long as its `run`; the connection holds no reference to it.
     """
 
@@ -35,7 +35,7 @@
         self.broker = connection.broker
 
     def run(self) -> Steps:
-        """Return the `Reason` why the connection ends; the broker knows by then if the client ended it."""
+        """Return the `Reason` why the connection ends; the broker is notified if the client ended it."""
         stream = self.stream
         end: End | None = None
         self._relay_lines()
@@ -60,9 +60,9 @@
         return self._handle_client_end(end)
 
     def _relay_lines(self) -> bool:
-        """Send whole lines to the endpoint while it takes them; stop reading when it does not.
+        """Send complete lines to the endpoint until it is congested, and stop reading while it is.
 
-        False once a line is longer than the protocol allows: both sides end.
+        Returns False if a line is longer than the protocol allows, which ends both sides.
         """
         attempt = self.request.attempt
         upstream = attempt.upstream if attempt is not None else None
@@ -79,7 +79,7 @@
         return True
 
     def _flush(self) -> None:
-        """Write what the client left unread, and have the endpoint go on once there is nothing left."""
+        """Write unsent data to the client, and resume the endpoint's connection once none is left."""
         self.stream.flush()
         self.connection.update_stall_timer()
         attempt = self.request.attempt
@@ -87,12 +87,12 @@
             attempt.upstream.resume()
 
     def _handle(self, message: object) -> Reason | None:
-        """Handle what is neither input nor output; a reason if the connection ends with it."""
+        """Handle a message other than `Io` and `Resume`; return a reason if it ends the connection."""
         match message:
             case EndpointEnded(outcome, was_reset):
                 return endpoint_end_reason(outcome, was_reset)
             case MigrationRequested(reason):
-                self.stream.send(protocol.MOVE_LINE)  # only whole lines were sent before it
+                self.stream.send(protocol.MOVE_LINE)  # never inside a line: only complete ones are sent
                 self.broker.handle_client_ended(self.request, False)
                 return Reason(reason)
             case Timeout(tag=ConnectionTimer.STALL) if self.connection.is_stalled():
@@ -101,7 +101,7 @@
         return None
 
     def _handle_client_end(self, end: End) -> Reason:
-        """End the endpoint's side as the client ended its own; an unfinished line goes before a plain end."""
+        """End the endpoint's side the way the client ended; before a FIN, pass on an unfinished line."""
         attempt = self.request.attempt
         upstream = attempt.upstream if attempt is not None else None
         if end is End.FIN and upstream is not None and (rest := self.stream.rest()):
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -1,4 +1,4 @@
-"""The first state of a client connection: from accept to the request line."""
+"""The first state of a client connection: from accept until a request is submitted."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RequestReader:
-    """Answers queries on one connection until its request line has come and is with the broker.
+    """Answers queries on one connection until its request line is received and submitted to the broker.
 
     Lives as long as its `run`; the connection holds no reference to it.
     """
@@ -34,14 +34,14 @@
         self.connection = connection
         self.stream = connection.stream
         self.frontend = connection.frontend
-        self.arrived_ns = connection.loop.ready_since  # when the loop saw what was read last
+        self.received_at = connection.loop.ready_since  # when the loop saw the last input, in ns of its clock
         self.was_queried = False
         self.end: End | None = None
 
     def run(self) -> Steps:
-        """Return None once a request is with the broker, else the `Reason` why the connection ends."""
+        """Return None once a request has been submitted, else the `Reason` why the connection ends."""
         timer = self.connection.set_timer(REQUEST_LINE_TIMEOUT_NS, ConnectionTimer.REQUEST_LINE)
-        self.end = self.stream.fill()  # the line is usually there by now
+        self.end = self.stream.fill()  # usually the request line has already arrived
         while True:
             try:
                 is_submitted = self._process_lines()
@@ -52,7 +52,7 @@
             if is_submitted:
                 timer.cancel()
                 return None
-            # Otherwise the answers to a client that sends queries and reads nothing would fill memory.
+            # Otherwise answers to a client that sends queries without reading would exhaust memory.
             self.stream.set_reading(not self.stream.is_congested)
             if self.end is not None:
                 return Reason.PROBED if self.was_queried else Reason.EMPTY
@@ -61,12 +61,12 @@
                 return reason
 
     def _process_lines(self) -> bool:
-        """Answer queries while the client reads the answers; whether a request line came and is submitted."""
+        """Answer queries while the client reads the answers; return whether a request was submitted."""
         while not self.stream.is_congested and (line := self.stream.line()) is not None:
             prefix = bytes(line[: protocol.QUERY_PREFIX_BYTES])
             if prefix.rstrip() not in protocol.QUERIES:
                 request_line = parse_request_line(bytes(line), self.frontend.names)
-                self.connection.submit(request_line, self.arrived_ns)
+                self.connection.submit(request_line, self.received_at)
                 return True
             self.stream.send(self.frontend.answer_query(prefix))
             self.frontend.connection_limiter.handle_answered(self.connection)
@@ -74,14 +74,14 @@
         return False
 
     def _handle(self, message: object) -> Reason | None:
-        """Handle one message of the mailbox; a reason if the connection ends with it."""
+        """Handle one message; return a reason if it ends the connection."""
         match message:
             case Io(mask):
                 self._handle_io(mask)
             case Stop():
                 return Reason.EVICTED
             case ShutdownNotice():
-                # This also answers a request line that is on its way; what comes later is discarded.
+                # BUSY also answers a request line that is in transit; later input is discarded.
                 self.stream.fill()
                 self.stream.send(protocol.BUSY_LINE)
                 return Reason.SHUT_DOWN
@@ -93,7 +93,7 @@
     def _handle_io(self, mask: int) -> None:
         if mask & select.EPOLLOUT:
             self.stream.flush()
-        self.arrived_ns = self.connection.loop.ready_since
+        self.received_at = self.connection.loop.ready_since
         untaken_before = self.stream.untaken_bytes
         self.end = self.stream.fill()
         if self.stream.untaken_bytes > untaken_before:
