--- a/tests/test_channel_packets.py
+++ b/tests/test_channel_packets.py
@@ -32,7 +32,7 @@
 
 
 class PeerStream(Stream):
-    """A stream that holds its peer's socket too: what is sent there arrives in it."""
+    """A stream that also holds its peer's socket: what `peer` sends, the stream receives."""
 
     def __init__(self) -> None:
         own_end, self.peer = socket.socketpair()
@@ -75,7 +75,7 @@
         (struct.pack(">IB", 12, 11), "padding length 11 is out of range"),
     ],
 )
-def test_impossible_packet_is_rejected_before_it_is_complete(
+def test_invalid_packet_is_rejected_before_it_is_complete(
     stream: PeerStream, header: bytes, text: str
 ) -> None:
     receive(stream, header)
@@ -117,18 +117,18 @@
     assert 200 not in HANDLERS
 
 
-def open_fields(flags: bytes = b"", tenant: bytes = b"acme") -> ChannelOpenRequest:
+def read_open_request(flags: bytes = b"", tenant: bytes = b"acme") -> ChannelOpenRequest:
     fields = encode_string(b"feed") + encode_string(tenant) + struct.pack(">QQI", 0xAB, 0xC, 500)
     return ChannelOpenRequest.read(PayloadReader(memoryview(fields + flags)))
 
 
 def test_channel_open_without_flags_is_read() -> None:
-    assert open_fields() == ChannelOpenRequest("feed", "acme", 0xAB, 0xC, 500, 0)
-    assert open_fields().routing_flags == 0
+    assert read_open_request() == ChannelOpenRequest("feed", "acme", 0xAB, 0xC, 500, 0)
+    assert read_open_request().routing_flags == 0
 
 
 def test_channel_open_flags_reach_routing_and_the_request_line() -> None:
-    request = open_fields(struct.pack(">I", RETRY_FLAG | RETURNED_FLAG))
+    request = read_open_request(struct.pack(">I", RETRY_FLAG | RETURNED_FLAG))
     assert request.routing_flags == RETRY | RETURNED
     line = request.request_line_encoder()(250)
     assert line.endswith(b" 00000000000000ab c=feed,t=acme,d=250,g=000000000000000c,r=1,again=1\r\n")
@@ -136,6 +136,6 @@
 
 
 @pytest.mark.parametrize("tenant", [b"a b", b"a,b", b"a=b", b"\x7f", b"x" * 201])
-def test_tenant_that_cannot_stand_in_a_request_line_is_invalid(tenant: bytes) -> None:
-    assert not open_fields(tenant=tenant).has_valid_tenant
-    assert open_fields(tenant=b"x" * 200).has_valid_tenant
+def test_tenant_not_allowed_in_a_request_line_is_invalid(tenant: bytes) -> None:
+    assert not read_open_request(tenant=tenant).has_valid_tenant
+    assert read_open_request(tenant=b"x" * 200).has_valid_tenant
