--- a/tests/test_line_protocol.py
+++ b/tests/test_line_protocol.py
@@ -1,4 +1,4 @@
-"""The running proxy as its clients, its endpoints and its discovery see it."""
+"""The running proxy towards its clients, endpoints and discovery, and its errors at start."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     endpoint = proxy.endpoints[0].accept()
     head, _, remaining_ms = endpoint.line().partition(b",d=")
     assert head.split()[2:] == OPEN_LINE.partition(b",d=")[0].split()[2:]
-    assert 0 < int(remaining_ms) <= 2000  # what remains of the client's deadline, never more
+    assert 0 < int(remaining_ms) <= 2000  # the remainder of the client's deadline
     endpoint.send(b"UP a b\r\nLOAD 12.5\r\nfirst\r\n")
     assert [client.line() for _ in range(3)] == [b"UP a b\r\n", b"LOAD 12.5\r\n", b"first\r\n"]
     client.send(b"M 1 x\r\nM 2")
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("ending", ["fin", "reset"])
 @pytest.mark.parametrize("side", ["client", "endpoint"])
 def test_end_of_one_side_ends_the_other_the_same_way(proxy: RunningProxy, side: str, ending: Ending) -> None:
-    # A reset passed on as a plain end would look like a connection served to its end.
+    # A reset passed on as a FIN would look like a connection that was served completely.
     client, endpoint = proxy.establish()
     ended_side, other_side = (client, endpoint) if side == "client" else (endpoint, client)
     ended_side.close(ending)
@@ -75,7 +75,7 @@
 def test_failed_attempt_is_closed_before_the_next(
     tmp_path: Path, reply: bytes, ending: Ending | None, reason: str
 ) -> None:
-    # Two attempts of one request at a time would break a rule, whatever became of the first.
+    # A request may have only one attempt at a time, however the previous one failed.
     with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         if reason == "unreachable":
@@ -84,7 +84,7 @@
         conn = None if reason == "unreachable" else first.answer_attempt(reply, ending)
         endpoint = second.accept()
         if conn is not None and ending is None:
-            assert conn.ended() in ("fin", "reset")  # already there: no wait is needed
+            assert conn.ended() in ("fin", "reset")  # already closed: no wait is needed
         endpoint.line()
         endpoint.send(b"UP r2\r\n")
         assert client.line() == b"UP r2\r\n"
@@ -101,14 +101,14 @@
     proxy.logged("reason=probed")
 
 
-def test_unknown_names_are_accepted(proxy: RunningProxy) -> None:
+def test_unknown_tenant_and_fields_are_accepted(proxy: RunningProxy) -> None:
     client = proxy.client(b"OPEN 1 2 c=feed,t=nobody,zz=9,h=1.5,d=1000\r\n")
     proxy.endpoints[0].serve()
     assert client.line() == b"UP r1\r\n"
 
 
 def test_rejected_request_reports_retry_after(proxy: RunningProxy) -> None:
-    # Rejected as soon as the attempts have failed, long before the client's deadline of 60 s.
+    # Rejected as soon as all attempts have failed, long before the client's deadline of 60 s.
     client = proxy.open(60000)
     for _ in range(4):
         proxy.endpoints[0].answer_attempt(b"BUSY\r\n", "fin")
@@ -116,13 +116,13 @@
     proxy.logged("side=client reason=rejected")
 
 
-def test_unresponsive_endpoint_costs_no_more_than_the_deadline(proxy: RunningProxy) -> None:
+def test_request_to_an_unresponsive_endpoint_is_answered_by_its_deadline(proxy: RunningProxy) -> None:
     client = proxy.open(300)
     proxy.endpoints[0].accept()
     assert client.line() in (b"ERR\r\n", b"BUSY 1000\r\n", b"BUSY\r\n")
 
 
-def test_client_that_leaves_ends_its_attempt(proxy: RunningProxy) -> None:
+def test_attempt_ends_when_its_client_leaves(proxy: RunningProxy) -> None:
     client = proxy.open()
     endpoint = proxy.endpoints[0].accept()
     endpoint.line()
@@ -131,7 +131,7 @@
     proxy.logged("side=client reason=withdrawn")
 
 
-def test_adopted_connection_goes_to_the_endpoint_that_had_it(tmp_path: Path) -> None:
+def test_adopted_connection_is_placed_on_its_previous_endpoint(tmp_path: Path) -> None:
     with started_proxy(tmp_path, endpoints=2) as running:
         _, second = ranked(running)
         line = b"OPEN 1 7f3a9c21e0b4d655 c=feed,t=acme,d=4294967,at=%s\r\n" % second.uid.encode()
@@ -142,7 +142,7 @@
 
 
 def test_slow_reader_loses_no_lines(proxy: RunningProxy) -> None:
-    # Reading on while a client does not would fill memory; dropping would lose lines.
+    # Buffering without limit for a slow reader would exhaust memory; dropping would lose lines.
     client, endpoint = proxy.establish()
     lines = 3000
     data = b"".join(b"%08d" % n + b"y" * 1014 + b"\r\n" for n in range(lines))
@@ -158,7 +158,7 @@
 def test_client_of_a_draining_endpoint_is_migrated_between_two_lines(
     tmp_path: Path, unfinished: bytes
 ) -> None:
-    # An earlier version migrated nothing: connections to a draining endpoint were cut off when it stopped.
+    # Without migration, connections to a draining endpoint are cut off when it stops.
     with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         client = running.open()
@@ -177,14 +177,14 @@
 
 
 def test_client_of_an_unresponsive_endpoint_is_migrated(proxy: RunningProxy) -> None:
-    # A machine that vanished sends no reset; a missing reply is the only sign.
+    # A host that fails sends no reset: the missing reply is the only sign.
     client, _endpoint = proxy.establish()
     client.send(b"M 1 x\r\n")
     assert client.line() == b"MOVE\r\n"
     proxy.logged("side=client reason=unresponsive")
 
 
-def test_graceful_shutdown_answers_and_migrates_everyone(tmp_path: Path) -> None:
+def test_graceful_shutdown_answers_waiting_and_migrates_established_clients(tmp_path: Path) -> None:
     with started_proxy(tmp_path, endpoints=1) as running:
         established = [running.establish() for _ in range(5)]
         waiting = running.open(60000)
@@ -199,7 +199,7 @@
         assert running.process.wait(WAIT_S) == 0
 
 
-def test_discovery_is_watched_on_after_failed_calls(tmp_path: Path) -> None:
+def test_watch_resumes_after_failed_discovery_calls(tmp_path: Path) -> None:
     with started_proxy(tmp_path) as running:
         discovery = running.discovery
         assert discovery.calls.get(timeout=WAIT_S).startswith("/catalog/members?since=1&timeout_ms=")
@@ -209,7 +209,7 @@
         discovery.fail(False)
         discovery.change()
         while "since=2" not in discovery.calls.get(timeout=WAIT_S):
-            pass  # failed calls; the watch goes on from the version that the next answer had
+            pass  # failed calls; the watch resumes from the version of the next answer
 
 
 @pytest.mark.parametrize(
@@ -225,8 +225,10 @@
         ([], "response-ignored .*no list"),
     ],
 )
-def test_invalid_discovery_response_empties_no_list(proxy: RunningProxy, answer: object, report: str) -> None:
-    # Applied as it is, it would migrate every connection and reject every new request.
+def test_invalid_discovery_response_keeps_the_endpoint_list(
+    proxy: RunningProxy, answer: object, report: str
+) -> None:
+    # If applied, it would migrate every connection and reject every new request.
     client, endpoint = proxy.establish()
     proxy.discovery.answer_once(answer)
     proxy.logged(report)
--- a/tests/test_request_line.py
+++ b/tests/test_request_line.py
@@ -1,4 +1,4 @@
-"""Parsing a request line, and the line that its endpoint is sent."""
+"""Parsing a request line, and encoding it for an endpoint."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert (parsed.wait_ns, parsed.load_hint, parsed.adopted_endpoint) == (250 * MS, 1, b"e7")
 
 
-def test_absent_fields_have_defaults_and_unknown_ones_are_ignored() -> None:
+def test_absent_fields_have_defaults_and_unknown_fields_are_ignored() -> None:
     parsed = parse_request_line(b"OPEN 1 2 c=feed,r=0,zz\r\n", NAMES)
     assert (parsed.tenant, parsed.flags, parsed.group) == (UNKNOWN_NUMBER, 0, 0)
     assert (parsed.wait_ns, parsed.load_hint, parsed.adopted_endpoint) == (0, 0, b"")
@@ -37,7 +37,7 @@
         (b"OPEN 1 2 t=acme,c=feed\r\n", b"OPEN 1 2 t=acme,c=feed\r\n"),
     ],
 )
-def test_encoded_line_differs_in_the_deadline_alone(line: bytes, encoded: bytes) -> None:
+def test_encoded_line_differs_only_in_the_deadline(line: bytes, encoded: bytes) -> None:
     assert parse_request_line(line, NAMES).encode(7) == encoded
 
 
@@ -66,12 +66,12 @@
         (b"OPEN 1 2 c=feed,h=inf\r\n", "bad hint"),
     ],
 )
-def test_error_names_the_first_fault_of_the_line(line: bytes, error: str) -> None:
-    # The text goes into the log: the order of the checks is visible there.
+def test_error_describes_the_first_violation_in_the_line(line: bytes, error: str) -> None:
+    # The text is logged, so the order of the checks is visible.
     with pytest.raises(RequestLineError, match=f"^{error}$"):
         parse_request_line(line, NAMES)
 
 
 @pytest.mark.parametrize(("retry_after_ms", "line"), [(0, b"BUSY\r\n"), (1000, b"BUSY 1000\r\n")])
-def test_rejection_names_a_time_only_where_there_is_one(retry_after_ms: int, line: bytes) -> None:
+def test_busy_line_has_a_retry_delay_only_if_given(retry_after_ms: int, line: bytes) -> None:
     assert protocol.encode_busy(retry_after_ms) == line
