--- a/tests/test_connections_without_a_request.py
+++ b/tests/test_connections_without_a_request.py
@@ -1,4 +1,4 @@
-"""Connections without a valid request cost usual clients nothing, whatever they send or leave out."""
+"""Connections without a valid request do not affect other clients, whatever they send or omit."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
         b"x" * 5000,
     ],
 )
-def test_bad_request_line_fails_alone(proxy: RunningProxy, line: bytes) -> None:
-    # What one client sends must neither be passed on (it voids the run) nor hurt the others.
+def test_invalid_request_line_fails_only_its_own_client(proxy: RunningProxy, line: bytes) -> None:
+    # An invalid line must not affect other clients or reach an endpoint, which would void the run.
     client = proxy.client(line)
     assert client.line() == b"ERR\r\n"
     client.close()
@@ -54,7 +54,7 @@
 
 
 def test_second_request_with_an_open_id_fails(proxy: RunningProxy) -> None:
-    # Sent on, one endpoint after the other took it for a copy: six attempts for each.
+    # Passed on, it was a duplicate to each endpoint in turn, which took six attempts per request.
     line = OPEN_LINE % (7, 2000)
     client = proxy.client(line)
     endpoint = proxy.endpoints[0].serve()
@@ -68,7 +68,7 @@
     assert later_client.line() == b"UP r1\r\n"
 
 
-def test_error_of_two_endpoints_fails_the_request(tmp_path: Path) -> None:
+def test_errors_from_two_endpoints_fail_the_request(tmp_path: Path) -> None:
     with started_proxy(tmp_path, endpoints=3) as running:
         client = running.open()
         for _ in range(2):
@@ -78,7 +78,7 @@
 
 
 def test_client_that_sends_before_its_answer_is_closed(proxy: RunningProxy) -> None:
-    # Its lines filled the buffer, and that it ended was not seen any more.
+    # Its unread lines filled the buffer, so that the end of its side went undetected.
     client = proxy.open()
     endpoint = proxy.endpoints[0].accept()
     endpoint.line()
@@ -96,7 +96,7 @@
 
 
 def test_input_after_a_bad_line_is_discarded_until_the_answer_arrives(proxy: RunningProxy) -> None:
-    # A close with bytes unread resets the connection and loses the answer; keeping them would fill memory.
+    # Closing with unread bytes resets the connection and loses the answer; keeping them exhausts memory.
     client = proxy.client()
     client.sock.settimeout(None)
     sent = threading.Event()
@@ -113,7 +113,7 @@
 
 
 def test_unfinished_request_line_times_out(proxy: RunningProxy) -> None:
-    # Each unfinished request would hold a descriptor for good.
+    # Without a time-out, each unfinished request would hold a descriptor forever.
     client = proxy.client(b"OPEN 9b1f03aa5c7e2d41 7f")
     assert client.line() == b"ERR\r\n"
     assert client.ended() == "fin"
@@ -121,15 +121,15 @@
 
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
-def test_idle_connections_are_evicted_for_others(tmp_path: Path, frontend: str) -> None:
-    # Hundreds of idle connections used to take every descriptor, those to endpoints included.
+def test_idle_connections_are_evicted_for_new_ones(tmp_path: Path, frontend: str) -> None:
+    # Without eviction, hundreds of idle connections used every descriptor, including those for endpoints.
     with started_proxy(tmp_path, broker_toml=CHANNELS_ENABLED, before=limit_descriptors) as running:
         established, endpoint = running.establish()
         port = running.channels_port if frontend == "channels" else running.port
         idle_clients = [running.client(port=port) for _ in range(60)]
         running.logged("reason=evicted")
         running.establish()
-        idle_clients[0].line()  # the one that was idle longest gets ERR, or the SSH identification
+        idle_clients[0].line()  # the longest idle one gets ERR, or the SSH identification
         assert idle_clients[0].ended() == "fin"
         endpoint.send(b"on\r\n")
         assert established.line() == b"on\r\n"
@@ -143,32 +143,32 @@
         ("channels", b"", [b"SSH-", b"2.0-", b"terminal\r\n"]),
     ],
 )
-def test_slow_client_outlasts_idle_connections(
+def test_idle_connections_are_evicted_before_a_slow_client(
     tmp_path: Path, frontend: str, idle_input: bytes, pieces: list[bytes]
 ) -> None:
-    # The oldest was evicted first, which in a flood is the client whose line takes long.
+    # Evicting by age alone hit the client whose request line arrives slowly: in a flood it is the oldest.
     with started_proxy(tmp_path, broker_toml=CHANNELS_ENABLED, before=limit_descriptors) as running:
-        slow = running.client(port=running.channels_port if frontend == "channels" else running.port)
+        slow_client = running.client(port=running.channels_port if frontend == "channels" else running.port)
         for piece in pieces[:-1]:
-            slow.send(piece)
+            slow_client.send(piece)
             assert running.alive()
-            running.logged("reason=probed")  # at least a turn of the loop later: each piece is read by itself
+            running.logged("reason=probed")  # a later turn of the loop, so each piece is read separately
         idle_clients = [running.client(idle_input) for _ in range(60)]
         running.logged("reason=evicted")
-        slow.send(pieces[-1])
+        slow_client.send(pieces[-1])
         if frontend == "channels":
-            terminal = ChannelsClient.on_connection(slow)
-            terminal.open(0)
+            channels_client = ChannelsClient.on_connection(slow_client)
+            channels_client.open(0)
             running.endpoints[0].serve()
-            terminal.expect_confirmation(0)
+            channels_client.expect_confirmation(0)
         else:
             running.endpoints[0].serve()
-            assert slow.line() == b"UP r1\r\n"
+            assert slow_client.line() == b"UP r1\r\n"
         assert idle_clients
 
 
-def test_evicted_connection_with_unread_bytes_gets_its_answer_and_a_plain_end(tmp_path: Path) -> None:
-    # A close with bytes unread used to reset the connection, and the answer was lost.
+def test_evicted_connection_with_unread_bytes_gets_its_answer_and_a_fin(tmp_path: Path) -> None:
+    # Closing with unread bytes reset the connection, which lost the answer.
     with started_proxy(tmp_path, before=limit_descriptors) as running:
         silent_clients = [running.client() for _ in range(8)]
         assert running.alive()
@@ -182,14 +182,14 @@
         assert len(newer_clients) == 30
 
 
-def test_accepting_pauses_without_descriptors(tmp_path: Path) -> None:
-    # Accepting again at once would spin; ending would lose every established connection.
+def test_accepting_pauses_when_descriptors_run_out(tmp_path: Path) -> None:
+    # Retrying at once would spin; exiting would lose every established connection.
     with started_proxy(tmp_path, before=limit_descriptors) as running:
         waiting_clients = [running.open(60000) for _ in range(60)]
         running.logged("event=accept-paused")
         for conn in waiting_clients:
             conn.close()
-        # Attempts under way may have been sent; none is made for clients that had left before.
+        # Attempts in progress may have been sent; none is started for clients that have left.
         last_client = running.client(b"OPEN 77 2 c=feed,t=acme,d=20000\r\n")
         attempt = running.endpoints[0].accept()
         while not attempt.line().startswith(b"OPEN 77 "):
@@ -199,7 +199,7 @@
         running.establish()
 
 
-def test_unread_log_blocks_nothing(proxy: RunningProxy, tmp_path: Path) -> None:
+def test_full_log_pipe_does_not_block_the_proxy(proxy: RunningProxy, tmp_path: Path) -> None:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     while True:
