--- a/linnetshift/frontends/channels/channel.py
+++ b/linnetshift/frontends/channels/channel.py
@@ -126,7 +126,7 @@
             self.bytes_to_grant = 0
 
     def reject(self, retry_after_ns: int, breach: str) -> None:
-        """Answer that the request was not executed; `breach` names a contract's limit or is empty."""
+        """Answer that a retry is safe: it was not executed; `breach` names a contract limit or is empty."""
         text = retry_after_text(ceil_ms(retry_after_ns))
         if breach:
             reason = OpenFailureReason.ADMINISTRATIVELY_PROHIBITED
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -48,7 +48,7 @@
     from linnetshift.frontends.channels.frontend import ChannelsFrontend
 
 KEEPALIVE_REQUEST = b"keepalive@linnetshift"
-KEEPALIVE_NS = 15 * S
+KEEPALIVE_INTERVAL_NS = 15 * S
 # A session ends if nothing has been received since this many keep-alives.
 MAX_UNANSWERED_KEEPALIVES = 3
 # Reading from a client pauses while at least this much waits to be sent to it.
@@ -160,7 +160,7 @@
 
     def _serve(self) -> Steps:
         """Exchange packets until the session ends."""
-        self.set_timer(KEEPALIVE_NS, SessionTimer.KEEPALIVE)
+        self.set_timer(KEEPALIVE_INTERVAL_NS, SessionTimer.KEEPALIVE)
         self._read_packets()
         while self.end_reason is None:
             match (yield):
@@ -184,9 +184,9 @@
             self.stream.flush()
             self.write_queued()
         if mask & ~select.EPOLLOUT:
-            buffered = self.stream.stop - self.stream.start
+            buffered_bytes = self.stream.stop - self.stream.start
             end = self.stream.fill()
-            if self.stream.stop > buffered:
+            if self.stream.stop > buffered_bytes:
                 self.frontend.connection_limiter.handle_partial_request(self)
             self.unanswered_keepalives = 0
             if end is not None:
@@ -196,13 +196,13 @@
         self.stream.set_reading(len(self.stream.unsent) < MAX_UNSENT_BYTES)
 
     def _send_keepalive(self) -> None:
-        """Send a request that any peer answers, if only with a failure; a vanished peer does not."""
+        """Send a request that any peer answers, if only with a failure; a half-open connection does not."""
         self.unanswered_keepalives += 1
         if self.unanswered_keepalives > MAX_UNANSWERED_KEEPALIVES:
             self.end_reason = Reason.UNRESPONSIVE
             return
         self.write(encode_global_request(KEEPALIVE_REQUEST))
-        self.set_timer(KEEPALIVE_NS, SessionTimer.KEEPALIVE)
+        self.set_timer(KEEPALIVE_INTERVAL_NS, SessionTimer.KEEPALIVE)
 
     def _shut_down(self) -> None:
         self.end_reason = Reason.SHUT_DOWN
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -36,12 +36,12 @@
         self.frontend = connection.frontend
         self.received_at = connection.loop.ready_since  # when the loop saw the last input, in ns of its clock
         self.was_queried = False
-        self.end: End | None = None
+        self.client_end: End | None = None  # how the client ended its side
 
     def run(self) -> Steps:
         """Return None once a request has been submitted, else the `Reason` why the connection ends."""
         timer = self.connection.set_timer(REQUEST_LINE_TIMEOUT_NS, ConnectionTimer.REQUEST_LINE)
-        self.end = self.stream.fill()  # usually the request line has already arrived
+        self.client_end = self.stream.fill()  # usually the request line has already arrived
         while True:
             try:
                 is_submitted = self._process_lines()
@@ -54,7 +54,7 @@
                 return None
             # Otherwise answers to a client that sends queries without reading would exhaust memory.
             self.stream.set_reading(not self.stream.is_congested)
-            if self.end is not None:
+            if self.client_end is not None:
                 return Reason.PROBED if self.was_queried else Reason.EMPTY
             reason = self._handle((yield))
             if reason is not None:
@@ -95,6 +95,6 @@
             self.stream.flush()
         self.received_at = self.connection.loop.ready_since
         untaken_before = self.stream.untaken_bytes
-        self.end = self.stream.fill()
+        self.client_end = self.stream.fill()
         if self.stream.untaken_bytes > untaken_before:
             self.frontend.connection_limiter.handle_partial_request(self.connection)
