--- a/tests/test_list_lease.py
+++ b/tests/test_list_lease.py
@@ -1,4 +1,4 @@
-"""How long the endpoint list may be relied on."""
+"""The lease on the endpoint list: when it expires after answers, failed calls and reloads."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     assert expires_between(lease, 10.9, 11.0)
 
 
-def test_watch_refused_at_once_leaves_the_lease_of_the_answer_before() -> None:
+def test_short_watch_that_failed_does_not_extend_the_lease_of_the_last_answer() -> None:
     lease = ListLease(0)
     lease.renew(1 * S)
     lease.extend(1 * S, 8 * S)
@@ -34,8 +34,8 @@
     assert expires_between(lease, 6.9, 7.0)
 
 
-def test_watch_broken_off_after_long_counts_until_shortly_before() -> None:
-    # It was no call that waits for its turn: it would have told of changes.
+def test_long_watch_that_failed_extends_the_lease_from_three_seconds_before_its_end() -> None:
+    # A call that was open for so long was not queued, so it would have reported changes.
     lease = ListLease(0)
     lease.renew(1 * S)
     lease.extend(1 * S, 8 * S)
@@ -43,22 +43,22 @@
     assert expires_between(lease, 9.9, 10.0)
 
 
-def test_failed_calls_never_extend_the_lease() -> None:
+def test_failed_watches_without_an_answer_do_not_extend_the_lease() -> None:
     lease = ListLease(0)
     for second in range(1, 6):
         lease.handle_watch_failed(second * S)
     assert expires_between(lease, 5.9, 6.0)
 
 
-def test_reload_leaves_four_seconds() -> None:
+def test_reload_shortens_the_lease_to_four_seconds() -> None:
     lease = ListLease(0)
     lease.extend(0, 10 * S)
     lease.handle_reload(3 * S)
     assert expires_between(lease, 6.9, 7.0)
 
 
-def test_calls_refused_at_once_in_a_row_extend_the_lease_as_discovery_is_down() -> None:
-    # What discovery has counts as known only some time after it can be reached.
+def test_three_consecutive_refusals_extend_the_lease() -> None:
+    # Discovery is down then, and the deadline for its changes starts only once it can be reached.
     lease = ListLease(0)
     for at_s in (1, 3):
         lease.handle_call_refused(at_s * S)
@@ -69,7 +69,8 @@
     assert expires_between(lease, 14.9, 15.0)
 
 
-def test_call_that_waited_shows_that_refusals_before_it_are_of_a_crowded_discovery() -> None:
+def test_failed_watch_that_was_not_refused_at_once_resets_the_count_of_refusals() -> None:
+    # Discovery queued that call, so it is overloaded and not down.
     lease = ListLease(0)
     for at_s in (1, 2):
         lease.handle_call_refused(at_s * S)
@@ -78,7 +79,7 @@
     assert expires_between(lease, 5.9, 6.0)
 
 
-def test_answer_ends_the_row_of_refused_calls() -> None:
+def test_answer_resets_the_count_of_refusals() -> None:
     lease = ListLease(0)
     for at_s in (1, 2):
         lease.handle_call_refused(at_s * S)
