--- a/linnetshift/discovery/stale_list.py
+++ b/linnetshift/discovery/stale_list.py
@@ -6,7 +6,7 @@
 from linnetshift.event_loop.timers import S
 from linnetshift.routing.events import EndpointList, EndpointState, ListForm
 
-# How long answers have to contradict what is known before they are believed.
+# How long discovery's answers must contradict the list in use before one of them replaces it.
 CONFIRMATION_NS = 30 * S
 
 
@@ -14,21 +14,22 @@
     """Holds back a list that is older than the one in use, and a full list that is suddenly empty.
 
     Either may be an error of discovery: an empty list would end every connection at once, an old one would
-    send new connections to endpoints that are known to drain. Such a list is used only once the answers have
-    been like that for CONFIRMATION_NS. Lives as long as the watch; `accept` records each list that is used.
+    send new connections to endpoints that are known to drain. Such a list is used only once all answers have
+    contradicted the list in use for CONFIRMATION_NS. Lives as long as the watch; `accept` records each list
+    that is used.
     """
 
-    def __init__(self, known: EndpointList) -> None:
-        """`known` is the list in use at the start."""
-        self.version = known.version
-        self.listed = {entry.endpoint for entry in known.entries}
+    def __init__(self, initial_list: EndpointList) -> None:
+        """`initial_list` is the list in use at the start."""
+        self.version = initial_list.version
+        self.listed = {entry.endpoint for entry in initial_list.entries}
         self.contradicted_since_ns = 0  # 0: not contradicted
 
     def check(self, event: EndpointList, is_from_watch: bool, now_ns: int) -> None:
-        """Raise EndpointListError where the list must not be used now.
+        """Raise EndpointListError if the list must not be used now.
 
-        Only the watch's answers count towards the confirmation: from any other call, an older list is merely
-        late.
+        Only answers to the watch count towards the confirmation: an older list from any other call may just
+        have arrived late.
         """
         is_older = event.version < self.version
         is_emptied = bool(self.listed) and event.form == ListForm.FULL and not event.entries
