--- a/linnetshift/discovery/http_call.py
+++ b/linnetshift/discovery/http_call.py
@@ -19,16 +19,16 @@
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS
 
-# A change must be known here 6 s after discovery had it and could be reached, whatever a failed or silent
-# call may still be waiting for. Connecting, waiting for a change and the answer of the next call together
-# take well under that, and so does each back-off.
+# This process counts as notified of a change 6 s after discovery had it and could be reached, even if a call
+# that is going to fail is open until then. Connecting, the wait for a change and the answer of the next call
+# together take well under 6 s, and so does each back-off.
 CONNECT_TIMEOUT_NS = 1 * S
-# Room for thousands of endpoints; once parsed, a list takes some ten times as much memory.
+# Enough for thousands of endpoints. A parsed list takes about ten times as much memory.
 MAX_BODY_BYTES = 1 << 20
 
-UNREACHABLE = "unreachable"  # the logged error of a call whose connection did not come up
+UNREACHABLE = "unreachable"  # the logged error of a call that could not connect
 
-# What ends a call without an answer. The log shows the names of these types.
+# What a call that gets no usable answer raises. The log shows the names of these types.
 CALL_ERRORS = (h11.RemoteProtocolError, ValueError, ConnectionError, TimeoutError)
 
 
@@ -37,30 +37,30 @@
 
     call: DiscoveryCall
     document: Any  # as decoded from JSON; None where the call failed
-    has_timed_out: bool = False  # it failed, as no answer came in time
-    elapsed_ns: int = 0  # how long it took
+    has_timed_out: bool = False  # the call failed because no answer came in time
+    elapsed_ns: int = 0
 
 
 class DiscoveryCall(OutboundConnection):
-    """One GET. It fails on any status but 200, on a reset, and on silence past its time limit."""
+    """One GET request. It fails on any status other than 200, on a reset, and at its timeout."""
 
-    def __init__(self, loop: Loop, address: Address, path: str, limit_ns: int, discovery: Actor) -> None:
-        """`limit_ns` is for the whole call; `discovery` gets the `CallEnded`."""
+    def __init__(self, loop: Loop, address: Address, path: str, timeout_ns: int, discovery: Actor) -> None:
+        """`timeout_ns` is for the whole call; `CallEnded` is posted to `discovery`."""
         super().__init__(loop)
         self.address = address
         self.path = path
-        self.limit_ns = limit_ns
+        self.timeout_ns = timeout_ns
         self.discovery = discovery
 
     def run(self) -> ActorCoroutine:
-        """Connect, exchange request and response, and report the end."""
-        began_ns = self.loop.now()
-        deadline = began_ns + self.limit_ns
+        """Connect, send the request, receive the response, and report the end of the call."""
+        started_at_ns = self.loop.now()
+        deadline_ns = started_at_ns + self.timeout_ns
         document = None
         error = UNREACHABLE
-        is_connected = yield from self.connect(self.address, min(CONNECT_TIMEOUT_NS, self.limit_ns))
+        is_connected = yield from self.connect(self.address, min(CONNECT_TIMEOUT_NS, self.timeout_ns))
         if is_connected:
-            timer = self.set_timer(deadline - self.loop.now(), ConnectionTimer.ANSWER)
+            timer = self.set_timer(deadline_ns - self.loop.now(), ConnectionTimer.ANSWER)
             try:
                 document = yield from self._exchange()
                 error = ""
@@ -69,8 +69,8 @@
             timer.cancel()
         if self.stream is not None:
             self.stream.close()
-        ended_ns = self.loop.now()
-        elapsed_ns = ended_ns - began_ns
+        ended_at_ns = self.loop.now()
+        elapsed_ns = ended_at_ns - started_at_ns
         if document is None:
             log.info(
                 "discovery-call-failed",
@@ -78,15 +78,15 @@
                 error=error[:MAX_LOGGED_CHARS],
                 ms=elapsed_ns // MS,
             )
-        has_timed_out = document is None and ended_ns >= deadline
+        has_timed_out = document is None and ended_at_ns >= deadline_ns
         self.discovery.post(CallEnded(self, document, has_timed_out, elapsed_ns))
 
     def report_failure(self) -> None:
-        """Report a failed call after a fault in this one."""
+        """Report the call as failed after a fault in it."""
         self.discovery.post(CallEnded(self, None))
 
     def _exchange(self) -> Steps:
-        """The document that the response holds; raises one of CALL_ERRORS."""
+        """The document decoded from the response; raises one of CALL_ERRORS."""
         stream = self.stream
         assert stream is not None
         http = h11.Connection(h11.CLIENT)
@@ -100,20 +100,20 @@
                 case h11.Data():
                     body += event.data
                     if len(body) > MAX_BODY_BYTES:
-                        raise ValueError("the answer is too long")
+                        raise ValueError(f"response body longer than {MAX_BODY_BYTES} bytes")
                 case h11.EndOfMessage():
                     return json.loads(body)
                 case h11.NEED_DATA:
                     yield from self._receive(http, stream)
 
     def _encode_request(self, http: h11.Connection) -> bytes:
-        """The whole request as sent; the connection ends with the response."""
+        """The encoded request, which asks discovery to close the connection after the response."""
         headers = [("Host", f"{self.address[0]}:{self.address[1]}"), ("Connection", "close")]
         request = h11.Request(method="GET", target=self.path, headers=headers)
         return http.send(request) + (http.send(h11.EndOfMessage()) or b"")
 
     def _receive(self, http: h11.Connection, stream: Stream) -> Steps:
-        """Wait for one message of the loop and pass on what was received."""
+        """Wait for one message and parse the bytes received; raises one of CALL_ERRORS."""
         match (yield):
             case Io(mask):
                 if mask & select.EPOLLOUT:
@@ -126,4 +126,4 @@
                 elif end is End.FIN:
                     http.receive_data(b"")
             case Timeout(tag=ConnectionTimer.ANSWER):
-                raise TimeoutError("no answer in time")
+                raise TimeoutError(f"no complete response within {self.timeout_ns // MS} ms")
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -128,7 +128,7 @@
         self.loop.call_later(DISCONTINUED_CLASS_GRACE_NS, partial(self._forget_classes, discontinued))
         if files.proxy.cached_list.event.version > self.discovery.version:
             self.handle_list_update(files.proxy.cached_list)
-        self.discovery.relocate(files.proxy.discovery, WatchTimeouts.of(files.proxy.settings))
+        self.discovery.reconfigure(files.proxy.discovery, WatchTimeouts.of(files.proxy.settings))
         return discontinued
 
     def _forget_classes(self, discontinued: dict[str, int]) -> None:
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -16,7 +16,7 @@
 
 from linnetshift.discovery.http_call import CONNECT_TIMEOUT_NS, CallEnded
 from linnetshift.discovery.watch import (
-    MAX_FULL_LIST_CALL_NS,
+    MAX_FULL_LIST_TIMEOUT_NS,
     MAX_TIMEOUT_DOUBLINGS,
     WAIT_AFTER_FAILURE_MS,
 )
@@ -49,7 +49,7 @@
 def test_pushed_list_watch_is_renewed_within_the_drain_grace_period(grace_ms: int) -> None:
     timeouts = watch_timeouts(discovery="push", rules={"drainGraceNs": grace_ms * MS})
     assert timeouts.wait_ms * MS + timeouts.margin_ns <= grace_ms * MS * 3 // 4
-    assert timeouts.full_list_ns <= grace_ms * MS
+    assert timeouts.full_list_timeout_ns <= grace_ms * MS
     assert timeouts.wait_ms > 0
     assert timeouts.margin_ns >= 25 * MS
 
@@ -77,7 +77,7 @@
             longest_delay_ns = max(longest_delay_ns, action.delay_ns if isinstance(action, SetTimer) else 0)
     timeouts = watch_timeouts(discovery="ask", rules={"mustAskInNs": 3600 * S})
     call_limit_ns = max(
-        WAIT_AFTER_FAILURE_MS * MS + (timeouts.margin_ns << MAX_TIMEOUT_DOUBLINGS), MAX_FULL_LIST_CALL_NS
+        WAIT_AFTER_FAILURE_MS * MS + (timeouts.margin_ns << MAX_TIMEOUT_DOUBLINGS), MAX_FULL_LIST_TIMEOUT_NS
     )
     # One call that failed to connect just before, the back-off, and one call that has to be answered.
     assert longest_delay_ns > 0
@@ -115,12 +115,12 @@
 ) -> None:
     # Connecting used to have the same limit as a watch, which is a minute here.
     monkeypatch.setattr("linnetshift.discovery.http_call.CONNECT_TIMEOUT_NS", 50 * MS)
-    monkeypatch.setattr("linnetshift.discovery.watch.MAX_FULL_LIST_CALL_NS", 60 * S)
+    monkeypatch.setattr("linnetshift.discovery.watch.MAX_FULL_LIST_TIMEOUT_NS", 60 * S)
     monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(False, 60_000, S, 60 * S)))
     with proxy_in_thread(tmp_path, rules={"mustAskInNs": S // 2}) as running:
         unreachable = EmulatedEndpoint("discovery")
         unreachable.fill_accept_queue()
-        running.program.discovery.relocate(
+        running.program.discovery.reconfigure(
             ("127.0.0.1", unreachable.port), WatchTimeouts.of(running.program.config.settings)
         )
         calls: list[object] = []  # kept alive, so that no two calls share an identity
@@ -161,7 +161,7 @@
         while (call := running.program.discovery.watch_call) is None:
             pass  # between two calls
         assert "since=" in last_call.path
-        assert call.limit_ns - int(call.path.rpartition("=")[2]) * MS == 10 * MS << doublings
+        assert call.timeout_ns - int(call.path.rpartition("=")[2]) * MS == 10 * MS << doublings
 
 
 def test_refused_call_leaves_the_next_one_as_patient_as_time_outs_made_it(tmp_path: Path) -> None:
@@ -181,7 +181,7 @@
             pass  # between two calls
         assert call.path == next_call.path
         margin_ns = discovery.timeouts.margin_ns << MAX_TIMEOUT_DOUBLINGS
-        assert call.limit_ns == int(call.path.rpartition("=")[2]) * MS + margin_ns
+        assert call.timeout_ns == int(call.path.rpartition("=")[2]) * MS + margin_ns
 
 
 def test_pushed_list_watch_recovers_after_timeouts_and_error_responses(tmp_path: Path) -> None:
@@ -440,6 +440,6 @@
     with started_proxy(tmp_path, endpoints=2, **PUSHED_LISTS) as running:
         best, other = ranked(running)
         running.discovery.answer_once(b'{"rev":9,"all":true,"targets":[' + b" " * (1 << 21))
-        running.logged("event=discovery-call-failed .*too long")
+        running.logged("event=discovery-call-failed .*response body longer than 1048576 bytes")
         running.discovery.change(**{best.uid: "DRAINING"})
         assert_request_avoids_draining_endpoint(running, best, other)
