--- a/linnetshift/discovery/endpoint_list.py
+++ b/linnetshift/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The endpoint list in the form in which discovery sends it: parsing and writing.
+"""The endpoint list as discovery sends it: parsing and serializing.
 
-The same form is used in the proxy file (`known`) and between two processes in a hot restart.
+The same format is used in the proxy file (`known`) and between two processes in a hot restart.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from linnetshift.observability.log import MAX_LOGGED_CHARS
 from linnetshift.routing.events import EndpointEntry, EndpointList, EndpointState, ListForm
 
-# Keys of the list, as on the wire.
+# Keys of the list on the wire.
 TARGETS_KEY = "targets"
 VERSION_KEY = "rev"
 IS_FULL_KEY = "all"
 
-# Keys of one entry, as on the wire.
+# Keys of one entry on the wire.
 ENDPOINT_ID_KEY = "uid"
 ADDRESS_KEY = "endpoint"
 ZONE_KEY = "az"
@@ -36,43 +36,47 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
-DEFAULT_WEIGHT = 1.0  # of an entry that gives none, or no finite one
+DEFAULT_WEIGHT = 1.0  # of an entry without a weight, or with one that is not finite
 
-# What parsing an entry of the wrong shape raises; such an entry is left out of the list.
+# What `_parse_entry` raises for an invalid entry.
 ENTRY_ERRORS = (AttributeError, KeyError, TypeError, ValueError, OverflowError)
 
 
 class EndpointListError(ValueError):
-    """A document that is no endpoint list, or one that must not be used as it stands."""
+    """A document that is not an endpoint list, or a list that must not be used as a whole."""
 
 
 class EndpointListUpdate(NamedTuple):
-    """A full list or its changes for the decisions, and the addresses of its endpoints."""
+    """A full list or a delta for the balancer, and the addresses of its endpoints."""
 
     event: EndpointList
-    addresses: dict[bytes, Address]  # of all entries but those that could be read only in part
-    invalid_entries: int  # how many were left out, or read only in part
-    named: frozenset[bytes] | None = None  # all endpoints of a full list, where each entry names its own
+    addresses: dict[bytes, Address]  # of all entries except invalid ones
+    invalid_entry_count: int  # entries that were left out, or used only for their state
+    # All endpoints that a full list names; None for a delta, or where an entry names none.
+    named_endpoints: frozenset[bytes] | None = None
 
     def with_removals(self, listed: Iterable[bytes]) -> EndpointListUpdate:
-        """Changes that also remove what was listed and a full list with invalid entries does not name."""
-        if self.named is None or self.event.form != ListForm.DELTA:
+        """Add removals of listed endpoints that a full list with invalid entries does not name."""
+        if self.named_endpoints is None or self.event.form != ListForm.DELTA:
             return self
-        removed = tuple(_unreadable_entry(e, EndpointState.REMOVED) for e in listed if e not in self.named)
+        removed = tuple(
+            _state_only_entry(e, EndpointState.REMOVED) for e in listed if e not in self.named_endpoints
+        )
         return self._replace(event=self.event._replace(entries=self.event.entries + removed))
 
     def only_unavailable(self, version: int) -> EndpointListUpdate:
-        """Only the endpoints that are not ready, as changes to the list of that version."""
+        """Only the endpoints that are not ready, as a delta of this version."""
         entries = tuple(entry for entry in self.event.entries if entry.state != EndpointState.READY)
         return self._replace(event=EndpointList(ListForm.DELTA, version, entries))
 
 
 def parse_endpoint_list(document: Any, names: NameRegistry, is_cached: bool = False) -> EndpointListUpdate:
-    """Parse a list as decoded from JSON; `is_cached` is one that was kept in a file, perhaps long ago.
+    """Parse a list as decoded from JSON; `is_cached`: it comes from a file and may be old.
 
-    Raises EndpointListError where the document is no list. An invalid entry is logged, and left out unless it
-    names an endpoint and does not have it ready. An endpoint that a full list with such an entry does not
-    name may be the one that could not be parsed, so the list then counts as changes only: see `named`.
+    Raises EndpointListError if the document is not a list. Invalid entries are logged. One that names an
+    endpoint and does not list it as ready is used for its state only; any other is left out. A full list with
+    invalid entries becomes a delta, as an endpoint that it does not name may be one that could not be parsed:
+    see `EndpointListUpdate.with_removals`.
     """
     if not isinstance(document, dict) or not isinstance(document.get(TARGETS_KEY), list):
         raise EndpointListError("no list of targets")
@@ -95,12 +99,14 @@
         log.info("endpoint-entries-invalid", count=len(errors), first=errors[0][:MAX_LOGGED_CHARS])
     is_full = bool(document.get(IS_FULL_KEY)) and not errors
     form = _list_form(is_cached, is_full)
-    named = _named_endpoints(document[TARGETS_KEY]) if document.get(IS_FULL_KEY) else None
-    return EndpointListUpdate(EndpointList(form, version, tuple(entries)), addresses, len(errors), named)
+    named_endpoints = _named_endpoints(document[TARGETS_KEY]) if document.get(IS_FULL_KEY) else None
+    return EndpointListUpdate(
+        EndpointList(form, version, tuple(entries)), addresses, len(errors), named_endpoints
+    )
 
 
 def _named_endpoints(targets: list[Any]) -> frozenset[bytes] | None:
-    """The endpoints that the entries are about; None where one names none."""
+    """The endpoints that the entries name; None where an entry names none."""
     ids = [target.get(ENDPOINT_ID_KEY) if isinstance(target, dict) else None for target in targets]
     if not all(isinstance(endpoint_id, str) for endpoint_id in ids):
         return None
@@ -108,14 +114,14 @@
 
 
 def _list_form(is_cached: bool, is_full: bool) -> ListForm:
-    """The form for the decisions: only a full list from discovery shows which endpoints are removed."""
+    """The form for the balancer: only a full list from discovery shows which endpoints are removed."""
     if is_cached:
         return ListForm.CACHED
     return ListForm.FULL if is_full else ListForm.DELTA
 
 
 def _parse_entry(target: dict[str, Any], names: NameRegistry) -> tuple[EndpointEntry, Address]:
-    """One entry and its address; raises one of ENTRY_ERRORS where it is invalid.
+    """One entry and its address; raises one of ENTRY_ERRORS if it is invalid.
 
     Zones and kinds that the configuration does not name become UNKNOWN_NUMBER.
     """
@@ -133,9 +139,10 @@
 
 
 def _parse_unavailable(target: Any) -> list[EndpointEntry]:
-    """What can be used of an invalid entry: that its endpoint is not ready, if it says so.
+    """What can be used of an invalid entry: that its endpoint drains or is removed.
 
-    One whose state cannot be read is not known to be ready, and counts as draining.
+    An endpoint whose state cannot be read is not known to be ready, and counts as draining. Empty where the
+    entry names no endpoint, or lists it as ready.
     """
     if not isinstance(target, dict) or not isinstance(target.get(ENDPOINT_ID_KEY), str):
         return []
@@ -143,11 +150,11 @@
     state = STATES_BY_WIRE_NAME.get(wire_state) if isinstance(wire_state, str) else None
     if state == EndpointState.READY:
         return []
-    return [_unreadable_entry(target[ENDPOINT_ID_KEY].encode(), state or EndpointState.DRAINING)]
+    return [_state_only_entry(target[ENDPOINT_ID_KEY].encode(), state or EndpointState.DRAINING)]
 
 
-def _unreadable_entry(endpoint: bytes, state: EndpointState) -> EndpointEntry:
-    """The entry of an endpoint of which nothing but its state is known."""
+def _state_only_entry(endpoint: bytes, state: EndpointState) -> EndpointEntry:
+    """The entry of an endpoint of which only the state is known."""
     return EndpointEntry(
         endpoint,
         zone=UNKNOWN_NUMBER,
@@ -160,7 +167,7 @@
 
 
 def serialize_entry(entry: EndpointEntry, address: Address, names: NameRegistry) -> dict[str, Any]:
-    """The entry as discovery would list it: what `_parse_entry` reads."""
+    """The entry as discovery sends it; `_parse_entry` reverses this."""
     return {
         ENDPOINT_ID_KEY: entry.endpoint.decode(),
         ADDRESS_KEY: f"{address[0]}:{address[1]}",
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -286,7 +286,7 @@
         # An agent may be called several times a second, mostly without a change: that is not passed on.
         if event.entries or event.form == ListForm.FULL or not self.timeouts.is_pushed:
             self.notify_update(list_update)
-        if list_update.invalid_entries:
+        if list_update.invalid_entry_count:
             self._schedule_refetch()
         else:
             self.refetches = 0
