--- a/linnetshift/upstream/attempt_setup.py
+++ b/linnetshift/upstream/attempt_setup.py
@@ -20,30 +20,30 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt's connection ended: for the log, for the decisions, and for the client's side."""
+    """How an attempt's connection ended: for the log, for the balancer, and for the client's side."""
 
     reason: Reason
     outcome: Outcome
     is_reset: bool = False
 
 
-# What the first word of an endpoint's answer means, but for ESTABLISHED.
+# Results by the first word of the endpoint's answer, except ESTABLISHED.
 RESULTS_BY_ANSWER = {
     b"ERR": AttemptResult(Reason.ERROR, Outcome.ERROR),
     b"BUSY": AttemptResult(Reason.ENDPOINT_FULL, Outcome.FULL),
     b"MOVE": AttemptResult(Reason.ENDPOINT_MIGRATED, Outcome.CANCELLED),
 }
-UNKNOWN_ANSWER = AttemptResult(Reason.ERROR, Outcome.ERROR)
+UNKNOWN_ANSWER_RESULT = AttemptResult(Reason.ERROR, Outcome.ERROR)
 
 
 class AttemptSetup:
-    """Connects, sends the request line and awaits the endpoint's answer.
+    """Connects, sends the request line and waits for the endpoint's answer.
 
     Lives as long as its `run`; the connection holds no reference to it.
     """
 
     def __init__(self, connection: EndpointConnection) -> None:
-        """Set up for the connection's attempt; nothing is opened before `run`."""
+        """A set-up that opens nothing before `run`."""
         self.connection = connection
         self.attempt = connection.attempt
         self.broker = connection.broker
@@ -53,8 +53,8 @@
     def run(self) -> Steps:
         """Return None once the endpoint has accepted the request, else the `AttemptResult`."""
         connection = self.connection
-        limit_ns = min(self.broker.settings.connect_timeout_ns, self.attempt.deadline - self.loop.now())
-        is_connected = yield from connection.connect(connection.address, limit_ns)
+        timeout_ns = min(self.broker.settings.connect_timeout_ns, self.attempt.deadline - self.loop.now())
+        is_connected = yield from connection.connect(connection.address, timeout_ns)
         if not is_connected:
             if connection.was_refused:
                 self.broker.record_refusal(self.attempt.endpoint)
@@ -63,15 +63,15 @@
         stream = connection.stream
         assert stream is not None
         if not self.broker.may_send(self.attempt):
-            # The endpoint must not get a byte; the request is placed anew, if it may be.
+            # Nothing is sent to the endpoint; the broker places the request again if that is allowed.
             return AttemptResult(Reason.ABANDONED, Outcome.MOOT)
         if not stream.is_present:
-            # Closed as soon as it was accepted: nothing can have been executed there.
+            # The endpoint closed the connection before it got the request, so it has executed nothing.
             return AttemptResult(Reason.ENDPOINT_LEFT, Outcome.CONNECT_FAILED)
         return (yield from self._exchange_request_line(stream))
 
     def _exchange_request_line(self, stream: Stream) -> Steps:
-        """Send the request line and await its answer; returns as `run` does."""
+        """Send the request line and wait for its answer; returns as `run` does."""
         self.attempt.is_sent = True
         remaining_ns = self.attempt.deadline - self.loop.now()
         stream.send(self.attempt.request.encode_request_line(max(1, remaining_ns // MS)))
@@ -92,19 +92,19 @@
         """Write and read as far as possible; the result if the attempt failed."""
         if mask & select.EPOLLOUT:
             stream.flush()
-        is_unsent = stream.is_congested or stream.broken
+        has_unsent_bytes = stream.is_congested or stream.broken
         if not mask & ~select.EPOLLOUT:
             return None
         end = stream.fill()
         result = self._receive_answer(stream)
         if result is not None or self.is_accepted or end is None:
             return result
-        # Without the whole request line the endpoint has executed nothing, and another may be tried.
+        # An endpoint that lacks a part of the request line has executed nothing, so another one may be tried.
         reason = Reason.ENDPOINT_RESET if end is End.RESET else Reason.ENDPOINT_LEFT
-        return AttemptResult(reason, Outcome.CONNECT_FAILED if is_unsent else Outcome.RESET)
+        return AttemptResult(reason, Outcome.CONNECT_FAILED if has_unsent_bytes else Outcome.RESET)
 
     def _receive_answer(self, stream: Stream) -> AttemptResult | None:
-        """Read the answer once it is complete; the result unless it accepts the request."""
+        """Read the answer if it is complete; the result unless the answer accepts the request."""
         try:
             line = stream.line()
         except LineTooLongError:
@@ -116,7 +116,7 @@
             self.is_accepted = True
             self.broker.handle_established(self.attempt, line)
             return None
-        return RESULTS_BY_ANSWER.get(keyword, UNKNOWN_ANSWER)
+        return RESULTS_BY_ANSWER.get(keyword, UNKNOWN_ANSWER_RESULT)
 
 
 def _is_receipt(text: bytes) -> bool:
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -1,4 +1,4 @@
-"""Opens attempts and health checks at the addresses that discovery last gave."""
+"""Opens attempts and health checks at the addresses in the latest endpoint list."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     """
 
     def __init__(self, loop: Loop) -> None:
-        """Knows no addresses before the first list."""
+        """A connector without addresses until the first list."""
         self.loop = loop
         self.addresses: dict[bytes, Address] = {}
         self.broker: Broker | None = None
 
     def handle_endpoint_list(self, event: EndpointList, addresses: dict[bytes, Address]) -> None:
-        """Keep the addresses of the listed endpoints and of no others, or they would pile up."""
+        """Keep the addresses of listed endpoints only, so that their number stays bounded."""
         if is_full_list(event):
             self.addresses = {}
         self.addresses.update(addresses)
@@ -39,11 +39,11 @@
                 self.addresses.pop(entry.endpoint, None)
 
     def resource_usage(self, max_endpoints: int) -> dict[str, ResourceUsage]:
-        """Its container, under its name in `/ops/census`."""
+        """Size and bound of the table of addresses, under its name in `/ops/census`."""
         return {"gate.endpoints": ResourceUsage(len(self.addresses), max_endpoints)}
 
     def open(self, attempt: Attempt) -> None:
-        """Start the attempt; the broker is notified of what becomes of it."""
+        """Start the attempt; the broker is notified of its outcome."""
         assert self.broker is not None
         address = self.addresses.get(attempt.endpoint)
         if address is None:
@@ -72,7 +72,7 @@
             broker.handle_health_check_result(endpoint, Outcome.CONNECT_FAILED, 0, ())
             return
         if broker.administrative_drains.is_drained(endpoint):
-            # A drained endpoint is not called; FULL is the outcome that says nothing of its health.
+            # A drained endpoint is not contacted; the outcome FULL says nothing about its health.
             broker.handle_health_check_result(endpoint, Outcome.FULL, 0, ())
             return
         checker = HealthChecker(
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -19,17 +19,17 @@
 from linnetshift.routing.events import Outcome
 from linnetshift.upstream.attempt_setup import AttemptResult, AttemptSetup
 
-LOAD_REPORT = b"LOAD "  # how a line begins with which an endpoint reports this connection's load
-MAX_INSPECTED_BYTES = 64  # lines that mean something to the proxy are shorter
+LOAD_REPORT = b"LOAD "  # the beginning of a line in which an endpoint reports load
+MAX_INSPECTED_BYTES = 64  # lines that the proxy interprets are shorter
 
 
 class ClientEnded(NamedTuple):
-    """The client's side has ended."""
+    """Message: the client's side has ended."""
 
     is_reset: bool
 
 
-# What it means if the endpoint ends the connection after this line; after any other it broke off.
+# Outcomes by the last line before the endpoint ended the connection; RESET after any other line.
 OUTCOMES_BY_LAST_LINE = {b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}
 
 
@@ -37,46 +37,46 @@
     """One attempt's connection: an actor with two states, and the broker's `UpstreamConnection`.
 
     The states are set-up, until the endpoint's answer (`AttemptSetup`), and established, with lines relayed.
-    The broker gets one report of its end, unless the client ended or the broker abandoned the attempt before.
+    The broker gets one report of the end, unless the client ended or the broker abandoned the attempt before.
     """
 
     def __init__(self, loop: Loop, broker: Broker, attempt: Attempt, address: Address) -> None:
-        """Nothing is opened before `start` is called with `run()`."""
+        """A connection that opens nothing before `start` is called with `run()`."""
         super().__init__(loop)
         self.broker = broker
         self.attempt = attempt
         self.address = address
-        self.awaiting_reply_since_ns = 0  # when a line went out that has no reply yet; 0: none
+        self.awaiting_reply_since_ns = 0  # when the oldest line without a reply was sent; 0: none
         self.last_received_ns = loop.now()
-        self.outcome_at_end = Outcome.RESET  # what the end of the connection means, by the last line
-        self.is_released = False  # the broker has given it up, or has the report of its end
+        self.outcome_by_last_line = Outcome.RESET  # if the endpoint ends now
+        self.is_released = False  # the broker has the report of the end, or wants none
 
     # ---- called by the broker and the client's side -----------------------------------------
 
     @property
     def is_congested(self) -> bool:
-        """Whether bytes wait for the endpoint to take them."""
+        """Whether sent bytes wait until the endpoint reads."""
         return self.stream is not None and self.stream.is_congested
 
     def deliver(self, message: memoryview) -> None:
-        """Send a line of the client's."""
+        """Send a line from the client to the endpoint."""
         if self.stream is not None and not self.is_released:
             self.stream.send(message)
             if not self.awaiting_reply_since_ns:
                 self.awaiting_reply_since_ns = self.loop.now()
 
     def resume(self) -> None:
-        """The client takes lines again."""
+        """Read on, as the client is no longer congested."""
         self.post(Resume())
 
     def oldest_unanswered_ns(self) -> int:
-        """For how long the endpoint has owed a reply; 0 if it owes none."""
+        """Time since the oldest line without a reply was sent; 0 if there is none."""
         return self.loop.now() - self.awaiting_reply_since_ns if self.awaiting_reply_since_ns else 0
 
     def idle_ns(self) -> int:
-        """For how long the endpoint has sent nothing.
+        """Time since the endpoint last sent a line.
 
-        0 while this side does not read: its client does not take what the endpoint may have sent.
+        0 while this side does not read because the client is congested: there may be unread lines.
         """
         if self.stream is None or not self.stream.reading:
             return 0
@@ -88,7 +88,7 @@
         self.post(ClientEnded(reset))
 
     def abandon(self) -> None:
-        """Close it here and now: the next attempt's first byte must not meet this one still open."""
+        """Close at once: this connection must not be open when the next attempt sends its first byte."""
         self.is_released = True
         if self.stream is not None:
             self.stream.close()
@@ -97,7 +97,7 @@
     # ---- the actor --------------------------------------------------------------------------
 
     def run(self) -> ActorCoroutine:
-        """Set the connection up, relay until one side ends, and report the end."""
+        """Set up the connection, relay until one side ends, and report the end."""
         self.attempt.upstream = self
         result = yield from AttemptSetup(self).run()
         if result is None:
@@ -118,7 +118,7 @@
         return result
 
     def _report(self, result: AttemptResult) -> None:
-        """Log the end, and notify the broker if it does not know."""
+        """Log the end, and report it to the broker unless that is done or not wanted."""
         log.connection_ended(
             "endpoint",
             result.reason,
@@ -136,7 +136,7 @@
     def _relay(self) -> Steps:
         """Pass the endpoint's lines on until one side ends; returns the `AttemptResult`.
 
-        The other direction needs no turn of this actor: the client's side calls `deliver`.
+        The other direction does not use this actor's mailbox: the client's side calls `deliver`.
         """
         stream = self.stream
         assert stream is not None
@@ -149,16 +149,16 @@
                 case Resume():
                     end = self._forward_lines(stream)
                 case ClientEnded(is_reset=True):
-                    return AttemptResult(Reason.CLIENT_RESET, self.outcome_at_end, is_reset=True)
+                    return AttemptResult(Reason.CLIENT_RESET, self.outcome_by_last_line, is_reset=True)
                 case ClientEnded():
                     stream.finish()
                     yield from linger(self, stream)
-                    return AttemptResult(Reason.CLIENT_LEFT, self.outcome_at_end)
+                    return AttemptResult(Reason.CLIENT_LEFT, self.outcome_by_last_line)
                 case Stop():
-                    return AttemptResult(Reason.ABANDONED, self.outcome_at_end)
+                    return AttemptResult(Reason.ABANDONED, self.outcome_by_last_line)
         if end is End.FIN and (rest := stream.rest()):
             client.deliver(rest)
-        return _result_of_end(end, self.outcome_at_end)
+        return _result_of_end(end, self.outcome_by_last_line)
 
     def _handle_io(self, stream: Stream, client: Client, mask: int) -> End | None:
         """Write and read as far as possible; how the endpoint ended the connection, if it did."""
@@ -175,13 +175,13 @@
         return end
 
     def _forward_lines(self, stream: Stream) -> End | None:
-        """Pass whole lines to the client while it takes them; stop reading when it does not.
+        """Pass complete lines to the client, and stop reading while the client is congested.
 
         A line that is too long counts as a reset.
         """
         client = self.attempt.request.client
         if self.is_released:
-            stream.rest()  # nobody is left to take it
+            stream.rest()  # discarded, as the client has ended or the attempt was abandoned
             return None
         try:
             while not client.is_congested and (line := stream.line()) is not None:
@@ -193,30 +193,30 @@
         return None
 
     def _inspect_line(self, line: memoryview) -> None:
-        """Record what a line means to the proxy; it is passed on all the same."""
+        """Record load reports, response times and the last line; all lines are passed on."""
         self.last_received_ns = self.loop.now()
         text = bytes(line[:MAX_INSPECTED_BYTES]).strip()
         if text.startswith(LOAD_REPORT):
             self._record_load_report(text[len(LOAD_REPORT) :])
             return
-        self.outcome_at_end = OUTCOMES_BY_LAST_LINE.get(text, Outcome.RESET)
+        self.outcome_by_last_line = OUTCOMES_BY_LAST_LINE.get(text, Outcome.RESET)
         if self.awaiting_reply_since_ns:
             self.broker.record_response_time(self.attempt, self.loop.now() - self.awaiting_reply_since_ns)
             self.awaiting_reply_since_ns = 0
 
-    def _record_load_report(self, figure: bytes) -> None:
-        """Notify the broker of a reported figure.
+    def _record_load_report(self, value: bytes) -> None:
+        """Pass a reported value to the broker.
 
-        It is the connection's load in us/s or the endpoint's message time in ms; the broker finds out which.
+        It is the connection's load in us/s or the endpoint's message time in ms; the broker determines which.
         """
         try:
-            self.broker.record_load_report(self.attempt, float(figure))
+            self.broker.record_load_report(self.attempt, float(value))
         except ValueError:
             log.info("load-report-invalid", endpoint=self.attempt.endpoint.decode("utf-8", "replace"))
 
 
 def _result_of_end(end: End, outcome: Outcome) -> AttemptResult:
-    """The result of an established connection that the endpoint ended; `outcome` is by its last line."""
+    """The result of an established connection that the endpoint ended; `outcome` is by the last line."""
     is_reset = end is End.RESET
     if outcome is Outcome.OK:
         reason = Reason.SERVED
--- a/linnetshift/upstream/health_checker.py
+++ b/linnetshift/upstream/health_checker.py
@@ -1,4 +1,4 @@
-"""Active health checks and the load reports that they bring."""
+"""Active health checks, and the load reports in their answers."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from linnetshift.observability.log import Reason
 from linnetshift.routing.events import Outcome
 
-# For the connection, and again for the answer.
+# For connecting, and the same again for the answer.
 HEALTH_CHECK_TIMEOUT_NS = 200 * MS
 
 PING = b"PING\r\n"
 LOAD_REPORT_REQUEST = b"STATS\r\n"
 HEALTHY = b"PONG"  # the first word of a healthy endpoint's answer to either; a load report may follow
 
-REASONS = {
+REASONS_BY_OUTCOME = {
     Outcome.OK: Reason.ANSWERED,
     Outcome.ERROR: Reason.ERROR,
     Outcome.RESET: Reason.ENDPOINT_RESET,
@@ -34,7 +34,7 @@
 
 
 class HealthChecker(OutboundConnection):
-    """One health check of an endpoint, which requests a load report too where `columns` names any."""
+    """One health check of an endpoint; requests a load report too unless `columns` is empty."""
 
     def __init__(
         self,
@@ -44,9 +44,9 @@
         notify_result: Callable[[Outcome, int, tuple[float, ...]], None],
         notify_refused: Callable[[], None],
     ) -> None:
-        """`notify_result` gets the outcome, the response time in ns, and the figures of the load report.
+        """`notify_result` gets the outcome, the response time in ns, and the values of the load report.
 
-        `notify_refused` is called first where the endpoint's machine refused the connection.
+        `notify_refused` is called before it if the endpoint's machine refused the connection.
         """
         super().__init__(loop)
         self.endpoint = endpoint
@@ -54,7 +54,7 @@
         self.notify_result = notify_result
         self.notify_refused = notify_refused
         self.started_at_ns = loop.now()
-        self.figures: tuple[float, ...] = ()
+        self.load_report: tuple[float, ...] = ()
 
     def run(self, address: Address) -> ActorCoroutine:
         """Check the endpoint at the address, and report."""
@@ -62,7 +62,7 @@
         is_connected = yield from self.connect(address, HEALTH_CHECK_TIMEOUT_NS)
         stream = self.stream
         if is_connected and stream is not None:
-            # The round trip of connecting does not show how fast the endpoint is.
+            # The time to connect does not show how fast the endpoint answers, so it is not counted.
             self.started_at_ns = self.loop.now()
             stream.send(LOAD_REPORT_REQUEST if self.columns else PING)
             outcome = yield from self._await_answer(stream)
@@ -77,19 +77,21 @@
         self._report(Outcome.ERROR)
 
     def _report(self, outcome: Outcome) -> None:
-        """Log the end and pass on the result."""
+        """Log the result and pass it on."""
         elapsed_ns = self.loop.now() - self.started_at_ns
         check_fields: dict[str, object] = {
             "endpoint": self.endpoint.decode("utf-8", "replace"),
             "ms": elapsed_ns // MS,
         }
-        figures = dict(zip(self.columns, self.figures, strict=False))
+        report_fields = dict(zip(self.columns, self.load_report, strict=False))
         # A column may have the name of one of the check's own fields, which keep their places and values.
-        log.connection_ended("health-check", REASONS[outcome], **(check_fields | figures | check_fields))
-        self.notify_result(outcome, elapsed_ns, self.figures)
+        log.connection_ended(
+            "health-check", REASONS_BY_OUTCOME[outcome], **(check_fields | report_fields | check_fields)
+        )
+        self.notify_result(outcome, elapsed_ns, self.load_report)
 
     def _await_answer(self, stream: Stream) -> Steps:
-        """The outcome, once the answer is there or its time is up."""
+        """Wait for the answer or the timeout; returns the outcome."""
         timer = self.set_timer(HEALTH_CHECK_TIMEOUT_NS, ConnectionTimer.ANSWER)
         outcome: Outcome | None = None
         while outcome is None:
@@ -112,20 +114,20 @@
             return Outcome.ERROR
         if line is not None:
             keyword, _, report = bytes(line).strip().partition(b" ")
-            self.figures = parse_load_report(report, self.columns)
+            self.load_report = parse_load_report(report, self.columns)
             return Outcome.OK if keyword == HEALTHY else Outcome.ERROR
         return Outcome.RESET if end is not None else None
 
 
 def parse_load_report(text: bytes, columns: tuple[str, ...]) -> tuple[float, ...]:
-    """A load report, `NAME=FIGURE,NAME=FIGURE...`, as figures in the order of `columns`.
+    """A load report, `NAME=NUMBER,NAME=NUMBER...`, as values in the order of `columns`.
 
-    Empty where a column is missing or no finite number: half a report would be read as a whole one.
+    Empty if a column is missing or no finite number: a partial report would be taken for a complete one.
     """
     pairs = (pair.partition("=") for pair in text.decode("ascii", "replace").split(","))
-    text_by_column = {name: figure for name, _, figure in pairs}
+    text_by_column = {name: number for name, _, number in pairs}
     try:
-        figures = tuple(float(text_by_column[column]) for column in columns)
+        values = tuple(float(text_by_column[column]) for column in columns)
     except (KeyError, ValueError):
         return ()
-    return figures if all(map(math.isfinite, figures)) else ()
+    return values if all(map(math.isfinite, values)) else ()
