--- a/linnetshift/__main__.py
+++ b/linnetshift/__main__.py
@@ -19,12 +19,12 @@
 
 
 def catch_signals() -> int:
-    """Catch the signals that the proxy acts on; returns the descriptor at which their numbers arrive.
+    """Catch the signals that the proxy handles; returns the descriptor at which their numbers arrive.
 
-    It is called before anything else: a signal that nobody catches ends the process. Python runs its own
-    handler between two instructions; the byte that it writes to the pipe wakes the event loop.
+    Call this before anything else, as an uncaught signal ends the process. Python runs the handlers between
+    two of its instructions; the byte that each signal writes to the pipe wakes the event loop.
     """
-    # A pipe and not a pair of sockets: where the platform redirects all sockets, only those of IP work.
+    # A pipe instead of a socket pair: where the platform redirects all sockets, only IP sockets work.
     reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
     signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
     for number in CAUGHT_SIGNALS:
@@ -33,15 +33,15 @@
 
 
 def ignore_signals() -> None:
-    """Ignore the signals from now on: at its end Python gives those that are caught their default actions."""
+    """Ignore the signals from now on: Python restores the default action of caught signals when it ends."""
     for number in CAUGHT_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
 
 
 def start_proxy() -> Proxy:
-    """The proxy that the environment describes, which takes over from a running process where there is one.
+    """Start the proxy that the environment describes; it takes over from a running process if there is one.
 
-    Raises ConfigurationError where a file or variable cannot be used, OSError where an address cannot.
+    Raises ConfigurationError if a file or variable cannot be used, OSError if an address cannot.
     """
     config, broker_config = read_files()
     listener = platform_listener()
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -1,4 +1,4 @@
-"""The composition root: which part of a proxy knows which."""
+"""The composition root: creates the parts of a proxy and connects them."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 from linnetshift.routing.events import ListForm
 from linnetshift.upstream.connector import EndpointConnector
 
-SIGNAL_READ_BYTES = 64  # of the wakeup pipe at once; each signal leaves one byte
+SIGNAL_READ_BYTES = 64  # one read of the wakeup pipe; each signal writes one byte
 
 
 class Proxy:
-    """All parts of one proxy, wired; the `Operations` that the admin server offers.
+    """All parts of one proxy; implements the admin server's `Operations`.
 
-    `Proxy.start` is the way to make one: the constructor opens no socket and starts no actor.
+    Create one with `Proxy.start`: the constructor opens no socket and starts no actor.
     """
 
     def __init__(
@@ -52,7 +52,6 @@
         imported: ImportedState,
         socket_path: TakeoverSocketPath | None,
     ) -> None:
-        """Wire the parts."""
         self.loop = Loop()
         self.names = config.names
         self.platform_listener = platform_listener
@@ -71,10 +70,10 @@
         socket_path: TakeoverSocketPath | None = None,
         predecessor: PredecessorState | None = None,
     ) -> Proxy:
-        """A proxy that serves once its loop runs; raises OSError where an address cannot be used.
+        """Create a proxy that serves once its loop runs; raises OSError if an address cannot be used.
 
-        `platform_listener` is the socket that the platform holds for clients, `socket_path` where a successor
-        finds this process, `predecessor` what the process handed over that this one replaces.
+        `platform_listener` is the socket that the platform holds for clients, `socket_path` where a
+        successor connects to this process, `predecessor` the state that the replaced process handed over.
         """
         imported = ImportedState(predecessor, config.names)
         proxy = cls(config, broker_config, platform_listener, imported, socket_path)
@@ -85,7 +84,7 @@
 
     @property
     def config(self) -> ProxyConfig:
-        """The proxy file's contents, as last read without an error."""
+        """The proxy file's contents, as last read without errors."""
         return self.reloader.config
 
     # ---- wiring -----------------------------------------------------------------------------
@@ -94,8 +93,8 @@
         self, config: ProxyConfig, broker_config: BrokerConfig, initial_list: EndpointListUpdate
     ) -> None:
         self.connector = EndpointConnector(self.loop)
-        # Where lists are pushed, the agent on this machine has the current one from the start: nothing is
-        # decided on the file's older one before the agent has answered or failed.
+        # Where lists are pushed, the agent on this machine has the current one from the start: no decision is
+        # made on the file's older one before the agent has answered or failed.
         self.decision_loop = DecisionLoop(self.loop, waits_for_discovery=not config.settings.must_poll)
         list_lease = ListLease(self.loop.now())
         self.discovery = Discovery(
@@ -168,16 +167,16 @@
     # ---- start ------------------------------------------------------------------------------
 
     def _start_decisions(self, imported: ImportedState) -> None:
-        """Start the actors, and decide on the first list with what a predecessor knew."""
+        """Start the actors, and apply the first endpoint list and the predecessor's state."""
         self.decision_loop.start(self.decision_loop.run())
         self.discovery.start(self.discovery.run())
         if not self.config.settings.must_poll:
-            # Pushed lists stop at the agent on this machine, and the balancer never asks for them.
+            # Pushed lists end at the agent on this machine, and the balancer never requests a watch.
             self.discovery.watch(True)
         imported.restore_drains_and_token_buckets(self.broker)
         self.local_process.update_peer_resources(imported.peer_resources)
         self.handle_list_update(imported.list_update or self.config.cached_list)
-        self.broker.process_events()  # the snapshot is about endpoints that the balancer has to know
+        self.broker.process_events()  # the snapshot refers to endpoints that the balancer must know
         imported.restore_snapshot(self.broker)
 
     def _open_listeners(self, imported: ImportedState) -> None:
@@ -187,7 +186,7 @@
             self.admin_server.use_acceptor(self.admin_server.open_acceptor(self.config.admin))
 
     def log_settings(self) -> None:
-        """Log how the settings in use were understood."""
+        """Log the settings in use as they were parsed."""
         log_settings(self.config.settings)
 
     # ---- events -----------------------------------------------------------------------------
@@ -195,7 +194,7 @@
     def handle_list_update(self, list_update: EndpointListUpdate) -> None:
         """Pass an endpoint list, its changes or the failure to get one to the connector and the broker."""
         event = self.broker.administrative_drains.limit_entries(list_update.event)
-        if event.form in (ListForm.FULL, ListForm.DELTA):  # a failure has a line of its own
+        if event.form in (ListForm.FULL, ListForm.DELTA):  # a failed call has its own event
             log.info("endpoint-list-received", **describe_list(event, self.loop.now()))
         excess = len(list_update.event.entries) - len(event.entries)
         if excess:
@@ -209,7 +208,7 @@
         self.broker.handle_endpoint_list(event)
 
     def watch_signals(self, wakeup_pipe: int) -> None:
-        """Act on the signals whose numbers arrive at this descriptor."""
+        """Handle the signals whose numbers arrive at this descriptor."""
 
         def handle_ready(_mask: int) -> None:
             self._handle_signals(set(os.read(wakeup_pipe, SIGNAL_READ_BYTES)))
@@ -217,7 +216,7 @@
         self.loop.watch(wakeup_pipe, select.EPOLLIN, handle_ready)
 
     def _handle_signals(self, caught: set[int]) -> None:
-        """Reload on SIGHUP; every other signal that is watched asks for the end."""
+        """Reload on SIGHUP; shut down on any other caught signal."""
         if signal.SIGHUP in caught:
             self.reloader.reload()
         terminating_signals = caught - {signal.SIGHUP}
@@ -239,7 +238,7 @@
         return "" if self.frontend.address is not None else "not listening"
 
     def resource_usage(self) -> dict[str, ResourceUsage]:
-        """Every container that lives as long as the process; docs/memory.md says the same bounds."""
+        """Size and bound of every container that lives as long as the process, as in docs/memory.md."""
         connections = self.connection_limiter.max_descriptors + MAX_OPEN_CHANNELS
         return {
             **self.loop.resource_usage(connections),
@@ -253,7 +252,7 @@
         }
 
     def is_drain_limit_reached(self, endpoint: bytes) -> bool:
-        """Whether so many endpoints are drained that this one cannot be too."""
+        """Whether so many endpoints are drained that this one cannot be drained too."""
         drains = self.broker.administrative_drains
         return drains.is_full() and not drains.is_drained(endpoint)
 
@@ -262,7 +261,7 @@
     ) -> None:
         """Drain an endpoint or restore it, here and in every other process of this proxy.
 
-        `done` is called once that is acted on, with whether the endpoint is known.
+        `done` is called once the change is in effect, with whether the endpoint is known.
         """
         if not self.broker.administrative_drains.is_known(endpoint):
             done(False)
