--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""Discovery watches that time out, answer late, are reset or recover, while list changes are still due."""
+"""Discovery watches that time out, answer late, are reset or recover, and the list changes that follow."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from linnetshift.routing.settings import Settings
 
 LONG_BACKOFF: dict[str, Any] = {"rules": {"mustAskInNs": 3600 * S}}
-"""The back-off after a failed call is minutes, so that no call after one happens within a test."""
+"""The back-off after a failed call is minutes, so that no call follows one within a test."""
 
 PUSHED_LISTS: dict[str, Any] = {"discovery": "push"}
 """Lists are pushed by an agent on the same machine."""
@@ -38,15 +38,15 @@
     return WatchTimeouts.of(Settings.parse(raw_settings(**changes)))
 
 
-def test_silent_watch_times_out_before_its_changes_must_be_known() -> None:
-    # The timeout used to expire exactly at that deadline; the next call then backed off and queued.
+def test_silent_watch_times_out_before_the_notification_deadline() -> None:
+    # With a timeout exactly at that deadline, the back-off and queueing of the next call exceeded it.
     timeouts = watch_timeouts(discovery="ask")
     deadline_ns = max(6 * S, timeouts.wait_ms * MS + 2 * S)
     assert timeouts.wait_ms * MS + timeouts.margin_ns + S <= deadline_ns
 
 
 @pytest.mark.parametrize("grace_ms", [250, 1000, 2500, 60_000])
-def test_pushed_list_watch_is_renewed_within_the_drain_grace_period(grace_ms: int) -> None:
+def test_watch_of_pushed_lists_times_out_within_the_drain_grace_period(grace_ms: int) -> None:
     timeouts = watch_timeouts(discovery="push", rules={"drainGraceNs": grace_ms * MS})
     assert timeouts.wait_ms * MS + timeouts.margin_ns <= grace_ms * MS * 3 // 4
     assert timeouts.full_list_timeout_ns <= grace_ms * MS
@@ -57,7 +57,7 @@
 def assert_request_avoids_draining_endpoint(
     running: RunningProxy, best: EmulatedEndpoint, other: EmulatedEndpoint
 ) -> None:
-    """Once `best` is known to drain, a request whose key ranks it first goes to `other`."""
+    """Once the list has `best` draining, a request whose key ranks it first goes to `other`."""
     running.logged("event=endpoint-list-received .*draining=1")
     client = running.open()
     assert running.next_attempted() is other
@@ -67,8 +67,8 @@
 
 
 def test_backoff_and_timeouts_after_failed_call_fit_within_notification_deadline() -> None:
-    # A change must be known 6 s after discovery has it and is reachable, whatever is allowed after a failed
-    # call. The next call used to wait up to 10 s for a change, 3 s more for its answer, 10 s to connect.
+    # The deadline is 6 s after discovery has a change and is reachable. It was exceeded when the next call
+    # could wait 10 s for a change, 3 s more for its answer, and 10 s to connect.
     settings = raw_settings(discovery="ask", rules={"mustAskInNs": 3600 * S})
     decisions = Balancer(Settings.parse(settings), 1)
     longest_delay_ns = 0
@@ -79,10 +79,10 @@
     call_limit_ns = max(
         WAIT_AFTER_FAILURE_MS * MS + (timeouts.margin_ns << MAX_TIMEOUT_DOUBLINGS), MAX_FULL_LIST_TIMEOUT_NS
     )
-    # One call that failed to connect just before, the back-off, and one call that has to be answered.
+    # A call that failed to connect, the back-off, and a call that is answered.
     assert longest_delay_ns > 0
     assert CONNECT_TIMEOUT_NS + longest_delay_ns + call_limit_ns <= 6 * S
-    # And one call that got no answer just before discovery became reachable, then one answered at once.
+    # A call that began just before discovery became reachable and timed out, and one answered at once.
     assert call_limit_ns + CONNECT_TIMEOUT_NS <= 6 * S
 
 
@@ -113,7 +113,7 @@
 def test_unreachable_discovery_address_times_out_and_is_retried(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Connecting used to have the same limit as a watch, which is a minute here.
+    # Connecting must not have the timeout of the watch, which is a minute here.
     monkeypatch.setattr("linnetshift.discovery.http_call.CONNECT_TIMEOUT_NS", 50 * MS)
     monkeypatch.setattr("linnetshift.discovery.watch.MAX_FULL_LIST_TIMEOUT_NS", 60 * S)
     monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(False, 60_000, S, 60 * S)))
@@ -137,7 +137,7 @@
 
 
 def test_silent_watch_is_reopened_without_backoff(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    # A watch without any answer was followed 12 s later, after a back-off, by the next one: too late.
+    # With a back-off, the next call came 12 s after a watch without an answer, and too late.
     short_timeouts = classmethod(lambda cls, _: cls(False, 200, 100 * MS, 300 * MS))
     monkeypatch.setattr(WatchTimeouts, "of", short_timeouts)
     with proxy_in_thread(tmp_path, **LONG_BACKOFF) as running:
@@ -151,7 +151,7 @@
 def test_timeout_doubles_while_shared_discovery_stays_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, pushed: bool, doublings: int
 ) -> None:
-    # With a constant timeout, no call to an overloaded discovery server might ever be answered.
+    # With a constant timeout, an overloaded discovery might never answer a call in time.
     monkeypatch.setattr(WatchTimeouts, "of", classmethod(lambda cls, _: cls(pushed, 40, 10 * MS, 20 * MS)))
     with proxy_in_thread(tmp_path, **LONG_BACKOFF) as running:
         running.discovery.hold_calls_after_open_watch()
@@ -164,8 +164,8 @@
         assert call.timeout_ns - int(call.path.rpartition("=")[2]) * MS == 10 * MS << doublings
 
 
-def test_refused_call_leaves_the_next_one_as_patient_as_time_outs_made_it(tmp_path: Path) -> None:
-    # Each time-out was followed by a 503, which reset the limit: no call lived until its turn came.
+def test_refused_call_does_not_reset_the_doubled_timeout(tmp_path: Path) -> None:
+    # When a 503 after each timeout reset the doubling, every call was given up while it was queued.
     with proxy_in_thread(tmp_path, rules={"mustAskInNs": S // 2}) as running:
         discovery = running.program.discovery
         running.discovery.hold_calls_after_open_watch()
@@ -210,7 +210,7 @@
 
 
 def test_new_process_sends_no_request_before_first_pushed_list(tmp_path: Path) -> None:
-    # The list in the proxy's file is outdated; the agent's list is binding from the start.
+    # The list in the proxy file is outdated; the process counts as notified of the agent's list at its start.
     with proxy_environment(tmp_path, endpoints=2, **PUSHED_LISTS) as environment:
         best, other = environment.endpoints
         best.state = "DRAINING"
@@ -240,7 +240,7 @@
 
 
 def request_line(key: int) -> bytes:
-    """Request line with this id and key."""
+    """Request line with this key, which is its id too."""
     return b"OPEN %016x %016x c=feed,t=acme,d=2000\r\n" % (key, key)
 
 
@@ -265,7 +265,7 @@
 
 @pytest.mark.parametrize("discovery", ["push", "ask"])
 def test_reload_with_unchanged_address_reopens_silent_watch_at_once(tmp_path: Path, discovery: str) -> None:
-    # A reload with the same address used to leave a watch that got no answer as it was.
+    # A reload that did not change the address left a silent watch open.
     with started_proxy(tmp_path, endpoints=2, discovery=discovery, rules=LONG_BACKOFF["rules"]) as running:
         best, other = ranked(running)
         running.discovery.hold_calls_after_open_watch()
@@ -306,8 +306,8 @@
     call.answer_with(running.discovery.listing())
 
 
-def test_answer_to_the_watch_that_a_reload_replaced_is_used(tmp_path: Path) -> None:
-    # The former call used to be closed, and what discovery had written to it was lost.
+def test_answer_to_a_watch_replaced_by_a_reload_is_used(tmp_path: Path) -> None:
+    # Closing the former call lost what discovery had written to it.
     with started_proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
         best, other = ranked(running)
         running.discovery.hold_calls_after_open_watch()
@@ -319,8 +319,8 @@
         assert_request_avoids_draining_endpoint(running, best, other)
 
 
-def test_answer_from_an_address_left_two_moves_ago_is_used(tmp_path: Path) -> None:
-    # Only the call at the address before the current one used to be remembered.
+def test_newer_answer_from_the_address_before_the_former_one_is_used(tmp_path: Path) -> None:
+    # Calls at addresses before the former one were dropped.
     with started_proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
         best, other = ranked(running)
         running.discovery.hold_calls_after_open_watch()
@@ -335,8 +335,8 @@
         assert_request_avoids_draining_endpoint(running, best, other)
 
 
-def test_newer_answer_from_former_address_is_used_after_one_of_the_new_address(tmp_path: Path) -> None:
-    # The first answer of the new address used to end the wait for the former one.
+def test_newer_answer_from_former_address_is_used_after_an_answer_from_the_new_one(tmp_path: Path) -> None:
+    # The call at the former address was dropped at the first answer from the new one.
     with started_proxy(tmp_path, endpoints=2, rules=LONG_BACKOFF["rules"]) as running:
         best, other = ranked(running)
         running.discovery.hold_calls_after_open_watch()
@@ -376,7 +376,7 @@
 def test_drain_is_seen_in_an_entry_with_an_invalid_field(
     tmp_path: Path, invalid_fields: dict[str, Any]
 ) -> None:
-    # Such an entry used to be left out whole, its state with it.
+    # When such an entry was left out as a whole, its state was lost.
     with started_proxy(tmp_path, endpoints=2, **LONG_BACKOFF) as running:
         best, other = ranked(running)
         best.state = "DRAINING"
@@ -390,7 +390,7 @@
 
 
 def test_removal_is_seen_in_a_full_list_with_an_invalid_entry(tmp_path: Path) -> None:
-    # Such a list used to count as changes only, and what it no longer named stayed in use.
+    # Such a list counted as a delta, and an endpoint that it did not name stayed in use.
     with started_proxy(tmp_path, endpoints=3, **LONG_BACKOFF) as running:
         best = ranked(running)[0]
         listing = running.discovery.listing()
@@ -406,8 +406,8 @@
         assert client.line() == b"UP r1\r\n"
 
 
-def test_drain_is_seen_in_a_list_that_is_held_back_for_its_version(tmp_path: Path) -> None:
-    # Nothing of an older list used to be used for 30 s.
+def test_drain_is_seen_in_a_list_held_back_as_older(tmp_path: Path) -> None:
+    # Nothing of a list that was held back was used for 30 s.
     with started_proxy(tmp_path, endpoints=2, **LONG_BACKOFF) as running:
         best, other = ranked(running)
         best.state = "DRAINING"
@@ -416,7 +416,7 @@
         running.discovery.answer_once(older)
         running.logged("event=discovery-response-ignored .*version 0")
         running.logged("event=endpoint-list-received .*draining=1")
-        # The current list is fetched, and has the endpoint ready.
+        # The list is fetched again, and the current one has the endpoint ready.
         running.logged("event=endpoint-list-received form=full .*draining=0")
         client = running.open()
         assert running.next_attempted() is best
@@ -436,7 +436,7 @@
         assert_request_avoids_draining_endpoint(running, best, other)
 
 
-def test_oversized_list_fails_the_call_and_watch_recovers(tmp_path: Path) -> None:
+def test_oversized_list_fails_the_call_and_the_watch_recovers(tmp_path: Path) -> None:
     with started_proxy(tmp_path, endpoints=2, **PUSHED_LISTS) as running:
         best, other = ranked(running)
         running.discovery.answer_once(b'{"rev":9,"all":true,"targets":[' + b" " * (1 << 21))
