--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -1,4 +1,4 @@
-"""Real processes that share a discovery too slow for all their calls, while an endpoint ends and returns."""
+"""Proxy processes that share an overloaded discovery, while an endpoint crashes and restarts."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 NODES = 24
 
-# Discovery serves five calls a second; each process by itself would make over one a second.
-CROWDED_DISCOVERY = f"""
+# Discovery serves five calls a second; each of the processes would make over one a second.
+OVERLOADED_DISCOVERY = f"""
         name = "crowded discovery"
         nodes = {NODES}
         [discovery]
@@ -30,13 +30,13 @@
 
 @pytest.fixture(scope="module")
 def report(tmp_path_factory: pytest.TempPathFactory) -> Report:
-    return run_scenario(parse(CROWDED_DISCOVERY), tmp_path_factory.mktemp("crowded"))
+    return run_scenario(parse(OVERLOADED_DISCOVERY), tmp_path_factory.mktemp("crowded"))
 
 
-def test_endpoint_that_ended_gets_no_request_while_its_return_is_unconfirmed(report: Report) -> None:
+def test_crashed_endpoint_gets_no_request_until_its_restart_is_confirmed(report: Report) -> None:
     assert report.crashes == []
     assert report.violations == [], report.explain()
 
 
-def test_every_process_gets_the_list_of_a_crowded_discovery(report: Report) -> None:
+def test_every_process_gets_the_list_from_an_overloaded_discovery(report: Report) -> None:
     assert {node for _, node in report.observations.discovery_answers} == set(range(NODES))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list, pushed and polled, and what a balancer does on its changes."""
+"""The balancer's handling of the endpoint list and its changes, pushed and polled."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from linnetshift.routing.settings import Settings
 
 
-def ready(balancer: Balancer) -> set[bytes]:
+def ready_endpoints(balancer: Balancer) -> set[bytes]:
     return {known.id for known in balancer.endpoints.values() if known.state == EndpointState.READY}
 
 
 def test_full_list_removes_absent_endpoints_and_delta_does_not() -> None:
     balancer = make_balancer(5)
     balancer.step(2 * S, [listed(entry(1), entry(2))])
-    assert ready(balancer) == {endpoint(1), endpoint(2)}
+    assert ready_endpoints(balancer) == {endpoint(1), endpoint(2)}
     balancer.step(3 * S, [listed(entry(9), form=ListForm.DELTA)])
-    assert ready(balancer) == {endpoint(1), endpoint(2), endpoint(9)}
+    assert ready_endpoints(balancer) == {endpoint(1), endpoint(2), endpoint(9)}
 
 
 def test_draining_and_removed_endpoints_get_no_new_connections() -> None:
@@ -52,15 +52,15 @@
 def test_relisted_endpoint_is_ready_and_restart_begins_warm_up() -> None:
     balancer = make_balancer(3)
     balancer.step(2 * S, [listed(entry(1, state=EndpointState.REMOVED), form=ListForm.DELTA)])
-    assert endpoint(1) not in ready(balancer)
+    assert endpoint(1) not in ready_endpoints(balancer)
     balancer.step(3 * S, [listed(entry(1, started_ns=3 * S), form=ListForm.DELTA)])
-    assert endpoint(1) in ready(balancer)
+    assert endpoint(1) in ready_endpoints(balancer)
     assert balancer.endpoints.warm_up_factor(balancer.endpoints[endpoint(1)]) == 0.25
     balancer.step(20 * S, [])
     assert balancer.endpoints.warm_up_factor(balancer.endpoints[endpoint(1)]) == 1.0
 
 
-def test_removed_endpoints_are_forgotten() -> None:
+def test_removed_endpoints_without_connections_are_forgotten() -> None:
     balancer = make_balancer(0)
     for number in range(300):
         balancer.step((2 + number) * S, [listed(entry(number), entry(number + 1))])
@@ -91,7 +91,7 @@
             assert only(balancer.step(now + timer.delay_ns, [TimerFired(timer.token)]), Watch)
         assert max(waits) <= 8 * S
         assert sum(waits[4:]) > sum(waits[:4])
-        assert ready(balancer) == {endpoint(1)}
+        assert ready_endpoints(balancer) == {endpoint(1)}
         first_waits.add(waits[0])
     assert len(first_waits) == 6
 
@@ -126,7 +126,7 @@
     assert send.endpoint != first_ranked.id
 
 
-def test_reconnect_wave_spares_endpoint_in_slow_start() -> None:
+def test_reconnect_wave_sends_few_connections_to_endpoint_in_slow_start() -> None:
     balancer = make_balancer(4)
     now = 2 * S
     for number in range(100):  # ten connections per second in normal operation
@@ -142,13 +142,13 @@
         now += 100 * MS
         sends = only(balancer.step(now, [request(2000 + 100 * step + n) for n in range(50)]), Send)
         to_restarted += sum(send.endpoint == endpoint(1) for send in sends)
-    # A warm endpoint of its size has 25 of the first hundred and 125 of the wave's five hundred. Spread over
-    # the warm-up that is 12.5 per second; a quarter to two fifths of it now, times 3, halved for safety.
+    # A warm endpoint of its size gets 25 of the first 100 connections and 125 of the 500 of the wave. Spread
+    # over the warm-up that is 12.5 per second; a quarter to two fifths of it now, times 3, halved for safety.
     assert 1 <= to_restarted <= 2 * 12.5 * 0.43 * 3 * 0.5
 
 
 def test_restarted_endpoint_is_no_longer_avoided() -> None:
-    # An endpoint that had restarted after a crash went on being avoided while the others were overloaded.
+    # After a crash and a restart, an endpoint was still avoided while the others were overloaded.
     balancer = make_balancer(3)
     (first,) = only(balancer.step(2 * S, [request(1, key=5)]), Send)
     balancer.step(2 * S, [ended(first, 0, Outcome.CONNECT_FAILED)])
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -1,4 +1,4 @@
-"""An attempt whose answer is late while no other endpoint could serve the request, or while one could."""
+"""Attempts whose answer is late, where no other endpoint could serve the request and where one could."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
 from linnetshift.routing.tick_timer import TICK_TOKEN
 
 LATE_S = 0.6
-"""Time to an answer, in seconds: over the latency objective of 0.4 s, and well under the deadline."""
+"""Time to an answer, in seconds: above the latency objective of 0.4 s, well below the deadline."""
 
 
-def serve_late(running: RunningProxy, attempts: int) -> list[PeerConnection]:
-    """Answer every connection late, from now on; returns the list to which they are added."""
+def answer_late(running: RunningProxy, attempts: int) -> list[PeerConnection]:
+    """Answer this many attempts late; returns the list to which their connections are added."""
     accepted: list[PeerConnection] = []
 
-    def serve_one() -> None:
+    def answer_one() -> None:
         connection = running.endpoints[0].accept()
         accepted.append(connection)
         time.sleep(LATE_S)
         connection.send(b"UP r1\r\n")
 
     for _ in range(attempts):
-        threading.Thread(target=serve_one, daemon=True).start()
+        threading.Thread(target=answer_one, daemon=True).start()
     return accepted
 
 
-def test_only_endpoint_that_was_held_up_once_serves_the_request(tmp_path: Path) -> None:
-    # The attempt was given up after 0.4 s, and its answer met a closed connection.
+def test_late_answer_of_the_only_endpoint_is_used(tmp_path: Path) -> None:
+    # The attempt was given up after 0.4 s, so its answer was lost.
     with started_proxy(tmp_path) as running:
         client = running.open()
         time.sleep(LATE_S)
@@ -53,9 +53,9 @@
         assert client.line() == b"UP r1\r\n"
 
 
-def test_only_endpoint_that_answers_late_gets_the_request_once(tmp_path: Path) -> None:
+def test_only_endpoint_gets_the_request_once_if_it_answers_late(tmp_path: Path) -> None:
     with started_proxy(tmp_path) as running:
-        accepted = serve_late(running, attempts=4)
+        accepted = answer_late(running, attempts=4)
         client = running.open()
         sent_s = time.monotonic()
         assert client.line() == b"UP r1\r\n"
@@ -63,7 +63,7 @@
         assert len(accepted) == 1
 
 
-def test_request_goes_to_an_endpoint_that_becomes_ready_while_the_only_other_one_hangs(
+def test_request_goes_to_an_endpoint_that_becomes_ready_while_the_other_one_hangs(
     tmp_path: Path,
 ) -> None:
     with started_proxy(tmp_path, endpoints=2) as running:
@@ -79,7 +79,7 @@
         unanswered.close()
 
 
-def test_request_whose_answer_was_lost_is_sent_again_once_the_endpoint_answers_a_later_one(
+def test_unanswered_request_is_sent_again_once_the_endpoint_answers_a_later_one(
     tmp_path: Path,
 ) -> None:
     with started_proxy(tmp_path) as running:
@@ -102,35 +102,35 @@
     return ConnectionEstablished(sent.request_id, 0, sent.endpoint, elapsed_ns)
 
 
-def sends_one(balancer: Balancer, now_ns: int, number: int) -> Send:
+def send_one(balancer: Balancer, now_ns: int, number: int) -> Send:
     (sent,) = only(balancer.step(now_ns, [request(number)]), Send)
     assert isinstance(sent, Send)
     return sent
 
 
-def test_attempt_has_all_of_the_time_only_where_nothing_else_could_serve_the_request() -> None:
+def test_attempt_may_take_the_whole_budget_only_if_no_other_endpoint_could_serve_the_request() -> None:
     alone = make_balancer(1)
-    assert sends_one(alone, 2 * S, 1).timeout_ns == 2 * S
-    assert sends_one(make_balancer(2), 2 * S, 1).timeout_ns == 400 * MS
+    assert send_one(alone, 2 * S, 1).timeout_ns == 2 * S
+    assert send_one(make_balancer(2), 2 * S, 1).timeout_ns == 400 * MS
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_endpoints_that_are_not_ready_are_no_alternative(state: EndpointState) -> None:
     balancer = make_balancer(3)
     balancer.step(1 * S, [listed(entry(0), entry(1, state=state), entry(2, state=state))])
-    assert sends_one(balancer, 2 * S, 1).timeout_ns == 2 * S
+    assert send_one(balancer, 2 * S, 1).timeout_ns == 2 * S
 
 
 def test_suspended_and_overloaded_endpoints_are_no_alternative() -> None:
     balancer = make_balancer(3)
     balancer.step(1 * S, [EndpointSuspension(endpoint(1), is_suspended=True)])
     balancer.outlier_detection.record_failure(balancer.endpoints[endpoint(2)], is_overload=True)
-    assert sends_one(balancer, 1 * S, 1).timeout_ns == 2 * S
+    assert send_one(balancer, 1 * S, 1).timeout_ns == 2 * S
 
 
-def test_late_attempt_is_cancelled_for_an_endpoint_that_can_serve_the_request_by_now() -> None:
+def test_late_attempt_is_cancelled_once_another_endpoint_can_serve_the_request() -> None:
     balancer = make_balancer(1)
-    sent = sends_one(balancer, 2 * S, 1)
+    sent = send_one(balancer, 2 * S, 1)
     balancer.step(2 * S + 100 * MS, [listed(entry(0), entry(1))])
     assert only(tick(balancer, 2 * S + 399 * MS), Cancel) == []
     assert only(tick(balancer, 2 * S + 400 * MS), Cancel) == [Cancel(1, 0)]
@@ -139,47 +139,47 @@
     assert single_send(only(balancer.step(2 * S + 450 * MS, [ended]), Send)).endpoint == endpoint(1)
 
 
-def test_late_attempt_goes_on_where_another_one_would_have_too_little_time() -> None:
+def test_late_attempt_is_not_cancelled_if_another_one_would_have_too_little_time() -> None:
     balancer = make_balancer(1)
-    sends_one(balancer, 2 * S, 1)
+    send_one(balancer, 2 * S, 1)
     balancer.step(3 * S + 601 * MS, [listed(entry(0), entry(1))])
     assert only(tick(balancer, 3 * S + 601 * MS), Cancel) == []
 
 
 def test_late_attempt_is_not_cancelled_for_an_endpoint_outside_the_scope_of_its_key() -> None:
     balancer = make_balancer(1, **effect("by_key", "zone", windowNs=10 * S))
-    sends_one(balancer, 2 * S, 1)
+    send_one(balancer, 2 * S, 1)
     balancer.step(2 * S + 100 * MS, [listed(entry(0), entry(1, zone=1))])
     assert only(tick(balancer, 2 * S + 500 * MS), Cancel) == []
 
 
-def test_late_attempt_is_not_cancelled_where_the_idempotency_window_is_over() -> None:
+def test_late_attempt_is_not_cancelled_after_the_idempotency_window() -> None:
     balancer = make_balancer(1, **effect("by_key", "all", windowNs=1 * S))
-    sends_one(balancer, 2 * S, 1)
+    send_one(balancer, 2 * S, 1)
     balancer.step(2 * S + 900 * MS, [listed(entry(0), entry(1))])
     assert only(tick(balancer, 2 * S + 900 * MS), Cancel) == []
 
 
-def test_answers_to_attempts_that_were_sent_before_do_not_cancel_a_late_one() -> None:
-    # An endpoint that takes 0.6 s for each request would do the work of each of them several times.
+def test_answer_to_an_earlier_attempt_does_not_cancel_a_late_one() -> None:
+    # Otherwise an endpoint that takes 0.6 s for each request would execute each of them several times.
     balancer = make_balancer(1)
-    first = sends_one(balancer, 2 * S, 1)
-    sends_one(balancer, 2 * S + 100 * MS, 2)
+    first = send_one(balancer, 2 * S, 1)
+    send_one(balancer, 2 * S + 100 * MS, 2)
     balancer.step(2 * S + 600 * MS, [established(first, 600 * MS)])
     assert only(tick(balancer, 2 * S + 650 * MS), Cancel) == []
 
 
 def test_late_attempt_is_cancelled_once_the_endpoint_has_accepted_a_later_one() -> None:
     balancer = make_balancer(1)
-    sends_one(balancer, 2 * S, 1)
-    second = sends_one(balancer, 2 * S + 100 * MS, 2)
+    send_one(balancer, 2 * S, 1)
+    second = send_one(balancer, 2 * S + 100 * MS, 2)
     balancer.step(2 * S + 200 * MS, [established(second, 100 * MS)])
     assert only(tick(balancer, 2 * S + 400 * MS), Cancel) == [Cancel(1, 0)]
 
 
-def test_other_requests_wait_for_a_half_open_attempt_no_longer_than_the_latency_objective() -> None:
+def test_other_requests_wait_for_a_half_open_attempt_at_most_for_the_latency_objective() -> None:
     balancer = make_balancer(1)
-    sent = sends_one(balancer, 2 * S, 1)
+    sent = send_one(balancer, 2 * S, 1)
     refused = AttemptEnded(1, 0, sent.endpoint, False, MS, Outcome.CONNECT_FAILED, ())
     half_open = single_send(only(balancer.step(2 * S + 10 * MS, [refused]), Send))
     assert half_open.timeout_ns == 2 * S - 10 * MS
--- a/tests/test_long_outage.py
+++ b/tests/test_long_outage.py
@@ -1,4 +1,4 @@
-"""Real processes in a long outage of discovery, while one endpoint after the other restarts."""
+"""Proxy processes in a long outage of discovery, while one endpoint after the other restarts."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 NODES = 3
 ENDPOINTS = 6
 FIRST_CRASH_S = 8.0
-"""After the lease of the list has expired."""
+"""After the lease on the endpoint list has expired."""
 
 CRASH_S = 3.0
 CRASH_INTERVAL_S = 2.6
-SERVES_LONG_S = 5.0
-"""An endpoint that has served for so long again has to get its part of new requests."""
+RECOVERY_S = 5.0
+"""An endpoint must get its share of new requests this long after its restart."""
 
 DURATION_S = 26.0
 MIN_UP_SHARE = 0.95
@@ -47,17 +47,17 @@
     """
 
 
-def test_endpoints_that_serve_again_get_requests_while_discovery_is_down(tmp_path: Path) -> None:
-    # Every endpoint that had restarted stayed out of use until discovery answered.
+def test_restarted_endpoints_get_requests_while_discovery_is_down(tmp_path: Path) -> None:
+    # Restarted endpoints stayed unused until discovery answered.
     report = run_scenario(parse(scenario_text(NODES)), tmp_path)
     assert report.crashes == []
-    third_return_s = FIRST_CRASH_S + (ENDPOINTS // 2 - 1) * CRASH_INTERVAL_S + CRASH_S
-    first_second = int(third_return_s + SERVES_LONG_S) + 1
+    third_restart_s = FIRST_CRASH_S + (ENDPOINTS // 2 - 1) * CRASH_INTERVAL_S + CRASH_S
+    first_second = int(third_restart_s + RECOVERY_S) + 1
     shares = {
         second: report.observations.up_share(second, second + 1)
         for second in range(first_second, int(DURATION_S))
     }
     assert min(shares.values()) >= MIN_UP_SHARE, shares
-    # The slow-start budget counts for proxies that were notified of the start, which none can have been.
+    # The slow-start budget binds proxies that were notified of the start, which none can have been.
     violations = [violation for violation in report.violations if violation.rule != "slow-start-exceeded"]
     assert violations == [], report.explain()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -25,7 +25,7 @@
 def test_signal_before_configuration_is_read_takes_effect_after_start(
     tmp_path: Path, signal_number: signal.Signals
 ) -> None:
-    # It used to end the process, as handlers were installed only once all parts were ready and listening.
+    # The signal ended the process when handlers were installed only once all parts were listening.
     with proxy_environment(tmp_path) as environment:
         config_text = environment.config.read_text()
         environment.config.unlink()
@@ -33,7 +33,7 @@
         process = launch_process(str(environment.config), str(environment.broker_file))
         running = RunningProxy(process, environment.port, environment.channels_port)
         try:
-            # From here on the process waits in its read of the file.
+            # From here on the process blocks in its read of the file.
             writer = open_when_process_reads(process.pid, environment.config)
             process.send_signal(signal_number)
             os.write(writer, config_text.encode())
@@ -53,8 +53,8 @@
             process.wait(WAIT_S)
 
 
-def test_hangup_during_interpreter_start_is_ignored(tmp_path: Path) -> None:
-    # A reload signal sent to every proxy also reaches those that were just restarted.
+def test_sighup_during_interpreter_start_is_ignored(tmp_path: Path) -> None:
+    # A SIGHUP sent to every proxy also reaches those that were just restarted.
     run_command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     command = run_command.replace(".venv/bin/python -m linnetshift", f"cat {tmp_path}/fifo")
     assert command != run_command
