--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -35,7 +35,7 @@
 MAX_FULL_LIST_TIMEOUT_NS = 4 * S
 # A call that fails sooner was refused without having been queued: discovery is down.
 IMMEDIATE_REFUSAL_NS = 250 * MS
-# How often the timeouts of calls are doubled at most while the watch's calls fail.
+# How often the timeout of the watch is doubled at most, once for each consecutive failure.
 MAX_TIMEOUT_DOUBLINGS = 2
 # Waits are drawn at random between this fraction and the whole, so that proxies whose watches ended together
 # do not all call together again.
@@ -109,7 +109,7 @@
         self.consecutive_failures = 0  # of the watch; an unusable answer counts as one
         self.last_watch_failed = False
         self.is_refetch_scheduled = False
-        self.refetches = 0  # since the last answer without invalid entries
+        self.refetches = 0  # since the last answer that was used as a whole
         self.watch_wait_ns = 0  # how long discovery may hold the latest watch open
         self.watch_call: DiscoveryCall | None = None
         self.secondary_calls: list[DiscoveryCall] = []  # replaced watches, and single fetches of the list
@@ -253,7 +253,7 @@
             return None
 
     def _is_usable(self, list_update: EndpointListUpdate, call: DiscoveryCall, is_watch: bool) -> bool:
-        """Whether the list may be used as a whole; if not, its entries that are not ready are applied."""
+        """Whether the list may be used as a whole; if not, its entries that are not ready may be applied."""
         try:
             if call.address != self.address:
                 self._check_is_newer(list_update.event)
