--- a/linnetshift/discovery/endpoint_list.py
+++ b/linnetshift/discovery/endpoint_list.py
@@ -73,10 +73,10 @@
 def parse_endpoint_list(document: Any, names: NameRegistry, is_cached: bool = False) -> EndpointListUpdate:
     """Parse a list as decoded from JSON; `is_cached`: it comes from a file and may be old.
 
-    Raises EndpointListError if the document is not a list. Invalid entries are logged. One that names an
-    endpoint and does not list it as ready is used for its state only; any other is left out. A full list with
-    invalid entries becomes a delta, as an endpoint that it does not name may be one that could not be parsed:
-    see `EndpointListUpdate.with_removals`.
+    Raises EndpointListError if the document has no list of entries or no valid version. Invalid entries are
+    logged. One that names an endpoint and does not list it as ready is used for its state only, any other is
+    left out. A full list with invalid entries becomes a delta, as an endpoint that it does not name may be
+    one that could not be parsed: see `EndpointListUpdate.with_removals`.
     """
     if not isinstance(document, dict) or not isinstance(document.get(TARGETS_KEY), list):
         raise EndpointListError("no list of targets")
--- a/linnetshift/upstream/endpoint_connection.py
+++ b/linnetshift/upstream/endpoint_connection.py
@@ -83,7 +83,7 @@
         return self.loop.now() - self.last_received_ns
 
     def handle_client_ended(self, reset: bool) -> None:
-        """End the endpoint's side the same way."""
+        """End the endpoint's side the way the client ended its own."""
         self.is_released = True
         self.post(ClientEnded(reset))
 
