--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -33,10 +33,10 @@
     return run_scenario(parse(OVERLOADED_DISCOVERY), tmp_path_factory.mktemp("crowded"))
 
 
-def test_crashed_endpoint_gets_no_request_until_its_restart_is_confirmed(report: Report) -> None:
+def test_endpoint_that_ended_gets_no_request_while_its_return_is_unconfirmed(report: Report) -> None:
     assert report.crashes == []
     assert report.violations == [], report.explain()
 
 
-def test_every_process_gets_the_list_from_an_overloaded_discovery(report: Report) -> None:
+def test_every_process_gets_the_list_of_a_crowded_discovery(report: Report) -> None:
     assert {node for _, node in report.observations.discovery_answers} == set(range(NODES))
