--- a/linnetshift/event_loop/actor.py
+++ b/linnetshift/event_loop/actor.py
@@ -16,13 +16,13 @@
 
 
 class Io(NamedTuple):
-    """Message to an actor: its socket is ready."""
+    """Message to an actor: its socket is ready for reading or writing."""
 
     mask: int  # epoll's event mask
 
 
 class Closable(Protocol):
-    """What an actor owns besides its timers: a stream."""
+    """The interface of an actor's stream, which is closed when the actor ends."""
 
     def close(self) -> None:
         """Release descriptor and buffers; a second call has no effect."""
@@ -31,14 +31,14 @@
 class Actor:
     """A coroutine with a mailbox, its timers and at most one stream.
 
-    An actor that has ended, in whichever way, has released all that it owned: coroutine, mailbox, timers and
-    stream. Others may still reference it and read its attributes; it costs them a few plain values.
+    An actor that has ended, in whichever way, has released its coroutine, mailbox, timers and stream. Others
+    may still reference it and read its attributes: only those few plain values stay in memory.
     """
 
     stream: Closable | None = None
 
     def __init__(self, loop: Loop) -> None:
-        """An actor that receives nothing until `start`."""
+        """An actor that receives no message until `start`."""
         self.loop = loop
         self.mailbox: deque[Any] = deque()
         self.timers: set[ActorTimer] = set()
@@ -46,12 +46,12 @@
         self.coroutine: ActorCoroutine | None = None
 
     def start(self, coroutine: ActorCoroutine) -> None:
-        """Run the coroutine up to its first `yield`, at once."""
+        """Run the coroutine to its first `yield`, before this call returns."""
         self.coroutine = coroutine
         self._resume(None)
 
     def post(self, message: object) -> None:
-        """Leave a message for the loop's next turn; dropped where the actor has ended or not started."""
+        """Queue a message for the loop's next turn; dropped if the actor has ended or not started."""
         if self.coroutine is None:
             return
         self.mailbox.append(message)
@@ -64,14 +64,14 @@
         self.post(Io(mask))
 
     def set_timer(self, delay_ns: int, tag: object) -> Timer:
-        """Have `Timeout(tag)` posted after `delay_ns`; one that is in the mailbox can't be cancelled."""
+        """Post `Timeout(tag)` after `delay_ns`; a timeout already in the mailbox can't be cancelled."""
         timer = ActorTimer(self, tag)
         self.timers.add(timer)
         self.loop.schedule(delay_ns, timer)
         return timer
 
     def process_mailbox(self) -> None:
-        """Pass all messages to the coroutine, also those that it posts to itself meanwhile."""
+        """Pass all messages to the coroutine, including those that it posts to itself meanwhile."""
         self.is_scheduled = False
         while self.mailbox and self.coroutine is not None:
             self._resume(self.mailbox.popleft())
@@ -82,16 +82,16 @@
             self.coroutine.send(message)
         except StopIteration:
             self.end()
-        # Faults are contained here or end the program, as `faulted` decides.
+        # `faulted` either contains the fault or ends the program.
         except Exception as error:  # noqa: BLE001
-            self.coroutine = None  # first, so that it receives nothing that its fault sets off
+            self.coroutine = None  # first, so that messages caused by the fault are dropped
             try:
                 self.faulted(error)
             finally:
                 self.end()
 
     def end(self) -> None:
-        """Release everything at once: waiting for the garbage collector would keep thousands of buffers."""
+        """Release everything now: left to the garbage collector, thousands of buffers would remain."""
         self.coroutine = None
         self.mailbox.clear()
         while self.timers:
@@ -100,8 +100,8 @@
             self.stream.close()
 
     def faulted(self, error: Exception) -> None:
-        """Called with an exception that left the coroutine; the actor is ended after it.
+        """Handle an exception that the coroutine raised; the actor is ended afterwards.
 
-        Actors of one connection override it and contain the fault; by default it ends the program.
+        Actors that serve one connection override it to contain the fault; by default it ends the program.
         """
         raise error
--- a/linnetshift/event_loop/loop.py
+++ b/linnetshift/event_loop/loop.py
@@ -15,9 +15,9 @@
 
 # Called with epoll's event mask when a descriptor is ready.
 Handler = Callable[[int], None]
-# So many cancelled timers stay in the heap in any case: rebuilding it for fewer costs more than they do.
+# Up to this many cancelled timers stay in the heap: rebuilding it for fewer costs more than keeping them.
 MAX_CANCELLED_TIMERS = 64
-# The bounds reported with the resource usage, for each connection that may be open.
+# Bounds in the resource usage, per connection that may be open.
 HANDLERS_PER_CONNECTION = 2
 ACTORS_PER_CONNECTION = 2
 TIMERS_PER_CONNECTION = 8
@@ -26,34 +26,34 @@
 class Loop:
     """Runs actors until `stopped` is set.
 
-    The clock is monotonic, in nanoseconds, and anchored to the wall clock once: it never steps back and is
-    still comparable with the start times in the endpoint list.
+    The clock is monotonic, in nanoseconds, plus an offset to the wall clock that is taken once: it never
+    steps back, and its times are comparable with the start times in the endpoint list.
 
-    A turn has a fixed order: actors with messages, one wait in epoll, the handlers of ready descriptors,
-    timers that are due.
+    A turn has a fixed order: actors with messages, one wait in epoll, handlers of ready descriptors, due
+    timers.
     """
 
     def __init__(self) -> None:
         """A loop without descriptors, actors and timers."""
-        self.offset = time.time_ns() - time.monotonic_ns()
+        self.wall_clock_offset_ns = time.time_ns() - time.monotonic_ns()
         self.epoll = select.epoll()
         self.handlers: dict[int, Handler] = {}
         self.ready_actors: deque[Actor] = deque()
-        # A heap of due time, sequence number (the order among equal times) and timer.
+        # A heap of due time, sequence number (which orders equal due times) and timer.
         self.timers: list[tuple[int, int, Timer]] = []
-        self.cancelled_timers = 0  # how many of `timers`
-        self.sequence = count()
+        self.cancelled_timers = 0  # number of cancelled entries in `timers`
+        self.timer_sequence = count()
         self.stopped = False
-        self.stream_count = 0  # open ones
-        # Called when descriptors are short: closes one and returns True, or returns False.
+        self.stream_count = 0  # open streams
+        # Called when no descriptor is free: closes a connection and returns True, or returns False.
         self.make_room: Callable[[], bool] = lambda: False
-        # The earliest time from which the descriptors of the last poll may have been ready: when the poll
-        # began where it returned at once, else when it ended.
+        # The earliest time at which the descriptors of the last poll may have become ready: the start of the
+        # poll if it returned at once, else its end.
         self.ready_since = self.now()
 
     def now(self) -> int:
-        """The loop's clock: nanoseconds since the epoch."""
-        return time.monotonic_ns() + self.offset
+        """The time of the loop's clock, in nanoseconds since the epoch."""
+        return time.monotonic_ns() + self.wall_clock_offset_ns
 
     def call_later(self, delay_ns: int, callback: Callable[[], None]) -> Timer:
         """Call the callback once after `delay_ns`, on a later turn."""
@@ -62,29 +62,29 @@
         return timer
 
     def schedule(self, delay_ns: int, timer: Timer) -> None:
-        """Arm a timer; a negative delay counts as none."""
-        heapq.heappush(self.timers, (self.now() + max(0, delay_ns), next(self.sequence), timer))
+        """Arm a timer; a negative delay counts as zero."""
+        heapq.heappush(self.timers, (self.now() + max(0, delay_ns), next(self.timer_sequence), timer))
 
     def handle_timer_cancelled(self) -> None:
-        """Count a cancelled timer in the heap; rebuild it where they are many and over half of it."""
+        """Count a cancelled timer; rebuild the heap if many, and over half of its entries, are cancelled."""
         self.cancelled_timers += 1
         if self.cancelled_timers > MAX_CANCELLED_TIMERS and 2 * self.cancelled_timers > len(self.timers):
             self.timers[:] = [entry for entry in self.timers if entry[2].callback is not None]
             heapq.heapify(self.timers)
             self.cancelled_timers = 0
 
-    def resource_usage(self, connections: int) -> dict[str, ResourceUsage]:
-        """Sizes and their bounds; `connections` is the most that may be open at once."""
+    def resource_usage(self, max_connections: int) -> dict[str, ResourceUsage]:
+        """Sizes and bounds by name in `/ops/census`; `max_connections` is how many may be open at once."""
         pending = len(self.timers) - self.cancelled_timers
         return {
-            "loop.handlers": ResourceUsage(len(self.handlers), HANDLERS_PER_CONNECTION * connections),
-            "loop.ready": ResourceUsage(len(self.ready_actors), ACTORS_PER_CONNECTION * connections),
-            "loop.timers": ResourceUsage(pending, TIMERS_PER_CONNECTION * connections),
+            "loop.handlers": ResourceUsage(len(self.handlers), HANDLERS_PER_CONNECTION * max_connections),
+            "loop.ready": ResourceUsage(len(self.ready_actors), ACTORS_PER_CONNECTION * max_connections),
+            "loop.timers": ResourceUsage(pending, TIMERS_PER_CONNECTION * max_connections),
             "loop.dead-timers": ResourceUsage(self.cancelled_timers, max(MAX_CANCELLED_TIMERS, pending + 1)),
         }
 
     def watch(self, fd: int, mask: int, handler: Handler) -> None:
-        """Call the handler when one of the mask's events is there; replaces mask and handler set before."""
+        """Call the handler on each event of the mask; replaces an earlier mask and handler."""
         if fd in self.handlers:
             self.epoll.modify(fd, mask)
         else:
@@ -92,23 +92,23 @@
         self.handlers[fd] = handler
 
     def unwatch(self, fd: int) -> None:
-        """Stop watching; without effect on a descriptor that is not watched."""
+        """Stop watching; no effect on a descriptor that is not watched."""
         if self.handlers.pop(fd, None) is not None:
             self.epoll.unregister(fd)
 
     def run(self) -> None:
-        """Turn until `stopped`."""
+        """Run turns until `stopped` is set."""
         while not self.stopped:
             self.run_once()
 
     def run_once(self) -> None:
-        """One turn; waits until there is something to do."""
+        """Run one turn; waits in epoll while there is no work."""
         for _ in range(len(self.ready_actors)):
             self.ready_actors.popleft().process_mailbox()
-        while self.timers and self.timers[0][2].callback is None:  # no reason to wake up
+        while self.timers and self.timers[0][2].callback is None:  # cancelled: must not wake the loop
             heapq.heappop(self.timers)
             self.cancelled_timers -= 1
-        wait_s = -1.0  # for as long as it takes
+        wait_s = -1.0  # without a time-out
         if self.ready_actors or self.stopped:
             wait_s = 0.0
         elif self.timers:
@@ -118,12 +118,12 @@
         poll_ended_at = self.now()
         has_waited = poll_ended_at - poll_began_at > MS
         self.ready_since = poll_ended_at if has_waited else poll_began_at
-        # A handler may close the descriptor of a later event, whose number a new socket may then get. The
-        # event is not for that one: so all handlers are looked up before any of them is called.
+        # A handler may close the descriptor of a later event, and a new socket may then get the same number.
+        # All handlers are looked up before any is called: the event must not reach the new socket's handler.
         for fd, mask, handler in [(fd, mask, self.handlers.get(fd)) for fd, mask in events]:
             if handler is not None and self.handlers.get(fd) is handler:
                 handler(mask)
-        # After the events: when this process was stalled, what arrived in time must not count as late.
+        # Timers come after the events: input that arrived in time while the process was stalled is not late.
         self._fire_due_timers()
 
     def _fire_due_timers(self) -> None:
