--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -1,4 +1,4 @@
-"""Connections that this process opens, and an orderly end of any connection."""
+"""Outbound connections, and the lingering close that all connections use."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 from linnetshift.event_loop.timers import S, Timeout
 from linnetshift.observability import log
 
-LINGER_NS = S // 2  # how long an ended connection waits for the peer's own end
+LINGER_NS = S // 2  # how long a connection that has ended its side waits for a silent peer's end
 
 Steps = Generator[None, Any, Any]
-"""A part of an actor's coroutine: receives the actor's messages, and returns a result."""
+"""A part of an actor's coroutine, run with `yield from`: receives the messages and returns a result."""
 
 
 class Resume:
-    """Message: the other side of a relay takes lines again."""
+    """Message: the other connection of a relay is no longer congested."""
 
 
 class Stop:
-    """Message: the stream is closed, or no longer needed; the actor's coroutine is to end."""
+    """Message: the stream is closed or no longer needed, and the actor's coroutine must end."""
 
 
 class OutboundConnection(Actor):
-    """A connection that this process opens: to an endpoint, or to discovery.
+    """A connection that this process opens, to an endpoint or to discovery.
 
-    Subclasses run `connect` first, and override `report_failure` for whoever waits for the connection.
+    Subclasses run `connect` first, and override `report_failure` to notify the owner of the connection.
     """
 
     stream: Stream | None = None
-    was_refused = False  # by the peer's machine: no process listens there
+    was_refused = False  # ECONNREFUSED: no process listens at the address
 
     def faulted(self, error: Exception) -> None:
-        """Contain a fault on one connection: it must not end the process."""
+        """Contain a fault of one connection: it must not end the process."""
         log.exception(error)
         if self.stream is not None:
             self.stream.close(End.RESET)
         self.report_failure()
 
     def report_failure(self) -> None:
-        """Report after a fault that this connection has failed."""
+        """Notify the owner that the connection has failed after a fault."""
 
     def connect(self, address: Address, timeout_ns: int) -> Steps:
-        """Connect; returns whether the connection is established in time, with `stream` open."""
+        """Connect; returns whether the connection is established, with `stream` open, within the timeout."""
         sock = self._create_socket(address)
         if sock is None:
             return False
@@ -62,7 +62,7 @@
         while stream.connecting:
             match (yield):
                 case Io():
-                    # It may be established and abandoned, so closed, in one turn, before this is handled.
+                    # Closed in the same turn, before this message is handled: established and abandoned.
                     if stream.closed:
                         return False
                     if error := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -76,7 +76,7 @@
         return True
 
     def _create_socket(self, address: Address) -> socket.socket | None:
-        """Return a TCP socket; None where descriptors are short and no connection can be evicted."""
+        """Create a TCP socket; None if no descriptor is free and no connection can be evicted."""
         while True:
             try:
                 return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -87,7 +87,7 @@
 
 
 def _start_connecting(stream: Stream, sock: socket.socket, address: Address) -> int:
-    """Begin to connect without blocking; returns the error where that failed at once, else 0."""
+    """Start a nonblocking connect; returns the errno if it fails at once, else 0."""
     try:
         code = sock.connect_ex(address)
     except OSError as error:
@@ -100,10 +100,10 @@
 
 
 def linger(actor: Actor, stream: Stream, receive_until: int = 0) -> Steps:
-    """Read on until the peer ends too: closing with bytes unread would reset what is still on its way.
+    """Discard input until the peer ends its side: a close with unread bytes would send RST, and data be lost.
 
-    A peer that is silent is waited for LINGER_NS, from when it has taken all that was sent; one that keeps
-    sending, until `receive_until` (ns of the loop's clock); one that takes nothing, for STALL_NS.
+    Waits LINGER_NS for a silent peer that has read everything, until `receive_until` (ns of the loop's clock)
+    for one that keeps sending, and STALL_NS for one that does not read.
     """
     timer = actor.set_timer(LINGER_NS, ConnectionTimer.LINGER)
     has_received = False
@@ -117,12 +117,12 @@
                 if mask & ~select.EPOLLOUT:
                     received_bytes = stream.discard_input()
                     if received_bytes is None:
-                        break  # the peer has ended too
+                        break  # the peer has ended its side
                     has_received = has_received or received_bytes > 0
             case Timeout(tag=ConnectionTimer.LINGER):
                 now = actor.loop.now()
                 if stream.is_congested and now < write_deadline:
-                    delay_ns = LINGER_NS  # a close now would drop what is unsent
+                    delay_ns = LINGER_NS  # a close now would drop unsent data
                 elif has_received and now < receive_until:
                     delay_ns = min(LINGER_NS, receive_until - now)
                     has_received = False
--- a/linnetshift/event_loop/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -1,4 +1,4 @@
-"""A nonblocking stream socket with one bounded buffer each way, read as lines that are slices of it."""
+"""A nonblocking stream socket with a bounded read buffer and a buffer of unsent data; reads lines."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from linnetshift.event_loop.loop import Loop
 
-# A peer can vanish without FIN or RST (power, cable, a dropped NAT entry). TCP then ends the connection by
-# itself: when keep-alive probes on an idle connection get no answer, or sent data is not acknowledged. For
-# both the user timeout takes precedence over the number of probes (tcp(7)).
+# A peer can disappear without FIN or RST (power, cable, a dropped NAT entry). The kernel then ends the
+# connection: when keep-alive probes on an idle connection get no answer, or sent data is not acknowledged.
+# In both cases the user timeout takes precedence over the number of probes (tcp(7)).
 KEEPALIVE_IDLE_S = 15
 KEEPALIVE_INTERVAL_S = 5
 KEEPALIVE_PROBES = 3
@@ -27,34 +27,34 @@
 # The first byte of TCP_INFO is the state; in CLOSE_WAIT (linux/tcp_states.h) the peer has sent its FIN.
 TCP_STATE_BYTES = 1
 TCP_STATE_CLOSE_WAIT = 8
-# SO_LINGER, on with 0 s: close drops what is unsent and sends RST instead of FIN.
+# SO_LINGER, on with 0 s: close drops unsent data and sends RST instead of FIN.
 LINGER_ZERO = struct.pack("ii", 1, 0)
-# The protocol's longest line, its end included.
+# The longest line of the protocol, line end included.
 MAX_LINE_BYTES = 4096
-# The read buffer of a new stream: most peers send little, and there are streams by the ten thousand.
+# The read buffer of a new stream: most peers send little, and tens of thousands of streams may be open.
 INITIAL_BUFFER_BYTES = 1024
 EMPTY_VIEW = memoryview(b"")
-# Passed to reads with MSG_TRUNC, for which the kernel discards up to this length and writes nothing.
+# The target of reads with MSG_TRUNC: the kernel discards up to its length and writes nothing to it.
 DISCARD_BUFFER = bytearray(1 << 20)
 
 
 class End(Enum):
-    """How a peer ended its side of the connection; the other side is ended the same way."""
+    """How a peer ended its side of a connection, or how `Stream.close` ends this side."""
 
     FIN = "fin"
     RESET = "reset"
 
 
-class Unread(Enum):
-    """What a socket has for the next read, as far as a peek shows."""
+class PeekResult(Enum):
+    """What a peek finds at a socket without reading."""
 
     NOTHING = "nothing"
     BYTES = "bytes"
-    END = "end"  # the peer has ended its side, or the connection is gone
+    END = "end"  # the peer has ended its side, or the connection is lost
 
 
 class LineTooLongError(ValueError):
-    """A line longer than the protocol allows."""
+    """A line of more than MAX_LINE_BYTES."""
 
 
 def ignore_io(_mask: int) -> None:
@@ -64,15 +64,15 @@
 class Stream:
     """A socket with a read buffer and a buffer of unsent data.
 
-    What is read stays in the read buffer, `view[start:stop]`, until the next `fill`. The buffer starts small
-    and has its full size, `max_buffer_bytes`, once a read has filled it. What can't be written yet is copied
-    to `unsent`.
+    Bytes that were read and not taken are `view[start:stop]` of the read buffer. The buffer starts small and
+    grows to `max_buffer_bytes` once a read has filled it. Data that can't be written yet is copied to
+    `unsent`.
 
-    Whoever feeds `send` stops reading its own peer while `is_congested`, so that neither buffer outgrows a
+    Callers of `send` stop reading the data's source while `is_congested`, so that neither buffer exceeds a
     few lines.
 
-    A closed stream holds neither buffer nor callback, so that whoever still references it keeps nothing else
-    alive. Slices given out before remain valid.
+    A closed stream references neither buffer nor callback, so that a remaining reference to the stream keeps
+    nothing else alive. Slices returned before the close remain valid.
     """
 
     def __init__(
@@ -82,13 +82,13 @@
         io_callback: Callable[[int], None],
         max_buffer_bytes: int = 2 * MAX_LINE_BYTES,
     ) -> None:
-        """Take over the socket; `io_callback` gets epoll's mask when it is ready."""
+        """Take ownership of the socket; `io_callback` is called with epoll's event mask when it is ready."""
         self.loop = loop
         self.sock = sock
         self.io_callback = io_callback
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
-            # Lines are small and each is waited for: Nagle's algorithm would hold them back for an ACK.
+            # Lines are small and peers wait for each: Nagle's algorithm would delay them until an ACK.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             for level, option, value in KEEPALIVE_OPTIONS:
                 sock.setsockopt(level, option, value)
@@ -96,31 +96,31 @@
         self.max_buffer_bytes = max_buffer_bytes
         self.buffer = bytearray(min(INITIAL_BUFFER_BYTES, max_buffer_bytes))
         self.view = memoryview(self.buffer)
-        self.start = 0  # where in `view` the bytes begin that have been read and not been taken
-        self.stop = 0  # where they end
+        self.start = 0  # offset in `view` of the first byte that was read and not taken
+        self.stop = 0  # offset in `view` after the last byte that was read
         self.unsent = bytearray()
-        self.reading = True  # the owner takes what comes; see `set_reading`
+        self.reading = True  # whether to watch for input; see `set_reading`
         self.connecting = False  # connect has not finished
-        self.broken = False  # a write failed: the connection is gone
-        self.ending = False  # nothing more will be sent: FIN follows what is in `unsent`
+        self.broken = False  # a write failed: the connection is lost
+        self.ending = False  # `finish` was called: FIN follows once `unsent` is written
         self.closed = False
         self.watched_mask = 0
         loop.stream_count += 1
 
     @property
     def is_congested(self) -> bool:
-        """Whether sent data waits in `unsent`, as the socket's send buffer is full."""
+        """Whether data waits in `unsent` because the socket's send buffer is full."""
         return bool(self.unsent)
 
     @property
     def untaken_bytes(self) -> int:
-        """How many bytes have been read and not been taken."""
+        """Number of bytes that were read and not taken."""
         return self.stop - self.start
 
     def arm(self) -> None:
-        """Have epoll watch for what can be handled now: input, room for output, both or nothing.
+        """Have epoll watch for what can be handled now: input, room for output, both or neither.
 
-        Where it is nothing the descriptor is unwatched, as a hang-up would wake the loop on every turn.
+        With neither, the descriptor is unwatched: epoll reports a hang-up for any mask, on every turn.
         """
         if self.closed:
             return
@@ -137,17 +137,17 @@
                 self.loop.unwatch(self.fd)
 
     def set_reading(self, is_reading: bool) -> None:
-        """Read on, or leave what the peer sends to the kernel's buffer and TCP's flow control."""
+        """Start or stop watching for input; unread input is held back by TCP's flow control."""
         self.reading = is_reading
         self.arm()
 
     # ---- reading ----------------------------------------------------------------------------
 
     def fill(self) -> End | None:
-        """Read once, and return how the peer ended if it did; slices given out before are void after this."""
+        """Read once; returns how the peer ended, or None. Invalidates all slices returned before."""
         if self.closed:
             return End.RESET
-        remaining = self.stop - self.start  # bytes that have been read and not been taken
+        remaining = self.stop - self.start
         if self.stop == len(self.view) < self.max_buffer_bytes:  # the last read filled the initial buffer
             full_size_buffer = bytearray(self.max_buffer_bytes)
             full_size_buffer[:remaining] = self.view[self.start : self.stop]
@@ -158,7 +158,7 @@
         self.start = 0
         self.stop = remaining
         if self.stop == len(self.view):
-            return None  # no room until the owner takes something
+            return None  # full until the owner takes bytes
         try:
             received = self.sock.recv_into(self.view[self.stop :])
         except BlockingIOError:
@@ -172,13 +172,13 @@
 
     @property
     def is_present(self) -> bool:
-        """Whether the peer has not ended, found out without reading.
+        """Whether the peer has not ended its side, determined without reading.
 
-        Behind unread bytes a FIN shows only in the connection's TCP state.
+        A FIN behind unread bytes shows only in the connection's TCP state.
         """
-        unread = self._peek()
-        if unread is not Unread.BYTES:
-            return unread is Unread.NOTHING
+        peeked = self._peek()
+        if peeked is not PeekResult.BYTES:
+            return peeked is PeekResult.NOTHING
         try:
             info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_STATE_BYTES)
         except OSError:
@@ -187,21 +187,21 @@
 
     @property
     def has_nothing_unread(self) -> bool:
-        """Whether the peer has not ended and nothing that it sent waits to be read."""
-        return self._peek() is Unread.NOTHING
+        """Whether the peer has not ended its side and no input is unread."""
+        return self._peek() is PeekResult.NOTHING
 
-    def _peek(self) -> Unread:
+    def _peek(self) -> PeekResult:
         if self.closed or self.broken:
-            return Unread.END
+            return PeekResult.END
         try:
-            return Unread.BYTES if self.sock.recv(1, socket.MSG_PEEK) else Unread.END
+            return PeekResult.BYTES if self.sock.recv(1, socket.MSG_PEEK) else PeekResult.END
         except BlockingIOError:
-            return Unread.NOTHING
+            return PeekResult.NOTHING
         except OSError:
-            return Unread.END
+            return PeekResult.END
 
     def discard_input(self) -> int | None:
-        """Read once and discard; returns how many bytes there were, None once the peer has ended."""
+        """Read once and discard; returns the number of bytes, or None once the peer has ended its side."""
         self.start = 0
         self.stop = 0
         try:
@@ -212,30 +212,30 @@
             return None
 
     def take(self, size: int) -> memoryview | None:
-        """The next `size` bytes, or None until they have been read."""
+        """Take the next `size` bytes; None until they have been read."""
         if self.stop - self.start < size:
             return None
         self.start += size
         return self.view[self.start - size : self.start]
 
     def line(self) -> memoryview | None:
-        """The next line with its end, or None until it has been read.
+        """Take the next line, with its end; None until all of it has been read.
 
-        Raises LineTooLongError as soon as more than MAX_LINE_BYTES have come without an end.
+        Raises LineTooLongError as soon as more than MAX_LINE_BYTES were read without a line end.
         """
-        end = self.buffer.find(b"\n", self.start, self.stop) + 1  # 0 while the line is not whole
+        end = self.buffer.find(b"\n", self.start, self.stop) + 1  # 0 while the line is incomplete
         size = (end or self.stop) - self.start
         if size > MAX_LINE_BYTES:
             raise LineTooLongError
         return self.take(size) if end else None
 
     def lines(self) -> Iterator[memoryview]:
-        """All lines that have been read; raises LineTooLongError."""
+        """Take each complete line that has been read; raises LineTooLongError."""
         while (line := self.line()) is not None:
             yield line
 
     def rest(self) -> memoryview:
-        """Take all that has been read and not been taken: after `lines`, what has no line end."""
+        """Take all bytes that were read and not taken: after `lines`, the start of an incomplete line."""
         start = self.start
         self.start = self.stop
         return self.view[start : self.stop]
@@ -243,7 +243,7 @@
     # ---- writing ----------------------------------------------------------------------------
 
     def send(self, data: memoryview | bytes) -> None:
-        """Write at once what the socket takes and copy the rest; without effect once sending has ended."""
+        """Write what the socket accepts now and buffer the rest; no effect once sending has ended."""
         if self.broken or self.closed or self.ending:
             return
         sent = 0 if self.unsent else self._write(data)
@@ -252,7 +252,7 @@
             self.arm()
 
     def flush(self) -> None:
-        """Write what the socket takes of the unsent data, then FIN if `finish` was called."""
+        """Write what the socket accepts of the unsent data, then FIN if `finish` was called."""
         if self.unsent:
             del self.unsent[: self._write(self.unsent)]
         if self.broken:
@@ -273,7 +273,7 @@
     # ---- ending -----------------------------------------------------------------------------
 
     def finish(self) -> None:
-        """End the sending side with FIN once everything is written; the peer may still send."""
+        """End this side with FIN once everything is written; the peer may still send."""
         self.ending = True
         if not self.unsent:
             self._shut_down_sending()
@@ -285,7 +285,7 @@
             self.broken = True
 
     def close(self, end: End = End.FIN) -> None:
-        """Close the socket and release buffers and callback; unread bytes make the kernel send RST anyway."""
+        """Close the socket, release buffers and callback; with unread input the kernel sends RST anyway."""
         if self.closed:
             return
         self.closed = True
