--- a/linnetshift/admin/connection.py
+++ b/linnetshift/admin/connection.py
@@ -1,4 +1,4 @@
-"""One administrative connection: one HTTP/1.1 call, its response, and an orderly end."""
+"""One administrative connection: one HTTP/1.1 call, its response, and a lingering close."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from linnetshift.observability import log
 from linnetshift.observability.log import MAX_LOGGED_CHARS, Reason
 
-# Some peers connect and finish no call for 4 s. Each is answered before that; meanwhile others are served.
+# Some peers connect and send no complete call for 4 s. They are answered before that, and delay no others.
 CALL_TIMEOUT_NS = 3 * S
-# A script waits 1 s for the response to a drain.
+# The operators' scripts wait 1 s for the response to a drain.
 DRAIN_TIMEOUT_NS = 800 * MS
 # Calls have a short request line, few headers and no body.
 MAX_HEAD_BYTES = 4096
@@ -35,43 +35,43 @@
 
 
 class AdminTimer(Enum):
-    """What the timers of an administrative connection are for."""
+    """Tags of the timers of an administrative connection."""
 
-    CALL = "call"  # from accept until the call is whole
+    CALL = "call"  # from accept until the call is complete
     DRAIN = "drain"  # until an administrative drain is in effect
 
 
 class DrainApplied(NamedTuple):
-    """The change that the call asked for is in effect."""
+    """Message: the drain or restore that the call asked for is in effect."""
 
-    is_known: bool
+    is_known: bool  # whether discovery ever listed the endpoint
 
 
 class ConnectionOwner(Protocol):
-    """Keeps track of the administrative connections and bounds their number; `AdminServer` does."""
+    """Tracks the administrative connections and limits their number; implemented by `AdminServer`."""
 
     def handle_opened(self, connection: AdminConnection) -> None:
-        """Note that the connection is open and awaits its call."""
+        """Note that the connection is open and waits for its call."""
 
     def handle_call_ended(self, connection: AdminConnection) -> None:
         """Note that the call is complete, or never will be: the peer left, or the call was given up."""
 
     def handle_answered(self, connection: AdminConnection) -> None:
-        """Note that the response is sent and the connection awaits only that the peer ends its side."""
+        """Note that the response is sent and the connection waits only for the peer to end its side."""
 
     def handle_closed(self, connection: AdminConnection) -> None:
         """Note that the connection is closed and its descriptor is free again."""
 
 
 class AdminConnection(Actor):
-    """One connection: one call, its response, and the end."""
+    """Serves one call on one connection, then closes it."""
 
     stream: Stream
 
     def __init__(
         self, loop: Loop, operations: Operations, owner: ConnectionOwner, sock: socket.socket, peer: Address
     ) -> None:
-        """Take over an accepted socket; `start` with `run()` begins to serve it."""
+        """Take ownership of an accepted socket; `start(run())` starts serving it."""
         super().__init__(loop)
         self.operations = operations
         self.owner = owner
@@ -84,7 +84,7 @@
         self.opened_at = self.loop.now()
 
     def run(self) -> ActorCoroutine:
-        """Receive the call, answer it, and wait for the peer's end."""
+        """Receive the call, answer it, and wait for the peer to end its side."""
         self.owner.handle_opened(self)
         self.stream.arm()
         timer = self.set_timer(CALL_TIMEOUT_NS, AdminTimer.CALL)
@@ -93,7 +93,7 @@
         self.owner.handle_call_ended(self)
         if response is None:
             self.stream.close()
-            self.report(Reason.EMPTY, 0)
+            self.report_closed(Reason.EMPTY, 0)
             return
         has_timed_out = response.status == HTTPStatus.REQUEST_TIMEOUT
         self.send_response(response)
@@ -101,17 +101,17 @@
         self.owner.handle_answered(self)
         yield from linger(self, self.stream, self.opened_at + CALL_TIMEOUT_NS)
         self.stream.close()
-        self.report(Reason.REQUEST_TIMEOUT if has_timed_out else Reason.ANSWERED, response.status)
+        self.report_closed(Reason.REQUEST_TIMEOUT if has_timed_out else Reason.ANSWERED, response.status)
 
     def faulted(self, error: Exception) -> None:
-        """Contain a fault met on one call: it must not end the process."""
+        """Contain a fault of one call: it must not end the process."""
         log.exception(error)
         self.owner.handle_call_ended(self)
         self.stream.close(End.RESET)
-        self.report(Reason.FAULT, HTTPStatus.INTERNAL_SERVER_ERROR)
+        self.report_closed(Reason.FAULT, HTTPStatus.INTERNAL_SERVER_ERROR)
 
-    def report(self, reason: Reason, status: int) -> None:
-        """Notify the owner that this connection is closed, and log why."""
+    def report_closed(self, reason: Reason, status: int) -> None:
+        """Notify the owner that this connection is closed, and log the reason."""
         self.owner.handle_closed(self)
         log.connection_ended(
             "admin",
@@ -123,7 +123,7 @@
         )
 
     def evict(self) -> None:
-        """Answer 503: there is one connection too many, and this one's call has been unfinished longest."""
+        """Answer 503: too many calls are unfinished, and this one has been for the longest time."""
         self.owner.handle_call_ended(self)
         self.post(Stop())
 
@@ -135,7 +135,7 @@
     # ---- receiving the call -----------------------------------------------------------------
 
     def serve_call(self) -> Steps:
-        """Receive the one call and return its response; None where the peer ended without a call."""
+        """Receive the call and return its response; None if the peer ended without a complete call."""
         self.is_reset = self.read()
         while True:
             try:
@@ -156,17 +156,17 @@
                     if failure is not None:
                         return failure
                 case _:
-                    return None  # ended, or reset
+                    return None  # the peer ended its side or reset the connection
 
     def receive_head(self, event: h11.Request) -> None:
-        """Keep the request line; let a client that waits for it send its body."""
+        """Store the request line; send 100 Continue if the client waits for it before its body."""
         self.request = AdminRequest(event.method.decode("ascii"), event.target.decode("ascii", "replace"))
         if self.http.they_are_waiting_for_100_continue:
             interim = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[])
             self.stream.send(self.http.send(interim))
 
     def wait_for_data(self) -> Steps:
-        """Wait for one message of the loop; return the response where the call is given up, else None."""
+        """Wait for one message and handle it; return a response if the call is given up, else None."""
         match (yield):
             case Io(mask):
                 if mask & select.EPOLLOUT:
@@ -180,7 +180,7 @@
         return None
 
     def read(self) -> bool:
-        """Pass what was received to the HTTP parser; return whether the peer reset the connection."""
+        """Pass received bytes to the HTTP parser; return whether the peer reset the connection."""
         end = self.stream.fill()
         if data := self.stream.rest():
             self.http.receive_data(bytes(data))
@@ -191,14 +191,14 @@
     # ---- answering it -----------------------------------------------------------------------
 
     def respond(self, request: AdminRequest) -> Steps:
-        """Carry out a whole call and return its response."""
+        """Carry out a complete call and return its response."""
         result = dispatch(self.operations, request)
         if isinstance(result, DrainChange):
             return (yield from self.apply_drain(result))
         return result
 
     def apply_drain(self, change: DrainChange) -> Steps:
-        """Carry the change out; return its response once it is in effect, 504 where that takes too long."""
+        """Apply the change; return its response once it is in effect, or 504 after DRAIN_TIMEOUT_NS."""
         self.set_timer(DRAIN_TIMEOUT_NS, AdminTimer.DRAIN)
         self.operations.set_administrative_drain(
             change.endpoint_id.encode(),
@@ -210,15 +210,15 @@
                 case DrainApplied(is_known):
                     return change.response(is_known)
                 case Io():
-                    self.stream.set_reading(False)  # whatever else the peer sends belongs to no call
+                    self.stream.set_reading(False)  # input after the call is not used
                 case Timeout(tag=AdminTimer.DRAIN):
                     text = "acted on here, but no word from the process beside this one"
                     return Response(HTTPStatus.GATEWAY_TIMEOUT, text)
                 case Stop():
-                    pass  # evicted, but its response is on the way
+                    pass  # evicted, but its response follows anyway
 
     def send_response(self, response: Response) -> None:
-        """Send the response; nothing where the call is so broken that HTTP allows none."""
+        """Send the response, unless the call is so malformed that h11 allows none."""
         body = response.text.encode("utf-8", "replace") + b"\n"
         headers = [
             ("Date", time.strftime(HTTP_DATE_FORMAT, time.gmtime())),
--- a/linnetshift/admin/operations.py
+++ b/linnetshift/admin/operations.py
@@ -1,4 +1,4 @@
-"""The port through which administrative calls reach the rest of the proxy."""
+"""The interface through which administrative calls reach the rest of the proxy."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Operations(Protocol):
-    """What an administrative call may ask of the proxy."""
+    """Operations of the proxy that administrative calls use."""
 
     def not_ready_reason(self) -> str:
-        """Why no client is accepted at the moment; empty while clients are accepted."""
+        """Why the proxy accepts no clients at the moment; empty while it does."""
 
     def resource_usage(self) -> dict[str, ResourceUsage]:
-        """The size and the bound of every container that lives as long as the process, by its name."""
+        """Size and bound of each container that exists as long as the process, by its name."""
 
     def is_drain_limit_reached(self, endpoint: bytes) -> bool:
-        """Whether so many endpoints are drained that this one cannot be drained too."""
+        """Whether too many endpoints are drained for this one to be drained too."""
 
     def set_administrative_drain(
         self, endpoint: bytes, is_drained: bool, done: Callable[[bool], None]
--- a/linnetshift/admin/routes.py
+++ b/linnetshift/admin/routes.py
@@ -1,6 +1,6 @@
-"""Which administrative calls there are, and what each answers.
+"""Routes of the administrative interface, and the response of each.
 
-Paths, methods, status codes and texts are the interface of the platform's staff and its scripts.
+Operators and their scripts depend on paths, methods, status codes and texts.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
     target: str
 
     def __str__(self) -> str:
-        """The method and target, as a log line has them."""
+        """Method and target, as the log has them."""
         return f"{self.method} {self.target}"
 
 
 class Response(NamedTuple):
-    """What is sent back: a status code, one line of text, and headers beside the usual ones."""
+    """Status code, text, and headers beside those that every response has."""
 
     status: int
     text: str
@@ -46,7 +46,7 @@
     is_drained: bool
 
     def response(self, is_known: bool) -> Response:
-        """The answer after the change; `is_known` is whether discovery ever listed the endpoint."""
+        """The response after the change; `is_known` is whether discovery ever listed the endpoint."""
         if not is_known:
             return Response(HTTPStatus.NOT_FOUND, f"{self.endpoint_id} was never listed")
         state = "taken out" if self.is_drained else "in use"
@@ -54,14 +54,14 @@
 
 
 class Route(NamedTuple):
-    """One path: the methods that it takes, and what handles its query string."""
+    """The methods that a path allows, and the handler of its query string."""
 
     methods: tuple[str, ...]
     handle: Callable[[Operations, str], Response | DrainChange]
 
 
 def dispatch(operations: Operations, request: AdminRequest) -> Response | DrainChange:
-    """The response to a call, or the change that has to take effect before there is one."""
+    """The response to a call, or the change that has to take effect before the response."""
     url = urlsplit(request.target)
     route = ROUTES.get(url.path)
     if route is None:
@@ -87,20 +87,20 @@
 
 
 def drain_endpoint(operations: Operations, query: str) -> Response | DrainChange:
-    """Take the endpoint in the query out of use, unless too many are drained already."""
-    change = parse_change(query, is_drained=True)
+    """Drain the endpoint in the query; 507 if too many are drained already."""
+    change = parse_drain_change(query, is_drained=True)
     if isinstance(change, DrainChange) and operations.is_drain_limit_reached(change.endpoint_id.encode()):
         return Response(HTTPStatus.INSUFFICIENT_STORAGE, "too many are out already; call some back first")
     return change
 
 
 def restore_endpoint(_operations: Operations, query: str) -> Response | DrainChange:
-    """Take the endpoint in the query into use again."""
-    return parse_change(query, is_drained=False)
+    """Restore the endpoint in the query."""
+    return parse_drain_change(query, is_drained=False)
 
 
-def parse_change(query: str, is_drained: bool) -> Response | DrainChange:
-    """The change of the one endpoint that the query names; 400 where it names none or several."""
+def parse_drain_change(query: str, is_drained: bool) -> Response | DrainChange:
+    """The change for the endpoint in the query; 400 unless the query has exactly one."""
     endpoint_ids = parse_qs(query).get(ENDPOINT_PARAMETER, [])
     if len(endpoint_ids) != 1:
         return Response(HTTPStatus.BAD_REQUEST, "give one id, as in ?id=ID")
--- a/linnetshift/admin/server.py
+++ b/linnetshift/admin/server.py
@@ -1,7 +1,7 @@
 """The listener of the administrative interface.
 
-Its peers are people and scripts that may be slow, broken or many. None of them delays another, and all
-together cost a bounded number of descriptors and buffers.
+Its peers, operators and scripts, may be slow, broken or many. None delays another, and together they use a
+bounded number of descriptors and buffers.
 """
 
 from __future__ import annotations
@@ -16,40 +16,40 @@
 from linnetshift.frontends.listener import Acceptor
 from linnetshift.observability.resource_usage import ResourceUsage
 
-# Connections whose call is not finished, and those that linger after it: this many of each. One more ends
-# the one that has been unfinished, or has lingered, longest.
+# The limit of connections with an unfinished call, and also of lingering ones after their response. Above it,
+# the one that has been unfinished, or lingering, for the longest time is ended.
 MAX_CONNECTIONS = 24
-# Descriptors that clients and endpoints cannot take, so that staff can act while they run short.
+# Descriptors that clients and endpoints cannot use, so that operators can act when no others are free.
 RESERVED_DESCRIPTORS = 4
 
 
 class AdminServer:
-    """Accepts administrative connections, while the configuration names an address for them.
+    """Accepts administrative connections while the configuration has an address for them.
 
-    Owns the connections and the reserved descriptors; both live as long as the process at most.
+    Owns the connections and the reserved descriptors.
     """
 
     def __init__(self, loop: Loop, operations: Operations) -> None:
-        """Listens nowhere until `use_acceptor` is given a listening socket."""
+        """A server without a listener; `use_acceptor` sets one."""
         self.loop = loop
         self.operations = operations
-        # Dictionaries for their order, the oldest first.
-        self.unfinished: dict[AdminConnection, None] = {}  # whose call is not finished
-        self.lingering: dict[AdminConnection, None] = {}  # answered, and not closed yet
+        # Dictionaries, as they keep the order of insertion: the oldest first.
+        self.unfinished_connections: dict[AdminConnection, None] = {}  # with an unfinished call
+        self.lingering_connections: dict[AdminConnection, None] = {}  # answered, and not closed yet
         self.acceptor: Acceptor | None = None
         self.reserved_descriptors: list[int] = []
 
     @property
     def address(self) -> Address | None:
-        """Where it listens; None while it does not."""
+        """The address on which it listens; None while it does not listen."""
         return self.acceptor.address if self.acceptor is not None else None
 
     def open_acceptor(self, address: Address) -> Acceptor:
-        """A listening socket at the address, for `use_acceptor`; raises OSError where it cannot be bound."""
+        """Listen on the address, for `use_acceptor`; raises OSError if it can't be bound."""
         return Acceptor(self.loop, address, self.handle_connection, make_room=self.make_room)
 
     def use_acceptor(self, acceptor: Acceptor | None) -> None:
-        """Listen there from now on, or nowhere; calls under way are still answered."""
+        """Replace the listener, or remove it with None; calls in progress are still answered."""
         if self.acceptor is not None:
             self.acceptor.close()
         self.acceptor = acceptor
@@ -58,8 +58,8 @@
 
     def handle_connection(self, sock: socket.socket, peer: Address) -> None:
         """Serve an accepted connection."""
-        if len(self.unfinished) >= MAX_CONNECTIONS:
-            longest_unfinished = next(iter(self.unfinished))
+        if len(self.unfinished_connections) >= MAX_CONNECTIONS:
+            longest_unfinished = next(iter(self.unfinished_connections))
             longest_unfinished.evict()
         connection = AdminConnection(self.loop, self.operations, self, sock, peer)
         connection.start(connection.run())
@@ -67,7 +67,7 @@
     # ---- descriptors ------------------------------------------------------------------------
 
     def make_room(self) -> bool:
-        """Free a descriptor: of a client connection without a request, else a reserved one."""
+        """Free a descriptor: evict a connection without a request, else release a reserved descriptor."""
         if self.loop.make_room():
             return True
         if not self.reserved_descriptors:
@@ -76,40 +76,40 @@
         return True
 
     def refill_reserve(self) -> None:
-        """Reserve descriptors again, as far as there are any."""
+        """Refill the reserve with the descriptors that are free."""
         try:
             while len(self.reserved_descriptors) < RESERVED_DESCRIPTORS:
                 self.reserved_descriptors.append(os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC))
         except OSError:
-            pass  # out of descriptors: the next connection that closes refills it
+            pass  # no descriptor is free: the next connection that closes refills the reserve
 
-    # ---- what its connections report ----------------------------------------------------------
+    # ---- notifications from connections -------------------------------------------------------
 
     def handle_opened(self, connection: AdminConnection) -> None:
-        """Count it among those whose call is not finished."""
-        self.unfinished[connection] = None
+        """Count the connection among those with an unfinished call."""
+        self.unfinished_connections[connection] = None
 
     def handle_call_ended(self, connection: AdminConnection) -> None:
-        """Its call no longer counts as unfinished."""
-        self.unfinished.pop(connection, None)
+        """Stop counting its call as unfinished."""
+        self.unfinished_connections.pop(connection, None)
 
     def handle_answered(self, connection: AdminConnection) -> None:
-        """Let it linger; the one that has lingered longest makes room."""
-        if len(self.lingering) >= MAX_CONNECTIONS:
-            oldest = next(iter(self.lingering))
-            del self.lingering[oldest]
+        """Count it as lingering; at the limit, close the one that has lingered longest."""
+        if len(self.lingering_connections) >= MAX_CONNECTIONS:
+            oldest = next(iter(self.lingering_connections))
+            del self.lingering_connections[oldest]
             oldest.close_lingering()
-        self.lingering[connection] = None
+        self.lingering_connections[connection] = None
 
     def handle_closed(self, connection: AdminConnection) -> None:
-        """Forget it, and reserve its descriptor if one is missing."""
-        self.lingering.pop(connection, None)
+        """Remove the connection, and refill the reserve with its descriptor."""
+        self.lingering_connections.pop(connection, None)
         self.refill_reserve()
 
     def resource_usage(self) -> dict[str, ResourceUsage]:
-        """Its containers, under their names in `/ops/census`."""
+        """Sizes and bounds of its containers, by their names in `/ops/census`."""
         return {
-            "door.callers": ResourceUsage(len(self.unfinished), MAX_CONNECTIONS + 1),
-            "door.lingering": ResourceUsage(len(self.lingering), MAX_CONNECTIONS),
+            "door.callers": ResourceUsage(len(self.unfinished_connections), MAX_CONNECTIONS + 1),
+            "door.lingering": ResourceUsage(len(self.lingering_connections), MAX_CONNECTIONS),
             "door.reserve": ResourceUsage(len(self.reserved_descriptors), RESERVED_DESCRIPTORS),
         }
