--- a/linnetshift/vrrp/__init__.py
+++ b/linnetshift/vrrp/__init__.py
@@ -1,1 +1,1 @@
-"""VRRP version 3 (RFC 9568) over UDP: which of several proxies serves the channels frontend."""
+"""VRRP version 3 (RFC 9568) over UDP: decides which of several proxies serves the channels frontend."""
--- a/linnetshift/vrrp/instance.py
+++ b/linnetshift/vrrp/instance.py
@@ -1,7 +1,7 @@
-"""A VRRP router on its UDP socket: decides which of several proxies listens for channels.
+"""A VRRP router on its UDP socket: of several proxies, only the active one listens for channels.
 
-Unlike in RFC 9568 there is no virtual MAC address to answer for and no TTL to check: advertisements go to
-named peers only, and those of anyone else are dropped.
+Unlike RFC 9568, it has no virtual MAC address and checks no TTL: advertisements are sent to the configured
+peers only, and those of other senders are dropped.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 CENTISECOND_NS = 10 * MS
 # More than the longest advertisement, 8 bytes and 4 for each of 255 addresses.
 MAX_DATAGRAM_BYTES = 2048
-# Read at one turn of the loop: a flood must not keep it from everything else.
+# Limit per turn of the loop, so that a flood of datagrams does not block other actors.
 MAX_DATAGRAMS_PER_READ = 32
 
 
 class Vrrp(Actor):
-    """The router with socket and timer; `on_active_change` is called with whether this proxy is active."""
+    """A router with its socket and timer; calls `on_active_change` with whether this proxy is active."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.router = Router(config, self._send, self._set_router_timer)
         self.reported_state = self.router.state
         self.timer: Timer | None = None
-        self.timer_tag: object = None  # of `timer`; timeouts with another tag are of one that was replaced
+        self.timer_tag: object = None  # of `timer`; a timeout with another tag is from a replaced timer
         if inherited_socket is not None:
             self.sock = inherited_socket
         else:
@@ -75,14 +75,14 @@
                     self.router.handle_timer()
 
     def pause(self) -> None:
-        """Leave this router's role to the process that takes over; the peers do not notice."""
+        """Leave this router's state to the process that takes over; the peers see no change."""
         self.is_paused = True
         self.loop.unwatch(self.sock.fileno())
         if self.timer is not None:
             self.timer.cancel()
 
     def resume(self) -> None:
-        """Take up the role that this router had before the pause; the peers do not notice."""
+        """Continue in the state before the pause; the peers see no change."""
         self.is_paused = False
         self._watch_socket()
         if self.router.state is State.ACTIVE:
@@ -91,7 +91,7 @@
             self.router.become_backup(self.config.interval_cs)
 
     def stop(self) -> None:
-        """Shut down; an active router releases its role first."""
+        """Shut down; an active router first advertises that it stops."""
         if not self.is_paused:
             self.router.stop()
             self.loop.unwatch(self.sock.fileno())
@@ -99,7 +99,7 @@
         self.end()
 
     def _report_state(self) -> None:
-        """Log a change of state, and report one to or from active."""
+        """Log a change of state, and report a change to or from active."""
         previous = self.reported_state
         state = self.router.state
         if state is previous:
@@ -111,14 +111,14 @@
 
     def _send(self, priority: int) -> None:
         if priority != PRIORITY_RELEASED:
-            # Before the peers learn of it: whoever is sent to the active proxy may connect at once.
+            # Before the peers are notified: clients directed to the active proxy may connect at once.
             self._report_state()
         config = self.config
         datagram = Advertisement(config.vrid, priority, config.interval_cs, config.addresses).encode()
         for peer in config.peers:
             try:
                 self.sock.sendto(datagram, peer)
-            except OSError as error:  # a peer that is down must not keep the others from theirs
+            except OSError as error:  # an unreachable peer: the others still get theirs
                 log.info("vrrp-send-failed", peer=f"{peer[0]}:{peer[1]}", error=error.strerror)
 
     def _set_router_timer(self, centiseconds: float) -> None:
@@ -133,7 +133,7 @@
                 data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # ICMP: a peer did not take an earlier datagram
+            except OSError:  # ICMP error: an earlier datagram did not reach its peer
                 continue
             self._handle_datagram(data, sender)
 
--- a/linnetshift/vrrp/protocol.py
+++ b/linnetshift/vrrp/protocol.py
@@ -14,9 +14,9 @@
 IPV4_ADDRESS_BYTES = 4
 # The 12 bits of the max advertise interval; the 4 above them are reserved.
 INTERVAL_MASK = 0x0FFF
-# Priorities with a meaning of their own (section 5.2.4).
+# Priorities with a special meaning (section 5.2.4).
 PRIORITY_OWNER = 255  # of the router that owns the addresses
-PRIORITY_RELEASED = 0  # the active router stops taking part
+PRIORITY_RELEASED = 0  # of an active router that stops participating
 
 
 class AdvertisementError(ValueError):
@@ -32,7 +32,7 @@
     addresses: tuple[str, ...]  # dotted IPv4
 
     def encode(self) -> bytes:
-        """The advertisement as a datagram; the checksum is computed with its own field as zero."""
+        """Encode as a datagram; the checksum is computed with its own field set to zero."""
         interval_cs = self.interval_cs & INTERVAL_MASK
         body = b"".join(socket.inet_aton(address) for address in self.addresses)
         fields = (VERSION_AND_TYPE, self.vrid, self.priority, len(self.addresses), interval_cs)
@@ -40,14 +40,14 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Advertisement:
-        """Read a datagram; raises AdvertisementError with what is wrong with it."""
+        """Decode a datagram; raises AdvertisementError if it is invalid."""
         if len(data) < HEADER.size:
-            raise AdvertisementError("too short")
+            raise AdvertisementError(f"{len(data)} bytes, shorter than the header of {HEADER.size} bytes")
         version_and_type, vrid, priority, count, interval_cs, _ = HEADER.unpack_from(data)
         if version_and_type != VERSION_AND_TYPE:
-            raise AdvertisementError("not an advertisement of version 3")
+            raise AdvertisementError(f"version and type {version_and_type:#04x}, not {VERSION_AND_TYPE:#04x}")
         if len(data) != HEADER.size + IPV4_ADDRESS_BYTES * count:
-            raise AdvertisementError("its length does not fit its addresses")
+            raise AdvertisementError(f"{len(data)} bytes do not match an address count of {count}")
         if checksum(data):
             raise AdvertisementError("wrong checksum")
         offsets = range(HEADER.size, len(data), IPV4_ADDRESS_BYTES)
@@ -56,7 +56,7 @@
 
 
 def checksum(data: bytes) -> int:
-    """The Internet checksum (RFC 1071) of an even number of bytes; 0 where `data` holds a right one.
+    """The Internet checksum (RFC 1071) of an even number of bytes; 0 if `data` includes its valid checksum.
 
     Over IPv4 it covers the message alone, without a pseudo-header (section 5.2.8).
     """
--- a/linnetshift/vrrp/router.py
+++ b/linnetshift/vrrp/router.py
@@ -25,17 +25,17 @@
     vrid: int  # virtual router ID, 1 to 255
     priority: int  # 1 to 255; 255 is the address owner's
     interval_cs: int  # advertisement interval, 1 to 4095 centiseconds
-    preempt: bool  # whether a higher priority takes over from an active router of a lower one
-    listen: Address  # where advertisements arrive; the host decides between equal priorities
-    peers: tuple[Address, ...]  # the other routers: only their advertisements count
-    addresses: tuple[str, ...]  # the virtual router's IPv4 addresses, for information
+    preempt: bool  # whether a backup takes over from an active router of lower priority
+    listen: Address  # receives advertisements; of equal priorities, the higher host address wins
+    peers: tuple[Address, ...]  # the other routers; advertisements of other senders are dropped
+    addresses: tuple[str, ...]  # the virtual router's IPv4 addresses, which are only advertised
 
 
 class Router:
-    """One virtual router, notified of timers and advertisements; it acts through two callbacks.
+    """One virtual router: is notified of timers and advertisements, and acts through two callbacks.
 
     `send` takes the priority to advertise. `set_timer` takes the centiseconds until `handle_timer` and
-    replaces the timer that was set before: each state has one, the Adver_Timer or the Active_Down_Timer.
+    replaces an earlier timer: each state has one timer, the Adver_Timer or the Active_Down_Timer.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
 
     @property
     def skew_time_cs(self) -> float:
-        """Skew_Time in centiseconds: the lower the priority, the later a backup takes over."""
+        """Skew_Time in centiseconds: the lower its priority, the later a backup takes over."""
         return (256 - self.config.priority) * self.active_interval_cs / 256
 
     @property
@@ -60,20 +60,20 @@
         return 3 * self.active_interval_cs + self.skew_time_cs
 
     def start(self) -> None:
-        """Startup (section 6.4.1): the owner is active at once."""
+        """Startup (section 6.4.1): the address owner becomes active at once, another router a backup."""
         if self.config.priority == PRIORITY_OWNER:
             self.become_active()
         else:
             self.become_backup(self.config.interval_cs)
 
     def stop(self) -> None:
-        """Shutdown: an active router releases its role, so that a backup takes over after its skew time."""
+        """Shutdown: an active router advertises priority 0, and a backup takes over after its skew time."""
         if self.state is State.ACTIVE:
             self.send(PRIORITY_RELEASED)
         self.state = State.INITIALIZE
 
     def handle_timer(self) -> None:
-        """Handle the state's timer: take over as a backup, advertise as the active router."""
+        """Handle the timer: a backup becomes active, an active router advertises."""
         if self.state is State.BACKUP:
             self.become_active()
         elif self.state is State.ACTIVE:
@@ -87,14 +87,14 @@
             self._handle_as_active(advertisement, sender)
 
     def _handle_as_backup(self, advertisement: Advertisement) -> None:
-        """Section 6.4.2: wait on for an active router that is not to be preempted; replace one that stops."""
+        """Section 6.4.2: remain a backup unless the sender is to be preempted or has stopped."""
         if advertisement.priority == PRIORITY_RELEASED:
             self.set_timer(self.skew_time_cs)
         elif not self.config.preempt or advertisement.priority >= self.config.priority:
             self.become_backup(advertisement.interval_cs)
 
     def _handle_as_active(self, advertisement: Advertisement, sender: str) -> None:
-        """Section 6.4.3: yield to a higher priority, or to the higher address of equal ones."""
+        """Section 6.4.3: yield to a higher priority, or of equal priorities to the higher address."""
         own_priority = self.config.priority
         priority = advertisement.priority
         has_higher_address = socket.inet_aton(sender) > socket.inet_aton(self.config.listen[0])
@@ -102,20 +102,20 @@
         if priority != PRIORITY_RELEASED and has_precedence:
             self.become_backup(advertisement.interval_cs)
         else:
-            self.advertise()  # at once, so that the other one yields
+            self.advertise()  # at once, so that the other router yields
 
     def become_backup(self, active_interval_cs: int) -> None:
-        """Wait for the advertisements of an active router that sends them at this interval."""
+        """Become a backup, and wait for advertisements of an active router with this interval."""
         self.state = State.BACKUP
         self.active_interval_cs = active_interval_cs
         self.set_timer(self.active_down_interval_cs)
 
     def become_active(self) -> None:
-        """Take over."""
+        """Become the active router, and advertise it."""
         self.state = State.ACTIVE
         self.advertise()
 
     def advertise(self) -> None:
-        """Send an advertisement, and the next after the interval."""
+        """Send an advertisement, and set the timer for the next."""
         self.send(self.config.priority)
         self.set_timer(self.config.interval_cs)
