--- a/example/toy_client.py
+++ b/example/toy_client.py
@@ -1,8 +1,8 @@
-"""Opens one connection through the proxy, sends a line every two seconds and shows what comes back.
+"""Opens a connection through the proxy, sends a line every two seconds and prints what it receives.
 
     python example/toy_client.py [GROUP] [LINES]
 
-Asked to migrate, it connects again at once, as a terminal would.
+When asked to migrate, it reconnects at once, as real clients do.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 import sys
 
 PROXY = ("127.0.0.1", 8000)
-"""Where the example's configuration listens."""
+"""The address on which the proxy listens with the example's configuration."""
 
 LINE_INTERVAL_S = 2
-"""Time without an answer until the next line is sent, in seconds."""
+"""Time without input after which the next line is sent_lines, in seconds."""
 
 
-def connect(group: int, is_return: bool) -> bool:
-    """Open one connection and use it to its end; whether it was asked to migrate."""
+def run_connection(group: int, is_returning: bool) -> bool:
+    """Open one connection and use it to its end; return whether it was asked to migrate."""
     with socket.create_connection(PROXY, 5) as sock:
         key = secrets.token_hex(8)
-        return_mark = ",again=1" if is_return else ""
-        sock.sendall(f"OPEN {key} {group:016x} c=status-watch,t=taymobile,d=3000{return_mark}\r\n".encode())
+        again_field = ",again=1" if is_returning else ""
+        sock.sendall(f"OPEN {key} {group:016x} c=status-watch,t=taymobile,d=3000{again_field}\r\n".encode())
         sock.settimeout(LINE_INTERVAL_S)
         unread = b""
-        sent = 0
+        sent_lines = 0
         while True:
             try:
                 data = sock.recv(4096)
             except TimeoutError:
-                sent += 1
-                sock.sendall(b"done\r\n" if sent > LINES else b"M %d hello\r\n" % sent)
+                sent_lines += 1
+                sock.sendall(b"done\r\n" if sent_lines > LINE_COUNT else b"M %d hello\r\n" % sent_lines)
                 continue
             if not data:
                 return False
@@ -44,8 +44,8 @@
 
 
 GROUP = int(sys.argv[1]) if len(sys.argv) > 1 else 1
-LINES = int(sys.argv[2]) if len(sys.argv) > 2 else 5
+LINE_COUNT = int(sys.argv[2]) if len(sys.argv) > 2 else 5
 if __name__ == "__main__":
-    is_return = False
-    while connect(GROUP, is_return):
-        is_return = True
+    is_returning = False
+    while run_connection(GROUP, is_returning):
+        is_returning = True
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,9 +1,9 @@
-"""Two toy gateways and a toy discovery on loopback, for trying linnetshift out.
+"""Two toy gateways and a toy discovery on loopback, to try linnetshift out.
 
     python example/toy_server.py
 
-A gateway serves whoever opens, sends every line back, and reports a made-up load. Discovery
-lists both. Type `drain 1`, `ready 1` (or 2) to change a gateway's state, `quit` to end.
+A gateway accepts every request, echoes every line, and reports a random load. Discovery lists
+both. Type `drain 1` or `ready 1` (or 2) to change a gateway's state, and `quit` to exit.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 from urllib.parse import parse_qs, urlsplit
 
 DISCOVERY = ("127.0.0.1", 8500)
-"""Where the example's configuration expects discovery."""
+"""Address of discovery in the example's configuration."""
 
 GATEWAYS = {"1": ("127.0.0.1", 8101), "2": ("127.0.0.1", 8102)}
-"""Addresses of the gateways by the number that is typed."""
+"""Addresses of the gateways, by the number in a command."""
 
 states = dict.fromkeys(GATEWAYS, "SERVING")
-"""State of each gateway as discovery lists it; `list_changed` is held to change it."""
+"""State of each gateway in the endpoint list; changed only while `list_changed` is held."""
 
 revision = 1
-"""Version of the list; `list_changed` is held to change it."""
+"""Version of the endpoint list; changed only while `list_changed` is held."""
 
 list_changed = threading.Condition()
 
 
 class Gateway(socketserver.StreamRequestHandler):
-    """One connection to a gateway."""
+    """Serves one connection to a gateway."""
 
     def handle(self) -> None:
         """Answer each line until the connection ends."""
@@ -53,10 +53,10 @@
 
 
 class Discovery(BaseHTTPRequestHandler):
-    """One call of discovery."""
+    """Serves one HTTP call to discovery."""
 
     def do_GET(self) -> None:
-        """Answer with the list; a watch waits until it changes."""
+        """Answer with the endpoint list; a watch waits until it changes or times out."""
         query = parse_qs(urlsplit(self.path).query)
         with list_changed:
             if "since" in query:
@@ -94,7 +94,7 @@
 
 
 def main() -> None:
-    """Serve until `quit`, and change states as typed."""
+    """Serve until `quit`, and change states by the commands on standard input."""
     global revision
     servers: list[socketserver.BaseServer] = [Server(address, Gateway) for address in GATEWAYS.values()]
     servers.append(ThreadingHTTPServer(DISCOVERY, Discovery))
@@ -111,7 +111,7 @@
                 list_changed.notify_all()
         else:
             print("drain 1, ready 1, drain 2, ready 2 or quit", flush=True)
-    while True:  # without a terminal, until it is ended
+    while True:  # standard input is closed: serve until killed
         time.sleep(60)
 
 
