--- a/tests/test_admin_interface.py
+++ b/tests/test_admin_interface.py
@@ -1,4 +1,4 @@
-"""The admin interface, and endpoints that operators drain and restore."""
+"""The administrative interface, and endpoints that operators drain and restore."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
     with started_proxy(tmp_path, admin_server=True) as running:
         unfinished_calls = [running.client(b"GET /ops/rea", running.admin_port) for _ in range(60)]
         assert running.call("GET /ops/readiness") == 200
-        # Over the limit of connections, the call unfinished for longest is rejected.
+        # Above the limit of connections, the call that has been unfinished longest is rejected.
         assert unfinished_calls[0].line().startswith(b"HTTP/1.1 503 ")
-        assert unfinished_calls[-1].line().startswith(b"HTTP/1.1 408 ")  # and every call has a timeout
+        assert unfinished_calls[-1].line().startswith(b"HTTP/1.1 408 ")  # every call has a timeout
         running.logged("side=admin reason=request-timeout")
 
 
 def test_admin_calls_succeed_when_clients_exhaust_descriptors(tmp_path: Path) -> None:
-    # Clients waiting for their answer are not closed under pressure, and could use every descriptor.
+    # Connections that wait for an answer are not evicted, so clients could use every descriptor.
     with started_proxy(tmp_path, admin_server=True, before=limit_descriptors) as running:
         waiting_clients = [running.open(60_000) for _ in range(60)]
         running.logged("event=accept-paused")
@@ -69,7 +69,7 @@
         assert running.call("GET /ops/readiness") == 503
 
 
-def test_response_is_dated_as_http_asks(tmp_path: Path) -> None:
+def test_response_has_a_valid_http_date(tmp_path: Path) -> None:
     before = datetime.now(UTC).replace(microsecond=0)
     with started_proxy(tmp_path, admin_server=True) as running:
         connection = running.client(b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n", running.admin_port)
@@ -89,13 +89,13 @@
             assert running.call(DRAIN_CALL % best.uid) == 200
         assert client.line() == b"MOVE\r\n"  # before the endpoint is restarted
         connections = [endpoint, establish_on(running, other.uid)]
-        running.discovery.change(**{other.uid: "SERVING"})  # a full list with the endpoint serving
+        running.discovery.change(**{other.uid: "SERVING"})  # a full list in which both endpoints serve
         running.discovery.calls.get(timeout=20)
         running.reload("event=configuration-reloaded")
         connections.append(establish_on(running, other.uid))
         adopted = running.client(b"OPEN 1 2 c=feed,t=acme,d=2000,at=%s\r\n" % best.uid.encode())
         assert adopted.line() == b"ERR\r\n"
-        assert running.call(RESTORE_CALL % best.uid) == 200  # one call restores it, however many drained it
+        assert running.call(RESTORE_CALL % best.uid) == 200  # one call restores it after several drains
         assert running.call(DRAIN_CALL % other.uid) == 200
         connections.append(establish_on(running, best.uid))
 
@@ -106,15 +106,15 @@
         tmp_path, endpoints=2, admin_server=True, services=services, allowed={"connectTimeoutNs": 10 * S}
     ) as running:
         best, other = ranked(running)
-        best.sock.listen(0)  # its accept queue holds one connection, so the proxy's stays pending
+        best.sock.listen(0)  # the accept queue holds one connection, so the proxy's stays pending
         queue_filler = running.client(port=best.port)
         client = running.open(wait_ms=20_000)
-        best.wait_until_connecting()  # a PONG alone would not tell: under load it may come before the attempt
+        best.wait_until_connecting()  # not shown by a PONG: under load it may precede the attempt
         assert running.alive()
         assert running.call(DRAIN_CALL % best.uid) == 200
         best.accept()
         queue_filler.close()
-        # The connection is established after all, and nothing is sent on it.
+        # The connection is established now, and nothing is sent on it.
         assert best.accept().line() == b""
         other.serve()
         assert client.line() == b"UP r1\r\n"
@@ -123,8 +123,8 @@
 @pytest.mark.parametrize(
     ("listed_starts_ns", "reported_start_ns"),
     [
-        ([0], 9 * S),  # the list has no later start: the time of the restore call is used
-        ([6 * S], 6 * S),  # the list has the restart
+        ([0], 9 * S),  # no later start listed: the time of the restore call counts
+        ([6 * S], 6 * S),  # the list reports the restart
         ([0, 6 * S, 7 * S], 7 * S),
     ],
 )
@@ -144,4 +144,4 @@
     for started_ns in listed_starts_ns:
         entries = administrative_drains.overlay(listed(entry(1, started_ns=started_ns))).entries
     assert entries == (entry(1, started_ns=reported_start_ns),)
-    assert administrative_drains.is_known(endpoint(2))  # although no longer listed
+    assert administrative_drains.is_known(endpoint(2))  # although it is no longer listed
--- a/tests/test_admin_routes.py
+++ b/tests/test_admin_routes.py
@@ -1,4 +1,4 @@
-"""What each administrative call answers, without a connection."""
+"""The response of each administrative call, without a connection."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FakeOperations:
-    """Ready while `reason` is empty; the endpoint `full` would exceed the drain limit."""
+    """Ready while `reason` is empty; draining the endpoint `full` would exceed the drain limit."""
 
     reason = ""
 
@@ -27,7 +27,7 @@
     def set_administrative_drain(
         self, endpoint: bytes, is_drained: bool, done: Callable[[bool], None]
     ) -> None:
-        raise AssertionError("only the connection carries a change out")
+        raise AssertionError("only the connection applies a change")
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
     assert dispatch(FakeOperations(), AdminRequest(method, target)) == answer
 
 
-def test_proxy_that_is_not_ready_answers_503_with_its_reason() -> None:
+def test_readiness_of_a_proxy_that_is_not_ready_is_503_with_the_reason() -> None:
     operations = FakeOperations()
     operations.reason = "leaving"
     assert dispatch(operations, AdminRequest("GET", "/ops/readiness")) == Response(503, "leaving")
@@ -62,5 +62,5 @@
         (True, False, Response(404, "s-0 was never listed")),
     ],
 )
-def test_change_in_effect_is_confirmed(is_drained: bool, is_known: bool, answer: Response) -> None:
+def test_response_to_a_change_reports_its_effect(is_drained: bool, is_known: bool, answer: Response) -> None:
     assert DrainChange("s-0", is_drained).response(is_known) == answer
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The order of the loop's work in one turn, and descriptors whose number is given again."""
+"""The order of events and timers within a turn of the loop, and reuse of descriptor numbers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_io_during_a_stall_is_handled_before_due_timers() -> None:
-    # With timers first, connections that were established in time were given up as unreachable.
+    # With timers first, connections that were established in time during a stall counted as unreachable.
     loop, received = Loop(), list[object]()
 
     class RecordingActor(Actor):
@@ -33,11 +33,11 @@
 
 
 def test_event_of_a_closed_descriptor_is_not_passed_to_its_new_owner() -> None:
-    # When descriptors ran short, a number was reused within one turn, and its new owner got the old event.
+    # With few free descriptors, a number is reused within a turn; the new socket's handler got the old event.
     loop, calls, new_pair = Loop(), list[str](), list[socket.socket]()
     pairs = [socket.socketpair() for _ in range(2)]
 
-    def handle_first(closed: socket.socket) -> None:
+    def close_other(closed: socket.socket) -> None:
         calls.append("first")
         number = closed.fileno()
         loop.unwatch(number)
@@ -49,7 +49,7 @@
 
     for (own_end, peer_end), (other, _) in zip(pairs, reversed(pairs), strict=True):
         peer_end.send(b"x")
-        loop.watch(own_end.fileno(), select.EPOLLIN, lambda _, closed=other: handle_first(closed))  # type: ignore[misc]
+        loop.watch(own_end.fileno(), select.EPOLLIN, lambda _, closed=other: close_other(closed))  # type: ignore[misc]
     loop.run_once()
     assert calls == ["first"]
     for own_end, _ in pairs:
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""A stream's lines up to the longest one, and what it finds out about its peer without reading."""
+"""The line length limit of a stream, and detection of the peer's end without reading."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StreamWithPeer(Stream):
-    """A stream of a TCP connection that holds its peer's socket too."""
+    """A stream on a TCP connection, and the peer's socket."""
 
     def __init__(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -23,7 +23,7 @@
         super().__init__(Loop(), own_socket, lambda _mask: None)
 
     def wait_for_input(self) -> None:
-        """Wait until bytes or the peer's end have arrived; nothing is read."""
+        """Wait until bytes or the peer's end have arrived, without reading."""
         assert select.select([self.sock], [], [], WAIT_S)[0]
 
     def wait_for_peer_end(self) -> None:
@@ -42,7 +42,7 @@
 
 
 def receive(stream: StreamWithPeer, data: bytes) -> None:
-    """Have the stream read all of the data."""
+    """Send the data from the peer, and `fill` until the stream has read all of it."""
     stream.peer.sendall(data)
     expected = stream.stop - stream.start + len(data)
     while stream.stop - stream.start < expected:
@@ -67,7 +67,7 @@
 def test_unfinished_line_raises_once_it_is_over_the_limit(stream: StreamWithPeer) -> None:
     receive(stream, b"first\n" + b"x" * MAX_LINE_BYTES)
     assert bytes(stream.line() or b"") == b"first\n"
-    assert stream.line() is None  # as long as the limit: its end may be the next byte
+    assert stream.line() is None  # at the limit: the next byte may be its end
     receive(stream, b"x")
     with pytest.raises(LineTooLongError):
         stream.line()
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -1,4 +1,4 @@
-"""VRRP: the advertisement's form, the state machine, and the frontend that listens only while active."""
+"""VRRP: encoding of advertisements, the state machine, and the frontend that listens only while active."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from linnetshift.vrrp.router import Router, State, VrrpConfig
 from rig.free_port import free_port
 
-# Version 3, type 1, VRID 7, priority 100, one address, 1 s, checksum, 192.0.2.1: worked out by hand.
-KNOWN = bytes.fromhex("310764010064a891c0000201")
+# Version 3, type 1, VRID 7, priority 100, one address, 1 s, checksum, 192.0.2.1: encoded by hand.
+VALID = bytes.fromhex("310764010064a891c0000201")
 
 
 def test_encoding_matches_rfc_9568() -> None:
     advertisement = Advertisement(7, 100, 100, ("192.0.2.1",))
-    assert advertisement.encode() == KNOWN
-    assert Advertisement.decode(KNOWN) == advertisement
+    assert advertisement.encode() == VALID
+    assert Advertisement.decode(VALID) == advertisement
 
 
 @pytest.mark.parametrize(
     "data",
-    [b"", KNOWN[:7], KNOWN[:-1], KNOWN + bytes(4), b"\x21" + KNOWN[1:], KNOWN[:2] + b"\x65" + KNOWN[3:]],
+    [b"", VALID[:7], VALID[:-1], VALID + bytes(4), b"\x21" + VALID[1:], VALID[:2] + b"\x65" + VALID[3:]],
 )
 def test_malformed_advertisement_raises_advertisement_error(data: bytes) -> None:
     with pytest.raises(AdvertisementError):
@@ -33,6 +33,8 @@
 
 
 class RouterHarness:
+    """A router that records the priorities sent and the timers set."""
+
     def __init__(self, priority: int, preempt: bool = True) -> None:
         self.sent: list[int] = []
         self.timers_cs: list[float] = []
@@ -52,7 +54,7 @@
 def test_backup_takes_over_after_three_intervals_and_its_skew_time() -> None:
     harness = RouterHarness(156)
     assert harness.timers_cs == [300 + 100 * 100 / 256]
-    harness.receive(200, interval_cs=50)  # the active one's interval counts
+    harness.receive(200, interval_cs=50)  # the active router's interval counts
     assert harness.timers_cs[-1] == 150 + 100 * 50 / 256
     harness.receive(0)  # the active router stops
     assert harness.timers_cs[-1] == 100 * 50 / 256
@@ -62,15 +64,15 @@
 
 
 @pytest.mark.parametrize(
-    ("preempt", "priority", "is_followed"),
+    ("preempt", "priority", "restarts_timer"),
     [(True, 99, False), (True, 100, True), (False, 1, True), (True, 101, True)],
 )
-def test_backup_follows_an_active_router_of_precedence(
-    preempt: bool, priority: int, is_followed: bool
+def test_backup_restarts_its_timer_unless_it_preempts(
+    preempt: bool, priority: int, restarts_timer: bool
 ) -> None:
     harness = RouterHarness(100, preempt)
     harness.receive(priority)
-    assert len(harness.timers_cs) == (2 if is_followed else 1)
+    assert len(harness.timers_cs) == (2 if restarts_timer else 1)
 
 
 @pytest.mark.parametrize(
@@ -83,16 +85,16 @@
         (0, "10.0.0.3", State.ACTIVE),
     ],
 )
-def test_active_router_yields_to_precedence(priority: int, sender: str, state: State) -> None:
+def test_active_router_yields_to_priority_then_address(priority: int, sender: str, state: State) -> None:
     harness = RouterHarness(100)
     harness.router.handle_timer()
     harness.receive(priority, sender=sender)
     assert harness.router.state is state
-    assert len(harness.sent) == (1 if state is State.BACKUP else 2)  # it asserts itself at once
+    assert len(harness.sent) == (1 if state is State.BACKUP else 2)  # while active, it answers at once
 
 
 @pytest.mark.parametrize("is_active", [True, False])
-def test_shutdown_of_an_active_router_advertises_priority_zero(is_active: bool) -> None:
+def test_shutdown_advertises_priority_zero_only_if_active(is_active: bool) -> None:
     harness = RouterHarness(255 if is_active else 100)
     harness.router.stop()
     assert harness.router.state is State.INITIALIZE
@@ -132,4 +134,4 @@
         assert endpoint.ended() == "fin"
         with pytest.raises(ConnectionRefusedError):
             running.client(port=running.channels_port)
-        assert running.alive()  # the platform's frontend goes on
+        assert running.alive()  # the line protocol's frontend still answers
