--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -18,7 +18,7 @@
 from linnetshift.observability.resource_usage import ResourceUsage
 
 # Clients send the request line right after connecting. A connection whose line is incomplete after this time
-# is answered and closed, in all within 3 s.
+# is answered and closed, at the latest 3 s after accept.
 REQUEST_LINE_TIMEOUT_NS = 2800 * MS
 # Input after an answer is read and discarded: closing a socket with unread bytes sends RST, and the peer may
 # lose the answer. Up to 60 MB may be in flight, and the connection must be closed within 6 s.
@@ -116,7 +116,7 @@
             pass
 
     def is_over_limit(self) -> bool:
-        """Whether over `max_streams` connections are open, in both processes during a hot restart."""
+        """Whether the open connections, and the other process's descriptors, exceed `max_streams`."""
         return self.loop.stream_count + self.peer_descriptors > self.max_streams
 
     def count(self) -> int:
@@ -124,7 +124,7 @@
         return self.idle_count() + len(self.sending_connections)
 
     def idle_count(self) -> int:
-        """Number of these that have not sent a part of a request line."""
+        """Number of these that are not known to be sending a request line."""
         return len(self.answered_connections) + len(self.silent_connections)
 
     def handle_answered(self, connection: EvictableConnection) -> None:
@@ -133,7 +133,7 @@
         self.answered_connections[connection] = None
 
     def handle_partial_request(self, connection: EvictableConnection) -> None:
-        """A further part of its request arrived after a pause."""
+        """A further part of the request line arrived after a pause: the connection is evicted last."""
         if connection in self.silent_connections or connection in self.sending_connections:
             self.remove(connection)
             self.sending_connections[connection] = None
--- a/linnetshift/event_loop/loop.py
+++ b/linnetshift/event_loop/loop.py
@@ -108,7 +108,7 @@
         while self.timers and self.timers[0][2].callback is None:  # cancelled: must not wake the loop
             heapq.heappop(self.timers)
             self.cancelled_timers -= 1
-        wait_s = -1.0  # without a time-out
+        wait_s = -1.0  # no timeout
         if self.ready_actors or self.stopped:
             wait_s = 0.0
         elif self.timers:
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -100,7 +100,7 @@
 
 
 def linger(actor: Actor, stream: Stream, receive_until: int = 0) -> Steps:
-    """Discard input until the peer ends its side: a close with unread bytes would send RST, and data be lost.
+    """Discard input until the peer ends its side: closing with unread bytes sends RST, which loses data.
 
     Waits LINGER_NS for a silent peer that has read everything, until `receive_until` (ns of the loop's clock)
     for one that keeps sending, and STALL_NS for one that does not read.
--- a/linnetshift/event_loop/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -39,7 +39,7 @@
 
 
 class End(Enum):
-    """How a peer ended its side of a connection, or how `Stream.close` ends this side."""
+    """How a peer ended its side; the other connection of a relay is ended the same way."""
 
     FIN = "fin"
     RESET = "reset"
@@ -137,7 +137,7 @@
                 self.loop.unwatch(self.fd)
 
     def set_reading(self, is_reading: bool) -> None:
-        """Start or stop watching for input; unread input is held back by TCP's flow control."""
+        """Start or stop reading; unread input stays in the kernel's buffer, under TCP's flow control."""
         self.reading = is_reading
         self.arm()
 
