--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -1,8 +1,8 @@
 """Graceful shutdown: migrate every client to another proxy before the platform kills this process.
 
-Times are nanoseconds of the loop's clock. The platform's signal is followed by a kill; between the two the
-process accepts for a short while, migrates its clients at an even pace, answers what is left and lingers
-until its last bytes are read.
+The platform sends a signal and later kills the process. In between, the process keeps accepting for a short
+while, migrates its clients at an even rate, answers the remaining requests and lingers until clients have
+read their last bytes. Times are nanoseconds of the loop's clock.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 from linnetshift.routing.settings import Settings
 
 # New connections keep arriving for up to 0.4 s after the signal of a planned stop.
-ACCEPT_NS = 600 * MS
-# The platform grants a process the longest deadline of the offered classes, but no more than
-# MAX_DEADLINE_NS, and KILL_GRACE_NS on top; only then does it kill the process.
+ACCEPT_AFTER_SIGNAL_NS = 600 * MS
+# The platform kills a process after the longest deadline of the offered classes, of which it grants at most
+# MAX_DEADLINE_NS, plus KILL_GRACE_NS.
 MAX_DEADLINE_NS = 3 * S
 KILL_GRACE_NS = 700 * MS
-# Kept free before the kill, for the last answers and migrations to be written and read.
+# Reserved before the kill for the last answers and migrations to be written and read.
 LINGER_NS = 350 * MS
-# Of LINGER_NS, kept for the exit itself.
-EXIT_NS = 100 * MS
-# Proxies are restarted one after the other: the previous one may not be back yet, and clients migrated at
-# once would find no proxy. They are migrated between these two moments, in percent of the time from the
-# signal until the lingering.
+# The part of LINGER_NS that is reserved for the exit itself.
+EXIT_RESERVE_NS = 100 * MS
+# Bounds of the period in which clients migrate, in percent of the time from the signal to the start of
+# lingering. Proxies are restarted one after the other: until the previous one is back, migrated clients might
+# find no proxy.
 MIGRATION_START_PERCENT = 40
 MIGRATION_END_PERCENT = 92
-# Clients migrate in steps of this length: short against the time there is, long against a turn of the loop.
-STEP_NS = 50 * MS
-STEP_TIMER = "step"  # the tag of the timers here, of which an actor has one at a time
-# The platform signals a process within this after its successor reported that it serves.
-SIGNAL_AFTER_REPLACEMENT_NS = 6 * S
-# Over how long channels migrate once another proxy is the active VRRP router.
+# Interval of the steps: short compared with the time available, long compared with a turn of the loop.
+STEP_INTERVAL_NS = 50 * MS
+STEP_TIMER = "step"  # tag of the timers here; an actor has one at a time
+# The platform signals a process at most this long after its successor reported that it serves.
+MAX_SIGNAL_DELAY_NS = 6 * S
+# Channels migrate over this period once another proxy is the active VRRP router.
 CHANNEL_MIGRATION_NS = 2 * S
-# The reason that clients and the log are given.
+# The reason given to clients and in the log.
 MIGRATION_REASON = "migrated"
 
 
@@ -51,17 +51,17 @@
         """Close the listening sockets."""
 
     def connections_in_use(self) -> int:
-        """Return how many connections await something; a silent one must not delay the shutdown."""
+        """Return the number of connections that are not idle; idle ones must not delay the shutdown."""
 
     def open_streams(self) -> list[Stream]:
-        """Return the streams of all connections, the silent ones too."""
+        """Return the streams of all connections, idle ones included."""
 
     def notify_idle_clients(self) -> None:
-        """Have the connections without a request migrate as well."""
+        """Have the clients without a request migrate too."""
 
 
 class ChannelMigrator(Actor):
-    """Migrates a frontend's channels at an even pace once it no longer listens."""
+    """Migrates a frontend's channels at an even rate once it no longer listens."""
 
     def __init__(self, loop: Loop, broker: Broker, frontend: ChannelsFrontend) -> None:
         """Nothing migrates before `run` is started."""
@@ -71,54 +71,53 @@
 
     def run(self) -> ActorCoroutine:
         """Migrate until no channel is left, or the frontend listens again."""
-        steps = CHANNEL_MIGRATION_NS // STEP_NS
+        steps_left = CHANNEL_MIGRATION_NS // STEP_INTERVAL_NS
         while self.frontend.is_draining and (channels := self.frontend.channels()):
-            due = -(-len(channels) // max(1, steps))  # rounded up: the last step must leave none
+            due = -(-len(channels) // max(1, steps_left))  # rounded up: the last step must leave none
             for channel in channels[:due]:
                 self.broker.migrate(channel.request.id, MIGRATION_REASON)
-            steps -= 1
-            self.set_timer(STEP_NS, STEP_TIMER)
+            steps_left -= 1
+            self.set_timer(STEP_INTERVAL_NS, STEP_TIMER)
             yield
 
 
-def kill_after(settings: Settings) -> int:
-    """Return how long after its signal the platform kills a process at the earliest, in ns."""
+def min_kill_delay_ns(settings: Settings) -> int:
+    """Return the shortest time from a process's signal to its kill, in ns."""
     return min(MAX_DEADLINE_NS, max(offered.deadline_ns for offered in settings.offered)) + KILL_GRACE_NS
 
 
 class GracefulShutdown(Actor):
-    """Answers every request, migrates every client at an even pace and stops the loop.
+    """Answers every request, migrates every client at an even rate and stops the loop.
 
-    A process that is replaced by a successor has stopped accepting already. It has until its signal comes,
-    and from then on as long as any other.
+    A process that a successor has replaced no longer accepts. It migrates its clients before its signal too;
+    from the signal on it has as much time as any other process.
     """
 
     def __init__(self, loop: Loop, broker: Broker, clients: ShutdownClients, is_replaced: bool) -> None:
-        """Set the deadlines as of now; `is_replaced` tells whether a successor accepts in its place."""
+        """Set the deadlines from the current time; `is_replaced`: a successor accepts in its place."""
         super().__init__(loop)
         self.broker = broker
         self.clients = clients
         self.is_replaced = is_replaced
         now = loop.now()
-        available = self._available_ns()
+        available_ns = self._available_ns()
         if is_replaced:
-            self.deadline = now + SIGNAL_AFTER_REPLACEMENT_NS + available
+            self.deadline = now + MAX_SIGNAL_DELAY_NS + available_ns
             self.accept_until = now
             self.migrate_from = now
         else:
-            self.deadline = now + available
-            self.accept_until = now + ACCEPT_NS
-            self.migrate_from = now + available * MIGRATION_START_PERCENT // 100
-        self.migrate_until = self.deadline - available * (100 - MIGRATION_END_PERCENT) // 100
-        # Migrations that the even pace asks for and that were not made yet: a fraction waits for later steps.
-        self.migrations_due = 0.0
+            self.deadline = now + available_ns
+            self.accept_until = now + ACCEPT_AFTER_SIGNAL_NS
+            self.migrate_from = now + available_ns * MIGRATION_START_PERCENT // 100
+        self.migrate_until = self.deadline - available_ns * (100 - MIGRATION_END_PERCENT) // 100
+        self.migrations_due = 0.0  # between steps: the fraction of a migration that is carried over
 
     def shorten(self) -> None:
-        """Shorten the deadlines of a replaced process: its signal has come, so the kill's time is known."""
+        """Shorten the deadlines of a replaced process: its signal has arrived, so the kill time is known."""
         now = self.loop.now()
-        available = self._available_ns()
-        self.deadline = min(self.deadline, now + available)
-        self.migrate_until = min(self.migrate_until, now + available * MIGRATION_END_PERCENT // 100)
+        available_ns = self._available_ns()
+        self.deadline = min(self.deadline, now + available_ns)
+        self.migrate_until = min(self.migrate_until, now + available_ns * MIGRATION_END_PERCENT // 100)
 
     def run(self) -> ActorCoroutine:
         """Shut down step by step, and stop the loop at the end."""
@@ -130,14 +129,14 @@
         self.loop.stopped = True
 
     def _available_ns(self) -> int:
-        """Return the time from a signal until the lingering begins."""
-        return kill_after(self.broker.settings) - LINGER_NS
+        """Return the time from a signal to the start of lingering."""
+        return min_kill_delay_ns(self.broker.settings) - LINGER_NS
 
     def _accept_and_migrate(self) -> ActorCoroutine:
-        """Accept for a while, then migrate until the time is over or no connection awaits anything."""
+        """Accept for a while, then migrate until the deadline or until all connections are idle."""
         is_accepting = not self.is_replaced
         while self.loop.now() < self.deadline:
-            self.set_timer(STEP_NS, STEP_TIMER)
+            self.set_timer(STEP_INTERVAL_NS, STEP_TIMER)
             yield
             now = self.loop.now()
             if now < self.accept_until:
@@ -150,9 +149,9 @@
                 break
 
     def _migrate_due(self, now: int) -> None:
-        """Migrate as many of the established connections as spreads them evenly over the steps left."""
+        """Migrate the established connections that are due, spread evenly over the remaining steps."""
         established = self.broker.established() if now >= self.migrate_from else []
-        remaining_steps = max(1, (self.migrate_until - now) // STEP_NS)
+        remaining_steps = max(1, (self.migrate_until - now) // STEP_INTERVAL_NS)
         self.migrations_due += len(established) / remaining_steps
         due = int(self.migrations_due)
         for request in established[:due]:
@@ -160,7 +159,7 @@
         self.migrations_due -= due
 
     def _answer_remaining(self) -> None:
-        """Give every client its last message."""
+        """Send every client its last message: an answer, or that it is to migrate."""
         for request in self.broker.unanswered():
             self.broker.answer_unserved(request)
         for request in self.broker.established():
@@ -168,19 +167,19 @@
         self.clients.notify_idle_clients()
 
     def _linger(self) -> ActorCoroutine:
-        """Read until each client has ended its side, or the time is over.
+        """Read until every client has closed its side, or the time is up.
 
-        A close with bytes unread, by the exit too, would reset the connection and discard the last message.
+        Closing a socket with unread bytes, by exiting too, resets the connection and drops the last message.
         """
-        close_at = max(self.deadline, self.loop.now()) + LINGER_NS - EXIT_NS
+        close_at = max(self.deadline, self.loop.now()) + LINGER_NS - EXIT_RESERVE_NS
         while True:
-            self.set_timer(STEP_NS, STEP_TIMER)
+            self.set_timer(STEP_INTERVAL_NS, STEP_TIMER)
             yield
             if not self.clients.open_streams() or self.loop.now() >= close_at:
                 return
 
     def _close_streams(self) -> None:
-        """Discard what is unread and close what is still open."""
+        """Discard unread input and close the streams that are still open."""
         log.info("shutdown-finished", held=self.clients.connections_in_use())
         for stream in self.clients.open_streams():
             stream.discard_input()
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -8,7 +8,7 @@
 from simulated_balancers import SimulatedBalancers
 
 from linnetshift.broker.administrative_drains import DRAIN_WITHIN_NS
-from linnetshift.lifecycle.graceful_shutdown import kill_after
+from linnetshift.lifecycle.graceful_shutdown import min_kill_delay_ns
 from linnetshift.routing.actions import Migrate, Send
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import ConnectionEstablished, EndpointState, ListForm, TimerFired
@@ -96,7 +96,7 @@
 def test_expected_kill_time_follows_hard_limit_up_to_a_cap(hard_limit_ns: int, kill_after_ns: int) -> None:
     # With a longer wait, the process was killed while connections were still to be migrated.
     settings = Settings.parse(raw_settings(**effect("repeatable", hardLimitNs=hard_limit_ns)))
-    assert kill_after(settings) == kill_after_ns
+    assert min_kill_delay_ns(settings) == kill_after_ns
 
 
 @pytest.mark.parametrize("nodes", [2, 40, 200])
