--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -1,9 +1,9 @@
-"""Hot restart: one process of the proxy replaces another without a gap and without cutting connections.
+"""Hot restart: a new process of the proxy replaces the running one without refusing or cutting connections.
 
 The new process connects to the takeover socket, sends a hello and receives the state and the listening
-sockets. Once it accepts connections it says so, and the old one stops accepting and confirms that. From then
-on each passes administrative drains to the other and reports what it holds. A process that is gone, or never
-was there, is a closed or refused socket, and the other one goes on alone.
+sockets. Once it accepts connections it reports that; the old one stops accepting and confirms. From then on
+each forwards administrative drains to the other and reports the resources that it holds. A closed or refused
+socket means that the other process has exited or does not exist; the remaining one continues alone.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from linnetshift.observability import log
 from linnetshift.observability.resource_usage import ResourceUsage
 
-# One predecessor and one successor: a third process has to wait for one of them to go.
+# One predecessor and one successor; a third process has to wait until one of them has exited.
 MAX_PEER_PROCESSES = 2
 
 
@@ -41,7 +41,7 @@
 
 
 class HotRestart:
-    """Which other processes of this proxy there are, and which one is to accept connections."""
+    """Tracks the other processes of this proxy and decides which process accepts connections."""
 
     def __init__(
         self,
@@ -54,21 +54,21 @@
         self.operations = operations
         self.socket_path = socket_path
         self.peer_processes: list[PeerProcess] = []
-        self.successor: PeerProcess | None = None  # accepts connections in this one's place
+        self.successor: PeerProcess | None = None  # accepts connections in place of this process
         self.is_taking_over = False  # the predecessor may still accept
         self.takeover_listener: TakeoverListener | None = None
 
     def start(self, predecessor: PredecessorState | None) -> None:
-        """Replace the predecessor, if there is one, and wait for a successor.
+        """Replace the predecessor, if there is one, and listen for a successor.
 
-        Call this once the process accepts connections, as the predecessor stops accepting because of it.
+        Call this once this process accepts connections: it has the predecessor stop accepting.
         """
         if predecessor is not None:
             self._replace(predecessor)
         self.listen_for_successor()
 
     def _replace(self, predecessor: PredecessorState) -> None:
-        """Have the predecessor stop accepting; one that hangs accepts nothing either and is not awaited."""
+        """Have the predecessor stop accepting, within HELLO_TIMEOUT_NS: one that hangs accepts nothing."""
         self.is_taking_over = True
         peer_process = PeerProcess(self.loop, self.operations, self, predecessor.sock, predecessor)
         self.peer_processes.append(peer_process)
@@ -77,9 +77,9 @@
         self.loop.call_later(HELLO_TIMEOUT_NS, self.handle_predecessor_stopped)
 
     def listen_for_successor(self) -> None:
-        """Listen at the takeover socket, again where another process has put its own there since.
+        """Listen at the takeover socket, replacing one that another process may have bound there since.
 
-        Where that fails the proxy serves all the same, and its successor starts without state.
+        If that fails, the proxy still serves, but its successor starts without state.
         """
         if self.socket_path is None:
             return
@@ -91,7 +91,10 @@
             log.info("takeover-socket-unavailable", error=error.strerror)
 
     def accept_successor(self, sock: socket.socket) -> None:
-        """Serve one successor at a time: a second one asks again, and finds the first one at the socket."""
+        """Start exchanging messages with a successor; close the connection if there is one already.
+
+        A second successor retries and reaches the first one, which listens at the takeover socket by then.
+        """
         has_successor = any(not peer_process.is_predecessor for peer_process in self.peer_processes)
         if self.successor is not None or has_successor:
             sock.close()
@@ -101,7 +104,7 @@
         peer_process.start(peer_process.run())
 
     def resource_usage(self) -> dict[str, ResourceUsage]:
-        """Return the sizes and bounds of the containers here."""
+        """Return the sizes and bounds of this object's containers."""
         unconfirmed = sum(len(peer_process.unconfirmed_drains) for peer_process in self.peer_processes)
         return {
             "besides": ResourceUsage(len(self.peer_processes), MAX_PEER_PROCESSES),
@@ -109,7 +112,7 @@
         }
 
     def handle_predecessor_stopped(self) -> None:
-        """Count this process as the only one that accepts."""
+        """Note that this process alone accepts connections now."""
         self.is_taking_over = False
 
     def handle_successor_serving(self, peer_process: PeerProcess) -> None:
@@ -120,7 +123,7 @@
             self.operations.yield_to_successor()
 
     def handle_peer_gone(self, peer_process: PeerProcess) -> None:
-        """Go on alone; where the successor is gone, accept connections again."""
+        """Continue without the peer; if it was the successor, accept connections again."""
         if peer_process in self.peer_processes:
             self.peer_processes.remove(peer_process)
         self.operations.update_peer_resources(PeerResources())
@@ -136,9 +139,9 @@
     def apply_administrative_drain(
         self, endpoint: bytes, is_drained: bool, done: Callable[[], None], source: PeerProcess | None = None
     ) -> None:
-        """Take the endpoint out or restore it in every process but `source`, from which the drain came.
+        """Drain the endpoint, or restore it, in every process but `source`, which sent the drain.
 
-        `done` is called once all processes that live have applied it.
+        `done` is called once all live processes have applied it.
         """
         peers = [peer_process for peer_process in self.peer_processes if peer_process is not source]
         counter = CompletionCounter(1 + len(peers), done)
@@ -147,7 +150,7 @@
             peer_process.apply_administrative_drain(endpoint, is_drained, counter.complete_one)
 
     def end(self) -> None:
-        """Report the last migrations to the peers and leave the takeover socket."""
+        """Report the last migrations to the peers and close the takeover socket."""
         for peer_process in self.peer_processes:
             peer_process.send_heartbeat()
         if self.takeover_listener is not None:
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -1,4 +1,4 @@
-"""The connection to another process of this proxy: the one that it replaces, or the one that replaces it."""
+"""The connection to another process of this proxy: its predecessor or its successor."""
 
 from __future__ import annotations
 
@@ -30,43 +30,43 @@
 from linnetshift.lifecycle.takeover_socket import PredecessorState
 from linnetshift.observability import log
 
-# A process that connects sends its hello at once; one that does not would keep the real successor out.
+# A successor sends its hello as soon as it has connected; a peer that sends none would block the successor.
 HELLO_TIMEOUT_NS = 1 * S
-# How often each process reports what it holds: the other one's limits lag behind by at most this.
+# Interval of the reports on the resources held; the limits of the other process lag by at most this.
 HEARTBEAT_INTERVAL_NS = 500 * MS
-# Received bytes without the end of a line: a heartbeat lists every endpoint and stays below this.
+# Bound of the bytes received without a line end; a heartbeat lists every endpoint and stays below this.
 MAX_MESSAGE_BYTES = 1 << 20
-# Drains that the other process has not confirmed; one that hangs is given up soon, see `StallDetector`.
+# Drains that the other process has not confirmed; one that hangs is soon disconnected, see `StallDetector`.
 MAX_UNCONFIRMED_DRAINS = 256
 
 
 class PeerTimer(Enum):
-    """The timers of a peer process beside the one for a stalled stream."""
+    """The timers of a peer process besides that of `StallDetector`."""
 
     HELLO = "hello"
     HEARTBEAT = "heartbeat"
 
 
 class RestartCoordinator(Protocol):
-    """Decides what the messages of a peer process mean for the other processes."""
+    """Receives the events of all peer processes; `HotRestart` implements it."""
 
     def handle_successor_serving(self, peer_process: PeerProcess, /) -> None:
-        """Let the successor accept in this process's place."""
+        """Leave new connections to the successor."""
 
     def handle_predecessor_stopped(self) -> None:
         """Note that the predecessor no longer accepts."""
 
     def handle_peer_gone(self, peer_process: PeerProcess, /) -> None:
-        """Go on without the process."""
+        """Continue without the process."""
 
     def apply_administrative_drain(
         self, endpoint: bytes, is_drained: bool, done: Callable[[], None], source: PeerProcess | None = None
     ) -> None:
-        """Apply the drain everywhere but at its source; `done` is called once all have it."""
+        """Apply the drain in every process but `source`; `done` is called once all have applied it."""
 
 
 class PeerProcess(StallDetector):
-    """Actor that exchanges messages with one other process of this proxy until either is gone."""
+    """Actor that exchanges messages with one other process of this proxy until either disconnects."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         sock: socket.socket,
         predecessor: PredecessorState | None = None,
     ) -> None:
-        """`predecessor` is given where the socket leads to the process that handed over its state."""
+        """`predecessor` is the state already received over `sock`; None where the peer is a successor."""
         super().__init__(loop)
         self.operations = operations
         self.coordinator = coordinator
@@ -84,7 +84,7 @@
         self.stream = Stream(loop, sock, self.post_io)
         self.received = bytearray(predecessor.rest if predecessor is not None else b"")
         self.has_exchanged_state = self.is_predecessor
-        self.has_ended = False  # the peer closed, broke the rules or hangs
+        self.has_ended = False  # the peer closed, violated the protocol or hangs
         self.drain_numbers = count()
         self.unconfirmed_drains: dict[int, Callable[[], None]] = {}
 
@@ -102,24 +102,26 @@
         self._disconnect()
 
     def faulted(self, error: Exception) -> None:
-        """Contain the fault: no message of a peer may end this process."""
+        """Log the fault and disconnect; no message of a peer may end this process."""
         log.exception(error)
         self._disconnect()
 
     def send(self, message: SentMessage) -> None:
-        """Send one message; a peer that leaves everything unread is given up after a while."""
+        """Send one message; a peer that does not read is disconnected, see `StallDetector`."""
         self.stream.send(encode_message(message))
         self.update_stall_timer()
 
     def send_heartbeat(self) -> None:
-        """Report what this process holds."""
+        """Report the resources that this process holds."""
         self.send(Heartbeat(self.operations.peer_resources()))
 
     def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
-        """Have the other process apply the drain; `done` is called once it has, or is gone."""
+        """Have the other process apply the drain; `done` is called once it has, or has disconnected."""
         is_connected = self.coroutine is not None and self.has_exchanged_state
         if not is_connected or len(self.unconfirmed_drains) >= MAX_UNCONFIRMED_DRAINS:
-            done()  # the drain will be in the state that it, or the successor of one that hangs, asks for
+            # Nothing to wait for: a state requested later, by it or by the successor of one that hangs,
+            # includes the drain.
+            done()
             return
         number = next(self.drain_numbers)
         self.unconfirmed_drains[number] = done
@@ -140,7 +142,7 @@
                 self.has_ended = self.is_stalled()
 
     def _transfer(self, mask: int) -> None:
-        """Write what is buffered and read once."""
+        """Flush the output buffer and read once."""
         if mask & select.EPOLLOUT:
             self.stream.flush()
             self.update_stall_timer()
@@ -149,7 +151,7 @@
         self.has_ended = end is not None or len(self.received) > MAX_MESSAGE_BYTES
 
     def _process_lines(self) -> bool:
-        """Process each whole line; False where one is unreadable, as the peer may be of another version."""
+        """Process each complete line; return False where one is unreadable, as of another version."""
         while (size := self.received.find(b"\n") + 1) > 0:
             try:
                 message = decode_message(self.received[:size])
@@ -183,7 +185,7 @@
         state = self.operations.export_state()
         line = encode_message(state)
         descriptors = list(state.descriptors.values())
-        if descriptors:  # they travel with at least one byte; a blank before the state is skipped
+        if descriptors:  # they need at least one byte of data; JSON allows a blank before the state
             socket.send_fds(self.stream.sock, [b" "], descriptors)
         self.stream.send(line)
         self.has_exchanged_state = True
@@ -192,6 +194,6 @@
         self.stream.close()
         unconfirmed = list(self.unconfirmed_drains.values())
         self.unconfirmed_drains = {}
-        for done in unconfirmed:  # a process that is gone sends no request to any endpoint
+        for done in unconfirmed:  # a process that has exited sends no more requests to endpoints
             done()
         self.coordinator.handle_peer_gone(self)
--- a/linnetshift/lifecycle/restart_operations.py
+++ b/linnetshift/lifecycle/restart_operations.py
@@ -1,4 +1,4 @@
-"""What a hot restart needs of the proxy that runs in this process."""
+"""The interface through which a hot restart acts on the proxy in this process."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
         """Accept connections again, as the successor is gone."""
 
     def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
-        """Take the endpoint out or restore it in this process alone; `done` is called once that is done."""
+        """Drain the endpoint, or restore it, in this process alone; `done` is called once that is done."""
 
     def peer_resources(self) -> PeerResources:
-        """Return what this process holds, to be counted by the other one."""
+        """Return the resources that this process holds, for the limits of the other one."""
 
     def update_peer_resources(self, peer_resources: PeerResources, /) -> None:
-        """Count what the other process holds towards this one's limits; empty once it is gone."""
+        """Count the other process's resources towards this one's limits; empty once it has disconnected."""
