--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -82,7 +82,7 @@
         self.coordinator = coordinator
         self.is_predecessor = predecessor is not None
         self.stream = Stream(loop, sock, self.post_io)
-        self.received = bytearray(predecessor.rest if predecessor is not None else b"")
+        self.received = bytearray(predecessor.trailing_data if predecessor is not None else b"")
         self.has_exchanged_state = self.is_predecessor
         self.has_ended = False  # the peer closed, violated the protocol or hangs
         self.drain_numbers = count()
--- a/linnetshift/lifecycle/takeover_messages.py
+++ b/linnetshift/lifecycle/takeover_messages.py
@@ -1,7 +1,7 @@
 """Messages between two processes of one proxy during a hot restart.
 
 Each message is one line of JSON: an object whose `say` names its kind. The two processes may be of different
-versions, so the keys and their order are fixed, an unknown kind is ignored and unknown keys are skipped.
+versions: the keys and their order are fixed, and unknown kinds and keys are ignored.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 HEARTBEAT_KIND = "beat"
 
 ENDPOINT_KEY = "provider"
-IS_OUT_KEY = "out"
+IS_DRAINED_KEY = "out"
 NUMBER_KEY = "number"
 
 STREAMS_KEY = "streams"
@@ -38,18 +38,18 @@
 IS_VRRP_ACTIVE_KEY = "active"
 DESCRIPTOR_NAMES_KEY = "passed"
 
-# Bounds of what a peer may report: no process holds more descriptors than the kernel's usual hard limit, and
-# a counter that only ever grows by one stays far below 63 bits.
+# Bounds of what a peer may report: no process has more descriptors than the kernel's usual hard limit, and a
+# counter that is only incremented by one stays far below 63 bits.
 MAX_PEER_DESCRIPTORS = 1 << 20
 MAX_MIGRATED = 1 << 62
 
-# What reading a JSON document of the wrong shape raises: absent keys, other types, numbers out of range,
-# bytes that are no text (UnicodeDecodeError is a ValueError) and nesting too deep for the parser.
+# Raised by reading a JSON document of the wrong shape: absent keys, wrong types, numbers out of range, bytes
+# that are not UTF-8 (UnicodeDecodeError is a ValueError) and nesting too deep for the parser.
 _WRONG_SHAPE_ERRORS = (AttributeError, KeyError, OverflowError, RecursionError, TypeError, ValueError)
 
 
 class MessageError(Exception):
-    """A peer's message or a part of its state cannot be read; the text names the cause, of bounded length."""
+    """A peer's message or a part of its state is invalid; the text names the cause, of bounded length."""
 
     def __init__(self, cause: Exception) -> None:
         """`cause` loses its traceback, see `log.error_text`."""
@@ -57,7 +57,7 @@
 
 
 class PeerResources(NamedTuple):
-    """What a process holds while two of them live; the limits of the proxy apply to both together."""
+    """Resources that one process holds during a hot restart; the proxy's limits apply to the sum of both."""
 
     streams: int = 0  # open descriptors
     migrated: int = 0  # clients migrated since the process started
@@ -77,7 +77,10 @@
 
     @classmethod
     def from_json(cls, document: Any) -> PeerResources:
-        """Raise MessageError where a value has a wrong type or range; absent keys count as empty."""
+        """Parse the keys of `to_json`; absent ones count as empty.
+
+        Raises MessageError where a value has the wrong type or is out of range.
+        """
         try:
             return cls._parse(document)
         except _WRONG_SHAPE_ERRORS as error:
@@ -85,7 +88,7 @@
 
     @classmethod
     def _parse(cls, document: Any) -> PeerResources:
-        """Raise one of _WRONG_SHAPE_ERRORS where the document makes no sense."""
+        """Raise one of _WRONG_SHAPE_ERRORS where the document is invalid."""
         streams = int(document.get(STREAMS_KEY, 0))
         migrated = int(document.get(MIGRATED_KEY, 0))
         loads = {
@@ -97,12 +100,12 @@
         }
         if not 0 <= streams <= MAX_PEER_DESCRIPTORS or not 0 <= migrated < MAX_MIGRATED:
             raise ValueError("impossible holdings")
-        if not all(map(_is_possible, loads.values())):
+        if not all(map(_are_loads_valid, loads.values())):
             raise ValueError("impossible load")
         return cls(streams, migrated, loads)
 
 
-def _is_possible(connections: list[ConnectionLoad]) -> bool:
+def _are_loads_valid(connections: list[ConnectionLoad]) -> bool:
     """Whether all reported loads are finite and not negative."""
     loads = [connection.load for connection in connections if connection.load is not None]
     return all(math.isfinite(load) and load >= 0.0 for load in loads)
@@ -111,8 +114,8 @@
 class PlainMessage(Enum):
     """A message that consists of its kind alone."""
 
-    HELLO = "hello"  # the new process asks for the state of the one that it replaces
-    SERVING = "serving"  # the new process accepts connections; the old one is to stop
+    HELLO = "hello"  # the new process requests the state of the one that it replaces
+    SERVING = "serving"  # the new process accepts connections; the old one is to stop accepting
     STOPPED = "stopped"  # the old process no longer accepts connections
 
     def to_json(self) -> dict[str, object]:
@@ -129,7 +132,7 @@
     peer_resources: PeerResources
     snapshot: dict[str, Any]  # of the balancer and the latency estimator
     is_vrrp_active: bool
-    descriptors: dict[str, int]  # listening sockets by name, passed beside the message in this order
+    descriptors: dict[str, int]  # sockets by name, passed as ancillary data in this order
 
     def to_json(self) -> dict[str, object]:
         """Return the object to send."""
@@ -146,7 +149,7 @@
 
 
 class AdministrativeDrain(NamedTuple):
-    """An operator took an endpoint out or restored it at the sender; the receiver is to do the same."""
+    """An operator drained or restored an endpoint at the sender; the receiver is to do the same."""
 
     endpoint: bytes
     is_drained: bool
@@ -157,13 +160,13 @@
         return {
             KIND_KEY: DRAIN_KIND,
             ENDPOINT_KEY: self.endpoint.decode(),
-            IS_OUT_KEY: self.is_drained,
+            IS_DRAINED_KEY: self.is_drained,
             NUMBER_KEY: self.number,
         }
 
 
 class AdministrativeDrainConfirmed(NamedTuple):
-    """The sender applied the drain of this number, and so did every other process that it knows."""
+    """The sender, and every other process connected to it, has applied the drain of this number."""
 
     number: int
 
@@ -173,7 +176,7 @@
 
 
 class Heartbeat(NamedTuple):
-    """What the sender holds at the moment, sent regularly."""
+    """The resources that the sender holds at the moment, sent at intervals."""
 
     peer_resources: PeerResources
 
@@ -183,25 +186,25 @@
 
 
 class UnknownMessage(NamedTuple):
-    """A message of a kind that has no meaning at this point or in this version; it is ignored."""
+    """A message of a kind that is unknown to this version or not expected at this point; it is ignored."""
 
     kind: str
 
 
 SentMessage = PlainMessage | ExportedState | AdministrativeDrain | AdministrativeDrainConfirmed | Heartbeat
-# A new process reads the exported state on its own, before it decodes any message.
+# Without the exported state: a new process reads that separately, before it decodes any message.
 ReceivedMessage = (
     PlainMessage | AdministrativeDrain | AdministrativeDrainConfirmed | Heartbeat | UnknownMessage
 )
 
 
 def encode_message(message: SentMessage) -> bytes:
-    """Return the message as a line of JSON with its line end."""
+    """Return the message as a line of JSON, line end included."""
     return json.dumps(message.to_json()).encode() + b"\n"
 
 
 def decode_message(line: bytes | bytearray) -> ReceivedMessage:
-    """Read one whole line of a peer; raises MessageError where it makes no sense."""
+    """Decode one complete line of a peer; raises MessageError where it is invalid."""
     try:
         return _parse_message(line)
     except _WRONG_SHAPE_ERRORS as error:
@@ -209,14 +212,14 @@
 
 
 def _parse_message(line: bytes | bytearray) -> ReceivedMessage:
-    """Raise MessageError or one of _WRONG_SHAPE_ERRORS where the line makes no sense."""
+    """Raise MessageError or one of _WRONG_SHAPE_ERRORS where the line is invalid."""
     document = json.loads(line)
     kind = document[KIND_KEY]
     if not isinstance(kind, str):
         raise ValueError("says nothing")
     if kind == DRAIN_KIND:
         return AdministrativeDrain(
-            str(document[ENDPOINT_KEY]).encode(), bool(document[IS_OUT_KEY]), int(document[NUMBER_KEY])
+            str(document[ENDPOINT_KEY]).encode(), bool(document[IS_DRAINED_KEY]), int(document[NUMBER_KEY])
         )
     if kind == DRAIN_CONFIRMED_KIND:
         return AdministrativeDrainConfirmed(int(document[NUMBER_KEY]))
--- a/linnetshift/lifecycle/takeover_socket.py
+++ b/linnetshift/lifecycle/takeover_socket.py
@@ -1,7 +1,7 @@
-"""The Unix socket over which a new process asks the running one of the same proxy for its state.
+"""The Unix socket over which a new process requests the state of the running process of the same proxy.
 
-The socket lies in the folder for temporary files, which both processes share. Whoever listens there is the
-process to take over from; a stale or absent socket means that there is none.
+The socket is in the directory for temporary files, which both processes share. The process that listens there
+is the predecessor; a stale or absent socket means that there is none.
 """
 
 from __future__ import annotations
@@ -19,49 +19,48 @@
 from linnetshift.lifecycle.takeover_messages import PlainMessage, encode_message
 from linnetshift.observability import log
 
-# How long a new process waits for the state of a predecessor that may hang; then it starts without. It serves
-# nothing while it waits, so this stays well below the time that the platform grants a start.
+# How long a new process waits for the state of a predecessor that may hang; after that it starts without. It
+# serves nothing while it waits, so this stays well below the time that the platform allows for a start.
 TAKEOVER_TIMEOUT_S = 2.5
-# Pause before the next attempt: a predecessor that closed at once is being replaced by another process.
+# Pause before the next attempt: a predecessor that closes without an answer is replaced by another process.
 TAKEOVER_RETRY_S = 0.05
-# The exported state grows with the endpoint list and the teams, both of which are bounded far below this.
+# The exported state grows with the endpoint list and the teams; their bounds keep it far below this.
 MAX_STATE_BYTES = 16 << 20
-# One read of the state.
 READ_BYTES = 1 << 16
-# Room for passed descriptors in one read: the channels listener and the VRRP socket, with some to spare.
-MAX_DESCRIPTORS = 4
-# Connections that wait to be accepted: one successor at a time is served.
+# Passed descriptors in one read: the channels listener and the VRRP socket, and two to spare.
+MAX_PASSED_DESCRIPTORS = 4
+# Connections waiting to be accepted: one successor is served at a time.
 LISTEN_BACKLOG = 4
-# Characters of the proxy's name in the socket's name, which must stay short enough to bind.
+# Characters of the proxy's name in the socket's file name: the path must stay short enough to bind.
 MAX_NAME_CHARACTERS = 40
-# The predecessor's state and its descriptors belong to one user.
+# Only the proxy's own user may receive its state and descriptors.
 SOCKET_MODE = 0o600
 
 
-def _socket_folder() -> str:
-    """Return TMPDIR, else the system's folder for temporary files."""
-    folder = os.environ.get("TMPDIR")
-    if folder:
-        return folder
-    import tempfile  # only here: it takes 2 ms, and the platform sets TMPDIR
+def _socket_directory() -> str:
+    """Return TMPDIR, else the system's directory for temporary files."""
+    directory = os.environ.get("TMPDIR")
+    if directory:
+        return directory
+    import tempfile  # on demand only: the import takes 2 ms, and the platform sets TMPDIR
 
     return tempfile.gettempdir()
 
 
 class TakeoverSocketPath:
-    """The socket's path by way of an open descriptor of its folder, whose path may be too long to bind."""
+    """The socket's path by a descriptor of its directory, as the directory's path may be too long to bind."""
 
     def __init__(self, name: str) -> None:
-        """`name` is the proxy's; two proxies of one machine differ in it. Raises OSError without a folder."""
-        self.folder_descriptor = os.open(_socket_folder(), os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
+        """`name` is the proxy's, unique on its machine. Raises OSError where the directory does not exist."""
+        self.directory_descriptor = os.open(_socket_directory(), os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
         self.file_name = f"linnetshift-{re.sub('[^A-Za-z0-9_.-]', '_', name)[:MAX_NAME_CHARACTERS]}.sock"
 
     def path(self, suffix: str = "") -> str:
         """Return a path short enough for `bind` and `connect`."""
-        return f"/proc/self/fd/{self.folder_descriptor}/{self.file_name}{suffix}"
+        return f"/proc/self/fd/{self.directory_descriptor}/{self.file_name}{suffix}"
 
     def inode(self) -> int:
-        """Return the inode of the socket that lies there, 0 where there is none."""
+        """Return the number of the inode at the path, 0 where there is none."""
         try:
             return os.stat(self.path()).st_ino
         except OSError:
@@ -73,15 +72,15 @@
 
     sock: socket.socket
     state: dict[str, Any]  # as received; `ImportedState` reads it
-    rest: bytes  # what it has sent since
+    trailing_data: bytes  # received after the state's line: the beginning of later messages
     descriptors: list[int]  # in the order of the names in the state
 
 
 def request_takeover(socket_path: TakeoverSocketPath) -> PredecessorState | None:
-    """Ask the running process for its state; None where there is none or it does not answer in time.
+    """Request the running process's state; return None where there is none or it does not answer in time.
 
-    Nothing is served yet, so this may block. A process that closes without an answer is handing over to
-    another one at the moment, which will listen here instead soon.
+    Blocks, as nothing is served yet. A process that closes without an answer is being replaced by another
+    one, which will listen here soon; the request is retried.
     """
     deadline = time.monotonic() + TAKEOVER_TIMEOUT_S
     while (remaining := deadline - time.monotonic()) > 0:
@@ -106,60 +105,61 @@
 
 
 def receive_state(sock: socket.socket) -> PredecessorState:
-    """Read the state's line and the descriptors that come with it, from a blocking socket.
+    """Read the state's line and the descriptors passed with it from a blocking socket.
 
-    Raises OSError where the connection ends or times out before, ValueError where the line is no JSON object.
+    Raises OSError where the connection ends or times out before the line is complete, ValueError where the
+    line is not a JSON object.
     """
     data = b""
     descriptors: list[int] = []
     while b"\n" not in data:
-        received, passed, _, _ = socket.recv_fds(sock, READ_BYTES, MAX_DESCRIPTORS)
+        received, passed, _, _ = socket.recv_fds(sock, READ_BYTES, MAX_PASSED_DESCRIPTORS)
         descriptors += passed
         data += received
         if not received or len(data) > MAX_STATE_BYTES:
             for descriptor in descriptors:
                 os.close(descriptor)
             raise ConnectionError("closed before its state was told")
-    line, _, rest = data.partition(b"\n")
+    line, _, trailing_data = data.partition(b"\n")
     state = json.loads(line)
     if not isinstance(state, dict):
         raise ValueError("no state")
-    return PredecessorState(sock, state, rest, descriptors)
+    return PredecessorState(sock, state, trailing_data, descriptors)
 
 
 class TakeoverListener:
-    """Accepts the process that will replace this one.
+    """Accepts connections from the process that will replace this one.
 
-    The socket is bound under another name and renamed, so that it replaces a stale one in a single step.
+    The socket is bound to a temporary path and renamed, so that it replaces a stale one atomically.
     """
 
     def __init__(
         self, loop: Loop, socket_path: TakeoverSocketPath, handle_connection: Callable[[socket.socket], None]
     ) -> None:
-        """`handle_connection` owns the socket that it is given. Raises OSError where nothing can be bound."""
+        """`handle_connection` owns the socket that it is given. Raises OSError where binding fails."""
         self.loop = loop
         self.socket_path = socket_path
         self.handle_connection = handle_connection
         self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        unpublished = socket_path.path(f".{os.getpid()}")
-        self.listener.bind(unpublished)
-        os.chmod(unpublished, SOCKET_MODE)
+        temporary_path = socket_path.path(f".{os.getpid()}")
+        self.listener.bind(temporary_path)
+        os.chmod(temporary_path, SOCKET_MODE)
         self.listener.listen(LISTEN_BACKLOG)
         self.listener.setblocking(False)
-        os.rename(unpublished, socket_path.path())
+        os.rename(temporary_path, socket_path.path())
         self.inode = socket_path.inode()
         loop.watch(self.listener.fileno(), select.EPOLLIN, self.accept)
 
     def accept(self, _mask: int) -> None:
-        """Take one connection; a failed one is retried by the process that made it."""
+        """Accept one connection; where that fails, the connecting process retries."""
         try:
             sock, _ = self.listener.accept()
-        except OSError:  # closed again, or no descriptor is free
+        except OSError:  # the peer closed already, or no descriptor is free
             return
         self.handle_connection(sock)
 
     def close(self) -> None:
-        """Stop listening, and remove the socket unless another process has put its own there."""
+        """Stop listening, and remove the socket unless another process has replaced it with its own."""
         if self.listener.fileno() < 0:
             return
         self.loop.unwatch(self.listener.fileno())
--- a/tests/test_takeover_socket.py
+++ b/tests/test_takeover_socket.py
@@ -62,10 +62,10 @@
 def test_socket_lies_in_tmpdir_else_in_the_systems_temporary_folder(
     socket_path: TakeoverSocketPath, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert os.path.samefile(f"/proc/self/fd/{socket_path.folder_descriptor}", tmp_path)
+    assert os.path.samefile(f"/proc/self/fd/{socket_path.directory_descriptor}", tmp_path)
     monkeypatch.setenv("TMPDIR", "")
     other = TakeoverSocketPath("proxy")
-    assert os.path.samefile(f"/proc/self/fd/{other.folder_descriptor}", tempfile.gettempdir())
+    assert os.path.samefile(f"/proc/self/fd/{other.directory_descriptor}", tempfile.gettempdir())
 
 
 def test_without_a_process_there_is_no_state(socket_path: TakeoverSocketPath) -> None:
@@ -89,7 +89,7 @@
     thread.join(5)
     assert predecessor is not None
     assert predecessor.state == {"say": "state", "active": True}
-    assert predecessor.rest == b'{"say": "beat"}\n'
+    assert predecessor.trailing_data == b'{"say": "beat"}\n'
     os.write(predecessor.descriptors[0], b"x")
     assert os.read(reader, 1) == b"x"
     predecessor.sock.close()
