--- a/linnetshift/lifecycle/imported_state.py
+++ b/linnetshift/lifecycle/imported_state.py
@@ -1,6 +1,6 @@
-"""The state that a predecessor handed over, read leniently: it may be of another version.
+"""The state that a predecessor handed over, which may be of another version.
 
-A part that makes no sense is logged and left out; the rest is used.
+An invalid part is logged and left out; the others are used.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from linnetshift.lifecycle.token_bucket_state import restore_token_bucket
 from linnetshift.observability import log
 
-# What the parts' own functions raise for a state of another shape.
+# Raised by the functions that restore a part, where its state has another shape.
 _WRONG_SHAPE_ERRORS = (AttributeError, KeyError, TypeError, ValueError)
 
 
@@ -34,20 +34,20 @@
     """The predecessor's state; empty where there is no predecessor."""
 
     def __init__(self, predecessor: PredecessorState | None, names: NameRegistry) -> None:
-        """Read what is needed before the parts exist; `names` has this process's teams and classes."""
+        """Read what the proxy's parts are built with; `names` has this process's teams and classes."""
         self.names = names
         self.state = predecessor.state if predecessor is not None else {}
         self.was_vrrp_active = self.state.get(IS_VRRP_ACTIVE_KEY) is True
         self.list_update: EndpointListUpdate | None = None
         self.peer_resources = PeerResources()
-        # Listening sockets by name; whoever takes one out owns it.
+        # By name; a caller that removes one owns it.
         self.sockets = self._adopt_sockets(predecessor.descriptors if predecessor is not None else [])
         if self.state:
             self.list_update = self._read_list()
             self.peer_resources = self._read_peer_resources()
 
     def _adopt_sockets(self, descriptors: list[int]) -> dict[str, socket.socket]:
-        """Pair the descriptors with their names; they come in the same order."""
+        """Return the sockets by name; descriptors and names are in the same order."""
         names = self.state.get(DESCRIPTOR_NAMES_KEY) or []
         return {
             str(name): socket.socket(fileno=descriptor)
@@ -55,7 +55,7 @@
         }
 
     def _read_list(self) -> EndpointListUpdate | None:
-        """Return the endpoint list; None where it is empty or unreadable."""
+        """Return the endpoint list; None where it is empty or invalid."""
         try:
             list_update = parse_endpoint_list(self.state.get(ENDPOINT_LIST_KEY), self.names)
         except ValueError as error:
@@ -64,7 +64,7 @@
         return list_update if list_update.event.entries else None
 
     def _read_peer_resources(self) -> PeerResources:
-        """Return what the predecessor held when it sent its state; nothing where that is unreadable."""
+        """Return the resources that the predecessor held when it sent its state; empty where invalid."""
         try:
             return PeerResources.from_json(self.state.get(PEER_RESOURCES_KEY, {}))
         except MessageError as error:
@@ -82,7 +82,7 @@
             log.info("imported-state-rejected", error=f"{type(error).__name__}: {error}")
 
     def _restore_token_buckets(self, broker: Broker) -> None:
-        """Restore the buckets of teams with a contract here too; raises one of _WRONG_SHAPE_ERRORS."""
+        """Restore the buckets of teams that have a contract here; raises one of _WRONG_SHAPE_ERRORS."""
         for team, buckets in self.state[TOKEN_BUCKETS_KEY].items():
             contract = broker.contracts.teams.get(self.names.tenants[team])
             if contract is not None:
@@ -90,7 +90,7 @@
                 restore_token_bucket(contract.retries, buckets[1])
 
     def restore_snapshot(self, broker: Broker) -> None:
-        """Import what the balancer had observed; call this once it has processed the endpoint list."""
+        """Import the balancer's observations; call this once it has processed the endpoint list."""
         if not self.state:
             return
         try:
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -1,4 +1,4 @@
-"""What this process does when another process of the same proxy asks, during a hot restart."""
+"""The operations that a hot restart performs on the proxy in this process."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     migrated_by_peer: int  # clients that the other process had told to migrate when it last reported
 
     def export_state(self) -> ExportedState:
-        """All that a successor needs to take over."""
+        """Return everything that a successor needs to take over."""
         return ExportedState(
             endpoint_list={"rev": self.discovery.version, "all": True, "targets": self._listed_endpoints()},
             administrative_drains=self.broker.administrative_drains.export_state(),
@@ -52,7 +52,7 @@
         )
 
     def _listed_endpoints(self) -> list[dict[str, Any]]:
-        """The endpoint list as discovery would send it."""
+        """Return the endpoint list in discovery's form."""
         addresses = self.connector.addresses
         return [
             serialize_entry(entry, addresses[endpoint], self.names)
@@ -69,9 +69,9 @@
         self.shutdown.start_replaced()
 
     def resume_accepting(self) -> None:
-        """Accept connections again and keep the clients, as the successor is gone."""
+        """Accept connections again and keep the clients, as the successor has disconnected."""
         if self.shutdown.is_terminating:
-            return  # this process ends in a moment: it must not accept again
+            return  # a process that is about to exit must not accept again
         self._set_frontends_paused(False)
         self.activation.resume_vrrp()
         self.shutdown.cancel()
@@ -81,7 +81,7 @@
         self.activation.frontend.set_paused(is_paused)
 
     def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
-        """Drain the endpoint in this process, or restore it; `done` is called once that is acted on."""
+        """Drain the endpoint in this process, or restore it; `done` is called once that has taken effect."""
         is_known = (
             self.broker.drain_endpoint(endpoint) if is_drained else self.broker.restore_endpoint(endpoint)
         )
@@ -94,16 +94,16 @@
         self.decision_loop.when_processed(done)
 
     def peer_resources(self) -> PeerResources:
-        """What the other process has to count together with its own."""
+        """Return the resources that this process holds, for the limits of the other one."""
         return PeerResources(self.loop.stream_count, self.broker.migrated, self.broker.loads())
 
     def update_peer_resources(self, peer_resources: PeerResources) -> None:
-        """Count what the other process holds together with what this one does."""
+        """Count the other process's resources towards this one's limits."""
         estimator = self.broker.latency_estimator
         self.connection_limiter.peer_descriptors = peer_resources.streams
         estimator.peer_connections = dict(peer_resources.loads)
-        # A client that the other process migrated comes back to this one, and was this proxy's before: it is
-        # not a client that another proxy migrated here.
+        # A client that the other process migrated reconnects to this one. It was this proxy's client before,
+        # so it must not count as migrated here by another proxy.
         newly_migrated = peer_resources.migrated - self.migrated_by_peer
         for _ in range(min(newly_migrated, self.connection_limiter.max_descriptors)):
             estimator.migrations.record_migrated_out(self.loop.now())
--- a/linnetshift/lifecycle/token_bucket_state.py
+++ b/linnetshift/lifecycle/token_bucket_state.py
@@ -15,7 +15,7 @@
 ) -> dict[str, list[TokenBucketState | None]]:
     """Return the buckets for requests and for retries by team name; None where the contract sets no limit.
 
-    `tenants` has the teams' numbers by name; a number means nothing to another process.
+    `tenants` has the teams' numbers by name; the names are exported, as numbers differ between processes.
     """
     teams = {number: name for name, number in tenants.items()}
     return {
@@ -29,7 +29,7 @@
 
 
 def restore_token_bucket(bucket: TokenBucket | None, state: TokenBucketState | None) -> None:
-    """Continue with the predecessor's level, where both versions of the contract set a limit.
+    """Restore the predecessor's level where both processes' contracts set a limit.
 
     Raises IndexError, OverflowError, TypeError or ValueError where the state has another shape.
     """
