--- a/linnetshift/lifecycle/channels_activation.py
+++ b/linnetshift/lifecycle/channels_activation.py
@@ -12,7 +12,7 @@
 from linnetshift.vrrp.instance import Vrrp
 from linnetshift.vrrp.router import State, VrrpConfig
 
-# The names under which descriptors pass to a successor.
+# Names of the descriptors that are passed to a successor.
 CHANNELS_SOCKET = "channels"
 VRRP_SOCKET = "vrrp"
 
@@ -40,14 +40,14 @@
         self.vrrp: Vrrp | None = None
 
     def start(self, vrrp: VrrpConfig | None, was_active: bool) -> None:
-        """Listen, or join VRRP, as the active router where the predecessor was it; raises OSError."""
+        """Listen, or start VRRP, as the active router if the predecessor was; raises OSError."""
         if vrrp is not None:
             inherited = self.inherited_sockets.pop(VRRP_SOCKET, None)
             self.vrrp = Vrrp(self.loop, vrrp, self.handle_vrrp_change, inherited, was_active)
             self.vrrp.start(self.vrrp.run())
         elif self.address is not None:
             self._listen(self.address)
-        # An open listener that nobody accepts from would keep its clients waiting.
+        # Clients would wait at an open listener from which nothing is accepted.
         for unused in self.inherited_sockets.values():
             unused.close()
 
@@ -57,12 +57,12 @@
         return self.vrrp is not None and self.vrrp.router.state is State.ACTIVE
 
     @property
-    def may_listen_elsewhere(self) -> bool:
-        """Whether a reload may open another address; a backup router opens none."""
+    def may_open_listener(self) -> bool:
+        """Whether a reload may listen at a new address; a backup router must not listen."""
         return self.vrrp is None or self.frontend.address is not None
 
     def descriptors(self) -> dict[str, int]:
-        """The open descriptors that pass to a successor, by name."""
+        """Return the open descriptors to pass to a successor, by name."""
         sockets: dict[str, socket.socket] = {}
         if self.frontend.acceptor is not None:
             sockets[CHANNELS_SOCKET] = self.frontend.acceptor.listener
@@ -80,7 +80,7 @@
             self._listen(self.address)
 
     def migrate_channels(self) -> None:
-        """Stop listening, and migrate the established channels over a short time."""
+        """Stop listening, and migrate the established channels, see `ChannelMigrator`."""
         self.frontend.drain()
         migrator = ChannelMigrator(self.loop, self.broker, self.frontend)
         migrator.start(migrator.run())
@@ -91,7 +91,7 @@
             self.vrrp.pause()
 
     def resume_vrrp(self) -> None:
-        """Take the VRRP role up again, as the other process is gone."""
+        """Resume the VRRP role, as the other process has disconnected."""
         if self.vrrp is not None:
             self.vrrp.resume()
 
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -66,7 +66,7 @@
         if self.shutdown.is_terminating:
             return  # the clients are being migrated already
         self.activation.pause_vrrp()
-        self.shutdown.start_replaced()
+        self.shutdown.shut_down_replaced()
 
     def resume_accepting(self) -> None:
         """Accept connections again and keep the clients, as the successor has disconnected."""
--- a/linnetshift/lifecycle/log_summaries.py
+++ b/linnetshift/lifecycle/log_summaries.py
@@ -1,4 +1,4 @@
-"""What the log says of an endpoint list and of the settings in use."""
+"""Summaries of an endpoint list and of the settings in use for the log."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def log_settings(settings: Settings) -> None:
-    """Log how the settings were understood, for operators to compare with what they meant."""
+    """Log the settings as parsed, for operators to compare with what they intended."""
     log.info(
         "settings-applied",
         proxies=settings.balancers,
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -25,13 +25,13 @@
 from linnetshift.lifecycle.log_summaries import log_settings
 from linnetshift.observability import log
 
-# How long requests of a class that is no longer offered are still taken: clients learn of it later.
+# How long requests of a discontinued class are still accepted, as clients learn of the change later.
 DISCONTINUED_CLASS_GRACE_NS = 30 * S
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class BoundListeners:
-    """The listeners that a reload has opened; whoever takes one up closes it from then on."""
+    """Listeners opened by a reload; each is owned by the frontend or server that it is then passed to."""
 
     frontends: list[tuple[Frontend, Acceptor]] = field(default_factory=list)
     admin: Acceptor | None = None
@@ -48,25 +48,25 @@
 class ConfigurationReloader:
     """Holds the configuration in use and replaces it.
 
-    Requests under way, rate limits, and what is known of endpoints last through a reload.
+    Open requests, the state of rate limits and that of endpoints are kept.
     """
 
     config: ProxyConfig
     broker_config: BrokerConfig
     loop: Loop
-    names: NameRegistry  # of the whole process; those of `config` are merged into it
+    names: NameRegistry  # of this process; the names in `config` are merged into it
     broker: Broker
     discovery: Discovery
     frontend: LineProtocolFrontend
     activation: ChannelsActivation
     admin_server: AdminServer
     handle_list_update: Callable[[EndpointListUpdate], None]
-    has_platform_listener: bool  # the platform holds the socket for clients, which stays where it is
+    has_platform_listener: bool  # the platform owns the clients' listening socket: its address is fixed
 
     def reload(self) -> None:
-        """Take up both files as they are now, or leave all as it is where anything is wrong with them.
+        """Read and apply both files, or change nothing where one is invalid or an address can't be bound.
 
-        All files are validated and all new listeners open before the first change.
+        Both files are validated and all new listeners open before the first change.
         """
         listeners = BoundListeners()
         try:
@@ -89,9 +89,9 @@
         log_settings(self.config.settings)
 
     def _classes_in_use(self) -> set[int]:
-        """The classes of open requests, and those that clients may still name."""
-        in_requests = {request.klass for request in self.broker.requests.values()}
-        return in_requests | {*self.names.classes.values()}
+        """Return the classes of open requests, and those that clients may still request."""
+        of_open_requests = {request.klass for request in self.broker.requests.values()}
+        return of_open_requests | {*self.names.classes.values()}
 
     def _bind(self, files: ConfigurationFiles, listeners: BoundListeners) -> None:
         """Open the listeners at addresses that have changed; raises OSError."""
@@ -99,10 +99,10 @@
         if admin is not None and admin != self.admin_server.address:
             listeners.admin = self.admin_server.open_acceptor(admin)
         if self.frontend.is_draining:
-            return  # this process shuts down, or another accepts in its place
+            return  # this process shuts down, or a successor accepts in its place
         if not self.has_platform_listener:
             self._bind_frontend(self.frontend, files.proxy.listen, listeners)
-        if self.activation.may_listen_elsewhere:
+        if self.activation.may_open_listener:
             self._bind_frontend(self.activation.frontend, files.broker.channels, listeners)
 
     def _bind_frontend(self, frontend: Frontend, address: Address | None, listeners: BoundListeners) -> None:
@@ -119,7 +119,7 @@
             self.activation.migrate_channels()
 
     def _apply(self, files: ConfigurationFiles) -> dict[str, int]:
-        """Use the new configuration from now on; returns the classes that are no longer offered."""
+        """Use the new configuration from now on; return the discontinued classes by name."""
         self.config = files.proxy
         self.broker_config = files.broker
         self.activation.address = files.broker.channels
--- a/linnetshift/lifecycle/shutdown_coordinator.py
+++ b/linnetshift/lifecycle/shutdown_coordinator.py
@@ -12,7 +12,7 @@
 
 
 class ShutdownCoordinator:
-    """Starts, shortens and cancels the graceful shutdown, whose `ShutdownClients` it is."""
+    """Starts, shortens and cancels the graceful shutdown; implements its `ShutdownClients`."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         activation: ChannelsActivation,
         connection_limiter: ConnectionLimiter,
     ) -> None:
-        """Nothing shuts down yet."""
+        """No shutdown starts before one is requested."""
         self.loop = loop
         self.broker = broker
         self.frontend = frontend
@@ -30,10 +30,10 @@
         self.channels = activation.frontend
         self.connection_limiter = connection_limiter
         self.shutdown: GracefulShutdown | None = None
-        self.is_terminating = False  # on a signal, which nothing cancels
+        self.is_terminating = False  # after a signal; this can't be cancelled
 
     def terminate(self, is_replaced: bool) -> None:
-        """Shut down because of a signal; one that comes again changes nothing.
+        """Shut down on a signal; further signals have no effect.
 
         `is_replaced` tells whether a successor accepts in place of this process.
         """
@@ -45,12 +45,12 @@
         else:
             self._start(is_replaced=False)
 
-    def start_replaced(self) -> None:
-        """Migrate the clients to the successor, which accepts from now on, and end."""
+    def shut_down_replaced(self) -> None:
+        """Migrate the clients to the successor, which accepts from now on, and stop."""
         self._start(is_replaced=True)
 
     def cancel(self) -> None:
-        """Serve on, as the successor is gone."""
+        """Cancel the shutdown and continue to serve, as the successor has disconnected."""
         if self.shutdown is not None:
             self.shutdown.end()
 
@@ -69,11 +69,11 @@
         self.channels.drain()
 
     def connections_in_use(self) -> int:
-        """Connections that await something; one that is silent must not delay the shutdown."""
+        """Return the number of connections that are not idle; idle ones must not delay the shutdown."""
         return len(self.frontend.clients) + len(self.channels.sessions) - self.connection_limiter.idle_count()
 
     def open_streams(self) -> list[Stream]:
-        """The streams of all connections of both frontends."""
+        """Return the streams of all connections of both frontends."""
         return [connection.stream for connection in (*self.frontend.clients, *self.channels.sessions)]
 
     def notify_idle_clients(self) -> None:
--- a/tests/test_channels_activation.py
+++ b/tests/test_channels_activation.py
@@ -67,10 +67,10 @@
 def test_backup_router_listens_once_it_becomes_active(frontend: FakeFrontend) -> None:
     channels = activation(frontend, {})
     channels.start(VRRP_CONFIG, False)
-    assert (frontend.listened, channels.is_vrrp_active, channels.may_listen_elsewhere) == ([], False, False)
+    assert (frontend.listened, channels.is_vrrp_active, channels.may_open_listener) == ([], False, False)
     channels.handle_vrrp_change(True)
     assert frontend.listened == [(ADDRESS, None)]
-    assert channels.may_listen_elsewhere
+    assert channels.may_open_listener
 
 
 def test_vrrp_takes_up_the_inherited_socket_and_the_active_role(frontend: FakeFrontend) -> None:
--- a/tests/test_shutdown_coordinator.py
+++ b/tests/test_shutdown_coordinator.py
@@ -55,7 +55,7 @@
 
 def test_signal_shortens_the_shutdown_of_a_replaced_process(recorder: Recorder) -> None:
     shutdown = coordinator(recorder)
-    shutdown.start_replaced()
+    shutdown.shut_down_replaced()
     assert not shutdown.is_terminating
     shutdown.terminate(is_replaced=True)
     assert recorder.actions == ["start-replaced", "shorten"]
@@ -63,7 +63,7 @@
 
 def test_signal_after_a_cancelled_shutdown_starts_a_whole_one(recorder: Recorder) -> None:
     shutdown = coordinator(recorder)
-    shutdown.start_replaced()
+    shutdown.shut_down_replaced()
     shutdown.cancel()
     shutdown.terminate(is_replaced=False)
     assert recorder.actions == ["start-replaced", "end", "stop-vrrp", "start-signalled"]
