--- a/linnetshift/lifecycle/takeover_socket.py
+++ b/linnetshift/lifecycle/takeover_socket.py
@@ -23,7 +23,7 @@
 # serves nothing while it waits, so this stays well below the time that the platform allows for a start.
 TAKEOVER_TIMEOUT_S = 2.5
 # Pause before the next attempt: a predecessor that closes without an answer is replaced by another process.
-TAKEOVER_RETRY_S = 0.05
+TAKEOVER_RETRY_DELAY_S = 0.05
 # The exported state grows with the endpoint list and the teams; their bounds keep it far below this.
 MAX_STATE_BYTES = 16 << 20
 READ_BYTES = 1 << 16
@@ -100,7 +100,7 @@
         except (OSError, ValueError) as error:
             sock.close()
             log.info("takeover-state-unreadable", error=str(error))
-            time.sleep(TAKEOVER_RETRY_S)
+            time.sleep(TAKEOVER_RETRY_DELAY_S)
     return None
 
 
