--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart with real processes: clients are connected and arrive while one replaces another."""
+"""Hot restart with real processes: one replaces another while clients are connected and new ones connect."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from linnetshift.routing.events import Outcome
 
 
-def test_new_process_takes_over_and_the_old_one_migrates_its_clients(tmp_path: Path) -> None:
+def test_new_process_accepts_and_the_old_one_migrates_its_clients(tmp_path: Path) -> None:
     with started_proxy(tmp_path, admin_server=True, inherits_listener=True) as old:
         established, endpoint = old.establish()
-        idle_client = old.client()  # accepted by the old one, and no request so far
+        idle_client = old.client()  # accepted by the old process, without a request
         assert old.alive()
         with successor_of(old) as new:
             new.wait_until_ready()
@@ -52,7 +52,7 @@
             assert new.call(RESTORE_CALL % first.uid) == 200
             old.logged(f"administrative-drain-changed endpoint={first.uid} out=False")
             open_connections.append(establish_on(new, first.uid))
-            assert old.call(DRAIN_CALL % first.uid) == 200  # by way of either process
+            assert old.call(DRAIN_CALL % first.uid) == 200  # either process takes the call
             open_connections.append(establish_on(new, second.uid))
             assert new.call(DRAIN_CALL % "s-unknown") == 404
 
@@ -71,7 +71,7 @@
             second_successor.wait_until_ready()
 
 
-def test_new_process_goes_on_after_its_predecessor_died(tmp_path: Path) -> None:
+def test_new_process_continues_after_its_predecessor_died(tmp_path: Path) -> None:
     with (
         started_proxy(tmp_path, admin_server=True, inherits_listener=True) as old,
         successor_of(old) as successor,
@@ -95,7 +95,7 @@
             third.establish()
 
 
-def test_new_process_serves_where_the_old_one_left_a_stale_takeover_socket(tmp_path: Path) -> None:
+def test_new_process_serves_despite_a_stale_takeover_socket(tmp_path: Path) -> None:
     with started_proxy(tmp_path, admin_server=True, inherits_listener=True) as old:
         old.process.kill()
         old.process.wait(WAIT_S)
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("descriptor", ["2", "99", "three"])
-def test_descriptor_that_does_not_listen_is_rejected_at_start(tmp_path: Path, descriptor: str) -> None:
+def test_descriptor_without_a_listening_socket_is_rejected_at_start(tmp_path: Path, descriptor: str) -> None:
     with started_proxy(tmp_path) as running:
         process = launch_process(str(running.config), GW_LISTEN_FD=descriptor)
         assert process.stderr is not None
@@ -139,8 +139,8 @@
             successor.wait_until_ready()
 
 
-def test_snapshot_keeps_what_was_observed_of_endpoints() -> None:
-    # The new process sent clients back to what the old one had just moved them off.
+def test_snapshot_keeps_the_observations_of_endpoints() -> None:
+    # Without them, the new process sent clients back to endpoints that the old one had migrated them off.
     old, new, latency_estimator = balancer(endpoints=3), balancer(endpoints=3, seed=2), LatencyEstimator()
     (sent,) = only(old.step(2 * S, [request(1)]), Send)
     old.step(2 * S, [ended(sent, 0, Outcome.FULL, closed=True)])
@@ -167,7 +167,7 @@
 
 
 def test_connections_of_the_peer_process_count_as_load() -> None:
-    # Half of the connections were still in the old process: endpoints filled up unnoticed.
+    # When they did not, half of the connections were still in the old process and overload went undetected.
     latency_estimator = LatencyEstimator()
     latency_estimator.configure(50 * MS, 1)
     latency_estimator.weights[b"s-1"] = 2.0
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -1,4 +1,4 @@
-"""Two processes of one proxy on one loop: who accepts, and what each learns from the other."""
+"""Two processes of one proxy on one loop: which accepts, and what they report to each other."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RecordingOperations:
-    """A proxy that notes what its hot restart asks of it."""
+    """The `RestartOperations` of a proxy; records the calls."""
 
     def __init__(self, streams: int) -> None:
         self.streams = streams
@@ -49,7 +49,7 @@
 
 
 class Pair:
-    """A process and the successor that took over from it."""
+    """A process and its successor; both run on one loop."""
 
     def __init__(self, socket_path: TakeoverSocketPath) -> None:
         self.loop = Loop()
@@ -58,16 +58,16 @@
         self.new_operations = RecordingOperations(streams=5)
         self.old = HotRestart(self.loop, self.old_operations, socket_path)
         self.old.start(None)
-        predecessor = self.request()
+        predecessor = self.request_takeover()
         assert predecessor is not None
         assert predecessor.state["list"] == {"rev": 7}
         self.new = HotRestart(self.loop, self.new_operations, socket_path)
         self.new.start(predecessor)
 
-    def turn_until(self, condition: Callable[[], object]) -> None:
-        until = time.monotonic() + WAIT_S
+    def run_until(self, condition: Callable[[], object]) -> None:
+        deadline = time.monotonic() + WAIT_S
         while not condition():
-            assert time.monotonic() < until
+            assert time.monotonic() < deadline
             self.loop.stopped = False
             self.loop.call_later(MS, self.stop)
             self.loop.run()
@@ -75,11 +75,12 @@
     def stop(self) -> None:
         self.loop.stopped = True
 
-    def request(self) -> PredecessorState | None:
+    def request_takeover(self) -> PredecessorState | None:
+        """Request the state from whichever process listens; the request blocks, so it has its own thread."""
         received: list[PredecessorState | None] = []
         thread = threading.Thread(target=lambda: received.append(request_takeover(self.socket_path)))
         thread.start()
-        self.turn_until(lambda: received)
+        self.run_until(lambda: received)
         thread.join()
         return received[0]
 
@@ -97,67 +98,67 @@
     pair.loop.epoll.close()
 
 
-def test_old_process_yields_and_the_new_one_learns_of_it(pair: Pair) -> None:
+def test_old_process_yields_and_confirms_it_to_the_new_one(pair: Pair) -> None:
     assert pair.new.is_taking_over
-    pair.turn_until(lambda: not pair.new.is_taking_over)
+    pair.run_until(lambda: not pair.new.is_taking_over)
     assert pair.old.successor is not None
     assert pair.old_operations.accepting_calls == ["yield_to_successor"]
     assert not pair.new_operations.accepting_calls
 
 
-def test_each_reports_what_it_holds(pair: Pair) -> None:
-    pair.turn_until(lambda: pair.old_operations.reported_streams and pair.new_operations.reported_streams)
+def test_each_process_reports_its_resources(pair: Pair) -> None:
+    pair.run_until(lambda: pair.old_operations.reported_streams and pair.new_operations.reported_streams)
     assert pair.old_operations.reported_streams[0] == 5
     assert pair.new_operations.reported_streams[0] == 3
 
 
 @pytest.mark.parametrize("from_new", [True, False])
-def test_drain_is_done_once_both_have_applied_it(pair: Pair, from_new: bool) -> None:
+def test_drain_is_done_once_both_processes_have_applied_it(pair: Pair, from_new: bool) -> None:
     done: list[bool] = []
     source = pair.new if from_new else pair.old
-    pair.turn_until(lambda: pair.old.successor is not None)
+    pair.run_until(lambda: pair.old.successor is not None)
     source.apply_administrative_drain(b"s-0", True, lambda: done.append(True))
     assert not done
-    pair.turn_until(lambda: done)
+    pair.run_until(lambda: done)
     assert pair.old_operations.drains == pair.new_operations.drains == [(b"s-0", True)]
     assert not any(usage.size for name, usage in source.resource_usage().items() if "unanswered" in name)
 
 
-def test_drain_is_done_where_the_other_process_goes_without_a_confirmation(pair: Pair) -> None:
+def test_drain_is_done_when_the_other_process_disconnects_without_a_confirmation(pair: Pair) -> None:
     done: list[bool] = []
-    pair.turn_until(lambda: pair.old.successor is not None)
+    pair.run_until(lambda: pair.old.successor is not None)
     pair.old.apply_administrative_drain(b"s-0", True, lambda: done.append(True))
     pair.new.peer_processes[0].end()
-    pair.turn_until(lambda: done)
+    pair.run_until(lambda: done)
     assert not pair.new_operations.drains
 
 
-def test_old_process_accepts_again_once_its_successor_is_gone(pair: Pair) -> None:
-    pair.turn_until(lambda: pair.old.successor is not None)
+def test_old_process_accepts_again_once_its_successor_has_disconnected(pair: Pair) -> None:
+    pair.run_until(lambda: pair.old.successor is not None)
     pair.new.peer_processes[0].end()
-    pair.turn_until(lambda: pair.old.successor is None)
+    pair.run_until(lambda: pair.old.successor is None)
     assert pair.old_operations.accepting_calls == ["yield_to_successor", "resume_accepting"]
     assert pair.old_operations.reported_streams[-1] == 0
     assert not pair.old.peer_processes
 
 
-def test_second_successor_finds_the_first_one(pair: Pair) -> None:
-    pair.turn_until(lambda: pair.old.successor is not None)
+def test_second_successor_is_closed_and_its_next_request_reaches_the_first_one(pair: Pair) -> None:
+    pair.run_until(lambda: pair.old.successor is not None)
     ours, theirs = socket.socketpair()
     pair.old.accept_successor(theirs)
     assert ours.recv(1) == b""
     assert len(pair.old.peer_processes) == 1
     ours.close()
-    third = pair.request()
+    third = pair.request_takeover()
     assert third is not None
     assert third.state["holdings"]["streams"] == 5
     third.sock.close()
 
 
-def test_unreadable_line_ends_the_connection_alone(pair: Pair) -> None:
-    pair.turn_until(lambda: pair.old.successor is not None)
+def test_unreadable_line_ends_only_the_connection(pair: Pair) -> None:
+    pair.run_until(lambda: pair.old.successor is not None)
     peer = pair.new.peer_processes[0]
     peer.stream.send(b'{"say": "held"}\n')
-    pair.turn_until(lambda: not pair.old.peer_processes and not pair.new.peer_processes)
+    pair.run_until(lambda: not pair.old.peer_processes and not pair.new.peer_processes)
     assert not pair.new.is_taking_over
     assert peer.stream.closed
