--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -1,7 +1,7 @@
-"""Every value of the state that an older process handed over is found again in the process that takes it.
+"""Every value of a state handed over by an older version is restored in the successor.
 
-`tests/data/handed-over-state.json` was recorded once (see `tests/data/README.md`) and holds a different value
-in nearly every field, so a key that is misread, left out or swapped with another one is seen here.
+`tests/data/handed-over-state.json` is a recording (see `tests/data/README.md`) with a different value in
+nearly every field, so that a key that is misread, left out or swapped with another one fails a test.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 RECORDED = Path(__file__).parent / "data" / "handed-over-state.json"
 
-# Where the balancer keeps each value of the state's "memory", by stored part and key.
+# Where the balancer has each value of the state's "memory", by part and key.
 BALANCER_VALUES: dict[tuple[str, str], Callable[[Balancer], object]] = {
     ("node", "load_each"): lambda balancer: balancer.health_checks.load_per_connection,
     ("node", "each_fill"): lambda balancer: balancer.ranking.connections_per_weight,
@@ -44,7 +44,7 @@
     ("bucket", "level"): lambda balancer: balancer.slow_start.token_bucket.level,
     ("bucket", "at"): lambda balancer: balancer.slow_start.token_bucket.refilled_at_ns,
 }
-# Where an endpoint of the balancer keeps each value of its record under "hosts".
+# Where an endpoint of the balancer has each value of its record under "hosts".
 ENDPOINT_VALUES: dict[str, Callable[[Endpoint], object]] = {
     "hot_until": lambda endpoint: endpoint.over_objective_until,
     "slow_ns": lambda endpoint: endpoint.message_latency_ns,
@@ -63,7 +63,7 @@
 
 
 def endpoint_fields(endpoint: Endpoint) -> tuple[int, int, int]:
-    """State, start and leave time as the balancer was given them."""
+    """State, start time and drain period as the balancer received them, times in ns."""
     return endpoint.state, endpoint.started_at, endpoint.drain_within_ns
 
 
@@ -119,9 +119,9 @@
         BROKER_FILE.replace("CHANNELS", str(free_port())).replace("VRRP", str(free_port()))
     )
     config = read_config(str(config_file))
-    own = read_broker_file(str(broker_file), config.names, config.settings)
+    broker_config = read_broker_file(str(broker_file), config.names, config.settings)
     own_end, peer_end = socket.socketpair()
-    proxy = Proxy.start(config, own, predecessor=PredecessorState(own_end, recorded, b"", []))
+    proxy = Proxy.start(config, broker_config, predecessor=PredecessorState(own_end, recorded, b"", []))
     yield proxy
     proxy.frontend.close()
     proxy.channels.close()
@@ -133,14 +133,14 @@
     peer_end.close()
 
 
-def names_by_place(places: dict[str, int]) -> dict[int, str]:
-    return {place: name for name, place in places.items()}
+def names_by_number(numbers: dict[str, int]) -> dict[int, str]:
+    return {number: name for name, number in numbers.items()}
 
 
-def test_endpoint_list_is_read(successor: Proxy, recorded: dict[str, Any]) -> None:
+def test_endpoint_list_is_restored(successor: Proxy, recorded: dict[str, Any]) -> None:
     listed = successor.broker.administrative_drains.listed
-    zones = names_by_place(successor.names.zones)
-    kinds = names_by_place(successor.names.kinds)
+    zones = names_by_number(successor.names.zones)
+    kinds = names_by_number(successor.names.kinds)
     targets = recorded["list"]["targets"]
 
     assert successor.discovery.version == recorded["list"]["rev"] == 42
@@ -164,7 +164,7 @@
     }
 
 
-def test_administrative_drains_are_read(successor: Proxy) -> None:
+def test_administrative_drains_are_restored(successor: Proxy) -> None:
     drains = successor.broker.administrative_drains
     endpoints = balancer_endpoints(successor.broker.balancer)
 
@@ -182,7 +182,7 @@
     assert endpoint_fields(endpoints[b"s-cold"]) == (EndpointState.READY, 1_002_000_000, 0)
 
 
-def test_token_buckets_of_contracts_are_read(successor: Proxy) -> None:
+def test_token_buckets_of_contracts_are_restored(successor: Proxy) -> None:
     teams = successor.broker.contracts.teams
     taymobile = teams[successor.names.tenants["taymobile"]]
     glenlink = teams[successor.names.tenants["glenlink"]]
@@ -196,7 +196,7 @@
     ]
 
 
-def test_peer_resources_are_read(successor: Proxy) -> None:
+def test_peer_resources_are_restored(successor: Proxy) -> None:
     broker = successor.broker
 
     assert successor.connection_limiter.peer_descriptors == 37
@@ -210,11 +210,11 @@
 
 
 @pytest.mark.parametrize(("part", "key"), BALANCER_VALUES)
-def test_balancer_state_is_read(successor: Proxy, recorded: dict[str, Any], part: str, key: str) -> None:
+def test_balancer_state_is_restored(successor: Proxy, recorded: dict[str, Any], part: str, key: str) -> None:
     assert BALANCER_VALUES[part, key](successor.broker.balancer) == recorded["memory"][part][key]
 
 
-def test_balancer_values_are_all_checked(recorded: dict[str, Any]) -> None:
+def test_tables_cover_all_values_of_the_recording(recorded: dict[str, Any]) -> None:
     memory = recorded["memory"]
     parts = ("node", "window", "shedding", "slow_start", "bucket")
 
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize("key", ENDPOINT_VALUES)
-def test_ejection_state_of_endpoints_is_read(successor: Proxy, recorded: dict[str, Any], key: str) -> None:
+def test_endpoints_ejection_state_is_restored(successor: Proxy, recorded: dict[str, Any], key: str) -> None:
     endpoints = balancer_endpoints(successor.broker.balancer)
     hosts = recorded["memory"]["hosts"]
 
@@ -234,7 +234,7 @@
     }
 
 
-def test_latency_estimator_state_is_read(successor: Proxy) -> None:
+def test_latency_estimator_state_is_restored(successor: Proxy) -> None:
     estimator = successor.broker.latency_estimator
 
     assert (estimator.migrations.net, estimator.migrations.updated_ns) == (-4.5, 9_000_000_000_001)
@@ -248,38 +248,38 @@
     assert successor.hot_restart.is_taking_over
 
 
-def test_state_is_handed_on_under_the_same_keys(successor: Proxy, recorded: dict[str, Any]) -> None:
+def test_state_is_exported_under_the_same_keys(successor: Proxy, recorded: dict[str, Any]) -> None:
     state = successor.local_process.export_state()
-    written = json.loads(json.dumps(state.to_json()))
+    exported = json.loads(json.dumps(state.to_json()))
 
-    assert written.keys() == recorded.keys()
-    assert written["say"] == recorded["say"]
+    assert exported.keys() == recorded.keys()
+    assert exported["say"] == recorded["say"]
     for part in ("bans", "memory", "active", "passed"):
-        assert written[part] == recorded[part]
-    assert written["list"]["rev"] == recorded["list"]["rev"]
-    assert sorted(written["list"]["targets"], key=lambda target: str(target["uid"])) == sorted(
+        assert exported[part] == recorded[part]
+    assert exported["list"]["rev"] == recorded["list"]["rev"]
+    assert sorted(exported["list"]["targets"], key=lambda target: str(target["uid"])) == sorted(
         recorded["list"]["targets"], key=lambda target: str(target["uid"])
     )
-    assert written["budgets"]["taymobile"] == recorded["budgets"]["taymobile"]
-    assert written["budgets"]["glenlink"] == [[math.inf, 0], [2.75, 6_000_000_000_003]]
-    assert written["holdings"].keys() == recorded["holdings"].keys()
+    assert exported["budgets"]["taymobile"] == recorded["budgets"]["taymobile"]
+    assert exported["budgets"]["glenlink"] == [[math.inf, 0], [2.75, 6_000_000_000_003]]
+    assert exported["holdings"].keys() == recorded["holdings"].keys()
     assert len(state.descriptors) == 2
 
 
-def test_unknown_keys_of_another_version_are_left_alone(successor: Proxy, recorded: dict[str, Any]) -> None:
+def test_unknown_keys_of_another_version_are_ignored(successor: Proxy, recorded: dict[str, Any]) -> None:
     broker = successor.broker
     memory = recorded["memory"]
     before = export_state(broker.balancer, broker.latency_estimator)
     memory["later"] = {"key": 1}
     memory["window"]["later"] = 1
     memory["hosts"]["732d7265616479"]["later"] = 1
-    memory["hosts"]["00"] = {"faults": 9}  # not listed any more
+    memory["hosts"]["00"] = {"faults": 9}  # no longer listed
 
     import_state(broker.balancer, broker.latency_estimator, memory)
     assert export_state(broker.balancer, broker.latency_estimator) == before
 
 
-def test_value_of_another_type_is_named_and_the_rest_is_taken(
+def test_value_of_another_type_is_named_in_the_error_and_others_are_restored(
     successor: Proxy, recorded: dict[str, Any]
 ) -> None:
     broker = successor.broker
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -58,7 +58,7 @@
         self.new_operations = RecordingOperations(streams=5)
         self.old = HotRestart(self.loop, self.old_operations, socket_path)
         self.old.start(None)
-        predecessor = self.request_takeover()
+        predecessor = self.request_state()
         assert predecessor is not None
         assert predecessor.state["list"] == {"rev": 7}
         self.new = HotRestart(self.loop, self.new_operations, socket_path)
@@ -75,7 +75,7 @@
     def stop(self) -> None:
         self.loop.stopped = True
 
-    def request_takeover(self) -> PredecessorState | None:
+    def request_state(self) -> PredecessorState | None:
         """Request the state from whichever process listens; the request blocks, so it has its own thread."""
         received: list[PredecessorState | None] = []
         thread = threading.Thread(target=lambda: received.append(request_takeover(self.socket_path)))
@@ -149,7 +149,7 @@
     assert ours.recv(1) == b""
     assert len(pair.old.peer_processes) == 1
     ours.close()
-    third = pair.request_takeover()
+    third = pair.request_state()
     assert third is not None
     assert third.state["holdings"]["streams"] == 5
     third.sock.close()
--- a/tests/test_takeover_messages.py
+++ b/tests/test_takeover_messages.py
@@ -1,4 +1,4 @@
-"""The lines that two processes exchange in a hot restart: other versions read and write them too."""
+"""The lines that two processes, which may be of different versions, exchange in a hot restart."""
 
 from __future__ import annotations
 
@@ -66,11 +66,11 @@
 
 
 @pytest.mark.parametrize("kind", ["state", "greeting", ""])
-def test_unknown_kind_is_no_error(kind: str) -> None:
+def test_unknown_kind_is_decoded_to_an_unknown_message(kind: str) -> None:
     assert decode_message(b'{"say": "%s", "more": [1]}\n' % kind.encode()) == UnknownMessage(kind)
 
 
-def test_absent_resources_count_as_none() -> None:
+def test_heartbeat_without_resources_has_empty_ones() -> None:
     assert decode_message(b'{"say": "beat", "later": true}\n') == Heartbeat(PeerResources())
 
 
@@ -89,7 +89,7 @@
         (b'{"say": "beat", "loads": []}', "AttributeError: 'list' object has no attribute 'items'"),
     ],
 )
-def test_senseless_line_raises_an_error_that_names_the_cause(line: bytes, text: str) -> None:
+def test_invalid_line_raises_an_error_that_names_the_cause(line: bytes, text: str) -> None:
     with pytest.raises(MessageError) as raised:
         decode_message(line + b"\n")
     assert str(raised.value) == text
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize(
     "line", [b"[" * 200_000, b"\xff\xfe\xfd", b'{"say": "held", "number": "' + b"9" * 5000]
 )
-def test_line_that_is_no_json_raises_an_error_of_bounded_length(line: bytes) -> None:
+def test_line_that_is_not_json_raises_an_error_of_bounded_length(line: bytes) -> None:
     with pytest.raises(MessageError) as raised:
         decode_message(line + b"\n")
     assert len(str(raised.value)) < 250
@@ -118,12 +118,12 @@
     limited = Contract(rate=TokenBucket(10.0, 5.0, 2.5, 7), retries=None)
     exported = export_token_buckets(Contracts({1: limited, 2: Contract()}), {"acme": 1, "globex": 3})
     assert exported == {"acme": [[2.5, 7], None]}
-    later = TokenBucket(20.0, 5.0)
-    restore_token_bucket(later, exported["acme"][0])
-    assert (later.rate_per_s, later.level, later.refilled_at_ns) == (20.0, 2.5, 7)
+    restored = TokenBucket(20.0, 5.0)
+    restore_token_bucket(restored, exported["acme"][0])
+    assert (restored.rate_per_s, restored.level, restored.refilled_at_ns) == (20.0, 2.5, 7)
 
 
-def test_token_bucket_without_a_former_limit_stays_full() -> None:
+def test_token_bucket_stays_full_where_the_predecessor_had_no_limit() -> None:
     bucket = TokenBucket(20.0, 5.0)
     restore_token_bucket(bucket, None)
     restore_token_bucket(None, [1.0, 2])
--- a/tests/test_takeover_socket.py
+++ b/tests/test_takeover_socket.py
@@ -1,4 +1,4 @@
-"""How a new process asks for the running one's state, and what it makes of the answer."""
+"""How a new process requests the state of the running one, and how it reads the answer."""
 
 from __future__ import annotations
 
@@ -36,8 +36,10 @@
     return TakeoverSocketPath("proxy one/with \N{SNOWMAN} and a name that is longer than any socket may be")
 
 
-def answer(socket_path: TakeoverSocketPath, *answers: Callable[[socket.socket], object]) -> threading.Thread:
-    """A process that answers one connection after the other."""
+def start_predecessor(
+    socket_path: TakeoverSocketPath, *answers: Callable[[socket.socket], object]
+) -> threading.Thread:
+    """A thread that accepts one connection for each of the answers, in turn."""
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     listener.bind(socket_path.path())
     listener.listen(4)
@@ -55,11 +57,11 @@
     return thread
 
 
-def test_socket_name_has_plain_characters_only(socket_path: TakeoverSocketPath) -> None:
+def test_socket_name_is_truncated_and_has_safe_characters_only(socket_path: TakeoverSocketPath) -> None:
     assert socket_path.file_name == "linnetshift-proxy_one_with___and_a_name_that_is_long.sock"
 
 
-def test_socket_lies_in_tmpdir_else_in_the_systems_temporary_folder(
+def test_socket_is_in_tmpdir_else_in_the_systems_temporary_directory(
     socket_path: TakeoverSocketPath, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert os.path.samefile(f"/proc/self/fd/{socket_path.directory_descriptor}", tmp_path)
@@ -68,14 +70,14 @@
     assert os.path.samefile(f"/proc/self/fd/{other.directory_descriptor}", tempfile.gettempdir())
 
 
-def test_without_a_process_there_is_no_state(socket_path: TakeoverSocketPath) -> None:
+def test_absent_or_stale_socket_yields_no_state(socket_path: TakeoverSocketPath) -> None:
     assert request_takeover(socket_path) is None
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as stale:
         stale.bind(socket_path.path())
     assert request_takeover(socket_path) is None
 
 
-def test_state_comes_with_descriptors_and_what_follows(socket_path: TakeoverSocketPath) -> None:
+def test_state_is_received_with_descriptors_and_trailing_data(socket_path: TakeoverSocketPath) -> None:
     reader, writer = os.pipe()
 
     def send(connection: socket.socket) -> None:
@@ -84,7 +86,7 @@
         time.sleep(0.02)
         connection.sendall(b'"active": true}\n{"say": "beat"}\n')
 
-    thread = answer(socket_path, send)
+    thread = start_predecessor(socket_path, send)
     predecessor = request_takeover(socket_path)
     thread.join(5)
     assert predecessor is not None
@@ -98,10 +100,10 @@
 
 
 @pytest.mark.parametrize("first_answer", [b"", b'{"say": ', b"[]\n", b"no json\n"])
-def test_process_that_closes_or_makes_no_sense_is_asked_again(
+def test_request_is_retried_after_a_close_or_an_invalid_answer(
     socket_path: TakeoverSocketPath, first_answer: bytes
 ) -> None:
-    thread = answer(
+    thread = start_predecessor(
         socket_path, lambda sock: sock.sendall(first_answer), lambda sock: sock.sendall(b'{"a": 1}\n')
     )
     predecessor = request_takeover(socket_path)
@@ -111,18 +113,18 @@
     predecessor.sock.close()
 
 
-def test_process_that_hangs_is_given_up(
+def test_request_to_a_process_that_hangs_times_out(
     socket_path: TakeoverSocketPath, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(takeover_socket, "TAKEOVER_TIMEOUT_S", 0.1)
     done = threading.Event()
-    thread = answer(socket_path, lambda _sock: done.wait(5) and None)
+    thread = start_predecessor(socket_path, lambda _sock: done.wait(5) and None)
     assert request_takeover(socket_path) is None
     done.set()
     thread.join(5)
 
 
-def test_listener_replaces_a_stale_socket_and_leaves_that_of_another_process(
+def test_listener_replaces_an_existing_socket_and_removes_only_its_own(
     socket_path: TakeoverSocketPath,
 ) -> None:
     loop = Loop()
@@ -167,7 +169,7 @@
         ({"list": {"rev": 1, "targets": []}, "holdings": 5}, "imported-state-rejected"),
     ],
 )
-def test_part_that_makes_no_sense_is_left_out_and_logged(
+def test_invalid_part_is_left_out_and_logged(
     state: dict[str, Any], event: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     with caplog.at_level(logging.INFO, "linnetshift"):
@@ -178,7 +180,7 @@
     assert [record.getMessage() for record in caplog.records] == [event]
 
 
-def test_sockets_have_the_names_of_the_state() -> None:
+def test_passed_sockets_are_named_as_in_the_state() -> None:
     passed_socket, its_peer = socket.socketpair()
     imported_state = imported({"passed": ["channels", "vrrp"]}, [passed_socket.detach()])
     assert [*imported_state.sockets] == ["channels"]
@@ -191,7 +193,7 @@
 @pytest.mark.parametrize(
     "state", [{"bans": {}}, {"bans": {}, "budgets": 5}, {"bans": {}, "budgets": {"acme": [["x", 1], None]}}]
 )
-def test_restore_of_another_versions_state_is_logged_and_no_error(
+def test_restore_of_an_invalid_state_is_logged_and_raises_nothing(
     state: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
     drains = SimpleNamespace(import_state=lambda _state: None)
