--- a/tests/test_channels_activation.py
+++ b/tests/test_channels_activation.py
@@ -17,7 +17,7 @@
 
 
 class FakeFrontend:
-    """Records the listeners that it is asked to open; an address opened is its address."""
+    """Records the listeners that it is asked to open; `address` is the last one."""
 
     def __init__(self) -> None:
         self.listened: list[tuple[Any, socket.socket | None]] = []
@@ -30,7 +30,7 @@
 
 
 class FakeVrrp:
-    """A VRRP instance that is the active router if it starts as such."""
+    """A VRRP instance that keeps the role with which it starts."""
 
     def __init__(
         self, _loop: Any, _config: Any, _on_change: Any, inherited: socket.socket | None, is_active: bool
@@ -73,7 +73,7 @@
     assert channels.may_open_listener
 
 
-def test_vrrp_takes_up_the_inherited_socket_and_the_active_role(frontend: FakeFrontend) -> None:
+def test_vrrp_continues_with_the_inherited_socket_and_as_the_active_router(frontend: FakeFrontend) -> None:
     with socket.socket() as inherited:
         channels = activation(frontend, {VRRP_SOCKET: inherited})
         channels.start(VRRP_CONFIG, True)
@@ -83,7 +83,7 @@
         assert channels.is_vrrp_active
 
 
-def test_descriptor_of_vrrp_passes_on_until_its_socket_is_closed(frontend: FakeFrontend) -> None:
+def test_descriptor_of_vrrp_is_handed_over_until_its_socket_is_closed(frontend: FakeFrontend) -> None:
     with socket.socket() as inherited:
         channels = activation(frontend, {VRRP_SOCKET: inherited})
         channels.start(VRRP_CONFIG, False)
--- a/tests/test_configuration_reloader.py
+++ b/tests/test_configuration_reloader.py
@@ -1,7 +1,7 @@
-"""What a reload applies, and what it leaves alone when the files cannot be used.
+"""What a reload applies, and that it changes nothing when the files cannot be used.
 
-The parts that it changes are mocks with the interface of the real ones: a call that those would not accept,
-or of a method that they lack, fails the test. The files' contents are of the real types.
+The parts that it changes are mocks with the interface of the real ones: a call with wrong arguments or of a
+method that they lack fails the test. The files' contents are of the real types.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def proxy_config(address: Address, list_version: int) -> ProxyConfig:
-    """A proxy file's contents, with one address for all that listens and for discovery."""
+    """A proxy file's contents, with one address for all listeners and for discovery."""
     raw = raw_settings()
     parsed = Settings.parse(raw)
     return ProxyConfig(
@@ -58,10 +58,10 @@
 
 
 def handle_list_update(list_update: EndpointListUpdate) -> None:
-    """The signature of the callback that a reload passes a later list to."""
+    """The signature of the callback for a later list."""
 
 
-def reloader() -> Any:
+def make_reloader() -> Any:
     """A reloader of a proxy that listens for administrators and clients, not for channels."""
     activation = create_autospec(ChannelsActivation, instance=True, may_open_listener=True)
     activation.frontend = create_autospec(ChannelsFrontend, instance=True, address=None)
@@ -84,42 +84,42 @@
 
 
 def new_files(vrrp: VrrpConfig | None = None) -> ConfigurationFiles:
-    """Files with other addresses and a later endpoint list than `reloader` has."""
+    """Files with other addresses and a later endpoint list than those of `make_reloader`."""
     return ConfigurationFiles(proxy_config(NEW_ADDRESS, list_version=2), BrokerConfig(vrrp=vrrp))
 
 
 def replace_read_files(monkeypatch: pytest.MonkeyPatch, **behaviour: Any) -> None:
-    """Have `reload` get `return_value` or `side_effect` in place of the files' contents."""
+    """Have `read_files` return `return_value` or raise `side_effect`."""
     monkeypatch.setattr(reload, "read_files", create_autospec(read_files, **behaviour))
 
 
 @pytest.fixture(autouse=True)
 def acceptor_class(monkeypatch: pytest.MonkeyPatch) -> Mock:
-    """Replaces what opens the frontends' listeners."""
-    opened: Mock = create_autospec(Acceptor)
-    monkeypatch.setattr(reload, "Acceptor", opened)
-    return opened
+    """Replaces the class that opens the frontends' listeners."""
+    mock: Mock = create_autospec(Acceptor)
+    monkeypatch.setattr(reload, "Acceptor", mock)
+    return mock
 
 
 def test_usable_files_switch_the_listeners_and_the_configuration(
     monkeypatch: pytest.MonkeyPatch, acceptor_class: Mock
 ) -> None:
-    reloaded, files = reloader(), new_files()
+    reloader, files = make_reloader(), new_files()
     replace_read_files(monkeypatch, return_value=files)
-    reloaded.reload()
-    assert reloaded.config is files.proxy
-    reloaded.frontend.use_acceptor.assert_called_once_with(acceptor_class.return_value)
-    reloaded.admin_server.use_acceptor.assert_called_once_with(
-        reloaded.admin_server.open_acceptor.return_value
+    reloader.reload()
+    assert reloader.config is files.proxy
+    reloader.frontend.use_acceptor.assert_called_once_with(acceptor_class.return_value)
+    reloader.admin_server.use_acceptor.assert_called_once_with(
+        reloader.admin_server.open_acceptor.return_value
     )
-    reloaded.handle_list_update.assert_called_once_with(files.proxy.cached_list)
+    reloader.handle_list_update.assert_called_once_with(files.proxy.cached_list)
 
 
 @pytest.mark.parametrize("failure", ["file", "vrrp", "address"])
 def test_unusable_files_change_nothing_and_leave_no_listener_open(
     monkeypatch: pytest.MonkeyPatch, acceptor_class: Mock, caplog: pytest.LogCaptureFixture, failure: str
 ) -> None:
-    reloaded = reloader()
+    reloader = make_reloader()
     if failure == "file":
         replace_read_files(monkeypatch, side_effect=ConfigurationError("no"))
     else:
@@ -127,13 +127,13 @@
         replace_read_files(monkeypatch, return_value=new_files(vrrp))
     if failure == "address":
         acceptor_class.side_effect = OSError("in use")
-    config_before = reloaded.config
+    config_before = reloader.config
     with caplog.at_level(logging.INFO, "linnetshift"):
-        reloaded.reload()
-    assert reloaded.config is config_before
+        reloader.reload()
+    assert reloader.config is config_before
     assert [record.getMessage() for record in caplog.records] == ["configuration-rejected"]
-    reloaded.frontend.use_acceptor.assert_not_called()
-    reloaded.admin_server.use_acceptor.assert_not_called()
-    reloaded.broker.configure.assert_not_called()
-    opened = reloaded.admin_server.open_acceptor
+    reloader.frontend.use_acceptor.assert_not_called()
+    reloader.admin_server.use_acceptor.assert_not_called()
+    reloader.broker.configure.assert_not_called()
+    opened = reloader.admin_server.open_acceptor
     assert opened.return_value.close.call_count == opened.call_count
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload on SIGHUP: both files are read again while the proxy serves on."""
+"""Reload on SIGHUP: both files are read again while the proxy continues to serve."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_changed_discovery_address_is_watched_and_no_connection_ends(tmp_path: Path) -> None:
-    # SIGHUP used to end the process, and discovery's old address stops answering after it.
+    # SIGHUP ended the process; discovery's old address stops answering after the change.
     with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
         client = running.open()
@@ -29,7 +29,7 @@
         assert client.line() == b"UP r1\r\n"
         new_discovery = DiscoveryServer(running.endpoints)
         running.reload("event=configuration-reloaded", discovery=new_discovery.address)
-        # The full list first, as it has what changed meanwhile.
+        # The full list first: it has the changes made in the meantime.
         assert new_discovery.calls.get(timeout=WAIT_S) == "/catalog/members"
         assert new_discovery.calls.get(timeout=WAIT_S).startswith("/catalog/members?since=1&")
         client.send(b"M 1\r\n")
@@ -41,12 +41,12 @@
         assert second_client.line() == b"UP r1\r\n"
 
 
-def service(**changes: Any) -> dict[str, Any]:
+def one_service(**changes: Any) -> dict[str, Any]:
     return {"services": [{**settings()["services"][0], **changes}]}
 
 
-def test_open_request_keeps_the_rules_of_its_class_when_the_class_is_gone(tmp_path: Path) -> None:
-    # Settings without a class or with other rules for it were rejected, and so were clients of a new class.
+def test_open_request_keeps_the_rules_of_its_class_when_the_class_is_discontinued(tmp_path: Path) -> None:
+    # Settings that removed or changed a class were rejected, and so were clients of a new class.
     feed = settings()["services"][0]
     with started_proxy(tmp_path, endpoints=2) as running:
         first, second = ranked(running)
@@ -56,13 +56,13 @@
             "event=configuration-reloaded .*classes=late dropped=feed",
             settings=settings(services=[new_class], allowed={"maxAttempts": 1}),
         )
-        endpoint.close("reset")  # after the line was read or not: `feed` may be repeated, in up to 4 attempts
+        endpoint.close("reset")  # whether the line was read or not: `feed` allows retries, up to 4 attempts
         second_endpoint = second.serve()
         assert established.line() == b"UP r1\r\n"
         new_class_client = running.client(b"OPEN 3 2 c=late,t=acme,d=2000\r\n")
         _, new_class_endpoint = running.serve_any()
         assert new_class_client.line() == b"UP r1\r\n"
-        # A client that does not know yet that the class is gone:
+        # A client that has not learned yet that the class is discontinued:
         old_class_client = running.client(b"OPEN 4 2 c=feed,t=acme,d=2000\r\n")
         _, old_class_endpoint = running.serve_any()
         assert old_class_client.line() == b"UP r1\r\n"
@@ -70,16 +70,16 @@
             conn.close()
 
 
-def test_class_number_always_stands_for_the_same_rules() -> None:
+def test_class_number_always_has_the_same_rules() -> None:
     first = Settings.parse(raw_settings())
-    second = Settings.parse(raw_settings(**service(effect="once"))).numbered_after(first)
+    second = Settings.parse(raw_settings(**one_service(effect="once"))).numbered_after(first)
     third = Settings.parse(raw_settings()).numbered_after(second)
     fewer = Settings.parse(raw_settings(allowed={"maxAttempts": 2})).numbered_after(third)
     assert [s.offered_numbers for s in (first, second, third, fewer)] == [(0,), (1,), (0,), (2,)]
     assert fewer.classes[:2] == second.classes
     assert [klass.max_attempts for klass in fewer.classes] == [4, 4, 2]
     more = Settings.parse(
-        raw_settings(services=[*raw_settings()["services"], service(name="late")["services"][0]])
+        raw_settings(services=[*raw_settings()["services"], one_service(name="late")["services"][0]])
     )
     assert [klass.message_latency_objective_ns for klass in more.classes] == [60 * MS, 60 * MS]
 
@@ -94,10 +94,10 @@
         ({"settings": {**settings(), "services": None}}, "'services' must be a list"),
         ({"settings": {k: v for k, v in settings().items() if k != "tenants"}}, "key 'settings.tenants'"),
         ({"settings": {**settings(), "rules": {"drainGraceNs": 1}}}, "key 'settings.rules"),
-        ({"settings": settings(**service(hardLimitNs=0))}, "hardLimitNs' must be above 0"),
-        ({"settings": settings(**service(hardLimitNs=True))}, "hardLimitNs' must be a whole number"),
-        ({"settings": settings(**service(hardLimitNs=math.nan))}, "hardLimitNs' must be a whole number"),
-        ({"settings": settings(**service(hardLimitNs="3"))}, "hardLimitNs' must be a whole number"),
+        ({"settings": settings(**one_service(hardLimitNs=0))}, "hardLimitNs' must be above 0"),
+        ({"settings": settings(**one_service(hardLimitNs=True))}, "hardLimitNs' must be a whole number"),
+        ({"settings": settings(**one_service(hardLimitNs=math.nan))}, "hardLimitNs' must be a whole number"),
+        ({"settings": settings(**one_service(hardLimitNs="3"))}, "hardLimitNs' must be a whole number"),
         ({"settings": settings(allowed={"maxAttempts": -1})}, "maxAttempts' must be above 0"),
         ({"settings": settings(allowed={"maxAttempts": 0})}, "maxAttempts' must be above 0"),
         ({"settings": settings(services=2 * settings()["services"])}, "a class twice"),
@@ -162,7 +162,7 @@
         assert established.line() == b"on\r\n"
 
 
-def test_requests_in_flight_count_towards_the_reloaded_contract(tmp_path: Path) -> None:
+def test_open_requests_count_towards_the_reloaded_contract(tmp_path: Path) -> None:
     contract_toml = '[[contract]]\nteam = "acme"\nconcurrency = 1\n'
     with started_proxy(tmp_path, broker_toml=contract_toml) as running:
         open_connections = running.establish()
@@ -183,7 +183,7 @@
 
 
 def test_reordered_names_keep_their_numbers(tmp_path: Path) -> None:
-    # Another order of tenants, zones or models was rejected, and discovery's new address with it.
+    # Settings with reordered tenants, zones or models were rejected, and with them discovery's new address.
     contracts_toml = '[[contract]]\nteam = "acme"\nconcurrency = 1\n[[contract]]\nteam = "other"\n'
     with started_proxy(tmp_path, broker_toml=contracts_toml) as running:
         acme_connections = running.establish()
@@ -195,7 +195,9 @@
             "event=configuration-reloaded", settings=reordered_settings, discovery=new_discovery.address
         )
         assert new_discovery.calls.get(timeout=WAIT_S) == "/catalog/members"
-        assert running.open().line() == b"BUSY 1000\r\n"  # acme's one is taken, by the number it began with
+        assert (
+            running.open().line() == b"BUSY 1000\r\n"
+        )  # acme's only one is open, under the number it began with
         other_client = running.client(b"OPEN 1 2 c=feed,t=other,d=2000\r\n")
         other_endpoint = running.endpoints[0].serve()
         assert other_client.line() == b"UP r1\r\n"
@@ -204,7 +206,7 @@
 
 
 def test_requests_of_an_unlisted_tenant_do_not_count_for_one_listed_later(tmp_path: Path) -> None:
-    # A tenant that was not listed had the number that the next listed one got.
+    # An unlisted tenant had the number that the next listed tenant received.
     with started_proxy(tmp_path) as running:
         unlisted_client = running.client(b"OPEN 1 2 c=feed,t=nobody,d=2000\r\n")
         endpoint = running.endpoints[0].serve()
@@ -234,7 +236,7 @@
 
 @pytest.mark.parametrize("state", ["queued", "connecting", "sent"])
 @pytest.mark.parametrize(("before", "after"), [("once", "repeatable"), ("repeatable", "once")])
-def test_request_in_flight_is_retried_by_the_effect_it_began_with(
+def test_open_request_is_retried_by_the_effect_it_was_opened_with(
     tmp_path: Path, state: str, before: str, after: str
 ) -> None:
     base = {**settings()["services"][0], "aimNs": 10 * S, "hardLimitNs": 20 * S}
@@ -246,7 +248,7 @@
     with started_proxy(tmp_path, 2, services=with_effect(before), allowed=allowed) as running:
         first, second = ranked(running)
         client, endpoint, out = request_in_state(running, first, state)
-        extra_services = [{**base, "name": "extra", "effect": after}]  # and in another order
+        extra_services = [{**base, "name": "extra", "effect": after}]  # listed first: the order changes too
         running.reload(
             "event=configuration-reloaded",
             settings=settings(services=extra_services + with_effect(after), allowed=allowed),
--- a/tests/test_shutdown_coordinator.py
+++ b/tests/test_shutdown_coordinator.py
@@ -12,7 +12,7 @@
 
 
 class Recorder:
-    """Stands for all parts that the coordinator acts on; records what is done to them."""
+    """Fake of all parts that the coordinator acts on; records the actions."""
 
     def __init__(self) -> None:
         self.actions: list[str] = []
@@ -23,7 +23,7 @@
         self.actions.append("stop-vrrp")
 
     def shutdown(self, _loop: Any, _broker: Any, _clients: Any, is_replaced: bool) -> Any:
-        """A graceful shutdown that only records what it is asked to do."""
+        """A graceful shutdown that only records the calls."""
         kind = "replaced" if is_replaced else "signalled"
         return SimpleNamespace(
             run=lambda: None,
@@ -44,7 +44,7 @@
     return ShutdownCoordinator(recorder, recorder, recorder, recorder, recorder)
 
 
-def test_second_signal_changes_nothing(recorder: Recorder) -> None:
+def test_second_signal_has_no_effect(recorder: Recorder) -> None:
     shutdown = coordinator(recorder)
     shutdown.terminate(is_replaced=False)
     shutdown.terminate(is_replaced=False)
@@ -61,7 +61,7 @@
     assert recorder.actions == ["start-replaced", "shorten"]
 
 
-def test_signal_after_a_cancelled_shutdown_starts_a_whole_one(recorder: Recorder) -> None:
+def test_signal_after_a_cancelled_shutdown_starts_a_new_one(recorder: Recorder) -> None:
     shutdown = coordinator(recorder)
     shutdown.shut_down_replaced()
     shutdown.cancel()
