--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -20,7 +20,7 @@
 
 # New connections keep arriving for up to 0.4 s after the signal of a planned stop.
 ACCEPT_AFTER_SIGNAL_NS = 600 * MS
-# The platform kills a process after the longest deadline of the offered classes, of which it grants at most
+# From the signal to the kill, the platform grants the longest deadline of the offered classes, capped at
 # MAX_DEADLINE_NS, plus KILL_GRACE_NS.
 MAX_DEADLINE_NS = 3 * S
 KILL_GRACE_NS = 700 * MS
@@ -94,7 +94,7 @@
     """
 
     def __init__(self, loop: Loop, broker: Broker, clients: ShutdownClients, is_replaced: bool) -> None:
-        """Set the deadlines from the current time; `is_replaced`: a successor accepts in its place."""
+        """Compute the deadlines; `is_replaced` tells whether a successor accepts in place of this process."""
         super().__init__(loop)
         self.broker = broker
         self.clients = clients
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -68,7 +68,10 @@
         self.listen_for_successor()
 
     def _replace(self, predecessor: PredecessorState) -> None:
-        """Have the predecessor stop accepting, within HELLO_TIMEOUT_NS: one that hangs accepts nothing."""
+        """Have the predecessor stop accepting.
+
+        It counts as stopped after HELLO_TIMEOUT_NS without an answer: if it hangs, it accepts nothing.
+        """
         self.is_taking_over = True
         peer_process = PeerProcess(self.loop, self.operations, self, predecessor.sock, predecessor)
         self.peer_processes.append(peer_process)
@@ -122,7 +125,7 @@
             log.info("process-replaced")
             self.operations.yield_to_successor()
 
-    def handle_peer_gone(self, peer_process: PeerProcess) -> None:
+    def handle_peer_disconnected(self, peer_process: PeerProcess) -> None:
         """Continue without the peer; if it was the successor, accept connections again."""
         if peer_process in self.peer_processes:
             self.peer_processes.remove(peer_process)
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -94,7 +94,7 @@
         self.decision_loop.when_processed(done)
 
     def peer_resources(self) -> PeerResources:
-        """Return the resources that this process holds, for the limits of the other one."""
+        """Return the resources that this process holds, for the other one to count towards its limits."""
         return PeerResources(self.loop.stream_count, self.broker.migrated, self.broker.loads())
 
     def update_peer_resources(self, peer_resources: PeerResources) -> None:
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -36,7 +36,7 @@
 HEARTBEAT_INTERVAL_NS = 500 * MS
 # Bound of the bytes received without a line end; a heartbeat lists every endpoint and stays below this.
 MAX_MESSAGE_BYTES = 1 << 20
-# Drains that the other process has not confirmed; one that hangs is soon disconnected, see `StallDetector`.
+# Drains not confirmed by the other process; a process that hangs is soon disconnected, see `StallDetector`.
 MAX_UNCONFIRMED_DRAINS = 256
 
 
@@ -56,7 +56,7 @@
     def handle_predecessor_stopped(self) -> None:
         """Note that the predecessor no longer accepts."""
 
-    def handle_peer_gone(self, peer_process: PeerProcess, /) -> None:
+    def handle_peer_disconnected(self, peer_process: PeerProcess, /) -> None:
         """Continue without the process."""
 
     def apply_administrative_drain(
@@ -196,4 +196,4 @@
         self.unconfirmed_drains = {}
         for done in unconfirmed:  # a process that has exited sends no more requests to endpoints
             done()
-        self.coordinator.handle_peer_gone(self)
+        self.coordinator.handle_peer_disconnected(self)
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -1,4 +1,4 @@
-"""Reload: both configuration files are read again while the proxy serves on."""
+"""Reload: both configuration files are read again while the proxy continues to serve."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 class ConfigurationReloader:
     """Holds the configuration in use and replaces it.
 
-    Open requests, the state of rate limits and that of endpoints are kept.
+    Open requests, the levels of rate limits and the state of endpoints are kept.
     """
 
     config: ProxyConfig
--- a/linnetshift/lifecycle/restart_operations.py
+++ b/linnetshift/lifecycle/restart_operations.py
@@ -24,7 +24,7 @@
         """Drain the endpoint, or restore it, in this process alone; `done` is called once that is done."""
 
     def peer_resources(self) -> PeerResources:
-        """Return the resources that this process holds, for the limits of the other one."""
+        """Return the resources that this process holds, for the other one to count towards its limits."""
 
     def update_peer_resources(self, peer_resources: PeerResources, /) -> None:
         """Count the other process's resources towards this one's limits; empty once it has disconnected."""
--- a/linnetshift/lifecycle/takeover_socket.py
+++ b/linnetshift/lifecycle/takeover_socket.py
@@ -22,7 +22,7 @@
 # How long a new process waits for the state of a predecessor that may hang; after that it starts without. It
 # serves nothing while it waits, so this stays well below the time that the platform allows for a start.
 TAKEOVER_TIMEOUT_S = 2.5
-# Pause before the next attempt: a predecessor that closes without an answer is replaced by another process.
+# Pause before the next attempt: a predecessor that closes without an answer is being replaced by another.
 TAKEOVER_RETRY_DELAY_S = 0.05
 # The exported state grows with the endpoint list and the teams; their bounds keep it far below this.
 MAX_STATE_BYTES = 16 << 20
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -201,7 +201,7 @@
             """Loads large enough to fill the stream of a peer that does not read."""
             return PeerResources(loads={b"x" * heartbeat_bytes: []})
 
-        def handle_peer_gone(self, peer: PeerProcess) -> None:
+        def handle_peer_disconnected(self, peer: PeerProcess) -> None:
             """Record the peer that was disconnected."""
             self.gone_peer = peer
 
