--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,10 @@
-"""Random legal sequences of events, played against a simulation that checks the rules on every action."""
+"""Property tests of the balancer: random event sequences against a simulation that checks every action.
+
+A request gets one final answer in time, an attempt only where a retry is allowed and the endpoint may serve,
+and a warming-up endpoint no more attempts than slow start permits.
+
+Hypothesis derives the seed of a derandomized test from its source text: editing one changes its examples.
+"""
 
 from __future__ import annotations
 
@@ -44,13 +50,13 @@
 from linnetshift.routing.settings import Effect, Scope, Settings
 
 BATCH_NS = 4 * MS
-"""Interval at which the balancer is given events."""
+"""Interval between the balancer's batches of events."""
 
 FAILURES = [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
 class AttemptInFlight(NamedTuple):
-    """An attempt whose end is still to come."""
+    """An attempt without a result so far."""
 
     number: int
     endpoint: bytes
@@ -65,7 +71,7 @@
 
 
 class Simulation:
-    """Endpoints that fail at random; answers every attempt and asserts that each action keeps the rules."""
+    """Endpoints that fail at random: asserts the rules on each action and schedules each attempt's result."""
 
     def __init__(self, seed: int, failure_probability: float, **changes: Any) -> None:
         self.random = random.Random(seed)
@@ -73,39 +79,44 @@
         self.settings = Settings.parse(raw_settings(**changes))
         self.balancer = Balancer(self.settings, seed)
         self.now = S
-        self.due: list[tuple[int, int, Event]] = []
-        self.order = 0
-        self.deadlines: dict[int, int] = {}  # of open requests
+        self.scheduled: list[tuple[int, int, Event]] = []
+        self.scheduled_count = 0
+        self.deadlines: dict[int, int] = {}  # of unanswered requests
         self.in_flight: dict[int, AttemptInFlight] = {}  # by request
         self.attempts: dict[int, int] = {}  # number of the latest attempt, by request
-        self.established: dict[int, bytes] = {}
+        self.established: dict[int, bytes] = {}  # endpoint by request
         self.possible_executions: dict[int, PossibleExecution] = {}  # by request
         self.unavailable_since: dict[bytes, int] = {}
-        self.zone = {endpoint(n): entry(n).zone for n in range(12)}
+        self.zones = {endpoint(n): entry(n).zone for n in range(12)}
         self.answered = 0
-        self.state: dict[bytes, int] = {endpoint(n): EndpointState.READY for n in range(12)}
-        self.started: dict[bytes, int] = {}
+        self.states: dict[bytes, int] = {endpoint(n): EndpointState.READY for n in range(12)}
+        self.started_at: dict[bytes, int] = {}
         self.slow_start_sends: dict[bytes, list[int]] = {}
         self.established_total = 0
         self.max_established = 0
         self.min_total_capacity = 12.0
 
     def warm_up_factor(self, endpoint_id: bytes) -> float:
-        age = (self.now - self.started.get(endpoint_id, -(10**12))) / self.settings.warm_up_ns
+        """Share of its full capacity that the endpoint has by now, from 0 to 1."""
+        progress = (self.now - self.started_at.get(endpoint_id, -(10**12))) / self.settings.warm_up_ns
         return min(
-            1.0, self.settings.initial_capacity_share + (1 - self.settings.initial_capacity_share) * age
+            1.0,
+            self.settings.initial_capacity_share + (1 - self.settings.initial_capacity_share) * progress,
         )
 
     def check_slow_start(self, endpoint_id: bytes) -> None:
-        """The slow-start budget as far as one balancer can keep it: its sends in any overload window.
+        """Assert that this balancer's sends to a warming-up endpoint stay within its slow-start budget.
 
-        All balancers are taken to send as many. A warm endpoint of this size gets at most what the balancer
-        ever had or saw established, shared over the listed weights; one token may be left from before.
+        The budget is per overload window and assumes that all balancers send equally. The rate of a warm
+        endpoint is bounded by the most connections the balancer has had established, and by all it has
+        established, divided by the listed capacity. One slow-start token may be left from before the window.
         """
-        total = sum(
-            int(self.warm_up_factor(h) * 8) / 8 for h, s in self.state.items() if s != EndpointState.REMOVED
+        total_capacity = sum(
+            int(self.warm_up_factor(listed_id) * 8) / 8
+            for listed_id, state in self.states.items()
+            if state != EndpointState.REMOVED
         )
-        self.min_total_capacity = min(self.min_total_capacity, total)
+        self.min_total_capacity = min(self.min_total_capacity, total_capacity)
         if self.warm_up_factor(endpoint_id) >= 1.0:
             return
         window, warm_up = self.settings.overload_window_ns, self.settings.warm_up_ns
@@ -118,8 +129,8 @@
         assert recent <= 2 + self.settings.overload_multiple * connections_per_s * window / S
 
     def call_later(self, delay: int, event: Event) -> None:
-        self.order += 1
-        heapq.heappush(self.due, (self.now + delay, self.order, event))
+        self.scheduled_count += 1
+        heapq.heappush(self.scheduled, (self.now + delay, self.scheduled_count, event))
 
     def feed(self, events: list[Event]) -> None:
         for action in self.balancer.step(self.now, events):
@@ -128,7 +139,7 @@
             assert self.now <= deadline + self.settings.answer_slack_ns, f"{request} is overdue"
 
     def check(self, action: Action) -> None:
-        """Assert that the action keeps the rules, and carry it out."""
+        """Assert that the action is allowed, and carry it out."""
         match action:
             case Send():
                 self.check_send(action)
@@ -159,10 +170,10 @@
         attempt = self.attempts[request] = self.attempts.get(request, -1) + 1
         assert attempt < self.settings.classes[0].max_attempts
         self.in_flight[request] = AttemptInFlight(attempt, endpoint_id, self.now)
-        self.answer(request, attempt, endpoint_id, min(timeout, self.deadlines[request] - self.now))
+        self.schedule_result(request, attempt, endpoint_id, min(timeout, self.deadlines[request] - self.now))
 
     def check_reject(self, request: int) -> None:
-        """A rejected request has no attempt in flight, and a retry of its client does no harm."""
+        """Assert that a rejected request has no attempt in flight and is safe for its client to retry."""
         request_class = self.settings.classes[0]
         assert request not in self.in_flight
         assert (
@@ -173,21 +184,22 @@
         self.check_answer(request)
 
     def check_answer(self, request: int) -> None:
-        """A final answer comes once, to an open request."""
+        """Assert that the request has had no final answer so far, and record this one."""
         assert request in self.deadlines
         del self.deadlines[request]
         self.answered += 1
 
     def check_retry_allowed(self, request: int, endpoint_id: bytes) -> None:
+        """Assert that a request that may have been executed is retried only where its effect allows it."""
         request_class = self.settings.classes[0]
         if request not in self.possible_executions or request_class.effect == Effect.IDEMPOTENT:
             return
         first = self.possible_executions[request]
         assert request_class.effect == Effect.IDEMPOTENT_BY_KEY
         assert self.now - first.sent_at <= request_class.idempotency_window_ns
-        assert request_class.scope == Scope.ALL or self.zone[endpoint_id] == self.zone[first.endpoint]
+        assert request_class.scope == Scope.ALL or self.zones[endpoint_id] == self.zones[first.endpoint]
 
-    def answer(self, request: int, attempt: int, endpoint_id: bytes, timeout: int) -> None:
+    def schedule_result(self, request: int, attempt: int, endpoint_id: bytes, timeout: int) -> None:
         delay = self.random.randrange(1, 300) * MS
         if self.random.random() >= self.failure_probability and delay < timeout:
             self.call_later(delay, ConnectionEstablished(request, attempt, endpoint_id, delay))
@@ -197,9 +209,10 @@
         self.call_later(delay, AttemptEnded(request, attempt, endpoint_id, False, delay, outcome, ()))
 
     def advance(self, until: int) -> None:
-        while self.due and self.due[0][0] <= until:
-            at, _, event = heapq.heappop(self.due)
-            self.now = max(self.now, -(-at // BATCH_NS) * BATCH_NS)  # the balancer gets events in batches
+        """Deliver the scheduled events up to this time, each at the next batch interval."""
+        while self.scheduled and self.scheduled[0][0] <= until:
+            at, _, event = heapq.heappop(self.scheduled)
+            self.now = max(self.now, -(-at // BATCH_NS) * BATCH_NS)  # rounded up to the batch interval
             match event:
                 case ConnectionEstablished(request, _, endpoint_id, _):
                     del self.in_flight[request]
@@ -218,7 +231,7 @@
 
 
 class SendRequests(NamedTuple):
-    """So many requests arrive."""
+    """This many requests arrive."""
 
     request_count: int
 
@@ -237,13 +250,13 @@
 
 
 class RestartEndpoint(NamedTuple):
-    """An endpoint is started again and listed as ready."""
+    """An endpoint restarts and is listed as ready."""
 
     endpoint_number: int
 
 
 class ReportLatency(NamedTuple):
-    """Each established connection reports a slow message."""
+    """Each established connection reports a slow message, of this latency."""
 
     latency_ms: float
 
@@ -290,14 +303,14 @@
 ]
 
 
-class Player:
-    """Plays the drawn steps against a simulation."""
+class StepRunner:
+    """Carries out the drawn steps in a simulation."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
         self.last_request_id = 0
 
-    def play(self, step: Step) -> None:
+    def run(self, step: Step) -> None:
         match step:
             case SendRequests(request_count):
                 for _ in range(request_count):
@@ -325,28 +338,33 @@
         group = simulation.random.randrange(8)
         simulation.feed([Request(number, 0, group, number, 0, flags, 0, budget)])
 
-    def change_state(self, n: int, state: int) -> None:
+    def change_state(self, endpoint_number: int, state: int) -> None:
         simulation = self.simulation
-        changed = entry(n, state=state)
-        simulation.state[changed.endpoint] = state
-        simulation.started.pop(changed.endpoint, None)
+        changed = entry(endpoint_number, state=state)
+        simulation.states[changed.endpoint] = state
+        simulation.started_at.pop(changed.endpoint, None)
         if state == EndpointState.READY:
             simulation.unavailable_since.pop(changed.endpoint, None)
         else:
             simulation.unavailable_since.setdefault(changed.endpoint, simulation.now)
         simulation.feed([EndpointList(ListForm.DELTA, 2, (changed,))])
 
-    def restart_endpoint(self, n: int) -> None:
+    def restart_endpoint(self, endpoint_number: int) -> None:
         simulation = self.simulation
-        simulation.unavailable_since.pop(endpoint(n), None)
-        simulation.state[endpoint(n)] = EndpointState.READY
-        simulation.started[endpoint(n)] = simulation.now
-        simulation.slow_start_sends.pop(endpoint(n), None)
-        simulation.feed([EndpointList(ListForm.DELTA, 2, (entry(n, started_ns=simulation.now),))])
+        simulation.unavailable_since.pop(endpoint(endpoint_number), None)
+        simulation.states[endpoint(endpoint_number)] = EndpointState.READY
+        simulation.started_at[endpoint(endpoint_number)] = simulation.now
+        simulation.slow_start_sends.pop(endpoint(endpoint_number), None)
+        simulation.feed(
+            [EndpointList(ListForm.DELTA, 2, (entry(endpoint_number, started_ns=simulation.now),))]
+        )
 
-    def report_latency(self, ms: float) -> None:
+    def report_latency(self, latency_ms: float) -> None:
         simulation = self.simulation
-        notes = [ConnectionNote(r, 0, h, SLOW_NOTE, ms) for r, h in simulation.established.items()]
+        notes = [
+            ConnectionNote(request, 0, endpoint_id, SLOW_NOTE, latency_ms)
+            for request, endpoint_id in simulation.established.items()
+        ]
         for note in notes:
             if note.request_id in simulation.established:  # an earlier note may have migrated the connection
                 simulation.feed([note])
@@ -362,14 +380,15 @@
 
 
 def play(simulation: Simulation, steps: list[Step]) -> None:
+    """Run the steps, let all deadlines pass, and check that requests and counts of open connections agree."""
     simulation.feed([EndpointList(ListForm.CACHED, 1, tuple(entry(n) for n in range(12)))])
-    player = Player(simulation)
+    runner = StepRunner(simulation)
     for step in steps:
-        player.play(step)
+        runner.run(step)
     simulation.advance(simulation.now + 5 * S)
     assert not simulation.deadlines
     assert set(simulation.balancer.requests) == set(simulation.established)
-    assert sum(h.in_flight for h in simulation.balancer.endpoints.values()) == len(simulation.established)
+    assert sum(e.in_flight for e in simulation.balancer.endpoints.values()) == len(simulation.established)
     assert len(simulation.balancer.requests.waiting) == 0
 
 
@@ -402,7 +421,7 @@
 
 
 def actions_of_play(seed: int, steps: list[Step]) -> list[Action]:
-    """All actions of a balancer while the steps are played against a new simulation."""
+    """All actions of the balancer while the steps run in a new simulation."""
     simulation = Simulation(seed, 0.4)
     actions: list[Action] = []
     step = simulation.balancer.step
