--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Attempts, retries by effect, deadlines and final answers."""
+"""Decisions on requests: attempts, retries by effect, avoided endpoints, migrations and final answers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 def test_full_and_failed_connects_are_retried_at_next_rank() -> None:
     balancer = make_balancer(8)
-    ranks = [h.id for h in balancer.ranking.ranked(key_hash(request(1)))]
+    ranks = [candidate.id for candidate in balancer.ranking.ranked(key_hash(request(1)))]
     first = single_send(balancer.step(2 * S, [request(1)]))
     (second,) = only(balancer.step(2 * S + MS, [ended(first, 0, Outcome.FULL)]), Send)
     (third,) = only(balancer.step(2 * S + 2 * MS, [ended(second, 1, Outcome.CONNECT_FAILED)]), Send)
@@ -53,22 +53,24 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_once_request_is_neither_retried_nor_rejected_after_possible_execution(outcome: Outcome) -> None:
+def test_not_idempotent_request_is_neither_retried_nor_rejected_after_possible_execution(
+    outcome: Outcome,
+) -> None:
     balancer = make_balancer(**effect("once"))
     send = single_send(balancer.step(2 * S, [request(1)]))
     balancer.step(2 * S + MS, [ended(send, 0, outcome)])
-    later = [a for t in range(1, 500) for a in balancer.step(2 * S + t * 4 * MS, [TimerFired(1 << 16)])]
-    assert not only(later, Send)
-    assert not only(later, Reject)
+    actions = [a for t in range(1, 500) for a in balancer.step(2 * S + t * 4 * MS, [TimerFired(TICK_TOKEN)])]
+    assert not only(actions, Send)
+    assert not only(actions, Reject)
 
 
-def test_once_request_is_retried_when_it_never_ran() -> None:
+def test_not_idempotent_request_is_retried_when_its_connect_failed() -> None:
     balancer = make_balancer(**effect("once"))
     send = single_send(balancer.step(2 * S, [request(1)]))
     assert only(balancer.step(2 * S + MS, [ended(send, 0, Outcome.CONNECT_FAILED)]), Send)
 
 
-def test_keyed_retries_stay_in_scope_and_idempotency_window() -> None:
+def test_retries_by_idempotency_key_stay_in_scope_and_window() -> None:
     balancer = make_balancer(30, **effect("by_key", "zone"))
     send = single_send(balancer.step(2 * S, [request(1)]))
     zone = balancer.endpoints[send.endpoint].zone
@@ -97,10 +99,10 @@
     assert not balancer.requests
 
 
-@pytest.mark.parametrize("endpoints", [0, 1])
-def test_request_without_usable_endpoint_is_answered_before_its_deadline(endpoints: int) -> None:
-    balancer = make_balancer(endpoints)
-    if endpoints:
+@pytest.mark.parametrize("endpoint_count", [0, 1])
+def test_request_without_usable_endpoint_is_rejected_before_its_deadline(endpoint_count: int) -> None:
+    balancer = make_balancer(endpoint_count)
+    if endpoint_count:
         balancer.step(1 * S, [listed(entry(0, state=EndpointState.DRAINING), form=ListForm.DELTA)])
     now = 2 * S
     actions = balancer.step(now, [request(1)])
@@ -113,7 +115,7 @@
     assert not balancer.requests
 
 
-def test_plain_ranking_decides_when_every_endpoint_is_unreachable() -> None:
+def test_first_ranked_endpoint_is_tried_when_all_are_unreachable() -> None:
     balancer = make_balancer(3)
     now = 2 * S
     for number in range(3):
@@ -125,24 +127,24 @@
             if not sends:
                 break
             (send,), attempt = sends, attempt + 1
-    best = next(balancer.ranking.ranked(key_hash(request(9)))).id
+    first_ranked = next(balancer.ranking.ranked(key_hash(request(9)))).id
     sends = only(balancer.step(now + MS, [request(9)]), Send)
-    assert [s.endpoint for s in sends] == [best]
+    assert [s.endpoint for s in sends] == [first_ranked]
 
 
-def test_ejected_endpoint_is_avoided_and_readmitted_after_one_half_open_attempt() -> None:
+def test_ejected_endpoint_is_used_again_after_one_successful_half_open_attempt() -> None:
     balancer = make_balancer(8)
     send = single_send(balancer.step(2 * S, [request(1, group=5)]))
-    failed = send.endpoint
+    ejected = send.endpoint
     balancer.step(2 * S + MS, [ended(send, 0, Outcome.CONNECT_FAILED, MS)])
     (other,) = only(balancer.step(2 * S + 2 * MS, [request(2, group=5)]), Send)
-    assert other.endpoint != failed
+    assert other.endpoint != ejected
     half_open, next_send = only(balancer.step(4 * S, [request(3, group=5), request(4, group=5)]), Send)
-    assert half_open.endpoint == failed
-    assert next_send.endpoint != failed
-    balancer.step(4 * S + MS, [ConnectionEstablished(3, 0, failed, MS)])
-    (readmitted,) = only(balancer.step(4 * S + 2 * MS, [request(5, group=5)]), Send)
-    assert readmitted.endpoint == failed
+    assert half_open.endpoint == ejected
+    assert next_send.endpoint != ejected
+    balancer.step(4 * S + MS, [ConnectionEstablished(3, 0, ejected, MS)])
+    (next_send,) = only(balancer.step(4 * S + 2 * MS, [request(5, group=5)]), Send)
+    assert next_send.endpoint == ejected
 
 
 def test_slow_endpoint_is_avoided_until_its_messages_are_fast_again() -> None:
@@ -153,8 +155,8 @@
     (other,) = only(balancer.step(2 * S + 3 * MS, [request(2, group=5)]), Send)
     assert other.endpoint != send.endpoint
     balancer.step(2 * S + 4 * MS, [ConnectionNote(1, 0, send.endpoint, SLOW_NOTE, 5.0)])
-    (readmitted,) = only(balancer.step(2 * S + 5 * MS, [request(3, group=5)]), Send)
-    assert readmitted.endpoint == send.endpoint
+    (next_send,) = only(balancer.step(2 * S + 5 * MS, [request(3, group=5)]), Send)
+    assert next_send.endpoint == send.endpoint
 
 
 def test_events_of_withdrawn_and_unknown_requests_are_ignored() -> None:
@@ -168,7 +170,7 @@
     )
     assert balancer.step(2 * S + 4 * MS, [ConnectionNote(1, 0, endpoint(200), SLOW_NOTE, 1e9)]) == []
     assert not balancer.requests
-    assert all(not h.in_flight and not h.established for h in balancer.endpoints.values())
+    assert all(not e.in_flight and not e.established for e in balancer.endpoints.values())
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -5.0])
@@ -198,7 +200,7 @@
     assert not balancer.endpoints[endpoint(1)].established
 
 
-def test_concurrent_setups_stay_within_limit_that_success_raises() -> None:
+def test_concurrent_setups_stay_within_limit_and_successes_raise_it() -> None:
     balancer = make_balancer(8, concurrency_limit=8.0)
     now = 2 * S
     sends = only(balancer.step(now, [request(n) for n in range(300)]), Send)
@@ -207,7 +209,7 @@
     for _ in range(6):
         now += 50 * MS
         balancer.step(now, [ConnectionEstablished(s.request_id, 0, s.endpoint, 50 * MS) for s in sends])
-        sends = only(balancer.step(now, [TimerFired(1 << 16)]), Send)
+        sends = only(balancer.step(now, [TimerFired(TICK_TOKEN)]), Send)
         setups.append(len(sends))
     assert setups[0] == 16
     assert setups[1] == 32
@@ -229,14 +231,15 @@
     assert balancer.requests.setups_in_flight == 0
 
 
-def establish(balancer: Balancer, connections: int) -> list[ConnectionEstablished]:
-    sends = only(balancer.step(2 * S, [request(n, group=n + 1) for n in range(connections)]), Send)
+def establish(balancer: Balancer, connection_count: int) -> list[ConnectionEstablished]:
+    """Establish connections of as many requests, each in its own group, and return their events."""
+    sends = only(balancer.step(2 * S, [request(n, group=n + 1) for n in range(connection_count)]), Send)
     established = [ConnectionEstablished(s.request_id, 0, s.endpoint, MS) for s in sends]
     balancer.step(2 * S + MS, established)
     return established
 
 
-def test_migrations_off_slow_endpoint_are_few_and_need_a_better_one() -> None:
+def test_few_connections_migrate_off_slow_endpoint_and_none_without_another_endpoint() -> None:
     balancer = make_balancer(4)
     established = establish(balancer, 200)
     slow_endpoint = established[0].endpoint
@@ -246,9 +249,9 @@
         Migrate,
     )
     assert 0 < len(migrations) <= connection_count * 0.05 + 1
-    only_balancer = make_balancer(1)
-    established = establish(only_balancer, 50)
-    assert not only(only_balancer.step(3 * S, [ConnectionNote(0, 0, endpoint(0), SLOW_NOTE, 45.0)]), Migrate)
+    balancer = make_balancer(1)
+    established = establish(balancer, 50)
+    assert not only(balancer.step(3 * S, [ConnectionNote(0, 0, endpoint(0), SLOW_NOTE, 45.0)]), Migrate)
 
 
 def test_every_balancer_sheds_same_keys_when_most_endpoints_are_slow() -> None:
@@ -260,7 +263,7 @@
         now = 3 * S
         for _ in range(4):
             now += S
-            balancer.step(now, [ConnectionNote(r, 0, h, SLOW_NOTE, 500.0) for h, r in by_endpoint.items()])
+            balancer.step(now, [ConnectionNote(r, 0, e, SLOW_NOTE, 500.0) for e, r in by_endpoint.items()])
         rejected = only(balancer.step(now + MS, [request(500 + n, group=n + 1) for n in range(300)]), Reject)
         assert 150 < len(rejected) < 280
         assert all(r.retry_after_ns > 0 for r in rejected)
@@ -280,7 +283,7 @@
     assert all(balancer.endpoints[s.endpoint].zone != 1 for s in sends)
 
 
-def test_drops_of_one_overloaded_endpoint_do_not_mark_its_zone_failed() -> None:
+def test_resets_of_one_endpoint_do_not_mark_its_zone_failed() -> None:
     balancer = make_balancer(30)
     established = establish(balancer, 300)
     overloaded = next(s.endpoint for s in established if balancer.endpoints[s.endpoint].zone == 1)
@@ -293,7 +296,7 @@
     sends = only(balancer.step(3 * S + MS, [request(1000 + n) for n in range(200)]), Send)
     used = {s.endpoint for s in sends}
     assert overloaded not in used
-    assert any(balancer.endpoints[h].zone == 1 for h in used)
+    assert any(balancer.endpoints[e].zone == 1 for e in used)
 
 
 def balancer_with_health_checks(endpoints: int = 8) -> Balancer:
@@ -306,7 +309,7 @@
 
 def test_first_ranked_endpoint_is_health_checked_and_avoided_when_loaded() -> None:
     balancer = balancer_with_health_checks()
-    ranks = [h.id for h in balancer.ranking.ranked(key_hash(request(1)))]
+    ranks = [candidate.id for candidate in balancer.ranking.ranked(key_hash(request(1)))]
     (check,) = only(balancer.step(2 * S, [request(1)]), HealthCheck)
     assert check.endpoint == ranks[0]
     (check,) = only(
@@ -338,7 +341,7 @@
     while not only(actions, HealthCheck) or only(actions, HealthCheck)[0] == unanswered:
         now += 50 * MS
         assert now < 2 * S + 300 * MS
-        actions = balancer.step(now, [TimerFired(1 << 16)])
+        actions = balancer.step(now, [TimerFired(TICK_TOKEN)])
     (check,) = only(actions, HealthCheck)
     (send,) = only(
         balancer.step(now + MS, [HealthCheckResult(check.endpoint, Outcome.OK, MS, (3.0, 0.1))]),
@@ -377,7 +380,7 @@
     (send,) = only(balancer.step(2 * S, [request(1)]), Send)
     actions = balancer.step(2 * S + MS, [ended(send, 0, Outcome.CONNECT_FAILED)])
     assert only(actions, SendPeerMessage) == [SendPeerMessage(ALL_PEERS, b"s" + send.endpoint)]
-    other = next(h for h in balancer.endpoints if h != send.endpoint)
+    other = next(e for e in balancer.endpoints if e != send.endpoint)
     for sender, data in (
         (1, b""),
         (1, b"s"),
@@ -394,7 +397,7 @@
 def test_admitted_connections_migrate_off_slow_endpoint_when_others_are_healthy() -> None:
     balancer = make_balancer(10)
     established = establish(balancer, 300)
-    balancer.admission.load_shedding.admitted_share = 0.5  # still shedding after an overload
+    balancer.admission.load_shedding.admitted_share = 0.5  # load shedding continues after an overload
     slow_endpoint = established[0].endpoint
     for _ in range(40):  # connections that are not admitted migrate first
         balancer.step(
@@ -414,11 +417,11 @@
             assert migrations
             assert len(migrations) <= before * 0.15 + 1
             return
-    raise AssertionError("the endpoint never came down to its admitted connections")
+    raise AssertionError("connections that are not admitted were not all migrated")
 
 
 def test_endpoint_with_errors_that_others_do_not_share_is_avoided() -> None:
-    # An endpoint that answered everything with an error went on getting the first attempt of all its keys.
+    # Otherwise an endpoint that only answers with errors keeps getting the first attempt for all of its keys.
     balancer = make_balancer(8)
     for number in (1, 2):
         (first,) = only(balancer.step(2 * S, [request(number, key=5)]), Send)
@@ -428,7 +431,7 @@
     assert second.endpoint == next_send.endpoint != first.endpoint
 
 
-def test_request_that_two_endpoints_fail_is_failed_without_blaming_them() -> None:
+def test_request_that_two_endpoints_fail_is_failed_and_they_are_not_avoided() -> None:
     balancer = make_balancer(8)
     (first,) = only(balancer.step(2 * S, [request(1)]), Send)
     (second,) = only(balancer.step(2 * S, [ended(first, 0, Outcome.ERROR)]), Send)
@@ -438,11 +441,11 @@
 
 
 def test_failed_request_is_not_retried_at_same_endpoint() -> None:
-    # With the other endpoints avoided, a request went back to the one that had failed it, and failed finally.
+    # While all other endpoints are avoided, a retry at the one that failed the request would fail it finally.
     balancer = make_balancer(2)
     first = single_send(balancer.step(2 * S, [request(1)]))
-    other = next(h for h in balancer.endpoints.values() if h.id != first.endpoint)
-    other.over_objective_until = 3 * S
+    other = next(e for e in balancer.endpoints.values() if e.id != first.endpoint)
+    other.over_objective_until = 3 * S  # avoided
     assert not only(balancer.step(2 * S, [ended(first, 0, Outcome.ERROR)]), Send)
     other.over_objective_until = 0
     (second,) = only(balancer.step(2 * S + 50 * MS, [TimerFired(TICK_TOKEN)]), Send)
