--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -1,8 +1,7 @@
-"""The final answer of a request: each state of it against each event that ends a connection or the process.
+"""Final answers: each state of a request against each event that ends a connection or the process.
 
-The unfavourable order is forced: connections that are established late (a full accept queue at the
-endpoint), and a process that is stopped while both ends act, so that it finds both events in one turn and
-in that order.
+The races are forced: a full accept queue at the endpoint delays a connection, and the process is stopped
+(SIGSTOP) while both ends act, so that it finds both events in one turn of the loop and in that order.
 """
 
 from __future__ import annotations
@@ -61,7 +60,7 @@
 
 
 def test_endpoint_drained_while_connecting_is_sent_nothing(tmp_path: Path) -> None:
-    # The list used to be checked at the decision only, up to a connect timeout before the line was sent.
+    # The decision may be a connect timeout old when the line is sent: the list must be checked again.
     with proxy_with_long_timeouts(tmp_path) as running:
         best, other = ranked(running)
         client = connecting_request(running, best)
@@ -75,10 +74,10 @@
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 @pytest.mark.parametrize("ending", ["fin", "reset"])
-def test_request_of_departed_client_is_not_sent_when_connection_is_established(
+def test_request_of_disconnected_client_is_not_sent_when_connection_is_established(
     tmp_path: Path, frontend: str, ending: Ending
 ) -> None:
-    # The connection used to be handled before the client's close was read, although the close came first.
+    # Both are found in one turn: the client's close must be read before the connection is handled.
     with proxy_with_long_timeouts(tmp_path, broker_toml=CHANNELS_ENABLED) as running:
         best, _ = ranked(running)
         best.fill_accept_queue()
@@ -104,7 +103,7 @@
 def test_request_is_not_sent_when_client_close_follows_unread_bytes(
     tmp_path: Path, unread_bytes: int
 ) -> None:
-    # Peeking at the next byte only finds data; over 64 KiB not even the kernel has received the close.
+    # Peeking at the socket finds the data, not the close; above 64 KiB the kernel has not received the close.
     with proxy_with_long_timeouts(tmp_path) as running:
         best, _ = ranked(running)
         client = connecting_request(running, best)
@@ -123,34 +122,33 @@
     with proxy_with_long_timeouts(tmp_path, broker_toml=CHANNELS_ENABLED) as running:
         best, _ = ranked(running)
         best.fill_accept_queue()
-        terminal = ChannelsClient(running.channels_port)
-        terminal.open(5, key=KEY, wait_ms=LONG_DEADLINE_MS)
+        client = ChannelsClient(running.channels_port)
+        client.open(5, key=KEY, wait_ms=LONG_DEADLINE_MS)
         best.wait_until_connecting()
         with running.stopped():
             best.empty_accept_queue()
             endpoint = best.accept()
-            terminal.send_message(
-                MessageNumber.IGNORE, b"never mind"
-            )  # IGNORE, which does not announce the close
-            terminal.close()
+            # IGNORE is a packet that does not announce the close.
+            client.send_message(MessageNumber.IGNORE, b"never mind")
+            client.close()
         assert endpoint.line() == b""
         running.logged("side=channel")
 
 
-def test_requests_of_departed_clients_are_not_sent_after_a_burst(tmp_path: Path) -> None:
-    # Eight are connecting, the others queued; all clients close while the process is stopped, and then the
-    # connections are established.
+def test_requests_of_disconnected_clients_are_not_sent_after_a_burst(tmp_path: Path) -> None:
+    # Eight requests are connecting, the others queued. All clients close while the process is stopped, and
+    # then the connections are established.
     with proxy_with_long_timeouts(tmp_path) as running:
         best, _ = ranked(running)
         best.fill_accept_queue()
-        departed_clients = [
+        closed_clients = [
             running.client(REQUEST_LINE.replace(b"77", b"%d" % number) % LONG_DEADLINE_MS)
             for number in range(100, 160)
         ]
         best.wait_until_connecting()
         assert running.alive()
         with running.stopped():
-            for client in departed_clients:
+            for client in closed_clients:
                 client.close()
             best.empty_accept_queue()
         next_client = running.client(REQUEST_LINE % LONG_DEADLINE_MS)
@@ -165,18 +163,18 @@
     with proxy_with_long_timeouts(tmp_path) as running:
         best, _ = ranked(running)
         with running.stopped():
-            departed_clients = [
+            closed_clients = [
                 running.client(REQUEST_LINE.replace(b"77", b"%d" % number) % LONG_DEADLINE_MS)
                 for number in range(100, 108)
             ]
-            for client in departed_clients:
+            for client in closed_clients:
                 client.close()
         next_client = running.client(REQUEST_LINE % LONG_DEADLINE_MS)
         assert best.accept().line().startswith(b"OPEN 77 ")
         assert next_client
 
 
-def test_queued_request_of_departed_client_is_not_sent(tmp_path: Path) -> None:
+def test_queued_request_of_disconnected_client_is_not_sent(tmp_path: Path) -> None:
     with proxy_with_long_timeouts(tmp_path) as running:
         best, _ = ranked(running)
         client, in_flight = queued_request(running, best)
@@ -189,8 +187,8 @@
         assert next_client
 
 
-def test_endpoint_that_closes_on_accept_proves_nothing_was_executed(tmp_path: Path) -> None:
-    # The line used to be written to a connection known to be closed, and counted as possibly executed.
+def test_not_idempotent_request_is_retried_when_endpoint_closes_on_accept(tmp_path: Path) -> None:
+    # A line written to a connection known to be closed would make the request count as possibly executed.
     with proxy_with_long_timeouts(tmp_path, **NOT_IDEMPOTENT) as running:
         best, other = ranked(running)
         client = connecting_request(running, best)
@@ -202,7 +200,7 @@
 
 
 def test_retry_is_not_sent_after_its_idempotency_window(tmp_path: Path) -> None:
-    # The window used to be checked at the decision only, not when the line was sent on the connection.
+    # The window must be checked again when the line is sent, not only at the decision to retry.
     idempotency = {"effect": "by_key", "group": "all", "windowNs": 2 * S}
     service = {**settings()["services"][0], "aimNs": 10 * S, "hardLimitNs": 20 * S, **idempotency}
     with started_proxy(tmp_path, 2, services=[service], allowed={"connectTimeoutNs": 1500 * MS}) as running:
@@ -220,12 +218,12 @@
 
 
 def test_retry_that_could_miss_its_idempotency_window_is_not_started(tmp_path: Path) -> None:
-    # The connect timeout is 10 s.
+    # The connect timeout is 10 s: the retry might be sent after the window of 5 s.
     with proxy_with_long_timeouts(tmp_path, effect="by_key", group="all", windowNs=5 * S) as running:
         best, _ = ranked(running)
         client, endpoint = sent_request(running, best)
         endpoint.send(b"ERR\r\n")
-        assert client.line() == b"BUSY 1000\r\n"  # after which the client's own retry is within the window
+        assert client.line() == b"BUSY 1000\r\n"  # the client's own retry after 1 s is within the window
         running.logged("side=client reason=rejected .*attempts=1")
 
 
@@ -275,7 +273,7 @@
 
 @pytest.mark.parametrize("state", ["queued", "connecting", "sent"])
 @pytest.mark.parametrize("end_connection", [close_with_fin, close_with_reset])
-def test_departed_client_ends_its_request_in_each_state(
+def test_disconnected_client_ends_its_request_in_each_state(
     tmp_path: Path, state: str, end_connection: Callable[[PeerConnection], None]
 ) -> None:
     with proxy_with_long_timeouts(tmp_path) as running:
@@ -309,10 +307,10 @@
     ],
 )
 @pytest.mark.parametrize("end", ["half-close", "shutdown"])
-def test_possibly_executed_request_is_never_rejected_as_retry_safe(
+def test_ended_request_is_rejected_only_where_a_retry_is_safe(
     tmp_path: Path, state: str, class_settings: dict[str, Any], answer: bytes, end: str
 ) -> None:
-    # At a graceful shutdown, and after a client's half-close, all used to be answered with BUSY.
+    # BUSY states that a retry is safe; a graceful shutdown or a client's half-close does not make it so.
     with proxy_with_long_timeouts(tmp_path, **class_settings) as running:
         best, _ = ranked(running)
         client, _endpoint, _in_flight = request_in_state(running, best, state)
@@ -380,7 +378,7 @@
 
 
 def test_slow_reader_receives_everything_before_its_migration(tmp_path: Path) -> None:
-    # It used to be closed half a second after MOVE, and lost what it had not read yet, MOVE included.
+    # A close half a second after MOVE would discard what the client has not read yet, MOVE included.
     with started_proxy(tmp_path, 2) as running:
         best, _ = ranked(running)
         client = running.open()
@@ -404,13 +402,13 @@
 
 
 def test_graceful_shutdown_answers_the_accept_queue(tmp_path: Path) -> None:
-    # 64 are accepted per turn; those behind them used to be reset when the listener closed.
+    # 64 are accepted per turn; the connections behind them would be reset when the listener closes.
     with started_proxy(tmp_path) as running:
         running.terminate()
         running.logged("event=shutdown-started")
         with running.stopped():
             clients = [running.open(1000) for _ in range(200)]
-            time.sleep(0.7)  # past the time in which new connections are still accepted
+            time.sleep(0.7)  # longer than connections are accepted after the signal
         for client in clients:
             assert client.line()[:4] in (b"BUSY", b"ERR\r")
             client.close()
@@ -439,7 +437,7 @@
 def test_idle_client_gets_busy_at_shutdown_and_its_later_request_is_not_sent(
     tmp_path: Path, sent_before: bytes
 ) -> None:
-    # It used to be reset at the exit, and a line that arrived at that moment was lost.
+    # Without an answer it would be reset at the exit, and a line that arrives at that moment would be lost.
     with started_proxy(tmp_path) as running:
         idle_client = running.client(sent_before)
         if sent_before.endswith(b"\n"):
@@ -449,7 +447,7 @@
         running.terminate()
         assert idle_client.line() == b"BUSY\r\n"
         assert idle_client.ended() == "fin"
-        idle_client.send(REQUEST_LINE % 2000)  # as a client would that has not seen the close yet
+        idle_client.send(REQUEST_LINE % 2000)  # from a client that has not seen the close yet
         idle_client.close()
         assert running.process.wait(WAIT_S) == 0
         running.logged("event=shutdown-finished")
@@ -489,7 +487,7 @@
         assert running.process.wait(WAIT_S) == 0
 
 
-def test_last_answer_survives_unread_input(tmp_path: Path) -> None:
+def test_last_answer_is_delivered_despite_unread_input(tmp_path: Path) -> None:
     with started_proxy(tmp_path) as running:
         client, endpoint = running.establish()
         running.terminate()
@@ -497,7 +495,7 @@
         with running.stopped():
             client.send(b"half a line")
             endpoint.send(b"so is this")
-            time.sleep(3.5)  # both the migration time and the exit deadline are over at once
+            time.sleep(3.5)  # both the migration time and the exit deadline have passed
         assert client.line() == b"MOVE\r\n"
         assert client.ended() == "fin"
         client.close()
@@ -519,7 +517,7 @@
         assert running.process.wait(WAIT_S) == 0
 
 
-def test_each_client_is_answered_when_connections_flood_in_during_shutdown(tmp_path: Path) -> None:
+def test_each_client_is_answered_while_many_connect_during_shutdown(tmp_path: Path) -> None:
     with proxy_with_long_timeouts(tmp_path) as running:
         best, _ = ranked(running)
         client = running.client(REQUEST_LINE.replace(b"77", b"76") % LONG_DEADLINE_MS)
@@ -529,12 +527,12 @@
         running.terminate()
         running.logged("event=shutdown-started")
         clients = [running.client() for _ in range(60)]
-        departed_clients = [
+        closed_clients = [
             running.client(REQUEST_LINE.replace(b"77", b"%d" % number) % LONG_DEADLINE_MS)
             for number in range(100, 140)
         ]
-        for departed_client in departed_clients:
-            departed_client.close("reset")
+        for closed_client in closed_clients:
+            closed_client.close("reset")
         endpoint.send(b"ERR\r\n")
         # Retried, or rejected: one answer, and no reset.
         with suppress(BlockingIOError):
