--- a/tests/test_memory_after_connections_end.py
+++ b/tests/test_memory_after_connections_end.py
@@ -1,4 +1,4 @@
-"""An ended connection leaves nothing in memory, even without the garbage collector."""
+"""An ended connection leaves no objects in memory, even without the garbage collector."""
 
 from __future__ import annotations
 
@@ -73,20 +73,20 @@
 
 
 def count_objects() -> Counter[str]:
-    """How many objects there are of each class, by its name; without the collector, cycles count too."""
+    """Number of objects of each class, by its name; without the collector, those in cycles count too."""
     names = {counted: counted.__name__ for counted in (*CLASSES_PER_CONNECTION, *SHARED_CLASSES)}
-    return Counter(names[type(live)] for live in gc.get_objects() if type(live) in names)
+    return Counter(names[type(tracked)] for tracked in gc.get_objects() if type(tracked) in names)
 
 
 def wait_until_released(before: Counter[str]) -> None:
-    """Wait until there are no more objects than before; for less than any timer that could free them."""
-    until_s = time.monotonic() + RELEASE_WAIT_S
+    """Wait until no class has more objects than before; fail before any timer could release some."""
+    give_up_at_s = time.monotonic() + RELEASE_WAIT_S
     while unreleased := count_objects() - before:
-        assert time.monotonic() < until_s, unreleased
+        assert time.monotonic() < give_up_at_s, unreleased
         time.sleep(POLL_INTERVAL_S)
 
 
-def endpoint_ends_in_order(proxy: ProxyInThread) -> None:
+def endpoint_closes(proxy: ProxyInThread) -> None:
     client, endpoint = proxy.establish(proxy.endpoints.index(find_chosen_endpoint(proxy)))
     endpoint.send(b"LOAD 9\r\nBYE\r\n")
     endpoint.close()
@@ -95,7 +95,7 @@
 
 
 def find_chosen_endpoint(proxy: ProxyInThread) -> EmulatedEndpoint:
-    """The endpoint that requests with the tests' key go to, found by a connection that is closed again."""
+    """The endpoint that requests with the tests' key go to, found with a connection that is closed again."""
     client = proxy.open()
     listener, endpoint = proxy.serve_any()
     client.line()
@@ -112,14 +112,14 @@
     return client, endpoint
 
 
-def client_leaves(proxy: ProxyInThread, end: Ending = "fin") -> None:
+def client_closes(proxy: ProxyInThread, end: Ending = "fin") -> None:
     client, endpoint = establish(proxy)
     client.close(end)
     assert endpoint.ended() == end
 
 
 def client_resets(proxy: ProxyInThread) -> None:
-    client_leaves(proxy, "reset")
+    client_closes(proxy, "reset")
 
 
 def endpoint_resets(proxy: ProxyInThread) -> None:
@@ -146,13 +146,13 @@
 def request_times_out(proxy: ProxyInThread) -> None:
     client = proxy.open(wait_ms=200)
     attempt = proxy.next_attempted().accept()
-    # BUSY where the attempt ends a little before the deadline, which the balancer counts from when it
-    # learned of the request: the class is idempotent.
+    # The class is idempotent: BUSY where the attempt ends shortly before the deadline, which the balancer
+    # counts from the time at which it learned of the request.
     assert client.line() in (b"ERR\r\n", b"BUSY 1000\r\n")
     attempt.line()
 
 
-def client_leaves_before_answer(proxy: ProxyInThread) -> None:
+def client_closes_before_answer(proxy: ProxyInThread) -> None:
     client = proxy.open(wait_ms=600_000)
     attempt = proxy.next_attempted().accept()
     attempt.line()
@@ -181,60 +181,60 @@
 
 
 def open_channel(proxy: ProxyInThread) -> tuple[ChannelsClient, int, PeerConnection]:
-    """Channel 5 of a new session: its terminal, the proxy's number for it and the endpoint's connection."""
-    terminal = ChannelsClient(proxy.channels_port)
-    terminal.open(5)
+    """Channel 5 of a new session: its client, the proxy's number for it and the endpoint's connection."""
+    client = ChannelsClient(proxy.channels_port)
+    client.open(5)
     _, endpoint = proxy.serve_any()
-    return terminal, terminal.expect_confirmation(5), endpoint
+    return client, client.expect_confirmation(5), endpoint
 
 
-def session_ends(proxy: ProxyInThread) -> None:
-    terminal, _, endpoint = open_channel(proxy)
-    terminal.close()
+def session_closes(proxy: ProxyInThread) -> None:
+    client, _, endpoint = open_channel(proxy)
+    client.close()
     endpoint.ended()
 
 
 def channel_closes(proxy: ProxyInThread) -> None:
-    terminal, number, endpoint = open_channel(proxy)
-    terminal.send_message(MessageNumber.CHANNEL_CLOSE, number)
-    terminal.expect(MessageNumber.CHANNEL_CLOSE, 5)
+    client, number, endpoint = open_channel(proxy)
+    client.send_message(MessageNumber.CHANNEL_CLOSE, number)
+    client.expect(MessageNumber.CHANNEL_CLOSE, 5)
     endpoint.ended()
-    terminal.close()
+    client.close()
 
 
 def channel_gets_no_window(proxy: ProxyInThread) -> None:
     # Its last lines wait for a window that is never granted, and the channel stays in the write queue.
-    terminal = ChannelsClient(proxy.channels_port)
-    terminal.open(5, window=0)
+    client = ChannelsClient(proxy.channels_port)
+    client.open(5, window=0)
     _, endpoint = proxy.serve_any()
-    terminal.expect_confirmation(5)
+    client.expect_confirmation(5)
     endpoint.send(b"M 1\r\nBYE\r\n")
     endpoint.close()
-    terminal.send_message(MessageNumber.CHANNEL_WINDOW_ADJUST, 0, 3)
-    assert terminal.expect(MessageNumber.CHANNEL_DATA, 5) == b"\0\0\0\3M 1"
-    terminal.close("reset")
+    client.send_message(MessageNumber.CHANNEL_WINDOW_ADJUST, 0, 3)
+    assert client.expect(MessageNumber.CHANNEL_DATA, 5) == b"\0\0\0\3M 1"
+    client.close("reset")
 
 
 def session_reads_nothing(proxy: ProxyInThread) -> None:
     # A channel in the write queue references its session, which references the queue.
-    terminal, _, endpoint = open_channel(proxy)
+    client, _, endpoint = open_channel(proxy)
     endpoint.sock.settimeout(0.5)
     with suppress(TimeoutError):
         endpoint.send(b"M 1\r\n" * (1 << 22))
-    terminal.close("reset")
+    client.close("reset")
 
 
-def session_breaks_the_protocol(proxy: ProxyInThread) -> None:
-    terminal, _, endpoint = open_channel(proxy)
-    terminal.send(b"\xff" * 64)
-    assert terminal.read()[0] == MessageNumber.DISCONNECT
+def session_violates_protocol(proxy: ProxyInThread) -> None:
+    client, _, endpoint = open_channel(proxy)
+    client.send(b"\xff" * 64)
+    assert client.read()[0] == MessageNumber.DISCONNECT
     endpoint.ended()
 
 
-def session_stops_in_a_packet(proxy: ProxyInThread) -> None:
-    terminal = ChannelsClient(proxy.channels_port)
-    terminal.send(b"\0\0\0\x0c\x04")
-    assert terminal.read()[0] == MessageNumber.DISCONNECT
+def session_sends_partial_packet(proxy: ProxyInThread) -> None:
+    client = ChannelsClient(proxy.channels_port)
+    client.send(b"\0\0\0\x0c\x04")
+    assert client.read()[0] == MessageNumber.DISCONNECT
 
 
 def admin_request_is_answered(proxy: ProxyInThread) -> None:
@@ -248,23 +248,23 @@
 @pytest.mark.parametrize(
     "scenario",
     [
-        endpoint_ends_in_order,
-        client_leaves,
+        endpoint_closes,
+        client_closes,
         client_resets,
         endpoint_resets,
         request_is_rejected,
         request_times_out,
-        client_leaves_before_answer,
+        client_closes_before_answer,
         client_is_migrated,
         client_sends_malformed_line,
         client_checks_readiness,
         client_sends_nothing,
-        session_ends,
+        session_closes,
         channel_closes,
         channel_gets_no_window,
         session_reads_nothing,
-        session_breaks_the_protocol,
-        session_stops_in_a_packet,
+        session_violates_protocol,
+        session_sends_partial_packet,
         admin_request_is_answered,
         malformed_admin_request_is_answered,
     ],
@@ -272,11 +272,11 @@
 def test_ended_connection_leaves_no_objects(
     proxy: ProxyInThread, scenario: Callable[[ProxyInThread], None]
 ) -> None:
-    # Cycles used to keep their buffers until a full collection, and armed timers kept whole sessions.
+    # Reference cycles would keep buffers until a full collection, and armed timers whole sessions.
     assert proxy.alive()
-    until_s = time.monotonic() + WAIT_S
+    give_up_at_s = time.monotonic() + WAIT_S
     while count_objects()[ClientConnection.__name__]:
-        assert time.monotonic() < until_s
+        assert time.monotonic() < give_up_at_s
     before = count_objects()
     # A watch that ends is followed by the next one at once: one more call, with its stream and timers.
     before[DiscoveryCall.__name__] += 1
@@ -288,7 +288,7 @@
 
 @pytest.mark.parametrize("frontend", ["platform", "channels"])
 def test_memory_does_not_grow_without_the_collector(tmp_path: Path, frontend: str) -> None:
-    # Each connection used to leave 10 KB on one frontend and 37 KB on the other: 6 and 22 MiB for these 600.
+    # A leak of 10 KB per connection on one frontend and 37 KB on the other: 6 and 22 MiB for these 600.
     with started_proxy(
         tmp_path, broker_toml=CHANNELS_ENABLED, command=command_without_collector()
     ) as running:
@@ -306,6 +306,8 @@
 
 
 class IdleActor(Actor):
+    """An actor that takes messages and does nothing with them."""
+
     stream: Stream
 
     def run(self) -> ActorCoroutine:
@@ -371,7 +373,7 @@
     assert stream.fill() is None
     line = stream.line()
     stream.unsent += b"x" * 9000
-    stream_reference = weakref.ref(stream)  # the stream itself stays referenced: it must cost little
+    stream_reference = weakref.ref(stream)  # the stream stays referenced: closed, it must be small
     stream.close()
     assert stream_reference() is stream
     assert bytes(line or b"") == b"one\r\n"
@@ -404,7 +406,7 @@
 
 
 def test_cancelled_timers_do_not_accumulate() -> None:
-    # Each answered request used to leave one in the heap until its deadline, up to ten minutes away.
+    # Otherwise each answered request leaves one in the heap until its deadline, up to ten minutes away.
     loop, fired = Loop(), list[int]()
     loop.call_later(0, lambda: fired.append(1))
     for _ in range(10_000):
@@ -422,11 +424,11 @@
 
 def test_answer_cancels_the_deadline_timer(proxy: ProxyInThread) -> None:
     for _ in range(3):
-        client_leaves_before_answer(proxy)
+        client_closes_before_answer(proxy)
     loop = proxy.program.loop
-    until_s = time.monotonic() + WAIT_S
+    give_up_at_s = time.monotonic() + WAIT_S
     while any(due_at > loop.now() + 60 * S and timer.callback for due_at, _, timer in tuple(loop.timers)):
-        assert time.monotonic() < until_s
+        assert time.monotonic() < give_up_at_s
         time.sleep(POLL_INTERVAL_S)
 
 
@@ -437,9 +439,9 @@
         sender = threading.Thread(target=endpoint.send, args=(lines,))
         sender.start()
         (connection,) = proxy.program.frontend.clients
-        until_s = time.monotonic() + WAIT_S
+        give_up_at_s = time.monotonic() + WAIT_S
         while not connection.is_congested:
-            assert time.monotonic() < until_s
+            assert time.monotonic() < give_up_at_s
             time.sleep(0.001)
         remaining_bytes = len(lines)
         while remaining_bytes > 0:
