--- a/tests/test_many_balancers.py
+++ b/tests/test_many_balancers.py
@@ -1,4 +1,7 @@
-"""Decisions harmless in one balancer but not in many: at 40, and at 2 so that few balancers lose nothing."""
+"""Decisions that are harmless in one balancer but not in many.
+
+The tests use 40 balancers, most also 2, so that few balancers lose nothing by a rule for many.
+"""
 
 from __future__ import annotations
 
@@ -33,8 +36,7 @@
 
 @pytest.mark.parametrize("balancer_count", [2, 40])
 def test_balancer_with_few_connections_checks_health_before_placement(balancer_count: int) -> None:
-    # 40 balancers with a connection or two each went on sending to an endpoint that answered no message in
-    # time.
+    # With one or two connections each, 40 balancers kept sending to one that answered no message in time.
     fleet = SimulatedBalancers(balancer_count, ENDPOINTS, allowed=HEALTH_CHECKS_ALLOWED)
     fleet.health_check_delays[endpoint(3)] = 150 * MS
     for n in range(80):
@@ -48,13 +50,13 @@
         assert not overloaded_sends
         assert len({check.endpoint for check in fleet.health_checks}) == 8
     else:
-        # A balancer with more connections than endpoints learns from these and needs few checks.
+        # A balancer with more connections than endpoints learns from these and needs few health checks.
         assert len(fleet.health_checks) < 40
         assert len(fleet.health_checks) <= sum(check.at < 2 * S for check in fleet.health_checks)
 
 
-def slow_note(request_id: int, endpoint_id: bytes, ms: float) -> ConnectionNote:
-    return ConnectionNote(request_id, 0, endpoint_id, SLOW_NOTE, ms)
+def slow_note(request_id: int, endpoint_id: bytes, latency_ms: float) -> ConnectionNote:
+    return ConnectionNote(request_id, 0, endpoint_id, SLOW_NOTE, latency_ms)
 
 
 @pytest.mark.parametrize(
@@ -64,30 +66,30 @@
 def test_load_shedding_starts_only_when_most_endpoints_are_slow(
     balancer_count: int, slow_count: int, admits_all: bool
 ) -> None:
-    # A balancer with connections at two endpoints, both slow, rejected half of all requests at once while
-    # most endpoints were idle.
+    # A balancer with connections at only two endpoints, both slow, must not reject half of all requests while
+    # most endpoints are idle.
     fleet = SimulatedBalancers(balancer_count, ENDPOINTS)
     balancer = fleet.balancers[0]
     for n in range(slow_count):
-        numbers = [number for number in range(1, 400) if first_ranked(fleet, number) == endpoint(n)]
-        fleet.send_request(0, key=numbers[0])
+        keys = [key for key in range(1, 400) if first_ranked(fleet, key) == endpoint(n)]
+        fleet.send_request(0, key=keys[0])
     fleet.run(fleet.now + 100 * MS)
     for _ in range(3):
         fleet.run(fleet.now + 1 * S)
-        for slow_endpoint in [h for h in balancer.endpoints.values() if h.established]:
+        for slow_endpoint in [e for e in balancer.endpoints.values() if e.established]:
             request_id = next(iter(slow_endpoint.established))
             fleet.send_event(0, slow_note(request_id, slow_endpoint.id, 90.0))
     assert (balancer.admission.load_shedding.admitted_share == 1.0) is admits_all
 
 
-def first_ranked(fleet: SimulatedBalancers, key: int, number: int = 0) -> bytes:
-    """Return the endpoint of the key by that balancer's ranking alone."""
-    balancer = fleet.balancers[number]
+def first_ranked(fleet: SimulatedBalancers, key: int, balancer_number: int = 0) -> bytes:
+    """The first endpoint for the key in that balancer's ranking, whether or not it is avoided."""
+    balancer = fleet.balancers[balancer_number]
     return next(iter(balancer.ranking.ranked(key_hash(Request(0, 0, 0, key, 0, 0, 0, 0))))).id
 
 
 def key_ranking_first(fleet: SimulatedBalancers, endpoint_id: bytes) -> int:
-    """The smallest key for which this endpoint is first in the ranking."""
+    """The smallest key for which this endpoint is first in the ranking of the first balancer."""
     return next(key for key in range(1, 400) if first_ranked(fleet, key) == endpoint_id)
 
 
@@ -98,27 +100,27 @@
     ]
 
 
-@pytest.mark.parametrize(("ms", "minimum", "maximum"), [(90.0, 8, 15), (1500.0, 29, 35)])
-def test_longer_latency_migrates_more_connections(ms: float, minimum: int, maximum: int) -> None:
-    # With a backlog of 2 s a tenth per second was migrated: the others had no message in time for 7 s.
+@pytest.mark.parametrize(("latency_ms", "minimum", "maximum"), [(90.0, 8, 15), (1500.0, 29, 35)])
+def test_longer_latency_migrates_more_connections(latency_ms: float, minimum: int, maximum: int) -> None:
+    # At a backlog of 2 s, migrating a tenth per second left the others without a message in time for 7 s.
     # Each migration is drawn at random, so the mean of ten runs is checked: 11.6 and 32 of 80 are expected.
     migrated = 0
     for seed in range(0, 1000, 100):
         fleet = SimulatedBalancers(40, ENDPOINTS, seed)
         key = key_ranking_first(fleet, endpoint(3))
-        numbers = [fleet.send_request(n % 40, key=key) for n in range(80)]
+        request_ids = [fleet.send_request(n % 40, key=key) for n in range(80)]
         fleet.run(fleet.now + 100 * MS)
-        for n, number in enumerate(numbers):
+        for n, request_id in enumerate(request_ids):
             if n < 40:
-                fleet.send_event(n, slow_note(number, endpoint(3), ms))
+                fleet.send_event(n, slow_note(request_id, endpoint(3), latency_ms))
         migrated += len(fleet.migrations)
     assert minimum <= migrated / 10 <= maximum
 
 
 @pytest.mark.parametrize("balancer_count", [2, 40])
 def test_draining_endpoint_is_emptied_gradually(balancer_count: int) -> None:
-    # Migrated within 2.5 s, 36 and 39 connections of two endpoints went to three of a third of their size,
-    # while the new ones were not up yet and those two would have served for 6 s.
+    # Migrated within 2.5 s, the 36 and 39 connections of two draining endpoints went to three of a third of
+    # their size: replacements were not up yet, and the draining two would have served for 6 s.
     fleet = SimulatedBalancers(balancer_count, ENDPOINTS)
     key = key_ranking_first(fleet, endpoint(3))
     for n in range(80):
@@ -136,12 +138,13 @@
 def test_cross_zone_cost_gives_each_zone_its_own_endpoint_for_a_key(
     balancer_count: int, crossing_cost: float, minimum: float, maximum: float
 ) -> None:
-    # Every second connection crossed data centres, a fifth of all lost score. Here are three zones.
+    # Without the cost, every second connection crossed data centres: a fifth of all lost score.
+    # Here are three zones.
     fleet = SimulatedBalancers(balancer_count, ENDPOINTS, fees={"crossZone": crossing_cost})
     first_by_zone = {n: set[bytes]() for n in range(3)}
     for n, balancer in enumerate(fleet.balancers):
         balancer.configure(replace(balancer.settings, zone=n % 3))
-        # Large groups: with small ones, more endpoints per group would cost more than crossing.
+        # Large groups: with small ones, using more endpoints per group would cost more than crossing zones.
         for _ in range(64):
             balancer.group_sizes.record_client(1)
     for n in range(240):
@@ -165,9 +168,9 @@
 def test_returning_clients_are_spread_after_drops(
     flags: int, has_drops: bool, minimum: float, maximum: float
 ) -> None:
-    # 4,259 of 5,319 connections of one release were dropped within a second or so, and all came back through
-    # proxies that knew nothing of it to the same dozen of servers, 200 a second, for twenty seconds. Where
-    # nobody drops any, a returning client was migrated, and its group's endpoint is as good as before.
+    # One release dropped 4,259 of 5,319 connections within about a second. They returned through proxies that
+    # had not seen the drops, all to the same dozen endpoints, at 200 a second for 20 s. Without drops, a
+    # returning client was migrated, and its group's endpoint is as good as before.
     balancer_count = 40
     fleet = SimulatedBalancers(balancer_count, ENDPOINTS)
     key = key_ranking_first(fleet, endpoint(3))
@@ -180,18 +183,18 @@
         fleet.run(fleet.now + 5 * MS)
     chosen = [send.endpoint for send in fleet.sends]
     assert minimum <= chosen.count(endpoint(3)) / 200 <= maximum
-    # Clients that are passed on get the same next endpoint at every balancer: a group has few endpoints.
+    # Clients that skip it get the same next endpoint at every balancer: a group uses few endpoints.
     second = next(other for other in ranked_ids(fleet, key) if other != endpoint(3))
     assert chosen.count(endpoint(3)) + chosen.count(second) >= 0.8 * 200
 
 
-def test_observed_drops_set_probability_of_returning_clients() -> None:
+def test_observed_drops_set_probability_of_skipping_best_rank() -> None:
     balancer = make_balancer(8)
     (send,) = only(balancer.step(2 * S, [request(1)]), Send)
     balancer.step(2 * S, [ConnectionEstablished(1, 0, send.endpoint, MS)])
     balancer.step(2 * S, [ended(send, 0, Outcome.RESET, closed=True)])
     assert balancer.returning_clients.record_return(2 * S) == pytest.approx(0.3)
-    # The second return has another cause.
+    # One drop explains one return; the second has another cause.
     assert balancer.returning_clients.record_return(2 * S) == pytest.approx(0.15)
     assert balancer.returning_clients.record_return(30 * S) == 0.0
 
@@ -214,16 +217,16 @@
 def test_request_is_rejected_at_once_when_no_endpoint_can_serve(
     balancer_count: int, endpoints: tuple[EndpointEntry, ...], may_serve: bool
 ) -> None:
-    # With nothing listed, or all draining, requests waited until their deadlines in vain.
+    # With no endpoint listed, or all draining, waiting until the deadline cannot help.
     fleet = SimulatedBalancers(balancer_count, endpoints)
-    numbers = [fleet.send_request(n % balancer_count) for n in range(balancer_count)]
+    request_ids = [fleet.send_request(n % balancer_count) for n in range(balancer_count)]
     if not may_serve:
-        assert {at for number in numbers for at, _ in fleet.answers[number]} == {fleet.now}
-        for number in numbers:
-            for _, action in fleet.answers[number]:
+        assert {at for request_id in request_ids for at, _ in fleet.answers[request_id]} == {fleet.now}
+        for request_id in request_ids:
+            for _, action in fleet.answers[request_id]:
                 assert isinstance(action, Reject)
                 assert action.retry_after_ns > 0
     fleet.run(fleet.now + 2 * S)
     sent = {send.request_id for send in fleet.sends}
-    assert all((number in sent) is may_serve or number in fleet.answers for number in numbers)
-    assert all(len(fleet.answers.get(number, [0])) == 1 for number in numbers)
+    assert all((request_id in sent) is may_serve or request_id in fleet.answers for request_id in request_ids)
+    assert all(len(fleet.answers.get(request_id, [0])) == 1 for request_id in request_ids)
