--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -41,8 +41,8 @@
     monkeypatch.setattr(administrative_drains, "MAX_DRAINED", 4)
 
 
-def test_removed_endpoints_are_forgotten_everywhere(small_bounds: None) -> None:
-    # Machines are replaced under new ids: each id used to stay in four maps, and in a fifth if it was slow.
+def test_maps_of_endpoints_stay_bounded_when_endpoints_are_replaced(small_bounds: None) -> None:
+    # Machines are replaced under new ids. Otherwise each stays in four maps, and in a fifth if it was slow.
     surroundings = FakeSurroundings()
     for number in range(100):
         surroundings.broker.handle_endpoint_list(listed(*entries(number), form=ListForm.DELTA))
@@ -64,14 +64,14 @@
     assert set(surroundings.broker.latency_estimator.weights) <= set(listed_endpoints)
 
 
-def test_too_long_list_is_cut_while_known_endpoints_are_still_updated(small_bounds: None) -> None:
+def test_too_long_list_is_truncated_but_known_endpoints_are_updated(small_bounds: None) -> None:
     drains = AdministrativeDrains(lambda: 1)
     event = drains.limit_entries(listed(*entries(*range(20))))
     assert [listed_entry.endpoint for listed_entry in event.entries] == [
         endpoint(number) for number in range(8)
     ]
     drains.overlay(event)
-    # Known endpoints are still updated; only new ones are dropped.
+    # Changes of known endpoints are kept; only new endpoints are dropped.
     change = listed(*entries(3, 4, state=EndpointState.DRAINING), *entries(50), form=ListForm.DELTA)
     assert [listed_entry.endpoint for listed_entry in drains.limit_entries(change).entries] == [
         endpoint(3),
@@ -83,7 +83,7 @@
     assert len(drains.limit_entries(listed(*entries(*range(60, 68)))).entries) == 8
 
 
-def test_drains_survive_list_removal_and_are_rejected_over_the_limit(small_bounds: None) -> None:
+def test_drains_outlast_removal_from_list_and_are_rejected_over_the_limit(small_bounds: None) -> None:
     surroundings = FakeSurroundings()
     surroundings.broker.handle_endpoint_list(listed(*entries(*range(8))))
     for number in range(4):
@@ -117,7 +117,7 @@
 
 
 def test_reload_reuses_class_numbers_without_references() -> None:
-    # Each reload used to leave a class behind forever; one in use must keep its number and its settings.
+    # Otherwise each reload adds a class for good. A class in use must keep its number and its settings.
     settings = settings_with_objectives(1000, 2000)
     class_in_use = settings.classes[1]
     for objective_ns in range(3000, 3050):
@@ -144,7 +144,7 @@
 def test_admin_connections_that_linger_are_closed_for_new_ones(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Answered connections that kept sending used a descriptor each for up to 3 s, without a limit.
+    # An answered connection that keeps sending uses a descriptor for up to 3 s, so these need a limit.
     monkeypatch.setattr(server, "MAX_CONNECTIONS", 3)
     with proxy_in_thread(tmp_path, admin_server=True) as running:
         connections = []
@@ -160,7 +160,7 @@
 def test_waiting_channels_are_bounded_across_all_sessions(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Opening a channel is cheap, and a waiting one needs no descriptor: 256 would fit in each session.
+    # A channel is cheap to open and needs no descriptor while it waits; each session alone could have 256.
     monkeypatch.setattr(frontend, "MAX_OPEN_CHANNELS", 2)
     channels_enabled = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
     # One attempt for each channel: an endpoint that does not answer in time would get a second one.
@@ -170,7 +170,7 @@
         first.open(1, wait_ms=60_000)
         second.open(2, wait_ms=60_000)
         attempts = [running.endpoints[0].accept() for _ in range(2)]
-        # Before the first client leaves: an attempt whose request line has not gone out ends without one.
+        # Read before the first client closes: an attempt whose line is not sent by then ends without it.
         assert attempts[0].line()
         assert attempts[1].line()
         second.open(3)
@@ -186,7 +186,7 @@
 
 
 def test_hanging_peer_process_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The messages sent to it twice a second used to accumulate for as long as it hung.
+    # Otherwise the heartbeats, sent twice a second, accumulate for as long as the peer does not read.
     monkeypatch.setattr(peer_process, "HEARTBEAT_INTERVAL_NS", MS)
     monkeypatch.setattr(connection_limits, "STALL_NS", 100 * MS)
     heartbeat_bytes = 1 << 20
@@ -205,18 +205,18 @@
             """Record the peer that was disconnected."""
             self.gone_peer = peer
 
-    surroundings = FakeHotRestart()
+    hot_restart = FakeHotRestart()
     own_end, peer_end = socket.socketpair()
-    peer = PeerProcess(surroundings.loop, surroundings, surroundings, own_end)  # type: ignore[arg-type]
+    peer = PeerProcess(hot_restart.loop, hot_restart, hot_restart, own_end)  # type: ignore[arg-type]
     peer.has_exchanged_state = True
     peer.start(peer.run())
     give_up_at_s = time.monotonic() + WAIT_S
     max_unsent_bytes = 0
-    while surroundings.gone_peer is None:
+    while hot_restart.gone_peer is None:
         assert time.monotonic() < give_up_at_s
         # Without a timer the last turn would wait for an event that never comes.
-        surroundings.loop.call_later(MS, lambda: None)
-        surroundings.loop.run_once()
+        hot_restart.loop.call_later(MS, lambda: None)
+        hot_restart.loop.run_once()
         max_unsent_bytes = max(max_unsent_bytes, len(peer.stream.unsent))
     assert 0 < max_unsent_bytes < 2 * heartbeat_bytes
     assert peer.stream.closed
