--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""Differences between deployments, on the real process: delivery of lists, and health check requests."""
+"""Settings that differ between deployments, on the real process: list delivery and health check requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 def test_list_change_arrives_whether_lists_are_pushed_or_polled(tmp_path: Path, mode: str) -> None:
-    # With pushed lists the agent used not to be polled, and the list never changed after the start.
+    # Where lists are pushed, the agent must be polled too: otherwise the list never changes after the start.
     with started_proxy(tmp_path, 2, discovery=mode) as running:
         running.discovery.change(**{"s-0": "DRAINING"})
         running.logged("event=endpoint-list-received form=full rev=2")
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""Large fleets: many processes that start at once, a thousand endpoints, no descriptor free."""
+"""Large fleets: many processes that start at once, a list of a thousand endpoints, no free descriptor."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 from rig.free_port import free_port
 
-PROCESSES = 30
+PROCESS_COUNT = 30
 """Processes that start together."""
 
-ENDPOINTS = 1024
-"""Length of a long list."""
+ENDPOINT_COUNT = 1024
+"""Entries of a long endpoint list."""
 
-DESCRIPTORS = 60
-"""Limit of descriptors for a process that is to run out of them."""
+DESCRIPTOR_LIMIT = 60
+"""Descriptor limit of a process that the test makes run out of descriptors."""
 
 
 class ListedEndpoint:
@@ -44,7 +44,7 @@
             "model": "m",
             "pod_group": 0,
             "state": self.state,
-            "capacity_hint": 1e-6,  # so that the one that exists gets the attempts
+            "capacity_hint": 1e-6,  # so that attempts go to the one that exists
             "boot_ms": 0,
         }
 
@@ -53,7 +53,7 @@
 def test_processes_that_start_together_are_ready_without_discovery(
     tmp_path: Path, discovery_state: str
 ) -> None:
-    # They all answer before discovery has answered any of them, and serve with the list of their file.
+    # Until discovery answers, each process serves requests with the endpoint list of its file.
     with ExitStack() as stack:
         environment = stack.enter_context(
             proxy_environment(tmp_path, discovery="ask", rules={"mustAskInNs": 10 * S})
@@ -69,7 +69,7 @@
         else:
             discovery.holds_calls = True
         running = []
-        for number in range(PROCESSES):
+        for number in range(PROCESS_COUNT):
             port = free_port()
             folder = tmp_path / str(number)
             folder.mkdir()
@@ -82,7 +82,7 @@
         for proxy in running:
             proxy.logged("event=process-started")
             assert proxy.alive()
-        if discovery_state == "slow":  # it answers now, one call after the other
+        if discovery_state == "slow":  # discovery answers now, one call after the other
             discovery.holds_calls = False
             discovery.held_calls.get(timeout=WAIT_S).release.set()
         for number, proxy in enumerate(running):
@@ -91,10 +91,11 @@
             assert client.line() == b"UP r1\r\n"
 
 
-def test_idle_clients_that_use_all_descriptors_block_no_request(tmp_path: Path) -> None:
-    # They may use all of them while discovery is down; its return, an attempt and a reload then need some.
+def test_idle_clients_that_use_all_descriptors_do_not_block_requests(tmp_path: Path) -> None:
+    # Idle clients may use all descriptors while discovery fails. Its next call, an attempt and a reload then
+    # need some.
     with started_proxy(
-        tmp_path, endpoints=2, before=partial(limit_descriptors, DESCRIPTORS), rules={"mustAskInNs": S}
+        tmp_path, endpoints=2, before=partial(limit_descriptors, DESCRIPTOR_LIMIT), rules={"mustAskInNs": S}
     ) as running:
         client = running.open()
         endpoint = running.next_attempted().serve()
@@ -106,7 +107,7 @@
         running.discovery.change()
         running.discovery.fail(False)
         running.logged("event=endpoint-list-received .*rev=2")
-        # An attempt gets a descriptor, a reload reads its files, and the established connection stays.
+        # An attempt gets a descriptor, a reload reads its files, and the established connection stays open.
         later_client = running.open()
         _, later_endpoint = running.serve_any()
         assert later_client.line() == b"UP r1\r\n"
@@ -131,21 +132,23 @@
         (endpoint,) = running.endpoints
         other_discovery = DiscoveryServer([])
         other_discovery.indent = 4
-        listed: list[Any] = [endpoint, *map(ListedEndpoint, range(ENDPOINTS - 1))]
+        listed: list[Any] = [endpoint, *map(ListedEndpoint, range(ENDPOINT_COUNT - 1))]
         other_discovery.endpoints = listed
         other_discovery.rev = 5
         running.reload("event=configuration-reloaded", discovery=other_discovery.address)
-        assert f"entries={ENDPOINTS} " in running.logged("event=endpoint-list-received .*rev=5")
+        assert f"entries={ENDPOINT_COUNT} " in running.logged("event=endpoint-list-received .*rev=5")
         client, endpoint_end = running.establish()
         listed[7].state = "DRAINING"
         other_discovery.change()
-        assert f"entries={ENDPOINTS} draining=1 " in running.logged("event=endpoint-list-received .*rev=6")
+        assert f"entries={ENDPOINT_COUNT} draining=1 " in running.logged(
+            "event=endpoint-list-received .*rev=6"
+        )
         assert not [
             line
             for line in running.passed_lines
             if "endpoint-limit-exceeded" in line or "endpoint-entries-invalid" in line
         ]
-        # The established connection outlives the change of the list, in both directions.
+        # The established connection relays in both directions after the list has changed.
         client.send(b"M 1\r\n")
         assert endpoint_end.line() == b"M 1\r\n"
         endpoint_end.send(b"R 1\r\n")
