--- a/rig/fleet/__init__.py
+++ b/rig/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Several real processes of the program among model endpoints, with faults on every link between them."""
+"""Runs several processes of the program against emulated peers, with faults on the links between them."""
--- a/rig/fleet/deployment.py
+++ b/rig/fleet/deployment.py
@@ -1,4 +1,4 @@
-"""All processes and emulated peers of a run."""
+"""Processes and emulated peers of a run."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 
 
 class BackgroundTasks:
-    """Tasks that the run waits for at its end."""
+    """Background tasks, which the run awaits at its end."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def start(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine beside the others."""
+        """Run a coroutine as a background task."""
         self.add([asyncio.ensure_future(work)])
 
     def add(self, tasks: Iterable[asyncio.Task[None]]) -> None:
-        """Wait for tasks that run already, too."""
+        """Add tasks that are already running."""
         for task in tasks:
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def wait(self) -> None:
-        """Wait until all are done, with those that they start."""
+        """Wait until all tasks are done, including those that they start."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
 
 class Deployment:
-    """N nodes, the endpoints, discovery, and what they observe."""
+    """The nodes, endpoints and discovery of a scenario, and their observations."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self.scenario = scenario
@@ -52,7 +52,7 @@
         self.background = BackgroundTasks()
 
     async def open(self) -> None:
-        """Open all listeners and links, and give each node its first list."""
+        """Open all listeners and links, and set each node's initial list."""
         await self.discovery.open()
         for number in range(self.scenario.nodes):
             node = NodeProcess(number, self.scenario, self.folder, self.discovery)
@@ -64,12 +64,12 @@
             self.discovery.views[node.number] = self.list_entries(node.number)
 
     async def start(self) -> None:
-        """Start all nodes at once, and the clock once all are ready."""
+        """Start all nodes concurrently, and restart the clock once all are ready."""
         await asyncio.gather(*(node.start() for node in self.nodes))
         self.clock.restart()
 
     async def close(self) -> None:
-        """End all processes, links and listeners."""
+        """Stop all processes, links and listeners."""
         for node in self.nodes:
             await node.close()
         for endpoint in self.endpoints.values():
@@ -77,12 +77,12 @@
         self.discovery.close()
 
     async def add_endpoint(self, uid: str, is_warming_up: bool) -> None:
-        """Start an endpoint, which is not listed before `publish_list`."""
+        """Start an endpoint; it is listed from the next `publish_list` on."""
         endpoint = ModelEndpoint(uid, self.scenario, self.observations, self.clock, is_warming_up)
         await endpoint.open()
         for node in self.nodes:
             await node.add_endpoint(uid, endpoint.listeners.ports[node.number])
-        self.endpoints[uid] = endpoint  # only now: a list that is published meanwhile needs all links
+        self.endpoints[uid] = endpoint  # last: a list that is published meanwhile needs all links
 
     def endpoint_uids(self, numbers: Iterable[int]) -> list[str]:
         """The uids of the endpoints with these numbers."""
@@ -90,7 +90,7 @@
         return [uids[number] for number in numbers]
 
     def list_entries(self, node: int) -> ListEntries:
-        """The list as the node is to see it: its own links as the endpoints' addresses."""
+        """The list for the node, with the addresses of its own links to the endpoints."""
         links = self.nodes[node].endpoint_links
         return {
             uid: {
@@ -108,11 +108,11 @@
         }
 
     def publish_list(self) -> None:
-        """Have discovery send the list as it is now."""
+        """Have discovery publish the current list."""
         self.background.add(self.discovery.publish(self.list_entries))
 
     async def drop_overload(self) -> None:
-        """Have overloaded endpoints drop connections, until cancelled."""
+        """Have overloaded endpoints drop connections periodically, until cancelled."""
         while True:
             await asyncio.sleep(DROP_INTERVAL_S)
             for endpoint in self.endpoints.values():
--- a/rig/fleet/listeners.py
+++ b/rig/fleet/listeners.py
@@ -1,4 +1,4 @@
-"""Listeners of the emulated peers: one port for each node, so that a peer knows who calls."""
+"""Listeners of the emulated peers: a port per node, by which a peer identifies the connecting node."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections.abc import Awaitable, Callable
 
 LISTEN_BACKLOG = 512
-"""Connections that may wait to be accepted: a burst of clients or attempts at one moment."""
+"""Connections that may wait to be accepted; covers a burst of clients or attempts."""
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[None]]
-"""Serves one connection of the node with this number."""
+"""Serves a connection from the node with the given number."""
 
 
 class NodeListeners:
-    """One listening port for each node."""
+    """A listening port per node."""
 
     def __init__(self) -> None:
         self.ports: list[int] = []
--- a/rig/fleet/node_settings.py
+++ b/rig/fleet/node_settings.py
@@ -8,13 +8,13 @@
 from rig.fleet.scenario import Scenario
 
 DRAIN_GRACE_S = 0.5
-"""How long after the notice of a drain connections may still be sent, in seconds."""
+"""How long after a drain notice connections may still be sent, in seconds."""
 
 MESSAGE_OBJECTIVE_S = 0.2
-"""Latency objective of a message: a client wants it back within that, in seconds."""
+"""Latency objective of a message's echo, in seconds."""
 
 POLL_INTERVAL_NS = 2 * S
-"""Longest time without a call to discovery, in nanoseconds."""
+"""Longest interval between calls to discovery, in nanoseconds."""
 
 
 def node_settings(scenario: Scenario, node: int) -> dict[str, Any]:
--- a/rig/fleet/run.py
+++ b/rig/fleet/run.py
@@ -1,4 +1,4 @@
-"""Run a scenario: N real processes, emulated peers, clients, and the faults at their times."""
+"""Runs a scenario: processes of the program, emulated peers, clients and faults."""
 
 from __future__ import annotations
 
@@ -16,15 +16,14 @@
 from rig.fleet.scenario import Scenario
 from rig.fleet.violation_logs import explain
 
-DELAY_PROBE_S = 0.01
-"""Time between two looks at how late the rig's loop is, in seconds."""
+DELAY_SAMPLE_S = 0.01
+"""Interval at which the delay of the rig's loop is measured, in seconds."""
 
 NEGLIGIBLE_DELAY_S = 0.002
-"""A loop that is late by less is not held up, in seconds."""
-
+"""Delays of the loop up to this are not recorded, in seconds."""
 
 WAIT_SAMPLE_S = 0.05
-"""Time between two looks at how long processes waited for a processor, in seconds."""
+"""Interval at which processor waits are sampled, in seconds."""
 
 
 @dataclass
@@ -34,18 +33,18 @@
     violations: list[Violation]
     observations: Observations
     crashes: list[str]
-    """Nodes that ended by themselves, with their exit status."""
+    """Nodes that ended unexpectedly, with their exit status."""
 
     folder: Path
-    """Where the nodes' logs are."""
+    """Folder of the nodes' logs."""
 
     def explain(self) -> str:
-        """The violations with what the nodes logged of the requests concerned."""
+        """Text of the violations, with the nodes' log lines about the requests concerned."""
         return explain(self.violations, self.observations, self.folder)
 
     @property
     def served_share(self) -> float:
-        """Seconds in which messages came back in time, as a part of all that clients wanted."""
+        """Share of the wanted time in which messages were echoed in time."""
         return self.observations.served_s / max(self.observations.wanted_s, 1e-9)
 
 
@@ -69,17 +68,17 @@
 
 
 async def _record_delays(observations: Observations, clock: RunClock) -> None:
-    """Record how late the rig's own loop comes to what is due, until cancelled."""
+    """Record the delays of the rig's own event loop, until cancelled."""
     while True:
-        due_s = clock() + DELAY_PROBE_S
-        await asyncio.sleep(DELAY_PROBE_S)
+        due_s = clock() + DELAY_SAMPLE_S
+        await asyncio.sleep(DELAY_SAMPLE_S)
         late_s = clock() - due_s
         if late_s > NEGLIGIBLE_DELAY_S:
             observations.rig_delays.append(Delay(clock(), late_s))
 
 
 async def _record_processor_waits(deployment: Deployment) -> None:
-    """Record how long all processes waited for a processor, until cancelled."""
+    """Sample the processor waits of the rig and of all nodes, until cancelled."""
     observations = deployment.observations
     while True:
         now_s = deployment.clock()
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -1,4 +1,4 @@
-"""Several real processes under faults between them; the rig's parts are tested in files of their own."""
+"""Invariants of several real processes under faults; the parts of the rig are tested in other files."""
 
 from __future__ import annotations
 
@@ -110,7 +110,7 @@
     [(name, 3 if position % 2 else 8) for position, name in enumerate(SCENARIOS)]
     + [(list(SCENARIOS)[1], 24)],
 )
-def test_invariants_hold_for_processes_under_faults(tmp_path: Path, name: str, nodes: int) -> None:
+def test_invariants_hold_under_faults(tmp_path: Path, name: str, nodes: int) -> None:
     scenario = parse(f'name = "{name}"\nnodes = {nodes}\n{SCENARIOS[name]}')
     assert_invariants_hold(run_scenario(scenario, tmp_path))
 
@@ -128,11 +128,11 @@
     ("nodes", "first_node_share", "faults"),
     [(24, 0.0, ""), (32, 0.0, ""), (32, 0.5, ""), (32, 0.0, RESTART_EIGHT)],
 )
-def test_many_processes_keep_to_the_slow_start_budget(
+def test_many_processes_stay_within_the_slow_start_budget(
     tmp_path: Path, nodes: int, first_node_share: float, faults: str
 ) -> None:
-    # How much of the budget they use is tested in tests/test_slow_start.py: here no load is reported in the
-    # list, and a process that has just started knows of no connection yet.
+    # tests/test_slow_start.py tests how much of the budget is used: here the list has no load reports, and a
+    # process that has just started knows of no connections.
     traffic = f"{BURST}first_node_share = {first_node_share}\n"
     scenario = parse(f'name = "slow start"\nnodes = {nodes}\n{traffic}{NEW_ENDPOINTS}{faults}')
     report = run_scenario(scenario, tmp_path)
