--- a/rig/fleet/random_scenario.py
+++ b/rig/fleet/random_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios drawn from a seed: sizes, traffic and a handful of faults that may come in any combination."""
+"""Scenarios drawn from a seed: sizes, traffic, and several faults in any combination."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 """How long new clients arrive, in seconds."""
 
 FAULTS_BEGIN_S = (0.5, 8.0)
-"""Earliest and latest begin of a fault."""
+"""Earliest and latest start of a fault, in seconds."""
 
 LONGEST_ANSWER_DELAY_S = 1.8
-"""Longest delay of discovery's answers."""
+"""Longest delay of discovery's answers, in seconds."""
 
 LONGEST_PAUSE_S = 0.15
-"""Longest time that a process is held up."""
+"""Longest pause of a process, in seconds."""
 
 ANSWER_FAULTS: tuple[FaultKind, ...] = (
     "discovery-late",
@@ -37,7 +37,7 @@
 
 
 def draw_scenario(seed: int) -> Scenario:
-    """The scenario of a seed; the same seed draws the same."""
+    """The scenario of a seed; deterministic."""
     stream = np.random.default_rng([seed, *b"scenario"])
     nodes = int(stream.integers(1, 7))
     endpoints = int(stream.integers(4, 8))
@@ -68,12 +68,12 @@
 
 
 def _draw_faults(stream: np.random.Generator, nodes: int, endpoints: int) -> list[Fault]:
-    """Faults of all three kinds; each endpoint and each node's process has at most one."""
-    free_endpoints = list(stream.permutation(endpoints)[: endpoints - 2])
-    free_nodes = list(stream.permutation(nodes))
-    faults = [_draw_endpoint_fault(stream, int(number)) for number in free_endpoints]
-    count = int(stream.integers(1, len(free_nodes) + 1))
-    faults += [_draw_process_fault(stream, int(number)) for number in free_nodes[:count]]
+    """Faults of endpoints, processes and answers; at most one per endpoint and process; sorted by time."""
+    faulty_endpoints = list(stream.permutation(endpoints)[: endpoints - 2])
+    shuffled_nodes = list(stream.permutation(nodes))
+    faults = [_draw_endpoint_fault(stream, int(number)) for number in faulty_endpoints]
+    count = int(stream.integers(1, len(shuffled_nodes) + 1))
+    faults += [_draw_process_fault(stream, int(number)) for number in shuffled_nodes[:count]]
     faults += [_draw_answer_fault(stream, nodes) for _ in range(int(stream.integers(1, 5)))]
     return sorted(faults, key=lambda fault: fault.at_s)
 
--- a/rig/fleet/scenario.py
+++ b/rig/fleet/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios in TOML: sizes, traffic and faults of a run. A wrong value is reported with its path."""
+"""Scenarios in TOML: sizes, traffic and faults of a run. An invalid value is reported with its path."""
 
 from __future__ import annotations
 
@@ -16,74 +16,74 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario that cannot be run; the text says where it is wrong and why."""
+    """An invalid scenario; the text has the path and the reason."""
 
 
 class Endpoints(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How many model endpoints there are, and how they behave."""
+    """Number and behaviour of the model endpoints."""
 
     count: Count = 6
     cores: Positive = 4.0
-    """Work that one can do in a second; its capacity hint in the list."""
+    """Capacity of an endpoint, and its capacity hint in the list."""
 
     warm_up_from: Share = 0.25
-    """Part of its capacity that one has at its start."""
+    """Share of its capacity that an endpoint has at its start."""
 
     warm_up_s: Seconds = 10.0
     slow_start_multiple: Positive = 3.0
     slow_start_window_s: Seconds = 2.0
     accept_s: Seconds = 0.01
-    """How long one takes to accept or reject an attempt."""
+    """Time until an endpoint accepts or rejects an attempt."""
 
     max_connections: Count = 500
     migrates_when_draining: bool = False
-    """Whether one that drains asks its clients to migrate."""
+    """Whether an endpoint that drains asks its clients to migrate."""
 
 
 class DiscoveryCapacity(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How many calls discovery can serve. It takes them in turn, those that were given up as well."""
+    """Capacity of discovery. It serves calls in order, abandoned ones included."""
 
     service_s: Seconds = 0.0
-    """How long one call keeps it busy; 0 is no time at all."""
+    """Service time of a call; 0 does not limit the capacity."""
 
     longest_wait_s: Positive = 2.0
-    """A call that has waited so long for its turn fails. One that would wait twice as long fails at once."""
+    """Wait in the queue after which a call fails; one that would wait over twice as long fails at once."""
 
 
 class Traffic(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How many clients there are, and how they behave."""
+    """Number and behaviour of the clients."""
 
     arrivals_per_s: Positive = 20.0
-    """New clients over all nodes."""
+    """Rate of new clients over all nodes."""
 
     duration_s: Seconds = 2.5
     """How long new clients arrive."""
 
     mean_lifetime_s: Seconds = 1.0
-    """Mean of how long a client stays; none stays longer than three times that."""
+    """Mean time for which a client wants to be served; cut off at three times the mean."""
 
     mean_load: Positive = 0.05
     """Mean load of a connection in cores."""
 
     groups: Count = 8
     group_overhead: Annotated[float, Meta(ge=0.0)] = 3.0
-    """Load, in mean loads of a connection, of each group with connections at an endpoint."""
+    """Additional load of each group with connections at an endpoint, in mean loads of a connection."""
 
     group_skew: Annotated[float, Meta(ge=0.0)] = 1.0
-    """The n-th group's part of the clients is as 1 / n ** group_skew."""
+    """The n-th group's share of the clients is proportional to 1 / n ** group_skew."""
 
     first_node_share: Share = 0.0
-    """Part of the clients that come through the first node whatever the others get."""
+    """Share of the clients that always connect to the first node while it is up."""
 
     deadline_s: Seconds = 2.0
     leaving_share: Share = 0.0
-    """Part of the clients that leave before they have an answer, at a random moment."""
+    """Share of the clients that abandon an unanswered request after a random time."""
 
     idle_clients: Annotated[int, Meta(ge=0, le=1000)] = 0
-    """Connections without a request that each node holds for the whole run."""
+    """Connections without a request that are opened to each node at the start."""
 
     max_retries: int = 2
-    """How often a client retries or returns after a rejection or a broken connection."""
+    """How often a client returns after a rejection or a broken connection."""
 
 
 FaultKind = Literal[
@@ -113,14 +113,14 @@
 
 
 NODE_FAULTS = frozenset({"kill", "pause", "restart", "terminate", "reload", "move-discovery"})
-"""Faults of a node's process, which have to name the nodes."""
+"""Faults of a node's process; they have to name their nodes."""
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One fault; `nodes` and `endpoints` are numbers from 0.
+    """A fault; `nodes` and `endpoints` are numbers from 0.
 
-    A link's fault is on each link between the two, without endpoints on the links from clients, with
-    `discovery` on those to discovery.
+    A link fault applies to each link from these nodes to these endpoints, with `discovery` to the links to
+    discovery, and with neither to the links from clients.
     """
 
     at_s: Seconds
@@ -129,42 +129,42 @@
     endpoints: tuple[int, ...] = ()
     discovery: bool = False
     duration_s: Seconds = 0.0
-    """How long it lasts; 0 is to the end of the run."""
+    """Duration; 0 is until the end of the run."""
 
     delay_s: Seconds = 0.0
     """Added delay, for `delay`, `slow` and `discovery-late`."""
 
     count: Count = 1
-    """How often in a row, for `reload`, `move-discovery` and `terminate`."""
+    """Number of repetitions, for `reload`, `move-discovery` and `terminate`."""
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """All of one run."""
+    """Description of a run."""
 
     name: str
     seed: int = 1
     nodes: Count = 3
     configured_nodes: int = 0
-    """What the nodes' settings have as `balancers`; 0 is the number that there are."""
+    """Value of `balancers` in the nodes' settings; 0 is the number of nodes."""
 
     endpoints: Endpoints = Endpoints()
     discovery: DiscoveryCapacity = DiscoveryCapacity()
     lists: Literal["ask", "push"] = "ask"
-    """Whether nodes poll discovery or are pushed the list, as their settings say."""
+    """Whether nodes poll discovery or are pushed the list: `discovery` in their settings."""
 
     traffic: Traffic = Traffic()
     faults: tuple[Fault, ...] = ()
     failing_calls_per_mille: Annotated[int, Meta(ge=0, le=1000)] = 0
-    """How many of a thousand system calls on sockets fail in the nodes."""
+    """Number of socket system calls per thousand that fail in the nodes."""
 
     failure_detection_s: Seconds = 0.3
-    """How long clients are still sent to a node that has ended."""
+    """How long clients still connect to a node after its process has ended."""
 
     list_delay_s: tuple[Seconds, Seconds] = (0.05, 0.3)
-    """Shortest and longest time until a change of the list reaches a node."""
+    """Shortest and longest delay until a change of the list reaches discovery's view of a node."""
 
     def stream(self, name: str) -> np.random.Generator:
-        """A random stream for one use, so that one more draw in one use changes no other."""
+        """A random generator per use, so that additional draws for one use do not change the others."""
         return np.random.default_rng([self.seed, *name.encode()])
 
 
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -1,4 +1,4 @@
-"""A few seeds of the fault soak, and that its oracle sees proxies that are broken on purpose."""
+"""Some seeds of the fault soak, and detection of deliberately broken proxies by its checks."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("seed", [2, 7, 19])
-def test_rules_hold_under_the_faults_of_a_seed(tmp_path: Path, seed: int) -> None:
+def test_invariants_hold_under_the_faults_of_a_seed(tmp_path: Path, seed: int) -> None:
     report = run_scenario(draw_scenario(seed), tmp_path)
     assert report.violations == [], report.explain()
     assert report.crashes == []
@@ -78,7 +78,7 @@
         ),
     ],
 )
-def test_oracle_sees_a_proxy_that_breaks_a_rule(
+def test_checks_detect_a_proxy_that_violates_an_invariant(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     rule: str,
--- a/tests/test_fleet_scenario.py
+++ b/tests/test_fleet_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of the fleet rig: their text, and their random streams."""
+"""Scenarios of the fleet rig: decoding and random streams."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
         ("name = ", "nvalid"),
     ],
 )
-def test_wrong_scenario_is_rejected_with_the_path(text: str, message: str) -> None:
+def test_invalid_scenario_is_rejected_with_its_path(text: str, message: str) -> None:
     with pytest.raises(ScenarioError) as caught:
         parse(text)
     assert message in str(caught.value)
 
 
-def test_second_fault_is_named_by_its_position() -> None:
+def test_error_names_the_position_of_the_fault() -> None:
     fault = "[[faults]]\nat_s = 1.0\nkind = 'kill'\nnodes = [{node}]\n"
     with pytest.raises(ScenarioError, match=r"no number 3 - at `\$\.faults\[1\]`"):
         parse('name = "x"\n' + fault.format(node=2) + fault.format(node=3))
 
 
-def test_scenario_file_is_read_with_defaults_for_what_it_leaves_out(tmp_path: Path) -> None:
+def test_omitted_values_of_a_scenario_file_have_defaults(tmp_path: Path) -> None:
     path = tmp_path / "scenario.toml"
     path.write_text(
         'name = "x"\n[endpoints]\ncores = 2.0\n[[faults]]\nat_s = 1\nkind = "cut"\nendpoints = [5]'
@@ -54,8 +54,8 @@
     assert scenario.stream("a").random() != reseeded.stream("a").random()
 
 
-def test_streams_leave_the_global_generator_alone() -> None:
-    # The rig's own draws must not depend on the module-wide generator, which any import may move on.
+def test_streams_do_not_use_the_global_generator() -> None:
+    # Any import may draw from the global generator, so a run that used it would not be reproducible.
     state = random.getstate()
     parse('name = "x"').stream("keys").random()
     assert random.getstate() == state
