--- a/rig/fleet/processor_waits.py
+++ b/rig/fleet/processor_waits.py
@@ -1,7 +1,7 @@
-"""How long processes were ready to run and waited for a processor, as the kernel counts it.
+"""How long processes were runnable and waited for a processor, from the kernel's scheduler statistics.
 
-A node that answers late beside other work was either kept from running, which these figures show, or ran and
-did something else.
+The figures tell whether a node that answered late on a busy machine was kept from running, or ran and did
+something else.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 
 
 class Sample(NamedTuple):
-    """What a process had waited in all at a moment of the run, in seconds."""
+    """Total wait of the sampled processes up to a time of the run; both in seconds."""
 
     at_s: float
     waited_s: float
 
 
 class ProcessorWaits:
-    """Samples of one process after the other that plays the same part, such as a node's."""
+    """Samples of successive processes in one role, such as those of a node."""
 
     def __init__(self) -> None:
         self.samples: list[Sample] = []
         self._pid = 0
-        self._waited_before_s = 0.0
+        self._offset_s = 0.0
 
     def sample(self, pid: int, at_s: float) -> None:
-        """Read the count of a process; one that has ended leaves no sample."""
+        """Sample the total wait of a process; a process that has ended gives no sample."""
         with contextlib.suppress(OSError, IndexError):
             total_s = int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / NS_PER_S
             if pid != self._pid:
                 self._pid = pid
-                self._waited_before_s = (self.samples[-1].waited_s if self.samples else 0.0) - total_s
-            self.samples.append(Sample(at_s, self._waited_before_s + total_s))
+                self._offset_s = (self.samples[-1].waited_s if self.samples else 0.0) - total_s
+            self.samples.append(Sample(at_s, self._offset_s + total_s))
 
     def share(self) -> float:
-        """The part of the sampled time in which it waited."""
+        """Share of the sampled time that was spent waiting."""
         if not self.samples:
             return 0.0
         first, last = self.samples[0], self.samples[-1]
@@ -47,7 +47,7 @@
         return (last.waited_s - first.waited_s) / duration_s if duration_s else 0.0
 
     def waited_s(self, since_s: float, until_s: float) -> float:
-        """How long it waited between two moments, at most by one sample's interval more at each end."""
+        """Wait between two times, in seconds; rounded out by up to one sample interval at each end."""
         if not self.samples or until_s <= since_s:
             return 0.0
         times = [sample.at_s for sample in self.samples]
--- a/rig/fleet/violation_logs.py
+++ b/rig/fleet/violation_logs.py
@@ -1,4 +1,4 @@
-"""What the nodes logged of the requests that broke a rule, for the report of a failure."""
+"""Reports of violations, with what the nodes logged about the requests concerned."""
 
 from __future__ import annotations
 
@@ -10,41 +10,44 @@
 from rig.fleet.observations import ClientRequest, Observations
 
 MAX_EXPLAINED_VIOLATIONS = 8
-"""Violations that are reported with log lines; the others are mostly alike."""
+"""Violations that are reported with log lines; further ones are mostly similar."""
 
-LINES_OF_A_VIOLATION = 40
-"""Most log lines of one violation."""
+MAX_LINES_PER_VIOLATION = 40
+"""Upper bound of the log lines of one violation."""
 
 LOOK_BACK_S = 0.5
-"""How long before a request its rig's delays are reported, in seconds."""
+"""How long before a request the reported delays of the rig start, in seconds."""
 
 REQUEST_ID = re.compile(r"^[0-9a-f]+")
-"""How a violation's text begins that names a request."""
+"""Request id at the start of a violation's text; not all violations have one."""
 
-NODE_ID = re.compile(r" id=\d+ ")
-"""The id of a request in the log of its node."""
+LOGGED_ID = re.compile(r" id=\d+ ")
+"""Field of a log line with the id that the node gave the request."""
 
 
 def explain(violations: Sequence[Violation], observations: Observations, folder: Path) -> str:
-    """The violations, each with the log lines and the rig's own delays that concern its request."""
-    parts = [f"{len(violations)} violations; logs of all nodes are in {folder}", _disturbance(observations)]
+    """Text of the violations, each with the log lines and the rig's delays that concern its request."""
+    parts = [
+        f"{len(violations)} violations; logs of all nodes are in {folder}",
+        _processor_waits(observations),
+    ]
     for number, violation in enumerate(violations):
         parts.append(f"{violation.rule}: {violation.detail}")
         if number < MAX_EXPLAINED_VIOLATIONS:
-            parts += [f"    {line}" for line in _evidence(violation, observations, folder)]
+            parts += [f"    {line}" for line in _request_details(violation, observations, folder)]
     return "\n".join(parts)
 
 
-def _disturbance(observations: Observations) -> str:
-    """How much other work on the machine disturbed the run, by figure."""
+def _processor_waits(observations: Observations) -> str:
+    """Share of the run in which the rig and the nodes waited for a processor."""
     node_waits = [waits.share() for waits in observations.node_waits.values()]
     rig_share = observations.rig_waits.share()
     longest = max(node_waits, default=0.0)
     return f"waits for a processor, parts of the run: rig {rig_share:.0%}, nodes up to {longest:.0%}"
 
 
-def _evidence(violation: Violation, observations: Observations, folder: Path) -> Iterator[str]:
-    """What is known of the request that a violation names."""
+def _request_details(violation: Violation, observations: Observations, folder: Path) -> Iterator[str]:
+    """Details of the request that a violation names; nothing if it names none."""
     match = REQUEST_ID.match(violation.detail)
     request = observations.requests.get(int(match[0], 16)) if match else None
     if request is None:
@@ -61,13 +64,13 @@
     node_wait_s = observations.node_waits[request.node].waited_s(request.sent_s, until_s)
     rig_wait_s = observations.rig_waits.waited_s(request.sent_s, until_s)
     yield f"waits for a processor since then: node {node_wait_s:.3f} s, rig {rig_wait_s:.3f} s"
-    yield from _logged(request, folder)
+    yield from _logged_lines(request, folder)
 
 
-def _logged(request: ClientRequest, folder: Path) -> list[str]:
-    """What its node logged of the request: lines with its key, and those with the id that they have."""
+def _logged_lines(request: ClientRequest, folder: Path) -> list[str]:
+    """Log lines of the request: those with an id that the node logged together with the request's key."""
     path = folder / f"n{request.node}.log"
     lines = path.read_text(errors="replace").splitlines() if path.exists() else []
     key = f" key={request.key:x} "
-    ids = {match[0] for line in lines if key in line and (match := NODE_ID.search(line))}
-    return [line for line in lines if any(node_id in line for node_id in ids)][:LINES_OF_A_VIOLATION]
+    ids = {match[0] for line in lines if key in line and (match := LOGGED_ID.search(line))}
+    return [line for line in lines if any(node_id in line for node_id in ids)][:MAX_LINES_PER_VIOLATION]
