--- a/rig/fleet/fault_injection.py
+++ b/rig/fleet/fault_injection.py
@@ -1,4 +1,4 @@
-"""Faults of a scenario, injected into a deployment at their times."""
+"""Injects the faults of a scenario into a deployment at their times."""
 
 from __future__ import annotations
 
@@ -16,38 +16,37 @@
 from rig.fleet.scenario import Fault
 
 RECOVERY_S = 2.0
-"""How long past its fault a node still has an outage: failure detection and the start, in seconds."""
-
+"""How long after its fault a node still has an outage, in seconds: failure detection and the start."""
 
 KILL_DELAY_S = 0.7
-"""SIGKILL comes no sooner than the longest deadline and this after SIGTERM, in seconds."""
+"""Delay of SIGKILL after SIGTERM, beyond the deadline of the requests, in seconds."""
 
 MAX_DEADLINE_S = 3.0
-"""A longer deadline counts as this, in seconds."""
+"""Upper bound of the deadline that SIGKILL waits for, in seconds."""
 
 SIGNAL_INTERVAL_S = 0.15
-"""Time between signals in a row, in seconds."""
+"""Interval between successive signals, in seconds."""
 
-FORMER_ADDRESS_S = 1.5
-"""How long connections at an address that discovery has left stay open, in seconds."""
+FORMER_ADDRESS_CLOSE_DELAY_S = 1.5
+"""How long connections to a former address of discovery stay open, in seconds."""
 
 LINK_FAULTS = frozenset(
     {"delay", "cut", "cut-forward", "cut-backward", "reset", "refuse", "unresponsive", "slow"}
 )
 """Faults that may end connections to endpoints."""
 
-RECORDED_BY_THEMSELVES = frozenset({"terminate", "reload", "move-discovery"})
-"""Faults in which a node has no outage, or only a part of the time."""
+SELF_RECORDED_FAULTS = frozenset({"terminate", "reload", "move-discovery"})
+"""Faults of nodes that cause no outage, or whose handler records it."""
 
 
 class FaultInjector:
-    """Injects faults, and records those that excuse a node or an endpoint."""
+    """Injects faults, and records the outages and cuts that excuse violations."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
 
     async def inject(self, fault: Fault) -> None:
-        """Wait for the fault's time, inject it, and end it after its duration."""
+        """Wait until the fault is due, inject it, and end it after its duration."""
         clock = self.deployment.clock
         await asyncio.sleep(max(0.0, fault.at_s - clock()))
         self._record(fault)
@@ -66,7 +65,7 @@
                 | "discovery-invalid-entry"
                 | "discovery-in-pieces"
             ):
-                await self._disturb_answers(fault)
+                await self._apply_answer_fault(fault)
             case "drain" | "replace":
                 await self._drain_endpoints(fault)
             case "crash":
@@ -74,10 +73,10 @@
             case "slow":
                 await self._slow_endpoints(fault)
             case _:
-                await self._disturb_links(fault)
+                await self._apply_link_fault(fault)
 
     def _nodes_of(self, fault: Fault) -> list[NodeProcess]:
-        """The nodes that the fault names; all where it names none."""
+        """The nodes that the fault names; all if it names none."""
         nodes = self.deployment.nodes
         return [nodes[number] for number in fault.nodes] or nodes
 
@@ -91,7 +90,7 @@
                 for node in self._nodes_of(fault)
                 for uid in self.deployment.endpoint_uids(fault.endpoints)
             }
-        if fault.kind in RECORDED_BY_THEMSELVES:
+        if fault.kind in SELF_RECORDED_FAULTS:
             return
         if not fault.endpoints and not fault.discovery:
             for node in self._nodes_of(fault):
@@ -112,7 +111,7 @@
         if fault.kind == "kill":
             process.kill()
         else:
-            node.is_believed_up = False
+            node.receives_clients = False
             process.terminate()
         await process.wait()
         ended_s = self.deployment.clock()
@@ -122,14 +121,14 @@
             self._record_outage_until_now(node, ended_s)
 
     def _record_outage_until_now(self, node: NodeProcess, since_s: float) -> None:
-        """A node that starts again has an outage until it is ready, however long its start takes."""
+        """Record an outage that ends when the restarted node is ready, however long its start took."""
         outages = self.deployment.observations.node_outages[node.number]
         outages.append(Interval(since_s, self.deployment.clock()))
 
     async def _terminate_node(self, node: NodeProcess, fault: Fault) -> None:
-        """SIGTERM, some more of them, and SIGKILL at the earliest; then a start with the file of before.
+        """Send SIGTERM, further signals, and SIGKILL after the deadline; restart with the old proxy file.
 
-        Clients that are connected stay, and the node owes them an answer or a MOVE until SIGKILL.
+        Connected clients stay: the node has to send each an answer or a MOVE before SIGKILL.
         """
         process = node.process
         assert process is not None
@@ -137,7 +136,7 @@
         deadline_s = min(self.deployment.scenario.traffic.deadline_s, MAX_DEADLINE_S)
         killed_at_s = self.deployment.clock() + deadline_s + KILL_DELAY_S
         await asyncio.sleep(self.deployment.scenario.failure_detection_s)
-        node.is_believed_up = False
+        node.receives_clients = False
         for _ in range(fault.count - 1):
             send_signal(process, signal.SIGTERM)
             await asyncio.sleep(SIGNAL_INTERVAL_S)
@@ -150,11 +149,11 @@
         send_signal(process, signal.SIGKILL)
         await process.wait()
         await asyncio.sleep(fault.duration_s)
-        await node.start(has_old_file=True)
+        await node.start(reuses_config=True)
         self._record_outage_until_now(node, begin_s)
 
     async def _reload_node(self, node: NodeProcess, fault: Fault) -> None:
-        """SIGHUP in a row, each with a new address of discovery where it moves."""
+        """Send SIGHUP `count` times; for `move-discovery`, each with a new address of discovery."""
         former_links = []
         for _ in range(fault.count):
             process = node.process
@@ -166,23 +165,23 @@
             self.deployment.discovery.record_reload(node.number)
             send_signal(process, signal.SIGHUP)
             await asyncio.sleep(SIGNAL_INTERVAL_S)
-        await asyncio.sleep(FORMER_ADDRESS_S)
+        await asyncio.sleep(FORMER_ADDRESS_CLOSE_DELAY_S)
         for link in former_links:
             await link.close()
 
-    async def _disturb_answers(self, fault: Fault) -> None:
-        """Discovery's answers to the nodes have a fault."""
+    async def _apply_answer_fault(self, fault: Fault) -> None:
+        """Apply a fault to discovery's answers to the nodes, and end it after its duration."""
         nodes = [node.number for node in self._nodes_of(fault)]
         for node in nodes:
-            await disturb_answers(self.deployment.discovery, node, fault, is_on=True)
+            await set_answer_fault(self.deployment.discovery, node, fault, is_on=True)
         if not fault.duration_s:
             return
         await asyncio.sleep(fault.duration_s)
         for node in nodes:
-            await disturb_answers(self.deployment.discovery, node, fault, is_on=False)
+            await set_answer_fault(self.deployment.discovery, node, fault, is_on=False)
 
     async def _drain_endpoints(self, fault: Fault) -> None:
-        """Endpoints drain and, after the duration, stop; where they are replaced, new ones start at once."""
+        """Drain endpoints and stop them after the duration; a `replace` starts new ones at once."""
         deployment = self.deployment
         uids = deployment.endpoint_uids(fault.endpoints)
         for uid in uids:
@@ -198,7 +197,7 @@
             deployment.publish_list()
 
     async def _crash_endpoints(self, fault: Fault) -> None:
-        """Endpoints end at once and, after the duration, start again under their names."""
+        """Stop endpoints and, after the duration, restart them under the same uids."""
         deployment = self.deployment
         uids = deployment.endpoint_uids(fault.endpoints)
         for uid in uids:
@@ -213,10 +212,10 @@
             deployment.publish_list()
 
     async def _restart_endpoint(self, uid: str) -> None:
-        """Start an endpoint that ended, as a new process under its name and at its address."""
+        """Restart an endpoint that was stopped, under its uid and at its address."""
         endpoint = self.deployment.endpoints[uid]
         endpoint.listeners = NodeListeners()
-        await endpoint.start_again()
+        await endpoint.restart()
         for node in self.deployment.nodes:
             link = node.endpoint_links[uid]
             link.target = ("127.0.0.1", endpoint.listeners.ports[node.number])
@@ -226,11 +225,11 @@
         uids = self.deployment.endpoint_uids(fault.endpoints)
         endpoints = [self.deployment.endpoints[uid] for uid in uids]
         for endpoint in endpoints:
-            endpoint.extra_accept_s = fault.delay_s
+            endpoint.min_accept_s = fault.delay_s
         if fault.duration_s:
             await asyncio.sleep(fault.duration_s)
             for endpoint in endpoints:
-                endpoint.extra_accept_s = 0.0
+                endpoint.min_accept_s = 0.0
 
     def _links_of(self, fault: Fault) -> list[LinkProxy]:
         nodes = self._nodes_of(fault)
@@ -242,14 +241,14 @@
             links += [node.client_link for node in nodes]
         return links
 
-    async def _disturb_links(self, fault: Fault) -> None:
+    async def _apply_link_fault(self, fault: Fault) -> None:
         links = self._links_of(fault)
         for link in links:
-            disturb(link, fault)
+            apply_link_fault(link, fault)
         if fault.duration_s:
             await asyncio.sleep(fault.duration_s)
             for link in links:
-                link.heal()
+                link.clear_faults()
 
 
 def send_signal(process: asyncio.subprocess.Process, signal_number: signal.Signals) -> None:
@@ -258,8 +257,8 @@
         process.send_signal(signal_number)
 
 
-async def disturb_answers(discovery: DiscoveryServer, node: int, fault: Fault, is_on: bool) -> None:
-    """Begin or end a fault of discovery's answers to a node."""
+async def set_answer_fault(discovery: DiscoveryServer, node: int, fault: Fault, is_on: bool) -> None:
+    """Apply or end a fault of discovery's answers to a node."""
     faults = discovery.faults[node]
     match fault.kind:
         case "discovery-late":
@@ -267,15 +266,15 @@
         case "discovery-unavailable":
             await discovery.set_unavailable(node, is_on)
         case "discovery-older":
-            faults.is_older = is_on
+            faults.has_initial_list = is_on
         case "discovery-invalid-entry":
             faults.has_invalid_entry = is_on
         case "discovery-in-pieces":
             faults.is_in_pieces = is_on
 
 
-def disturb(link: LinkProxy, fault: Fault) -> None:
-    """Begin a fault on one link, beside those that it has."""
+def apply_link_fault(link: LinkProxy, fault: Fault) -> None:
+    """Apply a fault to a link; other faults of the link stay."""
     match fault.kind:
         case "delay":
             link.delay_s = fault.delay_s
--- a/rig/fleet/faulty_links.py
+++ b/rig/fleet/faulty_links.py
@@ -1,4 +1,4 @@
-"""Links between processes: a TCP proxy for each, which can be delayed, cut in either direction, or reset."""
+"""TCP proxies as links between processes; a link can be delayed, cut in either direction, or reset."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from rig.free_port import free_port
 
 READ_BYTES = 16384
-"""Most bytes that are passed on at once."""
+"""Upper bound of the bytes that are forwarded at once."""
 
 MAX_QUEUED_CHUNKS = 64
-"""Chunks that a direction holds while they are delayed; beyond that it reads no more."""
+"""Delayed chunks that each direction queues; when the queue is full, reading stops."""
 
 
 class Direction(Enum):
-    """Which way data goes: FORWARD from whoever connects to the target."""
+    """Direction of data: FORWARD is from the connecting side to the target."""
 
     FORWARD = auto()
     BACKWARD = auto()
 
 
 class Chunk(NamedTuple):
-    """Data, its end (empty) or a reset, and when it is to be passed on (the loop's clock)."""
+    """Data, end of data (empty) or a reset, and when it is due to be forwarded, on the loop's clock."""
 
     due_s: float
     data: bytes
@@ -35,10 +35,10 @@
 
 
 class LinkProxy:
-    """A proxy with an address of its own: whoever connects there is connected to `target`.
+    """A TCP proxy that forwards connections at its own address to `target`.
 
-    A cut drops what goes that way and reports nothing, as a network does; TCP's own acknowledgements still
-    come from the proxy, so a cut link looks half open to both ends.
+    A cut silently drops data in that direction, as a network does. TCP acknowledgements still come from the
+    proxy, so a cut link looks half open to both ends.
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
@@ -51,27 +51,27 @@
         """Whether new connections are reset at once."""
 
         self.is_unresponsive = False
-        """Whether new connections are accepted and go nowhere."""
+        """Whether new connections are accepted but not forwarded."""
 
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
-        """Listen on a free port, or on that of before, which no other connection can have taken meanwhile."""
+        """Listen on a free port, or again on the previous one, which no connection can have taken."""
         self.port = self.port or free_port()
         self._server = await asyncio.start_server(
             self._accept, "127.0.0.1", self.port, backlog=LISTEN_BACKLOG
         )
 
     def stop_listening(self) -> None:
-        """Have new connections refused by the machine, as after the end of a process, until `open`."""
+        """Stop listening until `open`: the kernel refuses new connections, as after the end of a process."""
         if self._server is not None:
             self._server.close()
 
     @property
     def address(self) -> str:
-        """Where it listens, as host:port."""
+        """The listening address as host:port."""
         return f"127.0.0.1:{self.port}"
 
     def reset(self) -> None:
@@ -80,8 +80,8 @@
             reset_connection(writer)
         self._writers.clear()
 
-    def heal(self) -> None:
-        """End all faults; what was accepted while unresponsive is reset."""
+    def clear_faults(self) -> None:
+        """Clear all faults; if the link was unresponsive, reset its connections."""
         self.delay_s = 0.0
         self.is_cut_forward = False
         self.is_cut_backward = False
@@ -98,23 +98,23 @@
         for task in self._tasks:
             task.cancel()
 
-    async def _accept(self, near_reader: asyncio.StreamReader, near_writer: asyncio.StreamWriter) -> None:
+    async def _accept(self, client_reader: asyncio.StreamReader, client_writer: asyncio.StreamWriter) -> None:
         if self.refuses_connections:
-            reset_connection(near_writer)
+            reset_connection(client_writer)
             return
         if self.is_unresponsive:
-            self._writers.add(near_writer)  # kept open until the link is healed or closed
+            self._writers.add(client_writer)  # kept open until the faults are cleared or the link is closed
             return
         try:
             await asyncio.sleep(self.delay_s)
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
-            reset_connection(near_writer)
+            reset_connection(client_writer)
             return
-        writers = {near_writer, far_writer}
+        writers = {client_writer, target_writer}
         tasks = {
-            asyncio.ensure_future(self._forward(near_reader, far_writer, Direction.FORWARD)),
-            asyncio.ensure_future(self._forward(far_reader, near_writer, Direction.BACKWARD)),
+            asyncio.ensure_future(self._forward(client_reader, target_writer, Direction.FORWARD)),
+            asyncio.ensure_future(self._forward(target_reader, client_writer, Direction.BACKWARD)),
         }
         self._writers |= writers
         self._tasks |= tasks
@@ -122,14 +122,14 @@
             await asyncio.gather(*tasks)
         self._tasks -= tasks
         self._writers -= writers
-        for writer in (near_writer, far_writer):
+        for writer in (client_writer, target_writer):
             with contextlib.suppress(OSError):
                 writer.close()
 
     async def _forward(
         self, source: asyncio.StreamReader, sink: asyncio.StreamWriter, direction: Direction
     ) -> None:
-        """Pass on one direction; its end and a reset are delayed or dropped like data."""
+        """Forward one direction; end of data and resets are delayed or dropped like data."""
         queue: asyncio.Queue[Chunk] = asyncio.Queue(MAX_QUEUED_CHUNKS)
         reading = asyncio.ensure_future(self._read(source, queue))
         try:
@@ -139,7 +139,7 @@
                 if wait_s > 0.0:
                     await asyncio.sleep(wait_s)
                 if not self._is_cut(direction):
-                    await pass_on(chunk, sink)
+                    await forward_chunk(chunk, sink)
                 if chunk.is_reset or not chunk.data:
                     return
         except OSError:
@@ -163,8 +163,8 @@
         return self.is_cut_forward if direction is Direction.FORWARD else self.is_cut_backward
 
 
-async def pass_on(chunk: Chunk, sink: asyncio.StreamWriter) -> None:
-    """Write a chunk, or end the connection as it says."""
+async def forward_chunk(chunk: Chunk, sink: asyncio.StreamWriter) -> None:
+    """Write a chunk's data, its end of data, or its reset to the connection; raises OSError."""
     if chunk.is_reset:
         reset_connection(sink)
     elif chunk.data:
@@ -175,7 +175,7 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Close with a reset, as a process that dies does."""
+    """Close a connection with a reset, as the kernel does for a killed process."""
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError, AttributeError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
--- a/rig/fleet/invariants.py
+++ b/rig/fleet/invariants.py
@@ -1,4 +1,4 @@
-"""Rules that hold in every run, as checks over the observations."""
+"""Invariants of a run, checked against its observations."""
 
 from __future__ import annotations
 
@@ -22,34 +22,33 @@
 """How long after its deadline a final answer may come, in seconds."""
 
 OUTAGE_SLACK_S = 0.5
-"""An outage that ended up to so many seconds before a request may still have affected it."""
+"""How long before a request an outage may have ended and still excuse it, in seconds."""
 
 OVERLAP_SLACK_S = 0.25
-"""Two attempts may seem to overlap for so many seconds: the end of the first is still on its way."""
+"""Longest tolerated overlap of two attempts, in seconds: the end of the first arrives late."""
 
 NOTICE_SLACK_S = 0.25
-"""Time for the notice of a drain, and for a connection sent before it, to arrive, in seconds."""
+"""Time for a drain notice, and for a connection sent before it, to arrive, in seconds."""
 
+FORWARDING_S = 0.5
+"""Time for the rig to forward a request to its node, in seconds; its delays meanwhile are excused."""
 
-PASSING_ON_S = 0.5
-"""A request reaches its node so soon after it was sent, in seconds, even where the rig is held up."""
-
-LEAVE_SLACK_S = 0.1
-"""An attempt may begin so long after its client has left, in seconds."""
+ABANDON_SLACK_S = 0.1
+"""How long after its client has abandoned the request an attempt may begin, in seconds."""
 
 ARRIVAL_SLACK_S = 0.05
-"""Time for an attempt to arrive at its endpoint, in seconds, while the rig is not held up."""
+"""Time for an attempt to arrive at its endpoint, in seconds, without a delay of the rig."""
 
 
 class Violation(NamedTuple):
-    """A rule that was broken, and by what."""
+    """A violated rule, and what violated it."""
 
     rule: str
     detail: str
 
 
 class InvariantChecker:
-    """The rules, each a generator of its violations."""
+    """Checks the rules, each a generator of its violations."""
 
     def __init__(self, observations: Observations, drain_grace_s: float) -> None:
         self.observations = observations
@@ -71,26 +70,26 @@
     def unanswered(self) -> Iterator[Violation]:
         """Every request gets a final answer by its deadline, unless its node had an outage.
 
-        What the rig itself took longer to pass on the request and the answer does not count.
+        Delays of the rig while it forwards the request and the answer extend the limit.
         """
         for request in self.observations.requests.values():
             limit_s = request.sent_s + request.deadline_s + ANSWER_SLACK_S
             is_answered = any(
-                answer.at_s <= limit_s + self._passing_on_delay_s(request, answer)
+                answer.at_s <= limit_s + self._forwarding_delay_s(request, answer)
                 and answer.keyword != CLOSED_UNANSWERED
                 for answer in request.answers
             )
             since_s = request.sent_s - OUTAGE_SLACK_S
-            if request.left_s is not None and request.left_s < limit_s:
+            if request.abandoned_s is not None and request.abandoned_s < limit_s:
                 continue
             if not is_answered and not self.observations.had_outage(request.node, since_s, limit_s):
                 detail = f"{request.id:x} at node {request.node}, sent at {request.sent_s:.3f}"
                 yield Violation("unanswered", detail)
 
-    def _passing_on_delay_s(self, request: ClientRequest, answer: Answer) -> float:
-        """By how much the rig was late when it passed on the request, and the answer after the deadline."""
+    def _forwarding_delay_s(self, request: ClientRequest, answer: Answer) -> float:
+        """Delay of the rig in forwarding the request, and the answer after the deadline; in seconds."""
         rig_delay_s = self.observations.rig_delay_s
-        request_delay_s = rig_delay_s(request.sent_s, request.sent_s + PASSING_ON_S)
+        request_delay_s = rig_delay_s(request.sent_s, request.sent_s + FORWARDING_S)
         return request_delay_s + rig_delay_s(request.sent_s + request.deadline_s, answer.at_s)
 
     def answered_twice(self) -> Iterator[Violation]:
@@ -101,7 +100,7 @@
                 yield Violation("answered-twice", f"{request.id:x}: {keywords}")
 
     def parallel_attempts(self) -> Iterator[Violation]:
-        """No request has attempts at two endpoints at once, unless the first cannot learn of its end."""
+        """No request has attempts at two endpoints at once, unless a cut hid the end of the first."""
         by_request: dict[int, list[Attempt]] = defaultdict(list)
         for attempt in self.observations.attempts:
             by_request[attempt.id].append(attempt)
@@ -109,13 +108,13 @@
             attempts.sort(key=lambda attempt: attempt.began_s)
             for first, second in pairwise(attempts):
                 ended_s = math.inf if first.ended_s is None else first.ended_s
-                does_overlap = ended_s > second.began_s + OVERLAP_SLACK_S
-                if does_overlap and not self.observations.was_cut(first, second.began_s):
+                is_overlapping = ended_s > second.began_s + OVERLAP_SLACK_S
+                if is_overlapping and not self.observations.was_cut(first, second.began_s):
                     detail = f"{request_id:x} at {first.endpoint} and {second.endpoint}"
                     yield Violation("parallel-attempts", detail)
 
     def sent_to_draining(self) -> Iterator[Violation]:
-        """No node sends connections to an endpoint later than the grace after the notice of its drain."""
+        """No node sends connections to an endpoint after its drain notice and the drain grace."""
         for attempt in self.observations.attempts:
             for notice in self.observations.drain_notices.get((attempt.node, attempt.endpoint), ()):
                 forbidden_from_s = notice.begin_s + self.drain_grace_s + NOTICE_SLACK_S
@@ -126,22 +125,25 @@
                     yield Violation("sent-to-draining", detail)
 
     def sent_after_leave(self) -> Iterator[Violation]:
-        """No attempt begins later than LEAVE_SLACK_S after the client has left.
+        """No attempt begins later than ABANDON_SLACK_S after its client has abandoned the request.
 
-        What the rig itself took longer to pass on does not count: the line may have been sent before.
+        Delays of the rig extend the limit: the request line may have been sent before.
         """
         for attempt in self.observations.attempts:
             request = self.observations.requests.get(attempt.id)
-            if request is not None and request.left_s is not None:
-                delay_s = attempt.began_s - request.left_s
-                rig_delay_s = self.observations.rig_delay_s(request.left_s, attempt.began_s)
-                if delay_s > LEAVE_SLACK_S + ARRIVAL_SLACK_S + rig_delay_s:
+            if request is not None and request.abandoned_s is not None:
+                delay_s = attempt.began_s - request.abandoned_s
+                rig_delay_s = self.observations.rig_delay_s(request.abandoned_s, attempt.began_s)
+                if delay_s > ABANDON_SLACK_S + ARRIVAL_SLACK_S + rig_delay_s:
                     yield Violation(
                         "sent-after-leave", f"{attempt.id:x} {delay_s:.3f} s after the client left"
                     )
 
     def cut_off(self) -> Iterator[Violation]:
-        """No established connection ends without MOVE while its endpoint keeps it, unless its node ended."""
+        """No established connection ends without MOVE unless its endpoint ended it or its node had an outage.
+
+        Links to endpoints that had a fault are left out.
+        """
         endpoints = {attempt.id: attempt.endpoint for attempt in self.observations.attempts}
         for request in self.observations.requests.values():
             if request.cut_off_s is None or request.id in self.observations.ended_by_endpoint:
@@ -156,7 +158,7 @@
                 yield Violation("cut-off", detail)
 
     def slow_start_exceeded(self) -> Iterator[Violation]:
-        """All nodes together send an endpoint that warms up no more than allowed, with slack for chance."""
+        """The nodes together send an endpoint that warms up no more than allowed, within random variation."""
         for start in self.observations.starts:
             violation = self._first_excess(start)
             if violation is not None:
--- a/rig/fleet/model_endpoint.py
+++ b/rig/fleet/model_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that models work: it accepts connections, and serves them while it has capacity for all."""
+"""Emulated endpoint: accepts connections, and serves them unless their load exceeds its capacity."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from rig.fleet.scenario import Scenario
 
 DROP_INTERVAL_S = 0.1
-"""How often an endpoint over its capacity drops its heaviest connection, in seconds."""
+"""Interval at which an overloaded endpoint drops its heaviest connection, in seconds."""
 
-ALWAYS_WARM_S = -1e9
-"""Start of an endpoint that has finished its warm-up long before the run."""
+WARMED_UP_START_S = -1e9
+"""Start time of an endpoint that has finished its warm-up before the run, in seconds of the run."""
 
 MICROCORES = 1e6
-"""Microcores in a core: the unit of a LOAD line."""
+"""Microcores in a core; a LOAD line is in microcores."""
 
 
 class RequestLine(NamedTuple):
-    """The request's id and the named values of an OPEN line."""
+    """Id and named values of an OPEN line."""
 
     id: int
     values: dict[str, str]
 
 
 def parse_request_line(line: bytes) -> RequestLine:
-    """Parse an OPEN line, which a node wrote and is taken to be right."""
+    """Parse an OPEN line from a node, which is assumed to be valid."""
     _, request_id, _, values = line.decode().split(" ", 3)
     return RequestLine(int(request_id, 16), dict(pair.split("=", 1) for pair in values.strip().split(",")))
 
 
 @dataclass(slots=True, eq=False)
 class ModelConnection:
-    """A connection that was accepted, with its load in cores."""
+    """An established connection, with its load in cores."""
 
     writer: asyncio.StreamWriter
     request_id: int
@@ -47,7 +47,7 @@
 
 
 class ModelEndpoint:
-    """Has `cores` of capacity once warm; each connection takes its load, each group here its overhead."""
+    """Has a capacity of `cores` after the warm-up; each connection adds its load, each group its overhead."""
 
     def __init__(
         self,
@@ -62,12 +62,12 @@
         self.observations = observations
         self.clock = clock
         self.state = "SERVING"
-        self.extra_accept_s = 0.0
-        """Least time until it accepts, while a fault makes it slow."""
+        self.min_accept_s = 0.0
+        """Lower bound of the time until it accepts, in seconds; set by the `slow` fault."""
 
         self.listeners = NodeListeners()
         self.boot_ms = 0
-        self._started_s = ALWAYS_WARM_S
+        self._started_s = WARMED_UP_START_S
         self._load_stream = scenario.stream("load-" + uid)
         self._connections: set[ModelConnection] = set()
         if is_warming_up:
@@ -83,13 +83,13 @@
         self.observations.starts.append(start)
 
     def warm_up_factor(self, age_s: float) -> float:
-        """Part of its capacity that it has so long after its start."""
+        """Share of its capacity that it has `age_s` seconds after its start."""
         settings = self.scenario.endpoints
         progress = max(0.0, age_s) / settings.warm_up_s
         return min(1.0, settings.warm_up_from + (1.0 - settings.warm_up_from) * progress)
 
     def allowed(self, age_s: float) -> float:
-        """Connections that it may get in a slow-start window: a multiple of an even rate that fills it."""
+        """Connections allowed in a slow-start window: a multiple of the even rate that fills the endpoint."""
         settings = self.scenario.endpoints
         even_rate_per_s = settings.cores / self.scenario.traffic.mean_load / settings.warm_up_s
         return (
@@ -100,7 +100,7 @@
         )
 
     def load(self) -> float:
-        """Cores that all its connections and groups take."""
+        """Load of all connections and groups, in cores."""
         traffic = self.scenario.traffic
         groups = len({connection.group for connection in self._connections})
         connections_load = sum(connection.load for connection in self._connections)
@@ -108,7 +108,7 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether more is asked of it than it has capacity for."""
+        """Whether its load exceeds its current capacity."""
         capacity = self.scenario.endpoints.cores * self.warm_up_factor(self.clock() - self._started_s)
         return self.load() > capacity
 
@@ -117,7 +117,7 @@
         await self.listeners.open(self.scenario.nodes, self._serve)
 
     def drop_overload(self) -> None:
-        """Reset the heaviest connection where the endpoint is overloaded."""
+        """Reset the heaviest connection if the endpoint is overloaded."""
         if self.is_overloaded and self._connections:
             heaviest = max(self._connections, key=lambda connection: connection.load)
             self._connections.discard(heaviest)
@@ -125,11 +125,11 @@
             reset_connection(heaviest.writer)
 
     def _record_end(self, connection: ModelConnection) -> None:
-        """Note that it is the endpoint that ends a connection."""
+        """Record that the endpoint ends the connection."""
         self.observations.ended_by_endpoint.add(connection.request_id)
 
     def drain(self) -> None:
-        """Accept no more; where the scenario says so, ask all clients to migrate."""
+        """Accept no more connections; with `migrates_when_draining`, ask all clients to migrate."""
         self.state = "DRAINING"
         if not self.scenario.endpoints.migrates_when_draining:
             return
@@ -140,7 +140,7 @@
                 connection.writer.close()
 
     def stop(self) -> None:
-        """End, and reset all connections."""
+        """Stop listening and reset all connections."""
         self.state = "DELETED"
         self.listeners.close()
         for connection in list(self._connections):
@@ -148,8 +148,8 @@
             reset_connection(connection.writer)
         self._connections.clear()
 
-    async def start_again(self) -> None:
-        """Listen again after `stop`, as a new process of the same name that has to warm up."""
+    async def restart(self) -> None:
+        """Listen again after `stop`, as a new process under the same uid that warms up."""
         self.state = "SERVING"
         self._begin_warm_up()
         await self.open()
@@ -172,8 +172,8 @@
         attempt = Attempt(request.id, node, self.uid, self.clock())
         self.observations.attempts.append(attempt)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(max(self.extra_accept_s, settings.accept_s)):
-                await reader.read(1)  # before the answer nothing may come but the end
+            async with asyncio.timeout(max(self.min_accept_s, settings.accept_s)):
+                await reader.read(1)  # before the answer, only the end of the connection may arrive
                 attempt.ended_s = self.clock()
                 return
         attempt.ended_s = self.clock()
@@ -186,7 +186,7 @@
         await self._serve_connection(connection, reader)
 
     async def _serve_connection(self, connection: ModelConnection, reader: asyncio.StreamReader) -> None:
-        """Echo messages; while it is overloaded it answers none in time."""
+        """Echo messages; those that arrive while the endpoint is overloaded get no answer."""
         self._connections.add(connection)
         try:
             while line := await reader.readline():
--- a/rig/fleet/node_process.py
+++ b/rig/fleet/node_process.py
@@ -1,4 +1,4 @@
-"""One real process of the program, with a faulty link to each of its peers."""
+"""A process of the program, with a link that can have faults to each of its peers."""
 
 from __future__ import annotations
 
@@ -18,21 +18,20 @@
 from rig.free_port import free_port
 
 ROOT = Path(__file__).parent.parent.parent
-"""Root of the repository, where the program is started."""
+"""Working directory of the started processes: the root of the repository."""
 
 START_TIMEOUT_S = 20.0
-"""A process that is not ready by then fails the run, in seconds."""
+"""Time limit for a process to become ready, in seconds; the run fails beyond it."""
 
 READY_POLL_S = 0.02
-"""Time between two tries whether a process is ready, in seconds."""
-
+"""Interval at which readiness is checked, in seconds."""
 
 FAILING_CALLS_SOURCE = ROOT / "rig" / "shims" / "failing_calls.c"
-"""Library whose system calls fail now and then."""
+"""Source of a preloaded library that makes some system calls fail."""
 
 
 def build_failing_calls(folder: Path) -> Path:
-    """Compile the library with failing system calls into the folder, unless it is there."""
+    """Compile the library with failing system calls into the folder, unless it exists; returns its path."""
     library = folder / "failing_calls.so"
     if not library.exists():
         command = ["cc", "-O2", "-shared", "-fPIC", "-o", str(library), str(FAILING_CALLS_SOURCE), "-ldl"]
@@ -41,7 +40,7 @@
 
 
 class NodeProcess:
-    """One node: its links, which last for the run, and its process, which may be started again."""
+    """A node: its links, which last for the run, and its process, which may be restarted."""
 
     def __init__(self, number: int, scenario: Scenario, folder: Path, discovery: DiscoveryServer) -> None:
         self.number = number
@@ -55,8 +54,8 @@
         """Links by the endpoint's uid."""
 
         self.process: asyncio.subprocess.Process | None = None
-        self.is_believed_up = False
-        """Whether clients are led here; that ends some time after the process has."""
+        self.receives_clients = False
+        """Whether clients connect to this node; stays True after a crash until the failure is detected."""
 
         self.crashes: list[str] = []
         self._watchers: set[asyncio.Task[None]] = set()
@@ -74,25 +73,25 @@
         await link.open()
 
     def write_config(self) -> Path:
-        """Write the proxy file with the list as the node sees it now."""
+        """Write the proxy file with the node's current list; returns its path."""
         config_path = self.folder / f"n{self.number}.json"
         config_path.write_text(json.dumps(self._config()))
         return config_path
 
     async def move_discovery(self) -> LinkProxy:
-        """Have discovery reached at another address; returns the former link, which is the caller's."""
+        """Open a link at another address to discovery; returns the former link, which the caller closes."""
         former_link = self.discovery_link
         self.discovery_link = LinkProxy(former_link.target)
         await self.discovery_link.open()
         return former_link
 
-    async def start(self, has_old_file: bool = False) -> None:
+    async def start(self, reuses_config: bool = False) -> None:
         """Start a process and wait until it is ready; raises TimeoutError.
 
-        With `has_old_file` it finds the list of the start before.
+        With `reuses_config`, the proxy file of the previous start is used, with the list in it.
         """
         config_path = self.folder / f"n{self.number}.json"
-        if has_old_file:
+        if reuses_config:
             self.discovery.record_new_process(self.number)
         else:
             self.write_config()
@@ -115,7 +114,7 @@
             )
         self._watchers.add(asyncio.ensure_future(self._watch(self.process)))
         await asyncio.wait_for(self._wait_until_ready(), START_TIMEOUT_S)
-        self.is_believed_up = True
+        self.receives_clients = True
 
     def _config(self) -> dict[str, object]:
         return {
@@ -139,7 +138,7 @@
             await asyncio.sleep(READY_POLL_S)
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
-        """Record an end that is neither a kill nor an exit in order; clients learn of any end late."""
+        """Record an exit other than by SIGKILL or with status 0; clients notice any exit late."""
         status = await process.wait()
         if self.process is not process or self._is_closing:
             return
@@ -147,7 +146,7 @@
             self.crashes.append(f"n{self.number}: status {status}")
         await asyncio.sleep(self.scenario.failure_detection_s)
         if self.process is process:
-            self.is_believed_up = False
+            self.receives_clients = False
 
     async def close(self) -> None:
         """Kill the process and close all links."""
--- a/tests/test_faulty_links.py
+++ b/tests/test_faulty_links.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from rig.fleet.fault_injection import disturb
+from rig.fleet.fault_injection import apply_link_fault
 from rig.fleet.faulty_links import LinkProxy, reset_connection
 from rig.fleet.scenario import Fault, FaultKind
 
 
 async def echo_through_link(fault: str) -> list[str]:
-    """What an echo server returns before and during a fault, and how many lines reached it."""
+    """The echoes before and during a fault, and the number of lines that reached the echo server."""
 
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
@@ -55,12 +55,12 @@
         ("reset", ["one", "reset", "1"]),
     ],
 )
-def test_link_has_the_fault_that_is_set(fault: str, results: list[str]) -> None:
+def test_link_applies_its_fault(fault: str, results: list[str]) -> None:
     assert asyncio.run(echo_through_link(fault)) == results
 
 
 class EchoThroughLink:
-    """An echo server with a link before it; `accepted` counts the server's connections."""
+    """An echo server behind a link; `accepted` counts the server's connections."""
 
     def __init__(self) -> None:
         self.accepted = 0
@@ -95,14 +95,14 @@
         return reader, writer
 
 
-def test_refusing_link_resets_connections_until_it_is_healed() -> None:
+def test_refusing_link_resets_connections_until_its_faults_are_cleared() -> None:
     async def run() -> None:
         async with EchoThroughLink() as echo:
             echo.link.refuses_connections = True
             reader, _ = await echo.connect()
             with pytest.raises(ConnectionResetError):
                 await reader.readline()
-            echo.link.heal()
+            echo.link.clear_faults()
             reader, _ = await echo.connect(b"one\n")
             assert await reader.readline() == b"one\n"
             assert echo.accepted == 1
@@ -110,7 +110,7 @@
     asyncio.run(run())
 
 
-def test_unresponsive_link_passes_nothing_on_and_resets_what_it_accepted_when_healed() -> None:
+def test_unresponsive_link_forwards_nothing_and_resets_its_connections_when_cleared() -> None:
     async def run() -> None:
         async with EchoThroughLink() as echo:
             echo.link.is_unresponsive = True
@@ -120,9 +120,9 @@
             echo.link.is_unresponsive = False
             later_reader, _ = await echo.connect(b"two\n")
             assert await later_reader.readline() == b"two\n"
-            assert echo.accepted == 1  # the first connection would have come before
+            assert echo.accepted == 1  # a forwarded first connection would count, too
             echo.link.is_unresponsive = True
-            echo.link.heal()
+            echo.link.clear_faults()
             with pytest.raises(ConnectionResetError):
                 await reader.readline()
             later_reader, _ = await echo.connect(b"three\n")
@@ -131,7 +131,7 @@
     asyncio.run(run())
 
 
-def test_end_of_the_client_is_passed_on_without_ending_the_answers() -> None:
+def test_half_close_by_the_client_is_forwarded_and_answers_still_arrive() -> None:
     async def run() -> None:
         async with EchoThroughLink() as echo:
             reader, writer = await echo.connect(b"one\n")
@@ -163,7 +163,7 @@
     asyncio.run(run())
 
 
-def test_delayed_line_comes_back_no_sooner_than_the_delay() -> None:
+def test_delayed_echo_arrives_no_sooner_than_the_delay() -> None:
     async def run() -> None:
         async with EchoThroughLink() as echo:
             reader, writer = await echo.connect(b"one\n")
@@ -172,13 +172,15 @@
             sent_s = asyncio.get_running_loop().time()
             writer.write(b"two\n")
             assert await reader.readline() == b"two\n"
-            assert asyncio.get_running_loop().time() - sent_s >= echo.link.delay_s  # delayed both ways
+            assert (
+                asyncio.get_running_loop().time() - sent_s >= echo.link.delay_s
+            )  # delayed in both directions
 
     asyncio.run(run())
 
 
 def faults_of(link: LinkProxy) -> dict[str, object]:
-    """The public values of a link that differ from those of a new one."""
+    """Public attributes of a link that differ from those of a new one."""
     new = vars(LinkProxy(link.target))
     return {name: value for name, value in vars(link).items() if name[0] != "_" and value != new[name]}
 
@@ -194,11 +196,11 @@
         ("unresponsive", {"is_unresponsive": True}),
     ],
 )
-def test_fault_of_a_scenario_disturbs_the_link_until_it_is_healed(
+def test_fault_of_a_scenario_applies_to_the_link_until_cleared(
     kind: FaultKind, faults: dict[str, object]
 ) -> None:
     link = LinkProxy(("127.0.0.1", 1))
-    disturb(link, Fault(at_s=0.0, kind=kind, delay_s=0.5))
+    apply_link_fault(link, Fault(at_s=0.0, kind=kind, delay_s=0.5))
     assert faults_of(link) == faults
-    link.heal()
+    link.clear_faults()
     assert faults_of(link) == {}
--- a/tests/test_fleet_invariants.py
+++ b/tests/test_fleet_invariants.py
@@ -1,4 +1,4 @@
-"""The rules of the fleet rig, each on observations made for it."""
+"""Invariants and emulated discovery of the fleet rig, on constructed observations."""
 
 from __future__ import annotations
 
@@ -51,9 +51,9 @@
     return observations
 
 
-def after_leave(attempt_s: float) -> Observations:
+def after_abandonment(attempt_s: float) -> Observations:
     observations = with_attempts(Attempt(1, 0, "s", attempt_s, attempt_s))
-    observations.requests[1].left_s = 1.4
+    observations.requests[1].abandoned_s = 1.4
     return observations
 
 
@@ -96,7 +96,7 @@
         (with_rig_delay(one_request(Answer(3.9, "BUSY")), Delay(0.9, 0.5)), {"unanswered"}),
         (with_rig_delay(one_request(Answer(3.9, "BUSY")), Delay(1.3, 0.5)), {"unanswered"}),
         (with_rig_delay(one_request(Answer(3.9, "BUSY")), Delay(1.6, 0.5)), set()),
-        # A delay while the request waits at its node does not make the answer late.
+        # A delay between the forwarding of request and answer does not extend the limit.
         (with_rig_delay(one_request(Answer(3.9, "BUSY")), Delay(2.2, 0.5)), {"unanswered"}),
         (with_rig_delay(one_request(), Delay(3.8, 0.5)), {"unanswered"}),
         (with_node_outage(one_request()), set()),
@@ -104,8 +104,8 @@
         (with_attempts(Attempt(1, 0, "a", 1.0, 1.5), Attempt(1, 0, "b", 1.4, 1.6)), set()),
         (with_attempts(Attempt(1, 0, "a", 1.0, None), Attempt(1, 0, "b", 1.4, 1.6)), {"parallel-attempts"}),
         (with_link_cut(with_attempts(Attempt(1, 0, "a", 1.0, None), Attempt(1, 0, "b", 1.4, 1.6))), set()),
-        (after_leave(1.5), set()),
-        (after_leave(2.0), {"sent-after-leave"}),
+        (after_abandonment(1.5), set()),
+        (after_abandonment(2.0), {"sent-after-leave"}),
         (cut_off_connection(), {"cut-off"}),
         (with_node_outage(cut_off_connection()), set()),
         (cut_off_by_endpoint(), set()),
@@ -115,7 +115,7 @@
         (warming_up(11), {"slow-start-exceeded"}),
     ],
 )
-def test_each_rule_reports_its_violations(observations: Observations, rules: set[str]) -> None:
+def test_rules_report_their_violations(observations: Observations, rules: set[str]) -> None:
     assert violated_rules(observations) == rules
 
 
@@ -141,13 +141,13 @@
     ("node", "outage", "rules"),
     [
         (1, FAULT_TIME, {"unanswered"}),
-        (0, Interval(0.0, 0.4), {"unanswered"}),  # over more than OUTAGE_SLACK_S before the request
+        (0, Interval(0.0, 0.4), {"unanswered"}),  # ended more than OUTAGE_SLACK_S before the request
         (0, Interval(0.0, 0.6), set()),
         (0, Interval(3.4, 3.6), set()),
-        (0, Interval(3.6, 9.0), {"unanswered"}),  # after the time for the answer
+        (0, Interval(3.6, 9.0), {"unanswered"}),  # begins after the limit for the answer
     ],
 )
-def test_unanswered_request_is_excused_by_an_outage_of_its_node_meanwhile(
+def test_unanswered_request_is_excused_by_a_concurrent_outage_of_its_node(
     node: int, outage: Interval, rules: set[str]
 ) -> None:
     observations = one_request()
@@ -155,7 +155,7 @@
     assert violated_rules(observations) == rules
 
 
-def test_drain_notice_counts_from_the_first_and_until_the_endpoint_is_ready_again() -> None:
+def test_drain_notice_lasts_from_its_first_record_until_the_endpoint_is_ready() -> None:
     observations = after_drain_notice(5.9)
     observations.record_state(0, "s", "DRAINING", 5.8)
     assert violated_rules(observations) == {"sent-to-draining"}
@@ -163,15 +163,15 @@
     assert violated_rules(observations) == set()
 
 
-def test_request_during_a_drain_notice_is_a_violation_though_the_endpoint_is_ready_again_later() -> None:
-    # Only the latest state used to be kept, and what came before the return was not looked at.
+def test_attempt_during_a_drain_notice_is_a_violation_after_the_notice_has_ended() -> None:
+    # Fails if only the latest state is kept: attempts during an earlier notice are then not checked.
     observations = after_drain_notice(5.9)
     observations.record_state(0, "s", "SERVING", 6.5)
     observations.record_state(0, "s", "DELETED", 8.0)
     assert violated_rules(observations) == {"sent-to-draining"}
 
 
-def test_node_counts_as_notified_by_the_deadline_and_of_endpoints_that_a_list_omits(
+def test_node_counts_as_notified_of_an_omitted_endpoint_after_the_notice_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def publish_removal() -> Observations:
@@ -188,10 +188,10 @@
     assert [notice.end_s for notice in notices] == [math.inf]
 
 
-def test_change_that_discovery_has_in_an_outage_counts_as_known_some_time_after_its_return(
+def test_notice_deadline_of_a_change_during_an_outage_of_discovery_starts_at_its_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # It counted from the change on, though discovery refused every call.
+    # Fails if the deadline starts at the change, while discovery refuses all calls.
     async def publish_removal_in_outage() -> tuple[int, int]:
         observations = Observations()
         server = DiscoveryServer(parse('name = "x"\nnodes = 1'), observations, RunClock())
@@ -209,32 +209,32 @@
     assert asyncio.run(publish_removal_in_outage()) == (0, 1)
 
 
-def test_discovery_serves_calls_in_turn_and_fails_those_that_wait_too_long() -> None:
+def test_discovery_serves_calls_in_order_and_fails_those_that_wait_too_long() -> None:
     capacity = "[discovery]\nservice_s = 0.1\nlongest_wait_s = 0.15"
 
     async def call_at_once(calls: int) -> list[bool]:
         server = DiscoveryServer(parse(f'name = "x"\n{capacity}'), Observations(), RunClock())
-        return await asyncio.gather(*(server._wait_for_turn() for _ in range(calls)))
+        return await asyncio.gather(*(server._wait_in_queue() for _ in range(calls)))
 
-    # The third waits too long and takes its turn all the same; the fifth is refused at once.
+    # The third call waits too long but is still served; the fifth is refused at once.
     assert asyncio.run(call_at_once(5)) == [True, True, False, False, False]
 
 
-def test_queue_at_discovery_is_as_long_after_the_clock_of_the_run_begins_anew() -> None:
-    # The run's clock begins anew after the first calls: it made their queue seem as much longer.
+def test_queue_at_discovery_does_not_depend_on_a_restart_of_the_run_clock() -> None:
+    # The run's clock restarts after the first calls; a queue timed by it would grow by the old reading.
     async def call_after_restart() -> float:
         clock = RunClock()
         scenario = parse('name = "x"\n[discovery]\nservice_s = 0.1\nlongest_wait_s = 5.0')
         server = DiscoveryServer(scenario, Observations(), clock)
-        await asyncio.gather(*(server._wait_for_turn() for _ in range(5)))
+        await asyncio.gather(*(server._wait_in_queue() for _ in range(5)))
         clock.restart()
-        assert await server._wait_for_turn()
+        assert await server._wait_in_queue()
         return clock()
 
     assert asyncio.run(call_after_restart()) < 0.3
 
 
-def test_drain_notice_counts_for_the_node_that_got_it() -> None:
+def test_drain_notice_applies_only_to_the_node_that_received_it() -> None:
     observations = with_attempts(Attempt(1, 0, "s", 9.0, 9.0))
     observations.record_state(1, "s", "DRAINING", 5.0)
     assert violated_rules(observations) == set()
@@ -246,10 +246,10 @@
         (11.0, 0.01, {"slow-start-exceeded"}),
         (11.0, 0.21, set()),  # no more than ten within any window of 2 s
         (9.0, 0.01, set()),  # before the start
-        (20.0, 0.01, set()),  # once it is warm
+        (20.0, 0.01, set()),  # after the warm-up
     ],
 )
-def test_slow_start_is_counted_in_windows_while_the_endpoint_warms_up(
+def test_slow_start_is_checked_in_windows_during_the_warm_up(
     first_s: float, interval_s: float, rules: set[str]
 ) -> None:
     observations = warming_up(0)
@@ -266,8 +266,8 @@
     ]
 
 
-def test_list_that_is_sent_to_a_caller_that_has_ended_notifies_nobody() -> None:
-    # A watch of a killed process was answered, and its successor counted as notified.
+def test_list_sent_to_a_closed_connection_does_not_count_as_notice() -> None:
+    # Fails if the watch of a killed process is answered and its successor counts as notified.
     async def change_after_caller_ended() -> int:
         observations = Observations()
         server = DiscoveryServer(parse('name = "x"\nnodes = 1'), observations, RunClock())
