--- a/rig/base_settings.py
+++ b/rig/base_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a small made-up deployment, for the tests and the fleet rig; taken from no real one."""
+"""Settings of a small fictitious deployment, for the tests and the fleet rig."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def changed_settings(changes: Mapping[str, Any]) -> dict[str, Any]:
-    """The base settings with these changes: an object is merged key by key, anything else replaced."""
+    """The base settings with changes: objects are merged key by key, other values are replaced."""
     raw = base_settings()
     for key, value in changes.items():
         is_merged = isinstance(value, dict) and key in raw
--- a/rig/connection_load.py
+++ b/rig/connection_load.py
@@ -1,4 +1,4 @@
-"""Many short connections at once from one thread, and how each of them ended."""
+"""Runs many short concurrent connections from one thread, and reports how each ended."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from typing import Literal
 
 LINGER_RESET = struct.pack("ii", 1, 0)
-"""SO_LINGER with a time of zero: close sends a reset."""
+"""SO_LINGER with a timeout of zero: close sends a reset."""
 
 MAX_KEPT_BYTES = 1 << 16
-"""Bytes received that are kept for each connection."""
+"""Received bytes that are kept per connection; later ones are discarded."""
 
 READ_BYTES = 1 << 16
-"""Most bytes that are read at once."""
+"""Upper bound of the bytes that are read at once."""
 
 POLL_S = 0.05
-"""Longest wait for an event, in seconds, so that time limits are seen soon."""
+"""Longest wait for an event, in seconds; bounds how late a time limit is noticed."""
 
 Ending = Literal["wait", "half", "fin", "reset"]
-"""What a peer does once all is sent: wait for the other side, close half, or close with a FIN or a reset."""
+"""Action after all is sent: wait for the other side, half-close, or close with a FIN or a reset."""
 
 
 class ConnectionEnd(StrEnum):
@@ -40,23 +40,23 @@
 
 @dataclass(slots=True)
 class PeerInput:
-    """What one peer sends, each piece in a turn of the loop of its own, and how it ends.
+    """Pieces that a peer sends, each in its own turn of the loop, and how it ends the connection.
 
-    With `until`, it closes once one of these has been received.
+    With `until`, it closes once one of these texts has been received.
     """
 
     port: int
     pieces: tuple[bytes, ...]
     ending: Ending = "wait"
     origin: str = ""
-    """What generated it, for reports."""
+    """Name of its generator, for reports."""
 
     until: tuple[bytes, ...] = ()
 
 
 @dataclass(slots=True)
 class ConnectionResult:
-    """How the connection of one input ended, what was received, and how long it took in seconds."""
+    """How the connection of an input ended, what it received, and its duration in seconds."""
 
     input: PeerInput
     ended: ConnectionEnd
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """A connection that is open, and the pieces that are still to be sent."""
+    """An open connection, and its unsent pieces."""
 
     input: PeerInput
     sock: socket.socket
@@ -78,10 +78,9 @@
 def run_connections(
     inputs: Iterable[PeerInput], max_open: int = 50, limit_s: float = 10.0
 ) -> Iterator[ConnectionResult]:
-    """Run a connection for each input, `max_open` at a time; yields each result as it comes.
+    """Run a connection for each input, at most `max_open` at a time; yields each result as it ends.
 
-    No connection is open longer than `limit_s`, so the run ends by itself. Raises OSError where a connection
-    cannot be opened.
+    Connections time out after `limit_s`. Raises OSError if a connection cannot be opened.
     """
     source = iter(inputs)
     has_more = True
@@ -106,10 +105,10 @@
 def ended_connections(
     connections: set[Connection], selector: selectors.BaseSelector, limit_s: float
 ) -> Iterator[tuple[Connection, ConnectionEnd]]:
-    """Wait for events and serve them; yields the connections that ended or reached the time limit."""
+    """Wait for events and handle them; yields connections that ended or timed out."""
     now_s = time.monotonic()
     for key, events in selector.select(POLL_S):
-        ended = serve_events(key.data, events, selector)
+        ended = handle_events(key.data, events, selector)
         if ended is not None:
             yield key.data, ended
     for connection in [each for each in connections if now_s - each.began_s > limit_s]:
@@ -117,7 +116,7 @@
 
 
 def open_connection(peer_input: PeerInput, selector: selectors.BaseSelector) -> Connection:
-    """Begin to connect; raises OSError."""
+    """Start a non-blocking connect; raises OSError."""
     sock = socket.socket()
     sock.setblocking(False)
     code = sock.connect_ex(("127.0.0.1", peer_input.port))
@@ -129,10 +128,10 @@
     return connection
 
 
-def serve_events(
+def handle_events(
     connection: Connection, events: int, selector: selectors.BaseSelector
 ) -> ConnectionEnd | None:
-    """Send and receive once; how the connection ended, if it has."""
+    """Send and receive once; returns how the connection ended, or None."""
     if events & selectors.EVENT_WRITE:
         try:
             ended = send_piece(connection, selector)
@@ -140,7 +139,7 @@
             ended = None
         except ConnectionRefusedError:
             ended = ConnectionEnd.REFUSED
-        except OSError:  # the other side has ended it: what it answered is read below
+        except OSError:  # closed by the other side: its answer is read below
             ended = None
             connection.unsent.clear()
             selector.modify(connection.sock, selectors.EVENT_READ, connection)
@@ -152,7 +151,7 @@
 
 
 def send_piece(connection: Connection, selector: selectors.BaseSelector) -> ConnectionEnd | None:
-    """Send a part of what is unsent, and end as the input says once all is sent; raises OSError."""
+    """Send from the first unsent piece; once all is sent, apply the input's ending. Raises OSError."""
     unsent = connection.unsent
     if unsent:
         sent = connection.sock.send(unsent[0])
@@ -171,7 +170,7 @@
 
 
 def receive(connection: Connection) -> ConnectionEnd | None:
-    """Receive what has come; how the connection ended, if it has."""
+    """Receive available data; returns how the connection ended, or None."""
     try:
         data = connection.sock.recv(READ_BYTES)
     except BlockingIOError:
@@ -189,7 +188,7 @@
 def close_connection(
     connection: Connection, selector: selectors.BaseSelector, ended: ConnectionEnd
 ) -> ConnectionResult:
-    """Close this side, with a reset where the input says so."""
+    """Close the socket, with a reset if the input ends with one; returns the result."""
     selector.unregister(connection.sock)
     if connection.input.ending == "reset" and ended is ConnectionEnd.CLOSED_HERE:
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
--- a/rig/free_port.py
+++ b/rig/free_port.py
@@ -1,4 +1,4 @@
-"""Ports for programs that are started later."""
+"""Reserves ports for programs that are started later."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from contextlib import suppress
 
 PORTS = (12_000, 32_000)
-"""Below the ports that the kernel gives to outgoing connections, one of which might take it meanwhile."""
+"""Range of the ports: below the ephemeral ports, one of which an outgoing connection could take meanwhile."""
 
 MAX_RESERVATIONS = 256
-"""Ports that are kept for this process at a time; more than one test or rig run uses."""
+"""Ports that this process reserves at a time; more than a test or rig run uses."""
 
 _reservations: deque[socket.socket] = deque()
 
 
 def free_port() -> int:
-    """A port on which nothing listens, reserved for a program that this process starts.
+    """Reserve a port on which nothing listens, for a program that this process starts.
 
-    No other call gives the same port while it is reserved, in this process or another; the oldest reservation
-    ends when there are more than `MAX_RESERVATIONS`.
+    No other call returns it while it is reserved, in this process or another. Beyond `MAX_RESERVATIONS` the
+    oldest reservation is released.
     """
     while True:
         port = random.SystemRandom().randrange(*PORTS)
@@ -32,10 +32,10 @@
 
 
 def _reserve(port: int) -> socket.socket:
-    """A bound socket that does not listen; raises OSError where the port is in use or reserved.
+    """A bound socket that does not listen; raises OSError if the port is in use or reserved.
 
-    The kernel lets a listener bind the same port if both sockets have SO_REUSEADDR. This one has it only once
-    it is bound, so two reservations exclude each other.
+    The kernel lets a listener bind the same port if both sockets have SO_REUSEADDR. It is set here only after
+    binding, so two reservations exclude each other.
     """
     reservation = socket.socket()
     try:
--- a/tests/test_free_port.py
+++ b/tests/test_free_port.py
@@ -1,4 +1,4 @@
-"""Ports that are given to programs started later."""
+"""Reservation of ports for programs that are started later."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 def draw_first(monkeypatch: pytest.MonkeyPatch, *ports: int) -> None:
-    """Have the next calls draw these ports, and then others."""
+    """Make the next calls draw these ports first, then random ones."""
     generator = random.Random(1)
     drawn = chain(ports, iter(lambda: generator.randrange(12_000, 32_000), None))
     monkeypatch.setattr(random.SystemRandom, "randrange", lambda *_: next(drawn))
 
 
-def test_port_is_given_once_while_it_is_reserved(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Two of the some hundred ports of a rig run were the same now and then, and a process ended.
+def test_reserved_port_is_not_returned_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Among the some hundred ports of a rig run, duplicates made a process fail at its start now and then.
     first, second = free_port(), free_port()
     draw_first(monkeypatch, first, second)
     assert free_port() not in (first, second)
 
 
-def test_oldest_reservation_ends_once_there_are_too_many() -> None:
+def test_oldest_reservation_is_released_beyond_the_maximum() -> None:
     first = free_port()
     for _ in range(MAX_RESERVATIONS):
         free_port()
@@ -33,7 +33,7 @@
         other.bind(("127.0.0.1", first))
 
 
-def test_port_in_use_is_not_given(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_port_in_use_is_not_returned(monkeypatch: pytest.MonkeyPatch) -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         in_use = server.getsockname()[1]
         draw_first(monkeypatch, in_use)
@@ -52,6 +52,6 @@
             assert accepted.recv(1) == b"x"
 
 
-def test_reserved_port_refuses_connections_until_somebody_listens() -> None:
+def test_reserved_port_refuses_connections_until_a_listener_is_bound() -> None:
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(("127.0.0.1", free_port()))
