--- a/rig/fuzz_inputs.py
+++ b/rig/fuzz_inputs.py
@@ -1,4 +1,4 @@
-"""Valid messages of every kind of peer, mutated: what clients, operators, endpoints and others may send."""
+"""Generates mutated messages of each kind of peer: clients, operators, endpoints, discovery and others."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 )
 
 ENDINGS: tuple[Ending, ...] = ("wait", "wait", "half", "fin", "reset")
-"""How a client ends; waiting for the other side is the most frequent."""
+"""Endings of client connections, drawn evenly: most often waiting for the other side."""
 
 SESSION_ENDINGS: tuple[Ending, ...] = ("half", "half", "fin", "reset")
-"""How a session of the channels frontend ends: by itself, since one that is idle and valid may stay."""
+"""Endings of sessions of the channels frontend; none waits, since a valid idle session may stay open."""
 
 CHANNEL_TYPE = b"invocation@linnetshift"
-"""Type of the channels that the frontend accepts."""
+"""Channel type that the frontend accepts."""
 
 FIRST_CHANNEL = 0
 """Number of the first channel of a session."""
 
 CHANNEL_WINDOW_BYTES = 1 << 20
-"""Window that a channel is opened with."""
+"""Initial window of a channel, in bytes."""
 
 MAX_PACKET_BYTES = 1 << 15
-"""Largest packet that a channel is opened with."""
+"""Maximum packet size of a channel, in bytes."""
 
 WRONG_LENGTH_SHARE = 0.05
-"""Share of the packets with a wrong length, and of those with a wrong padding length."""
+"""Share of the packets with a wrong length; the same share has a wrong padding length."""
 
 
 class SshMessage(IntEnum):
@@ -110,12 +110,12 @@
 
 
 def line_protocol_input(rng: random.Random, port: int) -> PeerInput:
-    """A client of the platform's protocol, some with messages behind the request line."""
+    """A client of the platform's protocol; some send messages after the request line."""
     data = encode(mutate_message(rng, request_line(rng)))
     if rng.random() < 0.2:
         data += b"M 1 x\r\n" * rng.randrange(1, 400)
     data = corrupt_bytes(rng, data)
-    # With a long deadline the request may wait that long, and is then owed no answer before.
+    # A request with a long deadline may stay unanswered until then, so its client half-closes.
     has_long_deadline = re.search(rb"[, ]d=\d{4,}", data) is not None
     return PeerInput(port, split_randomly(rng, data), "half" if has_long_deadline else rng.choice(ENDINGS))
 
@@ -162,16 +162,16 @@
     [byte(SshMessage.CHANNEL_SUCCESS), _CHANNEL],
     [byte(SshMessage.CHANNEL_FAILURE), _CHANNEL],
 )
-"""Every message of RFC 4254 and of the transport that may follow, about the first channel."""
+"""Every message of RFC 4254 and of the transport that may follow, for the first channel."""
 
 
 def session_messages(rng: random.Random) -> list[Message]:
-    """A channel is opened, and some other messages follow."""
+    """A message that opens a channel, and some further messages."""
     return [channel_open(rng), *rng.sample(SESSION_MESSAGES, rng.randrange(0, 6))]
 
 
 def packet(rng: random.Random, payload: bytes) -> bytes:
-    """A packet without cipher and MAC (RFC 4253, section 6), some with wrong lengths."""
+    """A packet without cipher and MAC (RFC 4253, section 6); some have wrong lengths."""
     padding = 4 + -(len(payload) + 9) % 8
     length = len(payload) + padding + 1
     if rng.random() < WRONG_LENGTH_SHARE:
@@ -213,11 +213,11 @@
     (b"Expect", b"100-continue", "text"),
     (b"X", b"y", "text"),
 )
-"""Header fields of an operator's call, each of which may be missing."""
+"""Header fields of an operator's call; each may be left out."""
 
 
 def admin_input(rng: random.Random, port: int) -> PeerInput:
-    """An operator's call (RFC 9112), some repeated on one connection."""
+    """An operator's call (RFC 9112); some are repeated on the connection."""
     method, target = rng.choice(ADMIN_CALLS)
     message = [text_field(method), fixed(b" "), text_field(target), fixed(b" ")]
     message += [text_field(b"HTTP/1.1"), fixed(b"\r\n")]
@@ -230,7 +230,7 @@
 
 
 def endpoint_answer(rng: random.Random) -> bytes:
-    """An endpoint's answer to a request line, and what may follow it."""
+    """An endpoint's answer to a request line, with up to three further lines."""
     first = rng.choice((b"UP r1", b"BUSY", b"ERR", b"BYE", b"MOVE", b"PONG"))
     lines = [
         first,
@@ -251,12 +251,12 @@
 
 
 def discovery_answer(rng: random.Random, listing: dict[str, Any]) -> bytes:
-    """Discovery's answer: a mutated document, or bytes that are hardly JSON."""
+    """Discovery's answer: a mutated document, some with corrupt bytes."""
     return corrupt_bytes(rng, json.dumps(mutate_tree(rng, listing)).encode())
 
 
 def takeover_lines(rng: random.Random) -> bytes:
-    """What another process of the same proxy sends in a hot restart."""
+    """Mutated lines that a peer process sends over the takeover socket in a hot restart."""
     lines: list[dict[str, Any]] = [
         {"say": "hello"},
         {"say": "serving"},
@@ -274,7 +274,7 @@
 
 
 def vrrp_advertisement(rng: random.Random, vrid: int) -> bytes:
-    """A VRRP datagram (RFC 9568, section 5.2), its checksum mostly right, so that what is in it is read."""
+    """A VRRP datagram (RFC 9568, section 5.2); most have a valid checksum, so that the fields are parsed."""
     message = [
         MessageField("byte", 0x31),
         MessageField("byte", vrid),
@@ -301,4 +301,4 @@
     "channels": channels_input,
     "admin": admin_input,
 }
-"""Generators of what connects to a frontend, by the frontend; the second argument is its port."""
+"""Input generators by frontend; the second argument is the frontend's port."""
--- a/rig/hostile_run.py
+++ b/rig/hostile_run.py
@@ -1,4 +1,4 @@
-"""Rounds of hostile peers against one running program, and what must hold after each."""
+"""Rounds of hostile inputs against a running program, and the checks after each round."""
 
 from __future__ import annotations
 
@@ -16,41 +16,42 @@
 from rig.fuzz_inputs import CLIENT_INPUTS, endpoint_answer
 
 CONNECTION_LIMIT_S = 6.5
-"""Longest time of a hostile connection, in seconds.
+"""Time limit of a hostile connection, in seconds.
 
-Wrong clients are answered or closed within 3 s; what they still send, and a deadline of their own, is added.
+The program answers or closes invalid clients within 3 s; the rest allows for what they still send, and for
+their deadlines.
 """
 
 MAX_OPEN = 40
-"""Connections of a round that are open at once."""
+"""Concurrent connections of a round."""
 
 MAX_GROWTH_MIB = 4.0
-"""Growth of memory that is allowed after `take_baseline`, in MiB."""
+"""Memory growth that is allowed after `take_baseline`, in MiB."""
 
 MAX_EXTRA_DESCRIPTORS = 2
-"""Descriptors that are allowed beyond the baseline: a call to discovery, and the admin call of the check."""
+"""Descriptors allowed beyond the baseline: for a call to discovery and the check's own admin call."""
 
 SETTLE_S = 8.0
-"""Time until descriptors are back, in seconds: lingering connections and attempts end within that."""
+"""Time for lingering connections and attempts to end and release their descriptors, in seconds."""
 
 DESCRIPTORS_POLL_S = 0.05
-"""Time between two counts of the descriptors, in seconds."""
+"""Interval at which descriptors are counted, in seconds."""
 
 ENDPOINT_POLL_S = 0.05
-"""Longest wait of the endpoints for a connection, in seconds, so that they stop soon."""
+"""Longest wait of the endpoints for a connection, in seconds; bounds how long `stop` takes."""
 
 ENDPOINT_TIMEOUT_S = 0.2
 """How long an endpoint waits for a request line, in seconds."""
 
 MAX_REPORTED_CHARS = 2000
-"""Characters of a log line that a violation repeats."""
+"""Characters of a log line that a violation's text includes."""
 
 TAKEOVER_TIMEOUT_S = 0.3
 """How long a peer process waits for an answer, in seconds."""
 
 
 class RunningProgram(Protocol):
-    """The tests' running program, as far as this module needs it."""
+    """The part of the tests' running program that this module uses."""
 
     port: int
     channels_port: int
@@ -62,7 +63,7 @@
     passed_lines: list[str]
 
     def alive(self) -> bool:
-        """Whether it answers."""
+        """Whether it answers PING with PONG."""
         ...
 
     def call(self, call: str) -> int:
@@ -74,7 +75,7 @@
         ...
 
     def resident_mib(self) -> float:
-        """Memory in MiB."""
+        """Resident memory in MiB."""
         ...
 
     def descriptors(self) -> int:
@@ -87,7 +88,7 @@
 
 
 class InvariantViolationError(AssertionError):
-    """The program broke a rule; `inputs` are those that were sent in that round."""
+    """A violated check; `inputs` are those of the round."""
 
     def __init__(self, message: str, inputs: Sequence[PeerInput | bytes]) -> None:
         super().__init__(message)
@@ -95,7 +96,7 @@
 
 
 class HostileEndpoints(threading.Thread):
-    """Accepts the program's attempts and gives mutated answers, so that nothing stays open."""
+    """Accepts the program's attempts, sends mutated answers, and closes the connections."""
 
     def __init__(self, listeners: Any, seed: int) -> None:
         super().__init__(daemon=True)
@@ -104,7 +105,7 @@
         self._is_running = True
 
     def run(self) -> None:
-        """Answer until stopped."""
+        """Serve attempts until stopped."""
         sockets = [listener.sock for listener in self.listeners]
         while self._is_running:
             for ready in select.select(sockets, [], [], ENDPOINT_POLL_S)[0]:
@@ -124,9 +125,9 @@
 
 
 class HostileRun:
-    """Sends hostile inputs to one program and checks it after each round.
+    """Sends hostile inputs to a program and checks it after each round.
 
-    All methods that send raise InvariantViolationError as soon as a rule is broken.
+    Methods that send raise InvariantViolationError at the first violation.
     """
 
     def __init__(self, running: RunningProgram, seed: int) -> None:
@@ -134,17 +135,17 @@
         self.rng = random.Random(seed)
         self.baseline_descriptors = running.descriptors()
         self.baseline_mib = 0.0
-        """Memory to compare with; not compared before `take_baseline`."""
+        """Resident memory at `take_baseline`, in MiB; 0 disables the comparison."""
 
         self.inputs_sent = 0
 
     def take_baseline(self) -> None:
-        """Record the descriptors and the memory that the program must return to after each later round."""
+        """Record the descriptors and the memory that later rounds are compared with."""
         self.baseline_descriptors = self.running.descriptors()
         self.baseline_mib = self.running.resident_mib()
 
     def send_round(self, frontend: str, count: int) -> None:
-        """Send so many generated inputs to a frontend, a key of `CLIENT_INPUTS`."""
+        """Send `count` generated inputs to a frontend, a key of `CLIENT_INPUTS`."""
         ports = {
             "line-protocol": self.running.port,
             "channels": self.running.channels_port,
@@ -154,7 +155,7 @@
         self.send_inputs([generate(self.rng, ports[frontend]) for _ in range(count)])
 
     def send_inputs(self, inputs: Sequence[PeerInput]) -> list[ConnectionResult]:
-        """Send inputs; none may be refused or stay open."""
+        """Send inputs; none may be refused or time out."""
         results = []
         for result in run_connections(inputs, max_open=MAX_OPEN, limit_s=CONNECTION_LIMIT_S):
             results.append(result)
@@ -165,13 +166,13 @@
         return results
 
     def send_datagrams(self, datagrams: Sequence[bytes], sender: socket.socket) -> None:
-        """Send datagrams to the extra port from a socket that the program knows."""
+        """Send datagrams to the VRRP port from a socket at a configured peer address."""
         for datagram in datagrams:
             sender.sendto(datagram, ("127.0.0.1", self.running.channels_port))
         self._finish_round(datagrams)
 
     def send_takeovers(self, path: str, texts: Sequence[bytes]) -> None:
-        """Send each text to the takeover socket, one connection after the other."""
+        """Send each text to the takeover socket, on successive connections."""
         for text in texts:
             with socket.socket(socket.AF_UNIX) as sock, suppress(OSError):
                 sock.settimeout(TAKEOVER_TIMEOUT_S)
@@ -182,7 +183,7 @@
         self._finish_round(texts)
 
     def send_lists(self, answers: Sequence[bytes], wait_for_call: Callable[[], object]) -> None:
-        """Give answers of discovery; `wait_for_call` returns once the program has called again."""
+        """Have discovery send these answers; `wait_for_call` returns once the program has called again."""
         for answer in answers:
             self.running.discovery.answer_once(answer)
             wait_for_call()
@@ -193,7 +194,7 @@
         self.check(inputs)
 
     def check(self, inputs: Sequence[PeerInput | bytes]) -> None:
-        """Check that the program runs, answers, logged no fault, and is within its baseline and bounds.
+        """Check that the program runs, answers, logged no fault, and is within baseline and bounds.
 
         Raises InvariantViolationError with the `inputs` of the round.
         """
@@ -238,13 +239,13 @@
 
 
 Reproduces = Callable[[Sequence[PeerInput]], bool]
-"""Whether a failure still occurs with these inputs."""
+"""Predicate: whether a failure still occurs with these inputs."""
 
 
 def shrink_inputs(
     inputs: Sequence[PeerInput], reproduces: Reproduces, max_tries: int = 200
 ) -> list[PeerInput]:
-    """Fewer and shorter inputs that still reproduce a failure, within `max_tries` calls of `reproduces`."""
+    """Fewer and shorter inputs that reproduce a failure; calls `reproduces` at most `max_tries` times."""
     tries_left = max_tries
 
     def reproduces_within_tries(candidate: Sequence[PeerInput]) -> bool:
@@ -259,7 +260,7 @@
 
 
 def drop_inputs(inputs: Sequence[PeerInput], reproduces: Reproduces) -> list[PeerInput]:
-    """Drop inputs that the failure does not need: halves first, then ever smaller runs."""
+    """Remove inputs that the failure does not need: halves first, then successively smaller runs."""
     remaining = list(inputs)
     size = len(remaining) // 2
     while size:
@@ -275,7 +276,7 @@
 
 
 def shorten_inputs(inputs: Sequence[PeerInput], reproduces: Reproduces) -> list[PeerInput]:
-    """Cut off the ends of inputs that the failure does not need."""
+    """Truncate inputs at the end as far as the failure still occurs."""
     remaining = list(inputs)
     for position, original in enumerate(inputs):
         data = b"".join(original.pieces)
--- a/rig/mutation.py
+++ b/rig/mutation.py
@@ -1,7 +1,7 @@
 """Messages as lists of typed fields, and their mutation.
 
-A mutated message is still almost valid, so that it passes the first check of a parser and reaches the
-second. All randomness comes from the `random.Random` that is passed in.
+Mutated messages stay almost valid, so that they pass a parser's first checks and reach the later ones. All
+randomness comes from the given `random.Random`.
 """
 
 from __future__ import annotations
@@ -17,40 +17,39 @@
     b"", b" ", b"\0", b"\r\n", b"\n", b"=", b",", b"%", b"/", b"..", b"\xff\xfe", b"\xe2\x82", b"\x1b[2J",
     "\u202e".encode(), b"x" * 300, b"x" * 5000, b"-", b"null", b"'\";--",
 )  # fmt: skip
-"""Texts at some edge: empty, white space, separators, long, no UTF-8."""
+"""Edge cases of texts: empty, white space, separators, long, invalid UTF-8."""
 
 EDGE_NUMBERS = (
     b"0", b"-1", b"1", b"00", b"+1", b"1e9", b"1e400", b"nan", b"inf", b"-inf", b"0x10", b"1_0", b"2147483648",  # noqa: E501
     b"4294967295", b"4294967296", b"9223372036854775808", b"18446744073709551616", b"9" * 400, b"\xd9\xa1",
 )  # fmt: skip
-"""Texts in place of a number: out of range, other notations, other digits."""
+"""Edge cases of numbers as text: out of range, other notations, non-ASCII digits."""
 
 EDGE_INTEGERS = (0, 1, 2, 0x7F, 0x7FFF_FFFF, 0x8000_0000, 0xFFFF_FFFF, 35_000, 65_536)
-"""Binary integers around the widths of fields and the limits of a packet."""
+"""Edge cases of binary integers: around field widths and packet limits."""
 
 EDGE_VALUES: tuple[Any, ...] = (
     None, True, False, 0, -1, 1, 1.5, -0.0, 1e308, float("nan"), float("inf"), 2**31, 2**63, 2**64, 10**30, "",  # noqa: E501
     " ", "\0", "\ud800", "x" * 5000, "1", "nan", [], {}, [[]], [None], {"": None}, [0] * 300, "127.0.0.1:0",
     "127.0.0.1:99999", "256.0.0.1:1", "::1", "DRAINING", "DELETED",
 )  # fmt: skip
-"""Values of a JSON or TOML document of any type, valid ones of other fields among them."""
-
+"""Edge cases of JSON or TOML values of any type, including values that are valid for other fields."""
 
 UNCHANGED_BYTES_SHARE = 0.6
-"""Share of the messages whose bytes `corrupt_bytes` leaves as they are."""
+"""Share of the messages that `corrupt_bytes` leaves unchanged."""
 
 DELETED_SHARE = 0.3
 """Share of the mutations of a document that delete a key or repeat an item."""
 
 REPLACED_ROOT_SHARE = 0.2
-"""Share of the mutations at the root of a document that replace all of it."""
+"""Share of the mutations at the root of a document that replace the document."""
 
 TreePath = tuple[Any, ...]
-"""Keys and positions from the root of a document to one place."""
+"""Keys and positions from the root of a document to a value."""
 
 
 class MessageField(NamedTuple):
-    """One field of a message; binary kinds have an integer."""
+    """A field of a message; the kinds `byte`, `uint32` and `uint64` have an integer value."""
 
     kind: FieldKind
     value: bytes | int
@@ -77,7 +76,7 @@
 
 
 def edge_value(rng: random.Random, field: MessageField) -> MessageField:
-    """The same kind of field with a value at some edge."""
+    """A field of the same kind with an edge-case value."""
     kind, value = field
     match kind:
         case "byte" | "uint32" | "uint64":
@@ -96,7 +95,7 @@
 
 
 def mutate_message(rng: random.Random, message: Message) -> Message:
-    """Apply one to three mutations of fields; some messages stay valid, and are needed among the others."""
+    """Apply up to three mutations of fields; some messages stay unchanged: valid ones are needed too."""
     mutated = list(message)
     for _ in range(rng.choice((0, 1, 1, 1, 2, 3))):
         if not mutated:
@@ -116,7 +115,7 @@
 
 
 def corrupt_bytes(rng: random.Random, data: bytes) -> bytes:
-    """Flip a bit, or delete, repeat, cut off or insert some bytes; most data stays as it is."""
+    """Flip a bit, or delete, repeat, truncate or insert bytes; most data stays unchanged."""
     if not data or rng.random() < UNCHANGED_BYTES_SHARE:
         return data
     at = rng.randrange(len(data))
@@ -135,13 +134,13 @@
 
 
 def split_randomly(rng: random.Random, data: bytes) -> tuple[bytes, ...]:
-    """The data in pieces as it may arrive: mostly in one."""
+    """The data split into one to four pieces; mostly one."""
     cuts = sorted(rng.randrange(len(data) + 1) for _ in range(rng.choice((0, 0, 0, 1, 2, 3))))
     return tuple(data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)], strict=True))
 
 
 def mutate_tree(rng: random.Random, tree: Any) -> Any:
-    """A JSON or TOML document with up to three places changed, deleted or repeated."""
+    """A JSON or TOML document with up to three values changed, deleted or repeated."""
     paths = tree_paths(tree)
     for _ in range(rng.choice((1, 1, 2, 3))):
         tree = mutate_at(tree, rng.choice(paths), rng)
@@ -149,7 +148,7 @@
 
 
 def tree_paths(tree: Any, path: TreePath = ()) -> list[TreePath]:
-    """Paths to all places of a document, the root first."""
+    """Paths to all values of a document, the root first."""
     paths = [path]
     if isinstance(tree, dict):
         for key, value in tree.items():
@@ -161,7 +160,7 @@
 
 
 def mutate_at(tree: Any, path: TreePath, rng: random.Random) -> Any:
-    """A copy of the document changed at the path; unchanged where an earlier mutation removed that place."""
+    """A copy of the document mutated at the path; the document itself if the path no longer exists."""
     if not path:
         return rng.choice(EDGE_VALUES) if rng.random() < REPLACED_ROOT_SHARE else tree
     key = path[0]
--- a/rig/shims/failing_calls.c
+++ b/rig/shims/failing_calls.c
@@ -1,7 +1,7 @@
-/* Loaded with LD_PRELOAD: system calls on sockets fail now and then, in the ways that their manual pages document.
+/* LD_PRELOAD library: makes random socket system calls fail with errors that their manual pages document.
  *
- * FAILING_CALLS_SEED seeds the draws, FAILING_CALLS_PER_MILLE is how many calls in a thousand fail. Nothing fails in
- * the first second, so that the program can start.
+ * FAILING_CALLS_SEED seeds the generator, FAILING_CALLS_PER_MILLE is the number of failing calls per thousand. No
+ * call fails in the first second, so that the program can start.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -35,7 +35,7 @@
     began_ns = now_ns();
 }
 
-/* One of the errors, drawn evenly, where this call is to fail; else 0. */
+/* An error drawn uniformly if this call is to fail, else 0. */
 static int draw_error(const int *errors, size_t count) {
     int error = 0;
     if (per_mille == 0 || now_ns() - began_ns < START_GRACE_NS)
@@ -47,7 +47,7 @@
     return error;
 }
 
-/* Only TCP sockets over IPv4 are disturbed. */
+/* Calls fail only on TCP sockets over IPv4. */
 static int is_tcp(int fd) {
     int type = 0, domain = 0;
     socklen_t size = sizeof(type);
@@ -92,7 +92,7 @@
     return next(fd, address, size);
 }
 
-/* A transfer that is drawn is interrupted, or moves one byte only. */
+/* A transfer that is to fail is interrupted (EINTR) or transfers a single byte (EAGAIN). */
 ssize_t recv(int fd, void *buffer, size_t size, int flags) {
     ssize_t (*next)(int, void *, size_t, int) = dlsym(RTLD_NEXT, "recv");
     int error = is_tcp(fd) ? draw_error(TRANSFER_ERRORS, COUNT(TRANSFER_ERRORS)) : 0;
--- a/tests/test_hostile_peers.py
+++ b/tests/test_hostile_peers.py
@@ -1,4 +1,4 @@
-"""Hostile peers on every wire: the program goes on, answers, and its memory and descriptors return."""
+"""Hostile peers on every interface: the program survives, answers, and releases memory and descriptors."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 from rig.mutation import corrupt_bytes, mutate_tree
 
 SEED = 20261201
-"""Seed of all mutations, so that each run tries the same ones."""
+"""Seed of all mutations, so that runs are reproducible."""
 
 MUTATED_FILES = 1500
-"""Mutations of a file that are tried."""
+"""Number of mutations per file."""
 
 CHANNELS = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
 VRRP = (
@@ -70,7 +70,7 @@
         run.send_lists(answers, lambda: running.discovery.calls.get(timeout=20))
     running.discovery.rev = 1 << 70  # newer than the version of any mutated list
     running.discovery.change()
-    # Mutated lists may have the endpoint draining, and be fetched again: an earlier call says nothing yet.
+    # Mutated lists may have the endpoint draining and be fetched again, so wait until this list is received.
     running.logged(f"event=endpoint-list-received form=full rev={running.discovery.rev} entries=1 draining=0")
     assert running.establish()
 
@@ -110,7 +110,7 @@
 
 
 def rejection_texts(read: Callable[..., object], *arguments: object) -> list[str]:
-    """The text of the ConfigurationError with which a file is rejected; nothing where it is read."""
+    """The text of the ConfigurationError that rejects a file; empty if the file is read."""
     try:
         read(*arguments)
     except ConfigurationError as error:
@@ -119,7 +119,7 @@
 
 
 def test_mutated_proxy_file_is_read_or_rejected_in_one_line(tmp_path: Path) -> None:
-    # Whatever is in it, it is read or rejected in one line; anything else is a crash at start or at reload.
+    # Any other exception would be a crash at start or at reload.
     rng = random.Random(SEED)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(proxy_file()))
@@ -153,7 +153,7 @@
         try:
             text = tomli_w.dumps(mutate_tree(rng, tree)).encode()
         except (TypeError, ValueError, AttributeError, UnicodeEncodeError):
-            continue  # TOML has no such value
+            continue  # not representable in TOML
         path.write_bytes(corrupt_bytes(rng, text))
         rejections += rejection_texts(read_broker_file, str(path), config.names, config.settings)
     assert rejections
@@ -167,8 +167,8 @@
         self.is_connected = yield from self.connect(address, S)
 
 
-def test_attempt_cancelled_while_it_connects_is_no_fault() -> None:
-    # Found by the rig on both frontends: a client that leaves in the turn in which the attempt connects.
+def test_attempt_cancelled_in_the_turn_in_which_it_connects_is_no_fault() -> None:
+    # Occurs on both frontends when the client disconnects in the turn in which the attempt connects.
     loop = Loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         attempt = ConnectionAttempt(loop)
@@ -184,7 +184,7 @@
 
 
 def test_each_check_reports_its_violation(running: RunningProxy) -> None:
-    # Checks that cannot fail check nothing.
+    # Makes each check fail once, so that none passes vacuously.
     run = HostileRun(running, SEED)
     run.take_baseline()
     run.baseline_descriptors -= 5
@@ -205,7 +205,7 @@
         run.check([])
 
 
-def test_failing_round_is_shrunk() -> None:
+def test_inputs_of_a_failing_round_are_shrunk() -> None:
     inputs = [PeerInput(1, (b"x" * n,)) for n in range(20)]
     inputs[13] = PeerInput(1, (b"....bad....",))
     shrunk = shrink_inputs(inputs, lambda inputs: any(b"bad" in b"".join(each.pieces) for each in inputs))
