--- a/rig/connection_load.py
+++ b/rig/connection_load.py
@@ -80,7 +80,7 @@
 ) -> Iterator[ConnectionResult]:
     """Run a connection for each input, at most `max_open` at a time; yields each result as it ends.
 
-    Connections time out after `limit_s`. Raises OSError if a connection cannot be opened.
+    Connections time out after `limit_s`, which bounds the run. Raises OSError if one cannot be opened.
     """
     source = iter(inputs)
     has_more = True
--- a/rig/hostile_run.py
+++ b/rig/hostile_run.py
@@ -96,7 +96,7 @@
 
 
 class HostileEndpoints(threading.Thread):
-    """Accepts the program's attempts, sends mutated answers, and closes the connections."""
+    """Accepts the program's attempts, sends mutated answers, and closes them, so that none stays open."""
 
     def __init__(self, listeners: Any, seed: int) -> None:
         super().__init__(daemon=True)
--- a/rig/mutation.py
+++ b/rig/mutation.py
@@ -160,7 +160,7 @@
 
 
 def mutate_at(tree: Any, path: TreePath, rng: random.Random) -> Any:
-    """A copy of the document mutated at the path; the document itself if the path no longer exists."""
+    """A copy of the document changed at the path; unchanged if an earlier mutation removed that place."""
     if not path:
         return rng.choice(EDGE_VALUES) if rng.random() < REPLACED_ROOT_SHARE else tree
     key = path[0]
--- a/tests/test_faulty_links.py
+++ b/tests/test_faulty_links.py
@@ -172,9 +172,7 @@
             sent_s = asyncio.get_running_loop().time()
             writer.write(b"two\n")
             assert await reader.readline() == b"two\n"
-            assert (
-                asyncio.get_running_loop().time() - sent_s >= echo.link.delay_s
-            )  # delayed in both directions
+            assert asyncio.get_running_loop().time() - sent_s >= echo.link.delay_s  # delayed both ways
 
     asyncio.run(run())
 
--- a/tests/test_free_port.py
+++ b/tests/test_free_port.py
@@ -19,7 +19,7 @@
 
 
 def test_reserved_port_is_not_returned_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Among the some hundred ports of a rig run, duplicates made a process fail at its start now and then.
+    # Without reservations, two of the some hundred ports of a rig run were sometimes equal: a process ended.
     first, second = free_port(), free_port()
     draw_first(monkeypatch, first, second)
     assert free_port() not in (first, second)
--- a/tests/test_hostile_peers.py
+++ b/tests/test_hostile_peers.py
@@ -119,7 +119,7 @@
 
 
 def test_mutated_proxy_file_is_read_or_rejected_in_one_line(tmp_path: Path) -> None:
-    # Any other exception would be a crash at start or at reload.
+    # Any other outcome would be a crash at start or at reload.
     rng = random.Random(SEED)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(proxy_file()))
