--- a/tests/test_failure_logs.py
+++ b/tests/test_failure_logs.py
@@ -1,4 +1,4 @@
-"""A failing test or run is reported with the logs of the processes."""
+"""The report of a failing test or run includes the logs of its processes."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from rig.fleet.violation_logs import explain
 
 
-def test_report_of_failing_test_has_logs_of_process_and_endpoints(
+def test_report_of_failing_test_includes_logs_of_process_and_endpoints(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(failure_logs, "FOLDER", tmp_path / "found")
+    monkeypatch.setattr(failure_logs, "LOG_FOLDER", tmp_path / "found")
     with started_proxy(tmp_path) as running:
         running.establish()
         running.logged("event=attempt-started")
@@ -30,7 +30,7 @@
     assert {process_log, endpoint_log} <= kept
 
 
-def test_violation_is_explained_by_log_and_delays_of_its_request(tmp_path: Path) -> None:
+def test_explanation_of_violation_has_log_lines_and_delays_of_its_request(tmp_path: Path) -> None:
     request = ClientRequest(0x1083, 0, 1.5, 2.0, 7, [Answer(4.5, "UP")], key=0xABC)
     observations = Observations(
         requests={request.id: request},
