--- a/tests/connections.py
+++ b/tests/connections.py
@@ -1,4 +1,4 @@
-"""Ends of connections to the program: lines, and SSH's framing and channels. All waits are bounded."""
+"""The tests' end of connections to the program: lines, SSH framing and channels. All waits time out."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from typing import Literal
 
 WAIT_S = 20.0
-"""Longest wait of a test, in seconds; all of them end with the event that is waited for."""
+"""Timeout of a test's wait, in seconds; each wait ends as soon as its event occurs."""
 
 RESET = struct.pack("ii", 1, 0)
-"""SO_LINGER with a time of zero: close sends a reset."""
+"""Value of SO_LINGER with a timeout of zero: `close` sends a reset."""
 
 READ_BYTES = 1 << 16
-"""Most bytes that are read at once."""
+"""Maximum number of bytes of one read."""
 
 MAX_PACKET_BYTES = 1 << 15
-"""Largest packet that a channel is opened with."""
+"""Maximum packet size that an open channel message offers."""
 
 CHANNEL_OPEN = 90
 """Number of the message that opens a channel (RFC 4254, section 9)."""
 
 CHANNEL_OPEN_CONFIRMATION = 91
-"""Number of the message that confirms it."""
+"""Number of the message that confirms an opened channel (RFC 4254, section 9)."""
 
 
 def ssh_string(text: bytes) -> bytes:
@@ -48,14 +48,14 @@
         sock.settimeout(WAIT_S)
         self._unread = b""
         self.first_line = b""
-        """What `EmulatedEndpoint.serve` has read."""
+        """The request line, once `EmulatedEndpoint.serve` has read it."""
 
     def send(self, data: bytes) -> None:
         """Send all of the data."""
         self.sock.sendall(data)
 
     def read_exactly(self, size: int) -> bytes:
-        """So many bytes; fewer at the end of the connection."""
+        """Read `size` bytes; fewer if the connection ends first."""
         while len(self._unread) < size and (data := self.sock.recv(READ_BYTES)):
             self._unread += data
         result = self._unread[:size]
@@ -63,14 +63,14 @@
         return result
 
     def line(self) -> bytes:
-        """The next line; the rest, or nothing, at the end of the connection."""
+        """Read the next line; at the end of the connection what is left, or nothing."""
         while b"\n" not in self._unread and (data := self.sock.recv(READ_BYTES)):
             self._unread += data
         line, end, self._unread = self._unread.partition(b"\n")
         return line + end
 
     def ended(self) -> Ending:
-        """How the other side ended the connection; a line that comes before that is an error."""
+        """Wait for the other side to end the connection and return how; a line before that is an error."""
         try:
             rest = self.line()
         except ConnectionResetError:
@@ -86,7 +86,7 @@
 
 
 class ChannelsClient(PeerConnection):
-    """An emulated terminal: SSH's framing and channels, written independently of the program."""
+    """An SSH client: framing and channels, implemented independently of the program."""
 
     def __init__(self, port: int, sock: socket.socket | None = None) -> None:
         super().__init__(sock or socket.create_connection(("127.0.0.1", port), WAIT_S))
@@ -96,7 +96,7 @@
 
     @classmethod
     def on_connection(cls, conn: PeerConnection) -> ChannelsClient:
-        """A terminal on a connection that has sent its identification already."""
+        """A client on a connection whose identification has already been sent."""
         return cls(0, conn.sock)
 
     def send_message(self, *fields: int | bytes) -> None:
@@ -113,7 +113,7 @@
         self.send(ssh_packet(payload))
 
     def read(self) -> tuple[int, bytes]:
-        """The next message's number, and the rest of its payload."""
+        """Read the next message; returns its number and the rest of its payload."""
         head = self.read_exactly(5)
         assert len(head) == 5, "the connection ended"
         length, padding = struct.unpack(">IB", head)
@@ -123,7 +123,7 @@
         return payload[0], payload[1:]
 
     def expect(self, kind: int, *numbers: int) -> bytes:
-        """Read the next message, which must have this number and begin with these uint32; the rest of it."""
+        """Read the next message, which must have this number and begin with these uint32; return the rest."""
         received, rest = self.read()
         size = 4 * len(numbers)
         assert (received, struct.unpack(f">{len(numbers)}I", rest[:size])) == (kind, numbers), (
@@ -142,7 +142,7 @@
         kind: bytes = b"invocation@linnetshift",
         tenant: bytes = b"acme",
     ) -> None:
-        """Open a channel of this number with a request; `wait_ms` is its deadline."""
+        """Open channel `number` with a request whose deadline is `wait_ms`."""
         head = (
             bytes([CHANNEL_OPEN]) + ssh_string(kind) + struct.pack(">III", number, window, MAX_PACKET_BYTES)
         )
@@ -150,5 +150,5 @@
         self.send_payload(head + names + struct.pack(">QQI", key, 0, wait_ms))
 
     def expect_confirmation(self, number: int) -> int:
-        """The proxy's number for a channel, whose confirmation is the next message."""
+        """Read the confirmation of channel `number`; returns the proxy's number for the channel."""
         return int.from_bytes(self.expect(CHANNEL_OPEN_CONFIRMATION, number)[:4], "big")
--- a/tests/emulated_peers.py
+++ b/tests/emulated_peers.py
@@ -1,4 +1,4 @@
-"""Emulated endpoints and discovery, which the tests direct."""
+"""Emulated endpoints and discovery, controlled by the tests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EmulatedEndpoint:
-    """An emulated endpoint: the test itself accepts and answers."""
+    """An emulated endpoint; it accepts connections and answers only when the test calls its methods."""
 
     def __init__(self, uid: str) -> None:
         self.uid = uid
@@ -30,21 +30,21 @@
         self.sock.settimeout(WAIT_S)
         self.port = self.sock.getsockname()[1]
         self.events: list[str] = []
-        """What it did and when, for the report of a test that fails."""
+        """Log lines of what it did, for the report of a failing test."""
 
-    def record(self, event: str) -> None:
-        """Note what it does now."""
+    def log_event(self, event: str) -> None:
+        """Append a log line with the current time to `events`."""
         self.events.append(f"ts={timestamp()} endpoint={self.uid} {event}")
 
     def accept(self) -> PeerConnection:
         """Accept the next connection."""
-        self.record("waits for a connection")
+        self.log_event("waits for a connection")
         sock, address = self.sock.accept()
-        self.record(f"accepted a connection from port {address[1]}")
+        self.log_event(f"accepted a connection from port {address[1]}")
         return PeerConnection(sock)
 
     def stop_listening(self) -> None:
-        """Have new connections refused, as after the end of the process."""
+        """Close the listening socket: new connections are refused, as after the process ended."""
         self.sock.close()
 
     def listen_again(self) -> None:
@@ -53,12 +53,12 @@
         self.sock.settimeout(WAIT_S)
 
     def fill_accept_queue(self) -> None:
-        """Leave new connections connecting: the queue of those to accept is full from now on."""
+        """Fill the accept queue, so that new connections stay in the state SYN_SENT."""
         self.sock.listen(0)
         self.queue_filler = socket.create_connection(("127.0.0.1", self.port), WAIT_S)
 
     def wait_until_connecting(self) -> None:
-        """Wait until a connection to this endpoint is connecting: the kernel lists it as SYN_SENT."""
+        """Wait until the kernel lists a connection to this endpoint as SYN_SENT."""
         until_s = time.monotonic() + WAIT_S
         pattern = re.compile(rf":{self.port:04X} 02 ")
         while not pattern.search(Path("/proc/net/tcp").read_text()):
@@ -66,18 +66,18 @@
             time.sleep(0.002)
 
     def empty_accept_queue(self) -> None:
-        """Let new connections connect again, late, when the kernel retries."""
+        """Make room in the accept queue; pending connections complete when the kernel retries them."""
         self.sock.listen(128)
         self.accept().close()
         self.queue_filler.close()
 
     def serve(self) -> PeerConnection:
-        """Accept one connection, read its first line and answer UP."""
+        """Accept a connection, read its request line and answer UP."""
         conn = self.accept()
         conn.first_line = conn.line()
-        self.record(f"read {conn.first_line!r}")
+        self.log_event(f"read {conn.first_line!r}")
         conn.send(b"UP r1\r\n")
-        self.record("answered UP")
+        self.log_event("answered UP")
         return conn
 
     def answer_attempt(self, reply: bytes, ending: Ending | None) -> PeerConnection:
@@ -91,7 +91,7 @@
         return conn
 
     def entry(self) -> dict[str, Any]:
-        """The entry in discovery's list."""
+        """The entry of this endpoint in the list of discovery."""
         return {
             "uid": self.uid,
             "endpoint": f"127.0.0.1:{self.port}",
@@ -106,23 +106,23 @@
 
 @dataclass
 class HeldCall:
-    """A call that is answered once `release` is set, with the list as it was when the call came."""
+    """A call that is answered once `release` is set, by default with the list at its arrival."""
 
     path: str
     body: bytes
     release: threading.Event
 
     def answer_with(self, listing: dict[str, Any]) -> None:
-        """Answer with this list instead."""
+        """Answer now, with this list instead."""
         self.body = json.dumps(listing).encode()
         self.release.set()
 
 
 class DiscoveryServer:
-    """Emulated discovery: answers calls with the list; a watch waits for a change.
+    """Emulated discovery: answers calls with the list, watches once the list has changed.
 
-    `answers_503` answers every call with that status, `holds_calls` keeps each call in `held_calls` until it
-    is released, `resets_next_watch` resets one watch that waits.
+    With `answers_503` every call gets that status; with `holds_calls` each call stays in `held_calls` until
+    it is released; `resets_next_watch` resets one open watch.
     """
 
     def __init__(self, endpoints: list[EmulatedEndpoint], indent: int | None = None) -> None:
@@ -131,16 +131,16 @@
         self.rev = 1
         self.answers_503 = False
         self.answers_503_after_s = 0.0
-        """How long a call waits before it gets a 503, as at a crowded discovery."""
+        """Delay of each 503 in seconds, as of an overloaded discovery."""
 
         self.holds_calls = False
         self.resets_next_watch = False
         self.held_calls: queue.Queue[HeldCall] = queue.Queue()
         self.replacement_answers: list[object] = []
-        """Answers to give once each in place of the list, the last one first."""
+        """Answers that are sent once each instead of the list, the last one first."""
 
         self.open_watches = 0
-        """Watches that wait for a change; those that come later see all that was set before."""
+        """Number of watches that wait for a change; a later one sees everything set before it arrived."""
 
         self.list_changed = threading.Condition()
         self.calls: queue.Queue[str] = queue.Queue()
@@ -148,7 +148,7 @@
         threading.Thread(target=self.server.serve_forever, args=(0.05,), daemon=True).start()
 
     def listing(self) -> dict[str, Any]:
-        """The whole list as JSON."""
+        """The full list, as decoded JSON."""
         return {"rev": self.rev, "all": True, "targets": [endpoint.entry() for endpoint in self.endpoints]}
 
     def next_answer(self) -> bytes:
@@ -157,7 +157,7 @@
         return answer if isinstance(answer, bytes) else json.dumps(answer, indent=self.indent).encode()
 
     def wait_for_change(self, revision: int, timeout_s: float) -> bool:
-        """Wait until the list is newer, with `list_changed` held; False where the watch is to be reset."""
+        """Wait for a newer list, with `list_changed` held; returns False if the watch must be reset."""
         self.open_watches += 1
         self.list_changed.notify_all()
         self.list_changed.wait_for(
@@ -169,7 +169,7 @@
         return not is_reset
 
     def change(self, **changes: str) -> None:
-        """Set new states by uid, and notify all watches."""
+        """Set new states of endpoints by uid, and answer all open watches."""
         with self.list_changed:
             for endpoint in self.endpoints:
                 endpoint.state = changes.get(endpoint.uid, endpoint.state)
@@ -177,25 +177,25 @@
             self.list_changed.notify_all()
 
     def reset_watches(self) -> None:
-        """Reset the watch that waits now; later calls are answered."""
+        """Reset the open watch; later calls are answered."""
         with self.list_changed:
             self.resets_next_watch = True
             self.list_changed.notify_all()
 
     def hold_calls_after_open_watch(self) -> None:
-        """Hold the calls that follow the watch that waits now, or that is to come first."""
+        """Wait until a watch is open, then hold all later calls."""
         with self.list_changed:
             assert self.list_changed.wait_for(lambda: self.open_watches > 0, WAIT_S), "no watch was opened"
             self.holds_calls = True
 
     def answer_open_watch(self, answer: object) -> None:
-        """Answer the watch that waits now, or that is to come first, and hold all calls that follow it."""
+        """Wait until a watch is open, answer it with `answer` and hold all later calls."""
         with self.list_changed:
             self.hold_calls_after_open_watch()
             self.answer_once(answer)
 
     def answer_once(self, answer: object) -> None:
-        """Give this answer once in place of the list; bytes are sent as they are."""
+        """Send this answer once instead of the list; bytes are sent unchanged."""
         with self.list_changed:
             self.replacement_answers.append(answer)
             self.rev += 1
@@ -203,11 +203,11 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as host:port."""
+        """The address that it listens on, as host:port."""
         return f"127.0.0.1:{self.server.server_address[1]}"
 
     def fail(self, is_failing: bool, after_s: float = 0.0) -> None:
-        """Begin or end to answer every call with a 503, after it has waited for `after_s`."""
+        """Start or stop answering every call with a 503, with a delay of `after_s`."""
         with self.list_changed:
             self.answers_503 = is_failing
             self.answers_503_after_s = after_s
@@ -224,7 +224,7 @@
         super().__init__(("127.0.0.1", 0), DiscoveryHandler)
 
     def shutdown_request(self, request: Any) -> None:
-        """Close without a FIN, which would come before the reset of a connection that lingers."""
+        """Close without a shutdown: its FIN would precede the reset that SO_LINGER requests."""
         self.close_request(request)
 
 
@@ -234,7 +234,7 @@
     server: DiscoveryHttpServer
 
     def do_GET(self) -> None:  # the name that http.server calls
-        """Answer a call, or a watch once the list changes."""
+        """Answer a call at once, and a watch once the list has changed."""
         discovery = self.server.discovery
         discovery.calls.put(self.path)
         if discovery.holds_calls:
@@ -256,7 +256,7 @@
         self.answer(503 if discovery.answers_503 else 200, body)
 
     def answer(self, status: int, body: bytes) -> None:
-        """Send an answer; the program may be gone at a test's end."""
+        """Send an answer; the program may have exited already at the end of a test."""
         with suppress(ConnectionError):
             self.send_response(status)
             self.send_header("Content-Length", str(len(body)))
