--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and events for unit tests; figures are made up, not taken from any deployment."""
+"""Settings and events for unit tests; the values are invented, not those of a deployment."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from rig.base_settings import S as S
 from rig.base_settings import changed_settings
 
-settings.register_profile("same", derandomize=True, deadline=None)  # the same examples in every run
-settings.load_profile("same")
+settings.register_profile("deterministic", derandomize=True, deadline=None)  # the same examples in every run
+settings.load_profile("deterministic")
 
 
 @pytest.hookimpl(wrapper=True)
@@ -40,46 +40,46 @@
 
 
 def raw_settings(**changes: Any) -> dict[str, Any]:
-    """The settings object of a proxy file, with changes to the base settings."""
+    """The settings object of a proxy file: the base settings with these changes."""
     return changed_settings(changes)
 
 
 def effect(effect_name: str, group: str = "all", **other_keys: Any) -> dict[str, Any]:
-    """Changes to the settings: one service with this effect, and other keys in `more`."""
+    """Changes to the settings: a single service with this effect, group and other keys."""
     return {
         "services": [{**raw_settings()["services"][0], "effect": effect_name, "group": group, **other_keys}]
     }
 
 
 def endpoint(number: int) -> bytes:
-    """Address of the endpoint with this number, as it is in events."""
+    """Address of the endpoint with this number, as events contain it."""
     return bytes([10, 0, number >> 8, number & 255, 31, 144])
 
 
 def entry(number: int, **changes: Any) -> EndpointEntry:
-    """An endpoint's entry in a list: ready, weight 1, started long ago."""
+    """The list entry of an endpoint that is ready, has weight 1 and started long ago."""
     return EndpointEntry(endpoint(number), number % 3, 0, number % 5, EndpointState.READY, 1.0, 0)._replace(
         **changes
     )
 
 
 def listed(*entries: EndpointEntry, form: int = ListForm.FULL) -> EndpointList:
-    """A list event."""
+    """An endpoint list with these entries."""
     return EndpointList(form, 1, entries)
 
 
 def request(number: int, **changes: Any) -> Request:
-    """A request event, with 2 s to its deadline."""
+    """A request with 2 s to its deadline."""
     return Request(number, 0, 0, number + 1000, 0, 0, 0, 2 * S)._replace(**changes)
 
 
 def ended(sent: Send, attempt: int, outcome: int, elapsed_ns: int = 0, closed: bool = False) -> AttemptEnded:
-    """The end of an attempt that was sent, `elapsed` nanoseconds after that."""
+    """The end of a sent attempt, `elapsed_ns` after the send."""
     return AttemptEnded(sent.request_id, attempt, sent.endpoint, closed, elapsed_ns, outcome, ())
 
 
 def balancer(endpoints: int = 8, seed: int = 1, concurrency_limit: float = 1e9, **changes: Any) -> Balancer:
-    """A balancer that knows `endpoints` endpoints; the wide limit lets tests place many requests at once."""
+    """A balancer with `endpoints` listed; the default concurrency limit queues no request."""
     new_balancer = Balancer(Settings.parse(raw_settings(**changes)), seed)
     new_balancer.lifecycle.concurrency_limit.limit = concurrency_limit
     new_balancer.step(1 * S, [listed(*(entry(n) for n in range(endpoints)))])
@@ -87,7 +87,7 @@
 
 
 def single_send(actions: list[Action]) -> Send:
-    """The only action of a step, which must be an attempt."""
+    """The only action of a step, which must be a `Send`."""
     (action,) = actions
     assert isinstance(action, Send)
     return action
--- a/tests/fake_surroundings.py
+++ b/tests/fake_surroundings.py
@@ -1,4 +1,4 @@
-"""Fakes of the parts around a broker, for tests of the broker by itself."""
+"""Fake implementations of the ports that a broker uses, for unit tests of the broker."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FakeSurroundings:
-    """Fake timers, discovery, connector and client, which record what the broker calls them with."""
+    """A broker with fake timers, discovery, connector and client, which record the broker's calls."""
 
     is_congested = False
     is_present = True
--- a/tests/logged_events.py
+++ b/tests/logged_events.py
@@ -1,4 +1,4 @@
-"""Names of the events that the program logs, as its source has them."""
+"""Names of the events that the program logs, read from its source."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 """Root of the program's source."""
 
 LOG_CALLS = ("info", "error")
-"""Functions and methods that log an event, whose name is their first argument."""
+"""Functions and methods that log an event; their first argument is its name."""
 
 
 def logged_events() -> set[str]:
-    """Each event that is logged by its name somewhere in the program."""
+    """Each event whose name is a literal in a log call of the program."""
     return {event for path in PACKAGE.rglob("*.py") for event in events_in(ast.parse(path.read_text()))}
 
 
 def events_in(tree: ast.AST) -> Iterator[str]:
-    """The literal first argument of each call that logs."""
+    """The literal first argument of each log call."""
     for node in ast.walk(tree):
         match node:
             case ast.Call(
