--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -1,4 +1,4 @@
-"""Starts the real program among emulated clients, endpoints and discovery; all waits are bounded."""
+"""Starts the real program with emulated endpoints and discovery; all waits time out."""
 
 from __future__ import annotations
 
@@ -27,16 +27,15 @@
 ROOT = Path(__file__).parent.parent
 """Root of the repository, where the program is started."""
 
-STARTED = "event=(process-)?started"
-"""Log line of a start; versions before December 2026, which bench/ compares with, log `started`."""
-
+STARTED_PATTERN = "event=(process-)?started"
+"""Log line of a start; versions before December 2026, to which bench/ compares, log `started`."""
 
 CHANNELS_ENABLED = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-"""Broker file that opens the channels frontend; PORT is replaced by its port."""
+"""Broker file that enables the channels frontend; PORT is replaced by its port."""
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The settings object of the proxy file; a changed object is merged key by key."""
+    """The settings object of the proxy file, with `changes`; a changed object is merged key by key."""
     base = raw_settings(discovery="ask", tenants=[{"name": "acme"}, {"name": "other"}], zones=["a"])
     base["rules"]["mustAskInNs"] = 1 * S
     base["allowed"]["connectTimeoutNs"] = 500 * MS
@@ -46,7 +45,7 @@
 
 
 def command_without_collector() -> Sequence[str]:
-    """Command of the program with its garbage collector off, so that only reference counting frees."""
+    """Command of the program without cyclic garbage collection: only reference counting frees memory."""
     start = "import gc, runpy; gc.disable(); runpy.run_module('linnetshift', run_name='__main__')"
     return sys.executable, "-c", start
 
@@ -61,9 +60,9 @@
     program: Path = ROOT,
     **env: str,
 ) -> subprocess.Popen[str]:
-    """Start the program of the checkout `program`.
+    """Start the program from the checkout `program`.
 
-    `listener` is a listening socket that it inherits; `before` runs in the child before the program.
+    It inherits the listening socket `listener`; `before` is called in the child before the program starts.
     """
     if listener is not None:
         env = {"GW_LISTEN_FD": str(listener.fileno()), **env}
@@ -85,13 +84,13 @@
 
 
 def limit_descriptors(limit: int = 40) -> None:
-    """Leave this process so many descriptors; called in the child before the program starts."""
+    """Limit the open descriptors of this process; called in the child before the program starts."""
     resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
 
 
 @contextmanager
 def successor_of(old: RunningProxy) -> Iterator[RunningProxy]:
-    """The program started again beside the old one, with an admin address of its own."""
+    """Start a successor while the predecessor runs, with an admin address of its own."""
     admin_port = free_port()
     process = launch_process(
         str(old.config),
@@ -106,7 +105,7 @@
     new.inherited_listener = old.inherited_listener
     new.admin_port = admin_port
     try:
-        new.logged(STARTED)
+        new.logged(STARTED_PATTERN)
         yield new
     finally:
         process.kill()
@@ -114,7 +113,7 @@
 
 
 class ProxyInThread(RunningProxy):
-    """The program in a thread of this process, where its objects can be inspected."""
+    """The program in a thread of this process, so that its objects can be inspected."""
 
     def __init__(self, program: Proxy, port: int, channels_port: int) -> None:
         self.program = program
@@ -124,7 +123,7 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """End the loop, which sees it at its next review, and close the listening sockets."""
+        """Stop the loop, which reads the flag once per turn, and close the listening sockets."""
         self.program.loop.stopped = True
         self.thread.join(WAIT_S)
         assert not self.thread.is_alive()
@@ -159,7 +158,7 @@
     broker_file: Path
 
     def attach_to(self, running: RunningProxy) -> None:
-        """Make these the peers of a running proxy."""
+        """Set the peers, proxy file and admin port of a running proxy."""
         running.endpoints = self.endpoints
         running.discovery = self.discovery
         running.config = self.config
@@ -170,10 +169,10 @@
 def proxy_environment(
     folder: Path, endpoints: int = 1, broker_toml: str = "", admin_server: bool = False, **changes: Any
 ) -> Iterator[ProxyEnvironment]:
-    """Emulated peers and files of a proxy that is not started yet.
+    """Create the emulated peers and the files of a proxy that is not started yet.
 
-    `broker_toml` is the text of the broker file, PORT in it the port for channels; `admin_server` opens the
-    operators' address; `changes` are those to the settings.
+    `broker_toml` is the text of the broker file, in which PORT stands for the port for channels;
+    `admin_server` enables the admin address; `changes` are those to the settings.
     """
     emulated_endpoints = [EmulatedEndpoint(f"s-{n}") for n in range(endpoints)]
     discovery = DiscoveryServer(emulated_endpoints)
@@ -218,10 +217,10 @@
     program: Path = ROOT,
     **changes: Any,
 ) -> Iterator[RunningProxy]:
-    """The program, running among the emulated peers of `proxy_environment`.
+    """Run the program with the emulated peers of `proxy_environment`.
 
-    With `inherits_listener` it inherits the listening socket of the line protocol; `command` starts the
-    program of the checkout `program`.
+    With `inherits_listener` it inherits the listening socket of the line protocol; `command` is run in the
+    checkout `program`.
     """
     with proxy_environment(folder, endpoints, broker_toml, admin_server, **changes) as environment:
         listener = (
@@ -239,7 +238,7 @@
         running.inherited_listener = listener
         environment.attach_to(running)
         try:
-            running.logged(STARTED)
+            running.logged(STARTED_PATTERN)
             yield running
         finally:
             running.process.kill()
--- a/tests/running_proxy.py
+++ b/tests/running_proxy.py
@@ -1,4 +1,4 @@
-"""The real program while it runs: its clients, log, operators' calls, and what it holds."""
+"""The real program as a running process: clients, log lines, admin calls and resource usage."""
 
 from __future__ import annotations
 
@@ -23,11 +23,10 @@
 from failure_logs import running_proxies
 
 OPEN_LINE = b"OPEN %016x 7f3a9c21e0b4d655 c=feed,t=acme,d=%d\r\n"
-"""Request line, for an id and a deadline in milliseconds."""
-
-IDS = count(0x9B1F03AA5C7E2D41)
-"""Ids of requests, a new one for each."""
+"""Request line; takes an id and the deadline in milliseconds."""
 
+REQUEST_IDS = count(0x9B1F03AA5C7E2D41)
+"""Ids of requests; each is used once."""
 
 DRAIN_CALL = "PUT /ops/servers/down?id=%s"
 """Call that drains the endpoint with this id."""
@@ -37,7 +36,7 @@
 
 
 class RunningProxy:
-    """The real program, running."""
+    """A process of the real program."""
 
     def __init__(self, process: subprocess.Popen[str], port: int, channels_port: int) -> None:
         self.process = process
@@ -45,32 +44,32 @@
         self.channels_port = channels_port
         self.admin_port = 0
         self.inherited_listener: socket.socket | None = None
-        """The platform's listening socket, where the program inherited one."""
+        """Listening socket of the line protocol, if the program inherited it."""
 
         self.endpoints: list[EmulatedEndpoint] = []
         self.discovery: DiscoveryServer
         self.config: Path
         self.lines: queue.Queue[str] = queue.Queue()
-        """Log lines that were not looked at yet."""
+        """Log lines that neither `logged` nor `unread_lines` has taken yet."""
 
         self.passed_lines: list[str] = []
-        """Log lines that `logged` has passed."""
+        """Log lines that `logged` has taken."""
 
         self.log_lines: list[str] = []
         """All log lines so far."""
 
         running_proxies.add(self)
-        threading.Thread(target=self.read, daemon=True).start()
+        threading.Thread(target=self.read_log, daemon=True).start()
 
-    def read(self) -> None:
-        """Queue the program's log lines until it ends."""
+    def read_log(self) -> None:
+        """Queue the log lines of the program until it ends."""
         assert self.process.stderr is not None
         for line in self.process.stderr:
             self.log_lines.append(line)
             self.lines.put(line)
 
     def logged(self, pattern: str) -> str:
-        """Wait for the next log line with the pattern."""
+        """Wait for the next log line that matches the pattern, and return it."""
         while True:
             line = self.lines.get(timeout=WAIT_S)
             self.passed_lines.append(line)
@@ -86,32 +85,32 @@
 
     def open(self, wait_ms: int = 2000) -> PeerConnection:
         """Connect and send a request with a new id and this deadline."""
-        return self.client(OPEN_LINE % (next(IDS), wait_ms))
+        return self.client(OPEN_LINE % (next(REQUEST_IDS), wait_ms))
 
-    def establish(self, listener: int = 0) -> tuple[PeerConnection, PeerConnection]:
-        """An established connection: the client's end and the endpoint's."""
+    def establish(self, endpoint_number: int = 0) -> tuple[PeerConnection, PeerConnection]:
+        """Establish a connection; returns the ends of client and endpoint."""
         client = self.open()
-        endpoint = self.endpoints[listener].serve()
+        endpoint = self.endpoints[endpoint_number].serve()
         assert client.line() == b"UP r1\r\n"
         return client, endpoint
 
     def next_attempted(self) -> EmulatedEndpoint:
-        """The endpoint that the key's ranking sends the next attempt to."""
+        """Wait for the next attempt; returns its endpoint, which has not accepted it yet."""
         ready, _, _ = select.select([endpoint.sock for endpoint in self.endpoints], [], [], WAIT_S)
         return next(endpoint for endpoint in self.endpoints if endpoint.sock in ready)
 
     def serve_any(self) -> tuple[EmulatedEndpoint, PeerConnection]:
-        """Serve the next attempt at whichever endpoint gets it."""
+        """Serve the next attempt; returns its endpoint and the endpoint's end."""
         listener = self.next_attempted()
         return listener, listener.serve()
 
     def call(self, call: str) -> int:
-        """Make an operator's call; its status."""
+        """Send a call to the admin address; returns the HTTP status."""
         conn = self.client(call.encode() + b" HTTP/1.1\r\nHost: x\r\n\r\n", self.admin_port)
         return int(conn.line().split()[1])
 
     def resource_usage(self) -> dict[str, Any]:
-        """Size and bound of each of the program's containers."""
+        """Size and bound of each container of the program, from the admin address."""
         conn = self.client(b"GET /ops/census HTTP/1.1\r\nHost: x\r\n\r\n", self.admin_port)
         while conn.line().strip():
             pass
@@ -122,14 +121,14 @@
         return usage
 
     def unread_lines(self) -> list[str]:
-        """Log lines since the last call of this or of `logged`."""
+        """Take the log lines since the last call of this or of `logged`."""
         lines = []
         while not self.lines.empty():
             lines.append(self.lines.get())
         return lines
 
     def wait_until_ready(self) -> None:
-        """Wait until the program is ready; one that takes over is once it alone accepts."""
+        """Wait until the program is ready; a successor is once it alone accepts connections."""
         until_s = time.monotonic() + WAIT_S
         while self.call("GET /ops/readiness") != 200:
             assert time.monotonic() < until_s
@@ -147,7 +146,7 @@
 
     @contextmanager
     def stopped(self) -> Iterator[None]:
-        """Pause the process, so that it finds all that happens meanwhile at once, in the order it came."""
+        """Pause the process: when it resumes, all events of that time are pending at once, in their order."""
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
         try:
@@ -165,17 +164,17 @@
         return pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
 
     def descriptors(self) -> int:
-        """Number of the process's open descriptors."""
+        """Number of open descriptors of the process."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def cpu_s(self) -> float:
-        """Processor time of the process in seconds, its system calls included."""
+        """Processor time of the process in seconds, user and system."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def ranked(running: RunningProxy) -> tuple[EmulatedEndpoint, EmulatedEndpoint]:
-    """The two endpoints as the tests' key ranks them, the preferred one first."""
+    """The two endpoints in the ranking of the tests' key, the preferred one first."""
     client = running.open()
     first, endpoint = running.serve_any()
     client.line()
@@ -186,7 +185,7 @@
 
 
 def establish_on(running: RunningProxy, uid: str) -> tuple[PeerConnection, PeerConnection]:
-    """Establish a connection with the common key on endpoint `uid`: the client's and the endpoint's end."""
+    """Establish a connection of the common key, which must go to endpoint `uid`; returns both ends."""
     client = running.open()
     listener, endpoint = running.serve_any()
     assert (listener.uid, client.line()) == (uid, b"UP r1\r\n")
