--- a/tests/routing_parts.py
+++ b/tests/routing_parts.py
@@ -1,4 +1,4 @@
-"""A balancer's components without the balancer, for the unit tests of each."""
+"""The components of a balancer without the balancer, for their unit tests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Parts:
-    """The components that most others need, over `endpoints` listed ones, at second 1."""
+    """The components that most others depend on, with `endpoints` listed and the clock at 1 s."""
 
     def __init__(self, endpoints: int = 4, **changes: Any) -> None:
         """`changes` are passed to `raw_settings`."""
@@ -47,15 +47,15 @@
         )
 
     def begin_step(self, now: int) -> None:
-        """Begin a step at that time."""
+        """Begin a step at `now`, in nanoseconds."""
         self.context.begin_step(now)
 
     def endpoint(self, number: int) -> Endpoint:
-        """The listed endpoint of that number."""
+        """The listed endpoint with this number."""
         return self.endpoints[endpoint(number)]
 
     def pending(self, number: int, **changes: Any) -> PendingRequest:
-        """A request that has just arrived."""
+        """Add a request that has just arrived."""
         context = self.context
         pending = PendingRequest(
             request(number, **changes), context.now + 2 * S, 0.0, context.settings.classes[0]
@@ -64,7 +64,7 @@
         return pending
 
     def connection(self, number: int, target: Endpoint, **changes: Any) -> PendingRequest:
-        """A request whose connection to `target` is established."""
+        """Add a request whose connection to `target` is established."""
         pending = self.pending(number, **changes)
         self.requests.begin_attempt(pending, target)
         self.requests.establish(pending, target)
--- a/tests/simulated_balancers.py
+++ b/tests/simulated_balancers.py
@@ -1,7 +1,7 @@
-"""Many balancers in one process on one simulated clock; their actions are recorded for all of them together.
+"""Several balancers on one simulated clock, with a common record of their actions.
 
-Endpoints answer as the test configures them: whether connections are established, and how long a health check
-takes. A request goes to the balancer that the test names; a balancer receives only the events of its own.
+The test configures which endpoints establish connections and how long their health checks take, and selects
+the balancer of each request. A balancer receives only its own events. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class ScheduledEvent(NamedTuple):
-    """An event to come; sorted by its time, then by the order in which events were scheduled."""
+    """A scheduled event; sorted by its time, then by the order of scheduling."""
 
     at: int
     order: int
@@ -65,12 +65,12 @@
 
 
 class SimulatedBalancers:
-    """The balancers, their simulated clock and all that they did; times are in nanoseconds."""
+    """The balancers, their simulated clock and the record of their actions."""
 
     def __init__(
         self, balancer_count: int, endpoints: tuple[EndpointEntry, ...], seed: int = 0, **changes: object
     ) -> None:
-        # Balancers are spread over three zones, or all in the first.
+        # With `perZone` balancers are spread over three zones, else all are in the first.
         zones = 3 if changes.pop("perZone", False) else 1
         settings = [
             raw_settings(**{**changes, "myNumber": n, "balancers": balancer_count, "zone": n % zones})
@@ -82,9 +82,9 @@
         self.order = count()
         self.request_ids = count(1)
         self.due: list[ScheduledEvent] = []
-        self.unreachable: set[bytes] = set()  # connects to these time out
+        self.unreachable: set[bytes] = set()  # connections to these time out
         self.failing: set[bytes] = set()  # these answer everything with an error
-        self.health_check_delays: dict[bytes, int] = {}  # of overloaded endpoints, in ns
+        self.health_check_delays: dict[bytes, int] = {}  # of overloaded endpoints
         self.sends: list[SentAttempt] = []
         self.health_checks: list[SentHealthCheck] = []
         self.watches: list[tuple[int, int]] = []  # time and balancer
@@ -98,7 +98,7 @@
             self.send_event(balancer, event)
 
     def restart(self, balancer: int, known: Event) -> None:
-        """Replace the balancer by a new process that knows only that list; drop its scheduled events."""
+        """Replace the balancer by a new one that knows only the list `known`; drop its scheduled events."""
         self.balancers[balancer] = Balancer(self.balancers[balancer].settings, next(self.restart_seeds))
         self.due = [scheduled for scheduled in self.due if scheduled.balancer != balancer]
         heapq.heapify(self.due)
@@ -141,7 +141,7 @@
                 self.answers.setdefault(request, []).append((self.now, action))
 
     def answer_send(self, balancer: int, send: Send) -> None:
-        """Schedule how the attempt ends: connected, refused with an error, or never connected."""
+        """Schedule the outcome of the attempt: established, an error, or a failed connect."""
         request, endpoint, timeout = send
         attempt = self.attempts[request]
         self.attempts[request] += 1
@@ -158,7 +158,7 @@
             self.call_later(ANSWER_NS, balancer, established)
 
     def answer_health_check(self, balancer: int, endpoint: bytes) -> None:
-        """Schedule the result of a health check, at the latest when the connect timeout expires."""
+        """Schedule the result of a health check, no later than the connect timeout."""
         self.health_checks.append(SentHealthCheck(self.now, balancer, endpoint))
         limit = self.balancers[balancer].settings.connect_timeout_ns
         outcome = Outcome.OK
@@ -175,7 +175,7 @@
 
 
 def most_within(times: list[int], window: int) -> int:
-    """Return the largest number of these times within any window of that length."""
+    """The largest number of these times within any window of this length."""
     window_times: deque[int] = deque()
     most = 0
     for at in sorted(times):
