--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -99,13 +99,13 @@
             service=0,
             group=0,
             key=self.requests * KEY_STEP,
-            hint_ns=0,
+            load_hint=0,
             flags=0,
             budget_ns=SECOND,
         )
         reply = self.exchange([wire.select_instance(0), wire.new_request(request)])
         for action in wire.actions(reply):
-            if action.name == "submit":
+            if action.name == "send":
                 request_id, _, address = action.fields
                 established = wire.established(request_id, SETUP_NS, 0, address)
                 self.exchange([wire.select_instance(0), established])
--- a/rig/decision_recordings/__main__.py
+++ b/rig/decision_recordings/__main__.py
@@ -1,4 +1,4 @@
-"""Record the decisions anew, from the root: `python -m rig.decision_recordings [SCENARIO ...]`."""
+"""Record the decisions again, from the root: `python -m rig.decision_recordings [SCENARIO ...]`."""
 
 from __future__ import annotations
 
--- a/rig/decision_recordings/attempts.py
+++ b/rig/decision_recordings/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at endpoints and the connections that come of them, from an instance's action to their end."""
+"""Simulated attempts and the connections they establish, from an instance's action to their end."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from rig.decision_recordings.world import World
 
 RETRY_SHARE = 0.6
-"""Share of the rejected clients that come again."""
+"""Share of the rejected clients that retry."""
 
 RETURN_AFTER_RESET_PER_S = 4.0
-"""Rate at which clients whose connection broke come again."""
+"""Rate at which clients reconnect after a reset; the mean delay is its inverse."""
 
 RETURN_AFTER_MIGRATION_PER_S = 10.0
-"""Rate at which clients that were asked to migrate come again."""
+"""Rate at which clients reconnect after a migration; the mean delay is its inverse."""
 
 
 class Attempts:
-    """Carries out what instances decide about requests, and sends them the results."""
+    """Performs the instances' actions on requests and sends them the results."""
 
     def __init__(self, world: World, endpoint_model: EndpointModel, clients: Clients) -> None:
         self.world = world
@@ -37,18 +37,18 @@
 
     # Actions of the instances.
 
-    def submit(self, instance: Instance, request_id: int, timeout_ns: int, address: bytes) -> None:
-        """Send an attempt to an endpoint; raises RuntimeError where the instance may not."""
+    def send(self, instance: Instance, request_id: int, timeout_ns: int, address: bytes) -> None:
+        """Send an attempt; raises RuntimeError if one is in flight or the request is another instance's."""
         world = self.world
         request = world.requests[request_id]
         endpoint = world.endpoint_at(address)
         if request.instance != instance.number or request.endpoint is not None:
-            raise RuntimeError(f"request {request_id} has an attempt out, or is another instance's")
+            raise RuntimeError(f"request {request_id} has an attempt in flight, or is another instance's")
         request.attempt += 1
         request.endpoint = endpoint
         request.sent_ns = world.now_ns
         endpoint.open_connections += 1
-        outcome, delay_ns = self.endpoint_model.fate(endpoint)
+        outcome, delay_ns = self.endpoint_model.draw_outcome(endpoint)
         remaining_ns = max(1, request.deadline_ns - world.now_ns)
         limit_ns = min(timeout_ns, remaining_ns) if timeout_ns > 0 else remaining_ns
         if delay_ns >= limit_ns:
@@ -59,20 +59,20 @@
         else:
             world.after(delay_ns, partial(self.finish, request, request.attempt, outcome))
 
-    def deny(self, _instance: Instance, request_id: int, retry_after_ns: int) -> None:
-        """Reject a request; some of the clients come again after the delay that they are asked for."""
+    def reject(self, _instance: Instance, request_id: int, retry_after_ns: int) -> None:
+        """Reject a request; some of the clients retry after the requested delay."""
         request = self._end_unsent(request_id)
         random = self.world.random
-        if not request.is_abandoned and random.random() < RETRY_SHARE:
+        if not request.has_client_left and random.random() < RETRY_SHARE:
             delay_ns = retry_after_ns * random.uniform(1.0, 1.3) + 50 * MILLISECOND
             self.world.after(delay_ns, partial(self.clients.retry, request, RequestFlag.RETRY))
 
-    def give_up(self, _instance: Instance, request_id: int) -> None:
-        """End a request without another attempt."""
+    def fail(self, _instance: Instance, request_id: int) -> None:
+        """Fail a request."""
         self._end_unsent(request_id)
 
-    def reassign(self, _instance: Instance, request_id: int) -> None:
-        """Ask the client of a connection to migrate; where the connection has just ended, do nothing."""
+    def migrate(self, _instance: Instance, request_id: int) -> None:
+        """Migrate a connection; no effect if it has just ended."""
         request = self.world.requests.get(request_id)
         if request is None or not request.is_established:
             return
@@ -81,15 +81,15 @@
         self.world.after(delay_ns, partial(self.clients.retry, request, RequestFlag.RETURNED))
 
     def cancel(self, _instance: Instance, request_id: int, attempt: int) -> None:
-        """End an attempt as cancelled, unless it is over or has become a connection."""
+        """Cancel an attempt, unless it has ended or its connection is established."""
         request = self.world.requests.get(request_id)
         if request is not None and not request.is_established:
             self.finish(request, attempt, Outcome.CANCELLED)
 
-    # The course of an attempt.
+    # Lifecycle of an attempt.
 
     def establish(self, request: Request, endpoint: Endpoint) -> None:
-        """Make the request a connection to the endpoint, which ends after a random lifetime."""
+        """Establish the request's connection to the endpoint; it ends after a random lifetime."""
         self.world.requests[request.id] = request
         request.endpoint = endpoint
         request.is_established = True
@@ -99,7 +99,7 @@
         self.world.after(lifetime_ns, partial(self.finish, request, request.attempt, Outcome.OK))
 
     def adopt(self, instance: int, request: Request, endpoint: Endpoint) -> None:
-        """Make the request a connection that was open when the instance started."""
+        """Add a connection that was already open when the instance started."""
         request.instance = instance
         request.attempt = 0
         request.flags |= RequestFlag.MID_FLOW
@@ -107,12 +107,12 @@
         self.establish(request, endpoint)
 
     def finish(self, request: Request, attempt: int, outcome: Outcome) -> None:
-        """End an attempt or its connection, unless it has ended; after a reset the client comes again."""
+        """End an attempt or its connection, unless it has ended; after a reset the client reconnects."""
         world = self.world
         endpoint = request.endpoint
         if endpoint is None or request.attempt != attempt or request.id not in world.requests:
             return
-        is_closed = request.is_established or request.is_abandoned
+        is_closed = request.is_established or request.has_client_left
         has_report = outcome in (Outcome.OK, Outcome.ERROR)
         report = self.endpoint_model.report(endpoint) if has_report else []
         elapsed_ns = world.now_ns - request.sent_ns
@@ -130,7 +130,7 @@
             world.after(delay_ns, partial(self.clients.retry, request, RequestFlag.RETURNED))
 
     def end(self, request: Request) -> None:
-        """Forget a request without an event to its instance."""
+        """Remove a request without an event to its instance."""
         self.world.requests.pop(request.id, None)
         if request.endpoint is not None:
             request.endpoint.open_connections -= 1
@@ -140,7 +140,7 @@
         endpoint = request.endpoint
         if endpoint is None or request.attempt != attempt:
             return
-        if request.is_abandoned:  # the client has left: nobody takes the connection
+        if request.has_client_left:  # nobody takes the connection
             self.finish(request, attempt, Outcome.CANCELLED)
             return
         elapsed_ns = self.world.now_ns - request.sent_ns
@@ -152,21 +152,21 @@
     def _end_unsent(self, request_id: int) -> Request:
         request = self.world.requests[request_id]
         if request.endpoint is not None:
-            raise RuntimeError(f"request {request_id} is answered while an attempt is out")
+            raise RuntimeError(f"request {request_id} is answered while an attempt is in flight")
         self.end(request)
         return request
 
     # Timeline.
 
     def reset_connections(self, endpoint: Endpoint) -> None:
-        """Break all connections to an endpoint."""
+        """Reset all connections to an endpoint."""
         requests = self.world.requests.values()
         for request in [r for r in requests if r.endpoint is endpoint and r.is_established]:
             self.finish(request, request.attempt, Outcome.RESET)
 
     def end_attempts(self, outcome: Outcome, share: float) -> None:
-        """End a share of the attempts that have not become connections with this outcome."""
+        """End a share of the attempts in flight with this outcome."""
         for request in list(self.world.requests.values()):
-            is_out = request.endpoint is not None and not request.is_established
-            if is_out and self.world.random.random() < share:
+            is_in_flight = request.endpoint is not None and not request.is_established
+            if is_in_flight and self.world.random.random() < share:
                 self.finish(request, request.attempt, outcome)
--- a/rig/decision_recordings/clients.py
+++ b/rig/decision_recordings/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: new requests, retries, bursts, and clients that leave early."""
+"""Simulated clients: new requests, retries, bursts and withdrawals."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from rig.decision_recordings.model import MILLISECOND, Request, RequestFlag
 from rig.decision_recordings.world import World
 
-HINTED_SHARE = 0.7
-"""Share of the requests that hint at how long they will take."""
+LOAD_HINT_SHARE = 0.7
+"""Share of the requests that have a load hint."""
 
 LEAVING_RATE_PER_S = 5.0
-"""Rate at which clients that do not wait for their answer leave."""
+"""Rate at which clients that withdraw their request do so; the mean delay is its inverse."""
 
 
 class Clients:
@@ -23,26 +23,26 @@
         self.arrivals_per_s = world.scenario.arrivals_per_s
 
     def new_request(self, instance: int, flags: int = 0) -> Request:
-        """A request with random properties, which is not sent yet."""
+        """A request with random properties, not sent yet."""
         world = self.world
         services = world.scenario.services
         random = world.random
         service = random.randrange(len(services))
         budget = int(services[service]["hardLimitNs"] * random.choice((1.0, 1.0, 0.6, 0.2)))
-        is_hinted = random.random() < HINTED_SHARE
+        has_load_hint = random.random() < LOAD_HINT_SHARE
         return Request(
             id=next(world.request_ids),
             instance=instance,
             service=service,
             group=random.choice(world.groups) if world.groups else 0,
             key=random.choice((0, random.choice(world.keys))),
-            hint_ns=random.randint(20, 90) * MILLISECOND if is_hinted else 0,
-            flags=flags | (RequestFlag.HINTED if is_hinted else 0),
+            load_hint=random.randint(20, 90) * MILLISECOND if has_load_hint else 0,
+            flags=flags | (RequestFlag.HAS_LOAD_HINT if has_load_hint else 0),
             budget_ns=random.choice((budget, budget, 0)),
         )
 
     def retry_of(self, former: Request, instance: int, flags: int) -> Request:
-        """The next try of the client of a former request, which is not sent yet."""
+        """A request of the client of a former one, with the same class, group and key, not sent yet."""
         request = self.new_request(instance, flags)
         request.service = former.service
         request.group = former.group
@@ -50,11 +50,11 @@
         return request
 
     def retry(self, former: Request, flags: int) -> None:
-        """Send the next try of a client through any live instance."""
+        """Send a new request of the former request's client to a random live instance."""
         self.send(self.retry_of(former, self.world.random_live_instance(), flags))
 
     def send(self, request: Request) -> None:
-        """Send a request; some of the clients leave before the answer."""
+        """Send a request; some of the clients withdraw it after a random delay."""
         world = self.world
         hard_limit_ns = world.scenario.services[request.service]["hardLimitNs"]
         request.deadline_ns = world.now_ns + (request.budget_ns or hard_limit_ns)
@@ -64,22 +64,22 @@
             world.after(world.interval_ns(LEAVING_RATE_PER_S), partial(self.leave, request))
 
     def leave(self, request: Request) -> None:
-        """The client closes; an attempt that is out still gets its result."""
-        if request.id in self.world.requests and not request.is_abandoned:
-            request.is_abandoned = True
+        """Withdraw a request; the result of an attempt in flight is still sent."""
+        if request.id in self.world.requests and not request.has_client_left:
+            request.has_client_left = True
             self.world.send_event(request.instance, wire.client_left(request.id))
 
     def arrive(self) -> None:
-        """One new client, which schedules the next."""
+        """Send the request of a new client, and schedule the next one."""
         self.world.after(self.world.interval_ns(self.arrivals_per_s), self.arrive)
         self.send(self.new_request(self.world.random_live_instance()))
 
     def set_arrivals(self, per_s: float) -> None:
-        """Change the rate of new clients."""
+        """Change the arrival rate of new clients."""
         self.arrivals_per_s = per_s
 
     def burst(self, requests: int) -> None:
-        """Many clients at one moment, about half of which return after a break."""
+        """Send this many requests at once, about half of them of clients that reconnect."""
         for _ in range(requests):
             instance = self.world.random_live_instance()
             self.send(self.new_request(instance, RequestFlag.RETURNED * self.world.random.randrange(2)))
--- a/rig/decision_recordings/endpoint_model.py
+++ b/rig/decision_recordings/endpoint_model.py
@@ -1,4 +1,4 @@
-"""How simulated endpoints behave: their load, their reports, and what becomes of attempts and probes."""
+"""Model of the endpoints: their load, load reports, and outcomes of attempts and health checks."""
 
 from __future__ import annotations
 
@@ -10,55 +10,55 @@
 from rig.decision_recordings.model import (
     MILLISECOND,
     SECOND,
-    Condition,
     Endpoint,
     EndpointState,
+    Impairment,
     Instance,
     Outcome,
 )
 from rig.decision_recordings.scenario import CONNECT_TIMEOUT_NS
 from rig.decision_recordings.world import World
 
-SETUP_NS = 20 * MILLISECOND
-"""Mean time until an endpoint that is not loaded accepts, in nanoseconds."""
+MEAN_SETUP_NS = 20 * MILLISECOND
+"""Mean time until an endpoint without load accepts."""
 
-REJECTION_NS = 2 * MILLISECOND
-"""Time until an endpoint rejects, in nanoseconds."""
+REJECTION_DELAY_NS = 2 * MILLISECOND
+"""Time until an endpoint rejects."""
 
 SLOW_LOAD = 1.5
-"""Load that being slow adds."""
+"""Load that a slow endpoint has in addition."""
 
 SLOW_SETUP_FACTOR = 5
-"""How much longer a slow endpoint takes to accept."""
+"""Factor by which a slow endpoint takes longer to accept."""
 
 MAX_WEIGHT = 100.0
-"""Weights from here on, and those not above zero, are wrong entries: the capacity is that of weight 1."""
+"""Weights from here on, and those not above zero, are invalid: the capacity is that of weight 1."""
 
-MAX_PROBE_NS = SECOND
-"""Longest time until a probe is answered, in nanoseconds."""
+MAX_HEALTH_CHECK_NS = SECOND
+"""Longest time until a health check ends."""
 
 
-class Fate(NamedTuple):
-    """What becomes of an attempt, and after how long; without an outcome it becomes a connection."""
+class AttemptOutcome(NamedTuple):
+    """How an attempt ends, and after which delay; None: its connection is established."""
 
     outcome: Outcome | None
     delay_ns: float
 
 
 class EndpointModel:
-    """Behaviour of the endpoints towards attempts and probes."""
+    """Outcomes of attempts and health checks, by load and fault of the endpoint."""
 
     def __init__(self, world: World) -> None:
         self.world = world
 
     def load(self, endpoint: Endpoint) -> float:
-        """Open connections as a part of what the endpoint has capacity for."""
+        """Open connections relative to the endpoint's capacity, plus the load of a slow endpoint."""
         weight = endpoint.weight if 0.0 < endpoint.weight < MAX_WEIGHT else 1.0
-        own_load = SLOW_LOAD if endpoint.fault is Condition.SLOW else 0.0
-        return endpoint.open_connections / (self.world.scenario.capacity * weight) + own_load
+        slow_load = SLOW_LOAD if endpoint.fault is Impairment.SLOW else 0.0
+        return endpoint.open_connections / (self.world.scenario.capacity * weight) + slow_load
 
     def report(self, endpoint: Endpoint) -> list[float]:
-        """The values of the report's columns, with some noise."""
+        """The values of a load report in the order of its columns, with some noise."""
         values = {
             "outstanding": float(endpoint.open_connections),
             "x0": self.load(endpoint) * self.world.random.uniform(0.9, 1.1),
@@ -67,43 +67,47 @@
         }
         return [values[column] for column in self.world.scenario.columns]
 
-    def fate(self, endpoint: Endpoint) -> Fate:
-        """What becomes of an attempt that is sent to the endpoint now."""
+    def draw_outcome(self, endpoint: Endpoint) -> AttemptOutcome:
+        """Draw the outcome of an attempt that is sent to the endpoint now."""
         random = self.world.random
-        setup_ns = SETUP_NS * random.uniform(0.5, 1.5) * max(1.0, self.load(endpoint) * 2) ** 3
+        setup_ns = MEAN_SETUP_NS * random.uniform(0.5, 1.5) * max(1.0, self.load(endpoint) * 2) ** 3
         fault = endpoint.fault
-        if fault is None or isinstance(fault, Condition):
+        if fault is None or isinstance(fault, Impairment):
             if endpoint.state != EndpointState.READY:
-                return Fate(Outcome.FULL, REJECTION_NS)
-            return Fate(None, SLOW_SETUP_FACTOR * setup_ns if fault is Condition.SLOW else setup_ns)
+                return AttemptOutcome(Outcome.FULL, REJECTION_DELAY_NS)
+            return AttemptOutcome(
+                None, SLOW_SETUP_FACTOR * setup_ns if fault is Impairment.SLOW else setup_ns
+            )
         if fault is Outcome.TIMEOUT:
-            return Fate(Outcome.TIMEOUT, math.inf)
+            return AttemptOutcome(Outcome.TIMEOUT, math.inf)
         if fault is Outcome.CONNECT_FAILED:
-            return Fate(Outcome.CONNECT_FAILED, CONNECT_TIMEOUT_NS)
+            return AttemptOutcome(Outcome.CONNECT_FAILED, CONNECT_TIMEOUT_NS)
         if fault is Outcome.FULL:
-            return Fate(Outcome.FULL, REJECTION_NS)
-        return Fate(fault, random.uniform(2, 300) * MILLISECOND)
+            return AttemptOutcome(Outcome.FULL, REJECTION_DELAY_NS)
+        return AttemptOutcome(fault, random.uniform(2, 300) * MILLISECOND)
 
-    def probe(self, instance: Instance, address: bytes) -> None:
-        """An instance probes an endpoint."""
+    def check_health(self, instance: Instance, address: bytes) -> None:
+        """Start a health check of an endpoint."""
         world = self.world
         endpoint = world.endpoint_at(address)
-        outcome, delay_ns = self.fate(endpoint)
-        if endpoint.state == EndpointState.GONE:
+        outcome, delay_ns = self.draw_outcome(endpoint)
+        if endpoint.state == EndpointState.REMOVED:
             outcome = Outcome.CONNECT_FAILED
             delay_ns = CONNECT_TIMEOUT_NS
-        delay_ns = min(delay_ns, MAX_PROBE_NS)
+        delay_ns = min(delay_ns, MAX_HEALTH_CHECK_NS)
         if outcome is None:
             outcome = Outcome.OK
             delay_ns /= 4
-        answer = partial(self._answer_probe, instance, instance.starts, endpoint, outcome, world.now_ns)
+        answer = partial(
+            self._answer_health_check, instance, instance.start_count, endpoint, outcome, world.now_ns
+        )
         world.after(delay_ns, answer)
 
-    def _answer_probe(
-        self, instance: Instance, starts: int, endpoint: Endpoint, outcome: Outcome, sent_ns: int
+    def _answer_health_check(
+        self, instance: Instance, start_count: int, endpoint: Endpoint, outcome: Outcome, sent_ns: int
     ) -> None:
-        if instance.starts != starts:
+        if instance.start_count != start_count:
             return
         report = self.report(endpoint) if outcome is Outcome.OK else []
-        record = wire.probe_result(outcome, self.world.now_ns - sent_ns, endpoint.address, report)
+        record = wire.health_check_result(outcome, self.world.now_ns - sent_ns, endpoint.address, report)
         self.world.send_event(instance.number, record)
--- a/rig/decision_recordings/fleet.py
+++ b/rig/decision_recordings/fleet.py
@@ -1,4 +1,4 @@
-"""A closed loop around one adapter: its actions lead to the events that it gets next."""
+"""Closed loop around one `sim` command: its actions determine the events that it gets next."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Fleet:
-    """Runs a scenario; `exchange` sends one frame to the adapter and returns its reply."""
+    """Runs a scenario; `exchange` sends one frame to the command and returns its reply."""
 
     def __init__(self, scenario: Scenario, exchange: Callable[[bytes], bytes]) -> None:
         self.scenario = scenario
@@ -61,15 +61,15 @@
 
     def _instance_actions(self) -> dict[str, Callable[..., Any]]:
         return {
-            "deny": self.attempts.deny,
-            "give_up": self.attempts.give_up,
-            "listen": self.discovery.listen,
-            "notify": self.instances.notify,
-            "notify_me": self.instances.notify_me,
-            "probe": self.endpoint_model.probe,
-            "reassign": self.attempts.reassign,
-            "retract": self.attempts.cancel,
-            "submit": self.attempts.submit,
+            "reject": self.attempts.reject,
+            "fail": self.attempts.fail,
+            "watch": self.discovery.watch,
+            "send_peer_message": self.instances.send_peer_message,
+            "set_timer": self.instances.set_timer,
+            "check_health": self.endpoint_model.check_health,
+            "migrate": self.attempts.migrate,
+            "cancel": self.attempts.cancel,
+            "send": self.attempts.send,
         }
 
     def run(self) -> None:
@@ -94,8 +94,8 @@
             world.after(event.at_s * SECOND, callback)
         world.after(world.interval_ns(self.clients.arrivals_per_s), self.clients.arrive)
         world.after(SECOND, self.notes.send_notes)
-        if self.scenario.odd_per_s:
-            world.after(world.interval_ns(self.scenario.odd_per_s), self.notes.send_odd_event)
+        if self.scenario.invalid_events_per_s:
+            world.after(world.interval_ns(self.scenario.invalid_events_per_s), self.notes.send_invalid_event)
 
     def _send_batch(self) -> None:
         batch = self.world.take_batch()
@@ -106,5 +106,5 @@
             records.append(wire.select_instance(number))
             records.extend(events)
         for action in wire.actions(self.exchange(wire.frame(self.world.now_ns, records))):
-            carry_out = self.instance_actions[action.name]
-            carry_out(self.world.instances[action.instance], *action.fields)
+            perform = self.instance_actions[action.name]
+            perform(self.world.instances[action.instance], *action.fields)
--- a/rig/decision_recordings/instances.py
+++ b/rig/decision_recordings/instances.py
@@ -1,4 +1,4 @@
-"""Starts and stops of the instances, their timers, and the messages between them."""
+"""Starts and stops of the instances, their timers and the messages between them."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from rig.decision_recordings.world import World
 
 ALL_PEERS = 0xFFFF
-"""Number that addresses a message to all other instances."""
+"""Number that addresses all other instances."""
 
 RETURN_AFTER_STOP_PER_S = 2.0
-"""Rate at which clients whose instance stopped come again."""
+"""Rate at which clients reconnect after their instance stopped; the mean delay is its inverse."""
 
 ADOPTED_SHARE = 0.5
-"""Share of the connections that pass through and reach the new instance itself."""
+"""Share of the passed-through connections that the restarted instance itself adopts."""
 
 
 class Instances:
@@ -32,30 +32,30 @@
         self.discovery = discovery
 
     def start(self, number: int) -> None:
-        """Start an instance with a cached list, which after a restart may be old."""
+        """Start an instance with a cached list, which after a restart lacks an endpoint."""
         world = self.world
         instance = world.instances[number]
         instance.is_live = True
-        instance.is_subscribed = not self.discovery.is_subscription_needed
-        instance.starts += 1
+        instance.receives_lists = not self.discovery.is_watch_needed
+        instance.start_count += 1
         instance.list_version = world.list_version
         settings = world.scenario.settings_of(number)
         world.send_event(number, wire.create(world.random.getrandbits(64), settings))
-        known = [endpoint for endpoint in world.endpoints if endpoint.state != EndpointState.GONE]
-        if instance.starts > 1:
+        known = [endpoint for endpoint in world.endpoints if endpoint.state != EndpointState.REMOVED]
+        if instance.start_count > 1:
             known.pop(world.random.randrange(len(known)))
             instance.list_version = 0
         entries = [wire.list_entry(endpoint) for endpoint in known]
         world.send_event(number, wire.endpoint_list(ListForm.CACHED, world.list_version, entries))
-        for _ in range(world.scenario.adopted):
+        for _ in range(world.scenario.adopted_connections):
             request = self.clients.new_request(number)
             self.attempts.adopt(number, request, world.random.choice(world.endpoints))
-        world.after(SECOND, partial(self.discovery.send_list, number, instance.starts))
+        world.after(SECOND, partial(self.discovery.send_list, number, instance.start_count))
 
     def stop(self, number: int, restart_after_s: float = -1.0) -> None:
-        """Kill an instance; it starts again at once (0.0), after a while, or never (below zero).
+        """Kill an instance; it restarts at once (0.0), after a delay, or never (below zero).
 
-        Its connections break, or reach the others where packets pass through.
+        Its connections break; in pass-through mode they reach a live instance instead.
         """
         world = self.world
         instance = world.instances[number]
@@ -64,18 +64,18 @@
             self.start(number)
         else:
             instance.is_live = False
-            world.after(SECOND // 2, partial(self._send_to_stopped, number, instance.starts))
+            world.after(SECOND // 2, partial(self._send_to_stopped, number, instance.start_count))
         if restart_after_s > 0.0:
             world.after(restart_after_s * SECOND, partial(self.start, number))
         for request in [r for r in world.requests.values() if r.instance == number]:
-            self._lose_instance(request, is_restarted=restart_after_s == 0.0)
+            self._end_with_instance(request, is_restarted=restart_after_s == 0.0)
 
-    def _lose_instance(self, request: Request, is_restarted: bool) -> None:
-        """End a request of an instance that stopped, and let its client come again."""
+    def _end_with_instance(self, request: Request, is_restarted: bool) -> None:
+        """End a request of an instance that stopped; its client reconnects, or its connection moves."""
         world = self.world
         endpoint = request.endpoint
         self.attempts.end(request)
-        if request.is_abandoned:
+        if request.has_client_left:
             return
         is_passing = world.scenario.family.get("mode") == "pass"
         if not is_passing or endpoint is None or not request.is_established:
@@ -89,17 +89,17 @@
             flags = RequestFlag.MID_FLOW | RequestFlag.RETURNED * world.random.randrange(2)
             self.clients.retry(request, flags)
 
-    def _send_to_stopped(self, number: int, starts: int) -> None:
-        """Send an event to an instance that was killed and has not started again."""
+    def _send_to_stopped(self, number: int, start_count: int) -> None:
+        """Send an event to an instance that was killed and not restarted."""
         instance = self.world.instances[number]
-        if not instance.is_live and instance.starts == starts:
+        if not instance.is_live and instance.start_count == start_count:
             record = wire.new_request(self.clients.new_request(number))
             self.world.send_event_unchecked(number, record)
 
     # Actions of the instances.
 
-    def notify(self, instance: Instance, peer: int, data: bytes) -> None:
-        """Pass a message on to one other instance or to all; some are lost."""
+    def send_peer_message(self, instance: Instance, peer: int, data: bytes) -> None:
+        """Deliver a message to one other instance or to all; some are lost."""
         world = self.world
         for other in world.instances:
             is_addressed = other is not instance and peer in (other.number, ALL_PEERS)
@@ -108,19 +108,19 @@
                 delay_ns = world.random.uniform(1, 30) * MILLISECOND
                 world.after(delay_ns, partial(world.send_event, other.number, message))
 
-    def notify_me(self, instance: Instance, delay_ns: int, token: int) -> None:
+    def set_timer(self, instance: Instance, delay_ns: int, token: int) -> None:
         """Set a timer."""
-        expire = partial(self._expire_timer, instance.number, instance.starts, token)
+        expire = partial(self._expire_timer, instance.number, instance.start_count, token)
         self.world.after(delay_ns, expire)
 
-    def _expire_timer(self, number: int, starts: int, token: int) -> None:
-        if self.world.instances[number].starts == starts:
+    def _expire_timer(self, number: int, start_count: int, token: int) -> None:
+        if self.world.instances[number].start_count == start_count:
             self.world.send_event(number, wire.timer_expired(token))
 
     # Timeline.
 
     def send_false_reports(self, number: int) -> None:
-        """Messages that an endpoint is silent, from senders that are not peers."""
+        """Send reports that an endpoint is silent, from senders that are not peers."""
         balancers = self.world.scenario.balancers
         data = b"s" + self.world.endpoints[number].address
         for instance in self.world.instances:
--- a/rig/decision_recordings/model.py
+++ b/rig/decision_recordings/model.py
@@ -1,4 +1,4 @@
-"""State of the simulated fleet: endpoints, requests and instances as they really are."""
+"""Actual state of the simulated fleet: endpoints, requests and instances."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from enum import Enum, IntEnum, IntFlag, auto
 
 MILLISECOND = 1_000_000
-"""Nanoseconds in a millisecond: all times of the simulator's wire are in nanoseconds."""
+"""Nanoseconds in a millisecond; all times on the simulator's wire are in nanoseconds."""
 
 SECOND = 1_000_000_000
 """Nanoseconds in a second."""
@@ -16,12 +16,12 @@
     """State of an endpoint, by its code in a list entry."""
 
     READY = 0
-    GONE = 1
+    REMOVED = 1
     DRAINING = 2
 
 
 class Outcome(IntEnum):
-    """Result of an attempt or a probe, by its code on the wire."""
+    """Outcome of an attempt or a health check, by its code on the wire."""
 
     ERROR = 0
     OK = 1
@@ -33,20 +33,20 @@
     MOOT = 7
 
 
-class Condition(Enum):
-    """Ways in which an endpoint is impaired and accepts connections still."""
+class Impairment(Enum):
+    """Impairments under which an endpoint still accepts connections."""
 
     SLOW = auto()
-    """It accepts, but late."""
+    """Connections are accepted late."""
 
     BUSY = auto()
-    """It accepts in time; messages take less than their target time and more than a third of it."""
+    """Connections are accepted in time; messages take between a third of their target time and all of it."""
 
 
 class RequestFlag(IntFlag):
     """Flags of a request on the wire."""
 
-    HINTED = 1
+    HAS_LOAD_HINT = 1
     RETRY = 2
     MID_FLOW = 8
     RETURNED = 16
@@ -56,7 +56,7 @@
 class Endpoint:
     """One endpoint; `listed_version` is the version of the list that last changed its entry.
 
-    `fault` is the outcome of each attempt there, or a condition under which it still accepts.
+    `fault` is the outcome of each attempt there, or an impairment.
     """
 
     address: bytes
@@ -67,41 +67,40 @@
     started_ns: int = 0
     state: EndpointState = EndpointState.READY
     listed_version: int = 1
-    fault: Outcome | Condition | None = None
+    fault: Outcome | Impairment | None = None
     open_connections: int = 0
 
 
 @dataclass(eq=False, slots=True)
 class Request:
-    """A request, or the connection that it became."""
+    """A request, or the connection that it has established."""
 
     id: int
     instance: int
     service: int
     group: int
     key: int
-    hint_ns: int
+    load_hint: int
     flags: int
     budget_ns: int
     deadline_ns: int = 0
     tenant: int = 0
     attempt: int = -1
     endpoint: Endpoint | None = None
-    """Where the latest attempt went, until that attempt ends."""
+    """Endpoint of the attempt in flight or of the connection."""
 
     sent_ns: int = 0
     is_established: bool = False
-    is_abandoned: bool = False
-    """Whether the client has left."""
+    has_client_left: bool = False
 
 
 @dataclass(eq=False, slots=True)
 class Instance:
-    """One instance of the program, as discovery and the simulator see it."""
+    """One instance of the program."""
 
     number: int
-    starts: int = 0
+    start_count: int = 0
     is_live: bool = False
-    is_subscribed: bool = False
+    receives_lists: bool = False
     list_version: int = 0
-    """Version of the list that it was last sent; 0 where it has none."""
+    """Version of the last list sent to it; 0: the next one must be a full list."""
--- a/rig/decision_recordings/notes.py
+++ b/rig/decision_recordings/notes.py
@@ -1,4 +1,4 @@
-"""Notes about connections, and events that fit nothing an instance knows."""
+"""Notes about connections, and events with unknown ids or invalid values."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from rig.decision_recordings.model import (
     MILLISECOND,
     SECOND,
-    Condition,
     Endpoint,
+    Impairment,
     Outcome,
     Request,
     RequestFlag,
@@ -33,17 +33,17 @@
 """Share of the connections whose load is noted each second."""
 
 SLOW_MESSAGE_LOAD = 0.8
-"""Load over which messages are slow enough to be noted."""
+"""Load above which message times are noted."""
 
 BUSY_MESSAGE_MS = 50.0
-"""Time of a message at a busy endpoint, in milliseconds."""
+"""Time of a message at an endpoint with the impairment BUSY."""
 
 FULL_LOAD_MESSAGE_MS = 30.0
-"""Time of a message at load 1, in milliseconds; it grows with the fourth power of the load."""
+"""Time of a message at load 1; it grows with the fourth power of the load."""
 
 
 class Notes:
-    """Sends notes once a second, and odd events at the scenario's rate."""
+    """Sends notes once a second, and invalid events at the scenario's rate."""
 
     def __init__(self, world: World, clients: Clients, endpoint_model: EndpointModel) -> None:
         self.world = world
@@ -51,7 +51,7 @@
         self.endpoint_model = endpoint_model
 
     def send_notes(self) -> None:
-        """Loads of some connections, and one message time of each slow endpoint to each instance."""
+        """Send the load of some connections, and to each instance one message time of each slow endpoint."""
         world = self.world
         random = world.random
         world.after(SECOND, self.send_notes)
@@ -64,7 +64,7 @@
             if random.random() < LOAD_NOTE_SHARE:
                 world.send_event(request.instance, note(NoteKind.LOAD, random.uniform(2e4, 1.5e5)))
             load = self.endpoint_model.load(endpoint)
-            is_busy = endpoint.fault is Condition.BUSY
+            is_busy = endpoint.fault is Impairment.BUSY
             instance_and_endpoint = (request.instance, endpoint.address)
             if (load > SLOW_MESSAGE_LOAD or is_busy) and instance_and_endpoint not in noted:
                 noted.add(instance_and_endpoint)
@@ -72,28 +72,28 @@
                 message_ms *= random.uniform(0.8, 1.2)
                 world.send_event(request.instance, note(NoteKind.MESSAGE_TIME, message_ms))
 
-    def send_odd_event(self) -> None:
-        """An event that fits nothing the instance knows or has a senseless value, and a known id again."""
+    def send_invalid_event(self) -> None:
+        """Send an event with an unknown id or an invalid value, and events that reuse a known id."""
         world = self.world
-        world.after(world.interval_ns(world.scenario.odd_per_s), self.send_odd_event)
+        world.after(world.interval_ns(world.scenario.invalid_events_per_s), self.send_invalid_event)
         if not world.requests:
             return
         number = world.random_live_instance()
         request = world.random.choice(list(world.requests.values()))
         endpoint = world.random.choice(world.endpoints)
-        odd_events = [
-            *self._odd_results(request, endpoint),
-            *self._odd_peer_messages(number, endpoint),
-            *self._odd_notes(request, endpoint),
+        invalid_events = [
+            *self._invalid_results(request, endpoint),
+            *self._invalid_peer_messages(number, endpoint),
+            *self._invalid_notes(request, endpoint),
             wire.adopted_connection(self.clients.new_request(number), UNKNOWN_ADDRESS),
         ]
-        world.send_event(number, world.random.choice(odd_events))
+        world.send_event(number, world.random.choice(invalid_events))
         is_mid_flow = bool(request.flags & RequestFlag.MID_FLOW)
-        if request.is_established and not (request.is_abandoned or is_mid_flow):
+        if request.is_established and not (request.has_client_left or is_mid_flow):
             world.send_event(request.instance, wire.new_request(request))
             world.send_event(request.instance, wire.adopted_connection(request, endpoint.address))
 
-    def _odd_results(self, request: Request, endpoint: Endpoint) -> list[bytes]:
+    def _invalid_results(self, request: Request, endpoint: Endpoint) -> list[bytes]:
         address = endpoint.address
         later_attempt = request.attempt + 1 & 0xFF
         columns = len(self.world.scenario.columns)
@@ -105,13 +105,13 @@
             wire.attempt_result(request.id, address, False, later_attempt, MILLISECOND, Outcome.RESET),
             wire.client_left(UNKNOWN_REQUEST),
             wire.timer_expired(self.world.random.randrange(40)),
-            wire.probe_result(Outcome.OK, MILLISECOND, UNKNOWN_ADDRESS, [1.0, 1.0]),
-            wire.probe_result(Outcome.OK, MILLISECOND, address, [1.0]),
-            wire.probe_result(Outcome.OK, MILLISECOND, address, [math.nan] * columns),
-            wire.probe_result(Outcome.OK, MILLISECOND, address, [2e6] * columns),
+            wire.health_check_result(Outcome.OK, MILLISECOND, UNKNOWN_ADDRESS, [1.0, 1.0]),
+            wire.health_check_result(Outcome.OK, MILLISECOND, address, [1.0]),
+            wire.health_check_result(Outcome.OK, MILLISECOND, address, [math.nan] * columns),
+            wire.health_check_result(Outcome.OK, MILLISECOND, address, [2e6] * columns),
         ]
 
-    def _odd_peer_messages(self, number: int, endpoint: Endpoint) -> list[bytes]:
+    def _invalid_peer_messages(self, number: int, endpoint: Endpoint) -> list[bytes]:
         address = endpoint.address
         balancers = self.world.scenario.balancers
         neighbour = (number + 1) % balancers
@@ -125,7 +125,7 @@
         ]
 
     @staticmethod
-    def _odd_notes(request: Request, endpoint: Endpoint) -> list[bytes]:
+    def _invalid_notes(request: Request, endpoint: Endpoint) -> list[bytes]:
         address = endpoint.address
         return [
             wire.connection_note(UNKNOWN_REQUEST, 0, address, NoteKind.LOAD, 5e4),
--- a/rig/decision_recordings/recorder.py
+++ b/rig/decision_recordings/recorder.py
@@ -1,4 +1,4 @@
-"""Play the scenarios against the deploy file's `sim` command and write down both sides of the wire.
+"""Run the scenarios against the `sim` command of the deploy file and record both directions of the wire.
 
 The frames sent and received are written to `tests/data/decisions/NAME.in.xz` and `NAME.out.xz`.
 """
@@ -22,14 +22,14 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 """Root of the repository."""
 
-DATA = ROOT / "tests" / "data" / "decisions"
-"""Where the recordings are kept."""
+RECORDINGS_FOLDER = ROOT / "tests" / "data" / "decisions"
+"""Folder of the recordings."""
 
 DEPLOY_PYTHON = ".venv/bin/python"
-"""The interpreter's name in the deploy file."""
+"""Path of the interpreter in the deploy file."""
 
 EXIT_TIMEOUT_S = 30
-"""How long the command may take to end once its input has ended, in seconds."""
+"""Time within which the command must exit after its input has ended."""
 
 
 class Recording(NamedTuple):
@@ -40,13 +40,13 @@
 
 
 def simulator_command(root: Path = ROOT) -> str:
-    """The deploy file's command named `sim`, run by this interpreter whatever its environment is called."""
+    """The `sim` command of the deploy file, with this interpreter in place of the deployment's."""
     command: str = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["sim"]
     return command.replace(DEPLOY_PYTHON, shlex.quote(sys.executable))
 
 
 def record(scenario: Scenario, command: str) -> Recording:
-    """Play a scenario against the command, a shell's text."""
+    """Run a scenario against a shell command."""
     sent = bytearray()
     received = bytearray()
     with subprocess.Popen(
@@ -73,14 +73,14 @@
 
 
 def main(names: Sequence[str]) -> int:
-    """Record the named scenarios, or all of them; the exit status."""
-    DATA.mkdir(parents=True, exist_ok=True)
+    """Record the named scenarios, by default all; returns the exit status."""
+    RECORDINGS_FOLDER.mkdir(parents=True, exist_ok=True)
     for scenario in SCENARIOS:
         if names and scenario.name not in names:
             continue
         recording = record(scenario, simulator_command())
         for suffix, content in (("in", recording.sent), ("out", recording.received)):
-            path = DATA / f"{scenario.name}.{suffix}.xz"
+            path = RECORDINGS_FOLDER / f"{scenario.name}.{suffix}.xz"
             path.write_bytes(lzma.compress(content, preset=9))
             print(f"{path.name}: {sum(1 for _ in frames(content))} frames, {path.stat().st_size} bytes")
     return 0
--- a/rig/decision_recordings/scenario.py
+++ b/rig/decision_recordings/scenario.py
@@ -1,4 +1,4 @@
-"""What one recording consists of, and the settings of its instances."""
+"""Description of a recorded scenario, and the settings of its instances."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from rig.decision_recordings.model import MILLISECOND, SECOND
 
 STEP_NS = 5 * MILLISECOND
-"""Time between two batches, in nanoseconds."""
+"""Simulated time between two batches."""
 
 CONNECT_TIMEOUT_NS = 120 * MILLISECOND
-"""How long an attempt at an endpoint that is gone takes, in nanoseconds."""
+"""Time until an attempt fails to connect."""
 
 MAX_RETRY_AFTER_NS = 1_500 * MILLISECOND
-"""Longest delay that a rejection may ask of a client, in nanoseconds."""
+"""Longest retry delay that a rejection may ask for."""
 
 RULES = {
     "answerSlackNs": 20 * MILLISECOND,
@@ -45,7 +45,7 @@
 
 
 class TimelineEvent(NamedTuple):
-    """Something that happens at a time of the scenario; `action` is a key of `Fleet.timeline_actions`."""
+    """A timed event of the scenario; `action` is a key of `Fleet.timeline_actions`."""
 
     at_s: float
     action: str
@@ -65,16 +65,16 @@
     endpoints: int = 12
     zones: int = 2
     cell_size: int = 3
-    warming_up: int = 0  # endpoints that have just started
+    warming_up_endpoints: int = 0  # endpoints that have just started
     capacity: float = 16.0  # connections that fill an endpoint of weight 1
     arrivals_per_s: float = 25.0
     lifetime_s: float = 8.0
     groups: int = 40  # 0: requests have no group
-    adopted: int = 0  # connections that each instance already has at its start
+    adopted_connections: int = 0  # connections that each instance already has at its start
     withdrawn_share: float = 0.03
     peer_loss: float = 0.05
-    odd_per_s: float = 0.0  # events that fit nothing
-    listen_failures: float = 0.0
+    invalid_events_per_s: float = 0.0  # unknown ids or invalid values
+    failed_watch_share: float = 0.0
     services: tuple[dict[str, Any], ...] = (service("stream"),)
     settings: dict[str, Any] = field(default_factory=dict)
     allowed: dict[str, Any] = field(default_factory=dict)
@@ -82,7 +82,7 @@
     columns: tuple[str, ...] = ("outstanding", "x0")
 
     def allowed_settings(self) -> dict[str, Any]:
-        """What the instances may do."""
+        """The settings' `allowed`: what the instances may do."""
         return {
             "connectTimeoutNs": CONNECT_TIMEOUT_NS,
             "maxAttempts": 4,
@@ -96,7 +96,7 @@
         }
 
     def family_settings(self) -> dict[str, Any]:
-        """What kind of traffic the instances balance, and what endpoints report."""
+        """The settings' `familyInfo`: the kind of traffic, and what endpoints report."""
         return {
             "groups": bool(self.groups),
             "messageAimNs": [100 * MILLISECOND] * len(self.services),
@@ -108,7 +108,7 @@
         }
 
     def settings_of(self, number: int) -> dict[str, Any]:
-        """The settings of one instance, as the simulator would write them."""
+        """The settings of one instance, in the simulator's format."""
         settings: dict[str, Any] = {
             "allowed": self.allowed_settings(),
             "balancers": self.balancers,
--- a/rig/decision_recordings/scenarios.py
+++ b/rig/decision_recordings/scenarios.py
@@ -1,11 +1,11 @@
-"""The scenarios that are recorded, each for one part of the decisions."""
+"""The recorded scenarios; each covers one part of the decisions."""
 
 from __future__ import annotations
 
 import math
 from typing import Any
 
-from rig.decision_recordings.model import MILLISECOND, SECOND, Condition, Outcome
+from rig.decision_recordings.model import MILLISECOND, SECOND, Impairment, Outcome
 from rig.decision_recordings.scenario import Scenario, TimelineEvent, service
 
 
@@ -15,7 +15,7 @@
 
 
 def every(first: float, last: float, step: float, action: str, *arguments: Any) -> tuple[TimelineEvent, ...]:
-    """The same entry every `step` seconds, from `first` to `last` at most."""
+    """Entries with this action every `step` seconds, from `first` to `last` at most."""
     times = int((last - first) / step) + 1
     return tuple(at(round(first + step * number, 3), action, *arguments) for number in range(times))
 
@@ -33,22 +33,22 @@
     Scenario(
         "peer-messages",
         seed=101,
-        odd_per_s=4.0,
+        invalid_events_per_s=4.0,
         timeline=(
             at(4, "set_fault", Outcome.CONNECT_FAILED, 1, 6),
             at(9, "set_fault", None, 1, 6),
-            at(12, "set_fault", Condition.SLOW, 2, 3),
+            at(12, "set_fault", Impairment.SLOW, 2, 3),
             at(16, "set_fault", None, 2, 3),
             at(16.5, "send_false_reports", 5),
             at(17, "send_false_reports", 7),
             at(18, "set_fault", Outcome.CONNECT_FAILED, 0, 2, 4, 6, 8, 10),  # all of zone 0
             at(22, "set_fault", None, 0, 2, 4, 6, 8, 10),
             at(24, "set_arrivals", 0.2),
-            at(25.5, "set_fault", Condition.SLOW, *range(12)),
+            at(25.5, "set_fault", Impairment.SLOW, *range(12)),
         ),
     ),
     Scenario(
-        "many-instances",  # each of which sees little
+        "many-instances",  # few requests for each
         seed=102,
         instances=5,
         balancers=20,
@@ -68,7 +68,7 @@
             at(14, "restart", 6),
             at(16, "burst", 30),
             at(20, "reset_connections", 1, 2),
-            at(22, "set_fault", Condition.SLOW, *range(8)),
+            at(22, "set_fault", Impairment.SLOW, *range(8)),
             at(26, "set_fault", None, *range(8)),
         ),
     ),
@@ -77,9 +77,9 @@
         seed=103,
         duration_s=33.0,
         instances=4,
-        adopted=8,
+        adopted_connections=8,
         withdrawn_share=0.15,
-        odd_per_s=3.0,
+        invalid_events_per_s=3.0,
         family={"mode": "pass"},
         timeline=(
             *(at(0.05, "unlist", number) for number in (9, 10, 11)),
@@ -98,7 +98,7 @@
             at(16, "stop", 3, 3.0),
             at(17, "reset_connections", 1, 2),
             at(20, "stop", 1, 0.0),
-            at(22, "set_fault", Condition.BUSY, *(number for number in range(12) if number not in (3, 5))),
+            at(22, "set_fault", Impairment.BUSY, *(number for number in range(12) if number not in (3, 5))),
             at(23.5, "drain", 4, 7.0),
             at(23.5, "drain", 6, 7.0),
         ),
@@ -109,7 +109,7 @@
         instances=3,
         balancers=3,
         arrivals_per_s=15.0,
-        listen_failures=0.3,
+        failed_watch_share=0.3,
         settings={"discovery": "ask", "weightSource": "live"},
         timeline=(
             at(3, "drain", 2, 5.0),
@@ -139,7 +139,7 @@
         capacity=9.0,
         arrivals_per_s=30.0,
         lifetime_s=6.0,
-        odd_per_s=2.0,
+        invalid_events_per_s=2.0,
         columns=("x1", "outstanding", "x0"),
         timeline=(
             at(3, "set_fault", Outcome.FULL, 0, 1),
@@ -149,7 +149,7 @@
             at(9, "set_fault", Outcome.RESET, 5),
             at(11, "set_fault", Outcome.MOOT, 6),
             at(12, "set_fault", None, 2, 3, 4, 5, 6),
-            at(14, "set_fault", Condition.SLOW, 7, 8, 9),
+            at(14, "set_fault", Impairment.SLOW, 7, 8, 9),
             at(17, "restart", 1),
             at(18, "set_fault", None, 7, 8, 9),
             at(20, "burst", 120),
@@ -186,7 +186,7 @@
         columns=(),
         groups=0,
         withdrawn_share=0.1,
-        odd_per_s=3.0,
+        invalid_events_per_s=3.0,
         services=(EFFECTS[0], EFFECTS[1], EFFECTS[-1]),
         allowed={"probing": False, "peerMessages": False, "retryAfter": False},
         timeline=(
@@ -204,16 +204,16 @@
         "overload",
         seed=108,
         endpoints=6,
-        warming_up=2,
+        warming_up_endpoints=2,
         capacity=6.0,
         arrivals_per_s=22.0,
         columns=("utilization",),
         services=(service("fast"), service("slow", aimNs=900 * MILLISECOND)),
         family={"messageAimNs": [60 * MILLISECOND, 400 * MILLISECOND], "mode": "pass"},
         timeline=(
-            at(6, "set_fault", Condition.SLOW, 0, 1, 2, 3),
+            at(6, "set_fault", Impairment.SLOW, 0, 1, 2, 3),
             at(10, "drain", 3, 7.0),
-            at(11, "set_fault", Condition.SLOW, *range(6)),
+            at(11, "set_fault", Impairment.SLOW, *range(6)),
             at(12.5, "stop", 1, 1.0),
             at(13, "restart", 0),
             at(14, "stop", 2, 0.0),
--- a/rig/decision_recordings/wire.py
+++ b/rig/decision_recordings/wire.py
@@ -1,4 +1,4 @@
-"""Codec of the simulator's wire, written from its description: frames, events to an adapter, its actions."""
+"""Codec of the simulator's wire, written from its protocol description: frames, events and actions."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 _ENTRY = struct.Struct(">6sHHHBfQ")
 _LENGTH_BYTES = 4
 _ACTION_SELECT_INSTANCE = 13
-_ACTION_NOTIFY = 7
-_ACTION_RECORD = 8
+_ACTION_SEND_PEER_MESSAGE = 7
+_ACTION_LOG = 8
 _ACTION_FAULT = 9
 
 
@@ -36,7 +36,7 @@
 
 
 class Action(NamedTuple):
-    """One action of a reply: who takes it, its name and its fields in the order of the wire."""
+    """One action of a reply: its instance, name, and fields in wire order."""
 
     instance: int
     name: str
@@ -44,13 +44,13 @@
 
 
 def frame(clock_ns: int, records: Sequence[bytes]) -> bytes:
-    """One batch of encoded records."""
+    """Encode a batch of encoded records as a frame."""
     body = b"".join(records)
     return _FRAME.pack(_FRAME.size + len(body), len(records), clock_ns) + body
 
 
 def frames(stream: bytes) -> Iterator[bytes]:
-    """Split recorded bytes into frames; each starts with its own length."""
+    """Split recorded bytes into frames, which start with their length."""
     offset = 0
     while offset < len(stream):
         size = max(_LENGTH_BYTES, int.from_bytes(stream[offset : offset + _LENGTH_BYTES], "big"))
@@ -59,12 +59,12 @@
 
 
 def select_instance(instance: int) -> bytes:
-    """The instance that the following events of the frame are for."""
+    """Select the instance of the following events of the frame."""
     return struct.pack(">BI", 12, instance)
 
 
 def create(salt: int, settings: dict[str, Any]) -> bytes:
-    """Start of an instance: the salt of its random source, and its settings."""
+    """Start of an instance with the seed of its random numbers and its settings."""
     text = json.dumps(settings, sort_keys=True).encode()
     return struct.pack(">BQI", 0, salt, len(text)) + text
 
@@ -75,18 +75,18 @@
 
 
 def endpoint_list(form: ListForm, version: int, entries: Sequence[bytes] = ()) -> bytes:
-    """A list of endpoints, or what changed in it; `entries` are encoded by `list_entry`."""
+    """An endpoint list or its changes; `entries` are encoded by `list_entry`."""
     return struct.pack(">BBQI", 1, form, version, len(entries)) + b"".join(entries)
 
 
 def new_request(request: Request) -> bytes:
-    """A request that a client has just made."""
+    """A new request of a client."""
     return struct.pack(
         ">BIQQBQHIQ",
         2,
         request.id,
         request.group,
-        request.hint_ns,
+        request.load_hint,
         request.service,
         request.key,
         request.flags,
@@ -102,7 +102,7 @@
         10,
         request.id,
         request.budget_ns,
-        request.hint_ns,
+        request.load_hint,
         request.key,
         request.flags,
         request.group,
@@ -113,7 +113,7 @@
 
 
 def established(request_id: int, elapsed_ns: int, attempt: int, address: bytes) -> bytes:
-    """An attempt became a connection, `elapsed_ns` after it was sent."""
+    """An attempt's connection is established, `elapsed_ns` after the send."""
     return struct.pack(">BIQB6s", 3, request_id, elapsed_ns, attempt, address)
 
 
@@ -126,7 +126,7 @@
     outcome: Outcome,
     report: Sequence[float] = (),
 ) -> bytes:
-    """End of an attempt; `is_closed` where its request ends with it, `report` in the settings' columns."""
+    """End of an attempt; `is_closed`: its request has ended, `report`: values of the report's columns."""
     head = struct.pack(
         ">BI6sBBQHB", 4, request_id, address, is_closed, attempt, elapsed_ns, outcome, len(report)
     )
@@ -134,28 +134,30 @@
 
 
 def client_left(request_id: int) -> bytes:
-    """The client of a request has closed."""
+    """The client of a request has disconnected."""
     return struct.pack(">BI", 5, request_id)
 
 
 def timer_expired(token: int) -> bytes:
-    """A timer that the instance has set is due."""
+    """A timer of the instance has expired."""
     return struct.pack(">BI", 6, token)
 
 
-def probe_result(outcome: Outcome, elapsed_ns: int, address: bytes, report: Sequence[float] = ()) -> bytes:
-    """Answer to a probe, `elapsed_ns` after it was sent."""
+def health_check_result(
+    outcome: Outcome, elapsed_ns: int, address: bytes, report: Sequence[float] = ()
+) -> bytes:
+    """Result of a health check, `elapsed_ns` after the send."""
     head = struct.pack(">BHQ6sB", 7, outcome, elapsed_ns, address, len(report))
     return head + struct.pack(f">{len(report)}f", *report)
 
 
 def peer_message(sender: int, data: bytes) -> bytes:
-    """A message of another instance."""
+    """A message from another instance."""
     return struct.pack(">BHH", 8, sender, len(data)) + data
 
 
 def connection_note(request_id: int, attempt: int, address: bytes, kind: int, value: float) -> bytes:
-    """A note about a connection; `kind` is a `NoteKind`, or a code that does not exist."""
+    """A note about a connection; `kind` is a `NoteKind` or an unknown code."""
     return struct.pack(">BIB6sBf", 11, request_id, attempt, address, kind, value)
 
 
@@ -173,21 +175,21 @@
 
 
 FIXED_ACTIONS = {
-    0: ("submit", struct.Struct(">Iq6s")),
-    1: ("deny", struct.Struct(">IQ")),
-    2: ("give_up", struct.Struct(">I")),
-    3: ("retract", struct.Struct(">IB")),
-    4: ("notify_me", struct.Struct(">QI")),
-    5: ("probe", struct.Struct(">6s")),
-    10: ("listen", struct.Struct(">B")),
-    11: ("reload", struct.Struct(">")),
-    12: ("reassign", struct.Struct(">I")),
+    0: ("send", struct.Struct(">Iq6s")),  # SubmitTo
+    1: ("reject", struct.Struct(">IQ")),  # Deny
+    2: ("fail", struct.Struct(">I")),  # GiveUp
+    3: ("cancel", struct.Struct(">IB")),  # Retract
+    4: ("set_timer", struct.Struct(">QI")),  # NotifyMe
+    5: ("check_health", struct.Struct(">6s")),  # Probe
+    10: ("watch", struct.Struct(">B")),  # Listen
+    11: ("fetch_list", struct.Struct(">")),  # Reload
+    12: ("migrate", struct.Struct(">I")),  # Reassign
 }
-"""Name and fields of each action of fixed length, by its code."""
+"""Name and fields of each action of fixed length, by code; comments give the protocol's name."""
 
 
 def actions(reply: bytes) -> Iterator[Action]:
-    """Decode a reply; raises RuntimeError where an instance reports a fault."""
+    """Decode a reply; raises RuntimeError if an instance logs a line or reports a fault."""
     offset = _LENGTH_BYTES
     instance = -1
     while offset < len(reply):
@@ -196,11 +198,11 @@
         if code == _ACTION_SELECT_INSTANCE:
             instance = int.from_bytes(reply[offset : offset + 4], "big")
             offset += 4
-        elif code == _ACTION_NOTIFY:
+        elif code == _ACTION_SEND_PEER_MESSAGE:
             peer, size = struct.unpack_from(">HH", reply, offset)
-            yield Action(instance, "notify", (peer, reply[offset + 4 : offset + 4 + size]))
+            yield Action(instance, "send_peer_message", (peer, reply[offset + 4 : offset + 4 + size]))
             offset += 4 + size
-        elif code in (_ACTION_FAULT, _ACTION_RECORD):
+        elif code in (_ACTION_FAULT, _ACTION_LOG):
             size = int.from_bytes(reply[offset : offset + 2], "big")
             text = reply[offset + 2 : offset + 2 + size].decode()
             raise RuntimeError(f"instance {instance} reports: {text}")
--- a/tests/test_decision_recordings.py
+++ b/tests/test_decision_recordings.py
@@ -1,6 +1,6 @@
-"""The `sim` command decides byte for byte as recorded; `rig/decision_recordings` makes the recordings.
+"""The decisions of the `sim` command equal the recordings of `rig/decision_recordings` byte for byte.
 
-A change of behaviour that is meant needs new recordings. One that only renames or moves code does not.
+An intended change of behaviour needs new recordings; renamed or moved code does not.
 """
 
 from __future__ import annotations
@@ -11,26 +11,26 @@
 
 import pytest
 
-from rig.decision_recordings.recorder import DATA, ROOT, simulator_command
+from rig.decision_recordings.recorder import RECORDINGS_FOLDER, ROOT, simulator_command
 from rig.decision_recordings.scenarios import SCENARIOS
 from rig.decision_recordings.wire import frames
 
-RECORDINGS = 8
-"""How many scenarios are recorded."""
+RECORDING_COUNT = 8
+"""Number of recorded scenarios."""
 
 REPLAY_TIMEOUT_S = 60
-"""How long one replay may take, in seconds."""
+"""Time limit of one replay."""
 
-NAMES = sorted(path.name.removesuffix(".in.xz") for path in DATA.glob("*.in.xz"))
+NAMES = sorted(path.name.removesuffix(".in.xz") for path in RECORDINGS_FOLDER.glob("*.in.xz"))
 
 
-def read(name: str) -> bytes:
-    """Content of one recorded file."""
-    return lzma.decompress((DATA / name).read_bytes())
+def read_recording(name: str) -> bytes:
+    """Decompressed content of one recorded file."""
+    return lzma.decompress((RECORDINGS_FOLDER / name).read_bytes())
 
 
 def first_difference(expected: bytes, actual: bytes) -> str:
-    """Which reply is the first that differs, and how; empty where all are equal."""
+    """Describe the first reply that differs; empty if all are equal."""
     pairs = zip_longest(frames(expected), frames(actual))
     for number, (recorded, replayed) in enumerate(pairs):
         if recorded != replayed:
@@ -40,28 +40,32 @@
 
 
 def test_every_scenario_is_recorded() -> None:
-    assert len(NAMES) == RECORDINGS
+    assert len(NAMES) == RECORDING_COUNT
     assert sorted(scenario.name for scenario in SCENARIOS) == NAMES
-    assert sorted(path.name.removesuffix(".out.xz") for path in DATA.glob("*.out.xz")) == NAMES
+    assert sorted(path.name.removesuffix(".out.xz") for path in RECORDINGS_FOLDER.glob("*.out.xz")) == NAMES
     for name in NAMES:
-        assert len(list(frames(read(f"{name}.in.xz")))) == len(list(frames(read(f"{name}.out.xz")))) > 1000
+        assert (
+            len(list(frames(read_recording(f"{name}.in.xz"))))
+            == len(list(frames(read_recording(f"{name}.out.xz"))))
+            > 1000
+        )
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_decisions_are_as_recorded(name: str) -> None:
+def test_decisions_equal_the_recording(name: str) -> None:
     run = subprocess.run(
         ["sh", "-c", simulator_command()],
         cwd=ROOT,
-        input=read(f"{name}.in.xz"),
+        input=read_recording(f"{name}.in.xz"),
         capture_output=True,
         timeout=REPLAY_TIMEOUT_S,
     )
     assert run.returncode == 0, f"{name}: {run.stderr.decode(errors='replace')}"
-    difference = first_difference(read(f"{name}.out.xz"), run.stdout)
+    difference = first_difference(read_recording(f"{name}.out.xz"), run.stdout)
     assert not difference, f"{name}: {difference}"
 
 
-def test_the_first_frame_that_differs_is_named() -> None:
+def test_first_different_frame_is_described() -> None:
     empty, rejection = bytes.fromhex("00000004"), bytes.fromhex("000000090d00000003")
     assert first_difference(empty + rejection, empty + rejection) == ""
     assert first_difference(empty + rejection, empty + empty).startswith("frame 1 differs: recorded 00000009")
