--- a/bench/fleet_counts.py
+++ b/bench/fleet_counts.py
@@ -1,4 +1,4 @@
-"""What all proxies of a run did together, counted from the lines of their logs."""
+"""Counts over all proxies of a run, from the lines of their logs."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from proxy_logs import LogLine
 
 WARM_UP_S = 10.0
-"""How long after its start an endpoint counts as warming up, in seconds."""
+"""Time after its start during which an endpoint counts as warming up."""
 
 
 class Rejection(NamedTuple):
-    """A rejected request: when, after how many attempts, and the delay that the client was asked for."""
+    """A rejected request: time, number of attempts, and the retry delay that the client was given."""
 
     at_s: float
     attempts: int
@@ -22,14 +22,14 @@
 
 
 class DiscoveryCall(NamedTuple):
-    """When a call to discovery ended, and whether it was answered with a list."""
+    """A call to discovery: when it ended, and whether it returned a list."""
 
     at_s: float
     is_answered: bool
 
 
 class BusyStep(NamedTuple):
-    """A step in which an endpoint got many connections, and how many of those while it was warming up."""
+    """A step in which an endpoint got many connections; `warming_up_count`: those while it was warming up."""
 
     connections: int
     at_s: float
@@ -38,32 +38,32 @@
 
 
 class FleetCounts:
-    """What all proxies did, together."""
+    """Counts over all proxies."""
 
     def __init__(self, lines: Iterable[LogLine]) -> None:
         self.proxies: set[str] = set()
         self.end_s = 0.0
         self.attempt_times: dict[str, list[float]] = defaultdict(list)
-        """When attempts at an endpoint began, in seconds."""
+        """Start times of the attempts at an endpoint, in seconds."""
 
         self.attempt_ends: dict[str, Counter[str]] = defaultdict(Counter)
-        """Why attempts and connections of an endpoint ended."""
+        """Reasons with which attempts and connections of an endpoint ended."""
 
         self.health_check_ends: dict[str, Counter[str]] = defaultdict(Counter)
-        """How health checks of an endpoint ended."""
+        """Reasons with which health checks of an endpoint ended."""
 
         self.endpoint_starts: dict[str, float] = {}
-        """When an endpoint started, in seconds, from the first list that names it as warming up."""
+        """Start time of an endpoint in seconds, from the first list in which it is warming up."""
 
         self.attempts_per_request: Counter[int] = Counter()
         self.migrations: Counter[str] = Counter()
         self.rejections: list[Rejection] = []
         self.discovery_calls: list[DiscoveryCall] = []
         self.list_times: dict[str, list[float]] = defaultdict(list)
-        """When a proxy received a list, in seconds."""
+        """Times at which a proxy received a list, in seconds."""
 
         self.start_durations: dict[str, list[float]] = defaultdict(list)
-        """How long a proxy took from its start until it was found ready, in seconds."""
+        """Times from a proxy's start until its first answer to a probe, in seconds."""
 
         self._starting: dict[str, float] = {}
         for line in lines:
@@ -116,12 +116,12 @@
             self.migrations[reason] += 1
 
     def is_warming_up(self, endpoint: str, at_s: float) -> bool:
-        """Whether the endpoint was warming up at that time, as far as a list has said when it started."""
+        """Whether the endpoint was warming up at that time; False if no list gave its start time."""
         started_s = self.endpoint_starts.get(endpoint)
         return started_s is not None and started_s <= at_s < started_s + WARM_UP_S
 
     def busiest_steps(self, step_s: float, limit: int) -> list[BusyStep]:
-        """The steps in which a single endpoint got most connections, the busiest first, at most `limit`."""
+        """The steps in which one endpoint got the most connections, the busiest first, at most `limit`."""
         counts: Counter[tuple[int, str]] = Counter()
         for endpoint, times in self.attempt_times.items():
             counts.update((int(at_s / step_s), endpoint) for at_s in times)
@@ -133,7 +133,7 @@
         return rows
 
     def list_ages_s(self) -> list[float]:
-        """How old each proxy's list was when the next one came, and at the end of the run, in seconds."""
+        """Ages of each proxy's list when the next one arrived, and at the end of the run, in seconds."""
         ages = []
         for times in self.list_times.values():
             ages += [after - before for before, after in pairwise([*times, self.end_s])]
--- a/bench/fleet_log.py
+++ b/bench/fleet_log.py
@@ -1,15 +1,15 @@
-"""Counts across a fleet: the logs of all proxies of one run, joined on time and endpoint.
+"""Counts over a fleet: the logs of all proxies of one run, joined on time and endpoint.
 
     python bench/fleet_log.py DIRECTORY [--step 0.1] [--busiest 8]
     python bench/fleet_log.py DIRECTORY --follow ID
     python bench/fleet_log.py DIRECTORY --classes [--step 5]
 
-`--follow` prints all lines about one client, at whichever proxy, in the order of time: ID is the id of an
-OPEN line or the key after it, which stays the same when the client returns. `--classes` prints for each class
-and step how many clients came, and how their connections ended.
+`--follow` prints the lines about one client from all proxies, ordered by time: ID is the id of an OPEN line
+or the key after it, which stays the same when the client reconnects. `--classes` prints for each class and
+step how many clients arrived, and how their connections ended.
 
-Each file of DIRECTORY is the log of one proxy, whose name is the file's. Where a line has a time in seconds
-before it, that time is used; otherwise times count from the first line of all logs.
+Each file of DIRECTORY is the log of the proxy with the file's name. A time in seconds before
+a line is used if there is one; otherwise times are relative to the first line of all logs.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from proxy_logs import LogLine, follow_client, read_logs
 
 FAILED_ATTEMPTS = ("unreachable", "timed-out", "error", "endpoint-full", "endpoint-reset")
-"""Reasons with which an attempt ends that has failed."""
+"""End reasons of failed attempts."""
 
 CLIENT_END_REASONS = (
     "served",
@@ -38,13 +38,13 @@
     "withdrawn",
     "other",
 )
-"""Why a client's connection ended, in the order of the columns; other reasons count in the last."""
+"""End reasons of clients' connections, in the order of the columns; the last counts all others."""
 
 BUSIEST_STEP_S = 0.1
-"""Default step over which an endpoint's connections are counted, in seconds."""
+"""Default step over which an endpoint's connections are counted."""
 
 CLASS_STEP_S = 5.0
-"""Default step of the table by class, in seconds."""
+"""Default step of the table by class."""
 
 
 class ClassStep(NamedTuple):
@@ -55,7 +55,7 @@
 
 
 def class_table(lines: Iterable[LogLine], step_s: float) -> Iterator[str]:
-    """For each step and class: clients that came, attempts that began, and why connections ended."""
+    """Rows by step and class: arrived clients, started attempts, and end reasons of connections."""
     arrivals: Counter[ClassStep] = Counter()
     attempts: Counter[ClassStep] = Counter()
     ended: dict[ClassStep, Counter[str]] = defaultdict(Counter)
@@ -80,12 +80,12 @@
 
 
 def max_in_a_second(times: Iterable[float]) -> int:
-    """Most of these times that are in one whole second of the run."""
+    """The largest number of these times within one whole second of the run."""
     return max(Counter(int(at_s) for at_s in times).values(), default=0)
 
 
 def report(counts: FleetCounts, step_s: float, limit: int) -> Iterator[str]:
-    """The lines of the report, with at most `limit` of the busiest steps."""
+    """Lines of the report, with at most `limit` of the busiest steps."""
     yield f"proxies {len(counts.proxies)}  seconds {counts.end_s:.1f}"
     yield from report_discovery(counts)
     yield from report_connections(counts, step_s, limit)
@@ -102,7 +102,7 @@
 
 
 def report_discovery(counts: FleetCounts) -> Iterator[str]:
-    """Starts, calls to discovery, and ages of lists."""
+    """Lines on starts, calls to discovery and ages of lists."""
     durations = [duration_s for each in counts.start_durations.values() for duration_s in each]
     if durations:
         median_s = statistics.median(durations)
@@ -117,7 +117,7 @@
 
 
 def report_connections(counts: FleetCounts, step_s: float, limit: int) -> Iterator[str]:
-    """Attempts by endpoint and step, and why they ended."""
+    """Lines on attempts by endpoint and step, and their end reasons."""
     opened = sum(map(len, counts.attempt_times.values()))
     warming_up = sum(
         counts.is_warming_up(endpoint, at_s)
@@ -137,7 +137,7 @@
 
 
 def report_rejections(counts: FleetCounts) -> Iterator[str]:
-    """Rejections, and how many clients were asked to come again in one second."""
+    """Lines on rejections, and the most clients whose retry delay ends within one second."""
     rejections = counts.rejections
     without_attempt = sum(rejection.attempts == 0 for rejection in rejections)
     peak = max_in_a_second(rejection.at_s for rejection in rejections)
@@ -149,22 +149,24 @@
 
 
 def client_history(lines: Iterable[LogLine], client_id: str) -> Iterator[str]:
-    """All lines about one client, in the order of time; `client_id` is an id or a key, in hexadecimal."""
+    """Lines about one client, ordered by time; `client_id` is an id or a key, in hexadecimal."""
     for line in follow_client(lines, client_id):
         fields = [f"{key}={value}" for key, value in line.fields.items() if key not in ("ts", "level")]
         yield " ".join([f"{line.at_s:9.3f} {line.proxy:<6}", *fields])
 
 
 def main() -> None:
-    """Print the report, or what the options choose."""
+    """Print the report, or the view that the options select."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
     parser.add_argument("directory", type=Path)
     parser.add_argument(
-        "--step", type=float, help="seconds that opened connections (0.1) or classes (5) are counted over"
+        "--step",
+        type=float,
+        help="step in seconds: of opened connections (default 0.1) or of classes (default 5)",
     )
-    parser.add_argument("--busiest", type=int, default=8, help="how many of the busiest steps are shown")
+    parser.add_argument("--busiest", type=int, default=8, help="number of the busiest steps to show")
     parser.add_argument("--follow", metavar="ID", help="an id or a key, in hexadecimal")
-    parser.add_argument("--classes", action="store_true", help="a table by class and step")
+    parser.add_argument("--classes", action="store_true", help="print a table by class and step")
     options = parser.parse_args()
     lines = read_logs(options.directory)
     if options.follow is not None:
--- a/bench/fleet_rig.py
+++ b/bench/fleet_rig.py
@@ -1,10 +1,11 @@
-"""What several real processes do together, as observed by their peers: slow start, answers, service.
+"""Behaviour of several real processes together, as observed by their peers: slow start, answers, service.
 
     python bench/fleet_rig.py [--nodes 8] [--seed 1] [--keep FOLDER]
 
-Runs a burst of 80 arrivals a second before six endpoints of which five are replaced by new ones, with even
-and uneven traffic and with a `balancers` that is wrong by about ten times either way; some seconds each.
-`--keep`: the nodes' logs go there. Exit status 1 where a rule was broken with a `balancers` that is right.
+Each scenario takes some seconds: 80 arrivals a second at six endpoints, of which five are replaced by new
+ones. Traffic is even or uneven, and `balancers` is correct or wrong by a factor of about ten in either
+direction. `--keep`: folder for the nodes' logs. Exit status 1 if a rule was broken although `balancers` is
+correct.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 def scenarios(nodes: int, seed: int) -> list[Scenario]:
-    """The scenarios that are run, in the order of the table."""
+    """The scenarios, in the order of the table."""
     variants = [
         ("even", 0, 0.0),
         ("half through one", 0, 0.5),
@@ -82,24 +83,24 @@
 
 
 def main() -> int:
-    """Run all scenarios and print the table; the exit status."""
+    """Run all scenarios and print the table; returns the exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--nodes", type=int, default=8, help="real processes")
+    parser.add_argument("--nodes", type=int, default=8, help="number of real processes")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--keep", type=Path, help="a folder for the nodes' logs")
+    parser.add_argument("--keep", type=Path, help="folder for the nodes' logs")
     options = parser.parse_args()
     columns = ("scenario", "rules broken", "crashed", "served", "to new endpoints", "up / rejected / other")
     table = Table(*columns)
-    is_sound = True
+    has_passed = True
     for scenario in scenarios(options.nodes, options.seed):
         folder = (options.keep or Path(tempfile.mkdtemp())) / scenario.name.replace(" ", "-")
         folder.mkdir(parents=True, exist_ok=True)
         report = run_scenario(scenario, folder)
         if not scenario.configured_nodes and (report.violations or report.crashes):
-            is_sound = False
+            has_passed = False
         table.add_row(*row(scenario, report))
     Console().print(table)
-    return 0 if is_sound else 1
+    return 0 if has_passed else 1
 
 
 if __name__ == "__main__":
--- a/bench/proxy_logs.py
+++ b/bench/proxy_logs.py
@@ -1,4 +1,4 @@
-"""Logs of several proxies, joined in the order of time."""
+"""Logs of several proxies, merged in the order of time."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from typing import NamedTuple
 
 FIELD = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
-"""A field of a log line; values with spaces are in quotes."""
+"""A field of a log line; values with spaces are quoted."""
 
 TIME_PREFIX = re.compile(r"\[?(\d+\.\d+)\]?\s")
-"""A time in seconds before a log line."""
+"""A time in seconds that precedes a log line."""
 
 
 class LogLine(NamedTuple):
@@ -29,21 +29,21 @@
         return self.fields.get("event", "")
 
     def number(self, name: str) -> int:
-        """A whole number; 0 where it is missing or empty."""
+        """The value of an integer field; 0 if it is missing or empty."""
         return int(self.fields.get(name) or 0)
 
 
 class ParsedLine(NamedTuple):
-    """A line before times are made relative: time from its prefix, if any, and time of day."""
+    """A line with absolute times: `prefix_s` precedes it, if not None; `timestamp_s` is its timestamp."""
 
     prefix_s: float | None
-    time_of_day_s: float
+    timestamp_s: float
     proxy: str
     fields: dict[str, str]
 
 
 def parse_line(proxy: str, text: str) -> ParsedLine | None:
-    """Parse one line; None where the program did not write it."""
+    """Parse one line; None if the program did not write it."""
     fields = {key: value.strip('"') for key, value in FIELD.findall(text)}
     if "event" not in fields or "ts" not in fields:
         return None
@@ -53,23 +53,23 @@
 
 
 def read_logs(directory: Path) -> list[LogLine]:
-    """All lines of all proxies in the order of time, without those that are not the program's."""
+    """All lines of all proxies in the order of time; lines that the program did not write are omitted."""
     parsed = [
         line
         for path in sorted(directory.iterdir())
         for text in path.read_text(errors="replace").splitlines()
         if (line := parse_line(path.stem, text)) is not None
     ]
-    first_s = min((line.time_of_day_s for line in parsed), default=0.0)
+    first_s = min((line.timestamp_s for line in parsed), default=0.0)
     lines = []
     for line in parsed:
-        at_s = line.time_of_day_s - first_s if line.prefix_s is None else line.prefix_s
+        at_s = line.timestamp_s - first_s if line.prefix_s is None else line.prefix_s
         lines.append(LogLine(at_s, line.proxy, line.fields))
     return sorted(lines, key=lambda line: line.at_s)
 
 
 def follow_client(lines: Iterable[LogLine], client_id: str) -> list[LogLine]:
-    """The lines about one client: those of all requests that had its key, in the order of `lines`.
+    """The lines of all requests with one client's key, in the order of `lines`.
 
     `client_id` is the id of one of its OPEN lines, or its key, in hexadecimal.
     """
@@ -83,7 +83,7 @@
     numbered = []
     requests = set()
     for line in lines:
-        if line.event == "process-started":  # the numbers of requests begin again in each process
+        if line.event == "process-started":  # each process numbers its requests from the start
             process_starts[line.proxy] += 1
         request = line.proxy, process_starts[line.proxy], line.fields.get("id", "0")
         numbered.append((request, line))
--- a/tests/test_bench_fleet_log.py
+++ b/tests/test_bench_fleet_log.py
@@ -1,4 +1,4 @@
-"""Counts over all proxies' logs, on a small run written here: two proxies, three endpoints, one new."""
+"""Counts over the logs of all proxies, on sample logs: two proxies and three endpoints, one warming up."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from linnetshift.observability.log import Reason  # noqa: E402
 
-STAMP = "ts=2026-01-01T00:00:{:06.3f}Z level=info event="
+LINE_START = "ts=2026-01-01T00:00:{:06.3f}Z level=info event="
 LOGS = {
     "n0": [
         (0.0, "process-started name=n0 start_ms=300"),
@@ -42,7 +42,7 @@
 }
 
 
-FOLLOWED = {
+CLIENT_LOGS = {
     "n0": [
         (0.0, "process-started name=n0"),
         (1.0, "attempt-started id=1 attempt=0 endpoint=s-1 key=7f group=5 flags=0"),
@@ -61,10 +61,10 @@
 
 
 def write_logs(directory: Path, logs: dict[str, list[tuple[float, str]]]) -> None:
-    """Write a file for each proxy; a text without fields stands for a line of another program."""
+    """Write a log file for each proxy; a text without fields is written unchanged, as another program's."""
     for name, lines in logs.items():
         written = [
-            f"[{at_s:.2f}] {STAMP.format(at_s)}{text}" if "=" in text else text for at_s, text in lines
+            f"[{at_s:.2f}] {LINE_START.format(at_s)}{text}" if "=" in text else text for at_s, text in lines
         ]
         (directory / f"{name}.log").write_text("\n".join(written))
 
@@ -75,7 +75,7 @@
     rows = "\n".join(fleet_log.report(counts, 0.1, 2))
     assert counts.busiest_steps(0.1, 1) == [
         (2, 1.1, "s-3", 2)
-    ]  # one of each proxy, in the same tenth of a second
+    ]  # one from each proxy, within one step of 0.1 s
     assert counts.attempts_per_request == {2: 1, 0: 2, 1: 1}
     assert counts.migrations == {"migrated": 1}
     assert "proxies 2" in rows
@@ -92,14 +92,14 @@
     ]
 
 
-def test_client_is_followed_through_every_proxy(tmp_path: Path) -> None:
-    write_logs(tmp_path, FOLLOWED)
+def test_lines_of_a_client_are_found_in_logs_of_all_proxies(tmp_path: Path) -> None:
+    write_logs(tmp_path, CLIENT_LOGS)
     lines = proxy_logs.read_logs(tmp_path)
-    for client_id in ("00AB1", "ab2", "7f"):  # any of its ids, or its key
+    for client_id in ("00AB1", "ab2", "7f"):  # two of its ids, and its key
         found = [
             (line.at_s, line.proxy, line.fields["id"]) for line in proxy_logs.follow_client(lines, client_id)
         ]
-        # Not the request that has the same number in the process after, or of the same group.
+        # Neither the request with the same number in the next process, nor the one of the same group.
         assert found == [
             (1.0, "n0", "1"),
             (1.2, "n0", "1"),
@@ -146,8 +146,10 @@
     }
 
 
-def test_tool_and_sample_logs_use_events_and_reasons_of_the_program() -> None:
-    texts = [text for logs in (LOGS, FOLLOWED) for lines in logs.values() for _, text in lines if "=" in text]
+def test_tool_and_sample_logs_use_only_events_and_reasons_of_the_program() -> None:
+    texts = [
+        text for logs in (LOGS, CLIENT_LOGS) for lines in logs.values() for _, text in lines if "=" in text
+    ]
     assert {text.split()[0] for text in texts} <= logged_events()
     reasons = {reason for text in texts for reason in re.findall(r" reason=(\S+)", text)}
     counted_reasons = {*fleet_log.FAILED_ATTEMPTS, *fleet_log.CLIENT_END_REASONS} - {"other"}
