--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -1,9 +1,9 @@
-"""What a decision costs in processor time, against another state of the program, in one run.
+"""Processor time of a decision, compared with a commit of the program in one run.
 
 Run from the repository's root: .venv/bin/python bench/decision_cost.py --against REF
-Both states decide on the simulator's wire (`sim` in the deploy file) over the same frames in turns: one
-instance, a list of endpoints, then one request a frame, which is established in the next. Time is what the
-scheduler booked to the process (/proc/PID/schedstat), decoding and encoding included.
+Both versions get the same frames on the simulator's wire (`sim` in the deploy file), in alternating rounds:
+one instance, a list of endpoints, then one request per frame, which is established in the next frame. Time is
+the processor time of the process (/proc/PID/schedstat), decoding and encoding included.
 """
 
 from __future__ import annotations
@@ -29,29 +29,29 @@
 from rig.decision_recordings.scenario import Scenario, service  # noqa: E402
 
 SIZES = (60, 256, 1024)
-"""Numbers of endpoints that are measured."""
+"""Numbers of endpoints to measure with."""
 
 STEP_NS = 10 * MILLISECOND
-"""Time between two frames on the simulated clock, in nanoseconds."""
+"""Simulated time between two frames."""
 
 SETUP_NS = 20 * MILLISECOND
-"""Time until an attempt becomes a connection, in nanoseconds."""
+"""Simulated time from the send of an attempt until its connection is established."""
 
 KEY_STEP = 7919
-"""Difference of two keys: a prime, so that keys spread over the endpoints."""
+"""Difference of successive keys; a prime, so that keys spread over the endpoints."""
 
 ZONES = 3
-"""Zones that the endpoints are spread over."""
+"""Number of zones of the endpoints."""
 
 CELLS = 5
-"""Cells that the endpoints are spread over."""
+"""Number of cells of the endpoints."""
 
 ENDPOINT_PORT = 31144
-"""Port of every endpoint; their hosts differ."""
+"""Port of all endpoints; their hosts differ."""
 
 
 class SimulatedInstance:
-    """One process of a state of the program, on the simulator's wire."""
+    """A `sim` process of one version of the program, with one instance."""
 
     def __init__(self, root: Path, endpoints: int) -> None:
         self.process = subprocess.Popen(
@@ -64,7 +64,7 @@
         self.now_ns = SECOND
         self.requests = 0
         scenario = Scenario("cost", 1, services=(service("feed"),), balancers=4, allowed={"probing": False})
-        entries = [wire.list_entry(made_up_endpoint(number)) for number in range(endpoints)]
+        entries = [wire.list_entry(make_endpoint(number)) for number in range(endpoints)]
         self.exchange(
             [
                 wire.select_instance(0),
@@ -84,14 +84,14 @@
         return size + self.process.stdout.read(int.from_bytes(size, "big") - 4)
 
     def decide(self, count: int) -> float:
-        """Microseconds of processor time for a request, placed and established, over `count` of them."""
+        """Place and establish `count` requests; returns the mean processor time of one in microseconds."""
         began_ns = processor_time_ns(self.process.pid)
         for _ in range(count):
             self.place_request()
         return (processor_time_ns(self.process.pid) - began_ns) / count / 1e3
 
     def place_request(self) -> None:
-        """Send one request, and establish where it is placed."""
+        """Send one request and establish its connection on the endpoint of its attempt."""
         self.requests += 1
         request = Request(
             id=self.requests,
@@ -116,33 +116,35 @@
         self.process.wait()
 
 
-def made_up_endpoint(number: int) -> Endpoint:
-    """An endpoint of weight 1 with an address of its own."""
+def make_endpoint(number: int) -> Endpoint:
+    """An endpoint of weight 1 with a unique address."""
     address = struct.pack(">IH", 10 << 24 | number, ENDPOINT_PORT)
     return Endpoint(address, number % ZONES, 0, number % CELLS, 1.0)
 
 
 def measure(before: Path, size: int, decisions: int, rounds: int) -> str:
-    """Measure both states in turns with `size` endpoints; a line with their medians and the ratio."""
-    states = {"before": SimulatedInstance(before, size), "after": SimulatedInstance(ROOT, size)}
-    costs: dict[str, list[float]] = {name: [] for name in states}
+    """Measure both versions in alternating rounds with `size` endpoints; returns a line with the results."""
+    versions = {"before": SimulatedInstance(before, size), "after": SimulatedInstance(ROOT, size)}
+    costs: dict[str, list[float]] = {name: [] for name in versions}
     for number in range(rounds + 1):
-        for name in sorted(states, reverse=bool(number % 2)):
-            cost = states[name].decide(decisions)
-            if number:  # the first round warms both up
+        for name in sorted(versions, reverse=bool(number % 2)):
+            cost = versions[name].decide(decisions)
+            if number:  # the first round warms up both versions
                 costs[name].append(cost)
-    for state in states.values():
-        state.kill()
+    for version in versions.values():
+        version.kill()
     ratios = [after / before for after, before in zip(costs["after"], costs["before"], strict=True)]
     medians = "  ".join(f"{name} {statistics.median(each):.1f} us" for name, each in costs.items())
     return f"{size} endpoints: {medians}  after over before, median {statistics.median(ratios):.3f}"
 
 
 def main() -> int:
-    """Print the median cost of both states for each size, and their ratio."""
+    """Print the median cost of both versions for each size, and their ratio."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
-    parser.add_argument("--against", default="HEAD", help="a commit; default HEAD, against the work tree")
-    parser.add_argument("--decisions", type=int, default=400, help="in each round")
+    parser.add_argument(
+        "--against", default="HEAD", help="commit to compare the work tree with; default HEAD"
+    )
+    parser.add_argument("--decisions", type=int, default=400, help="decisions per round")
     parser.add_argument("--rounds", type=int, default=9)
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
--- a/bench/fault_soak.py
+++ b/bench/fault_soak.py
@@ -1,7 +1,7 @@
-"""Random faults on real processes, by seeds: what clients, endpoints and discovery saw must keep the rules.
+"""Random faults on real processes, by seed: checks the observations of clients, endpoints and discovery.
 
 Run from the repository's root: .venv/bin/python bench/fault_soak.py [--first 1] [--seeds 50] [--parallel 4]
-A seed that fails prints its faults and violations, and can be played again by itself; its logs are kept.
+For a seed that fails, its faults and violations are printed and its logs are kept; it can be run by itself.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from rig.fleet.run import run_scenario  # noqa: E402
 
 
-def play(seed: int, failing_calls_per_mille: int) -> tuple[int, str]:
-    """Play a seed; returns it with a text of what was broken, empty where nothing was."""
+def run_seed(seed: int, failing_calls_per_mille: int) -> tuple[int, str]:
+    """Run the scenario of a seed; returns the seed and a report of violations and crashes, empty if none."""
     scenario = msgspec.structs.replace(draw_scenario(seed), failing_calls_per_mille=failing_calls_per_mille)
     folder = Path(mkdtemp(prefix=f"soak-{seed}-"))
     report = run_scenario(scenario, folder)
@@ -37,17 +37,17 @@
 
 
 def main() -> int:
-    """Play the seeds, print those that failed, and return 1 if any did."""
+    """Run the seeds and print those that failed; returns 1 if any did."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--parallel", type=int, default=4)
-    parser.add_argument("--failing-calls", type=int, default=0, help="system calls in a thousand that fail")
+    parser.add_argument("--failing-calls", type=int, default=0, help="failing system calls per thousand")
     options = parser.parse_args()
-    play_seed = partial(play, failing_calls_per_mille=options.failing_calls)
+    run_one = partial(run_seed, failing_calls_per_mille=options.failing_calls)
     failed = []
     with ProcessPoolExecutor(options.parallel) as pool:
-        for seed, text in pool.map(play_seed, range(options.first, options.first + options.seeds)):
+        for seed, text in pool.map(run_one, range(options.first, options.first + options.seeds)):
             if text:
                 failed.append(seed)
                 print(text, flush=True)
--- a/bench/hostile_memory.py
+++ b/bench/hostile_memory.py
@@ -1,8 +1,9 @@
-"""Memory after so many hostile connections on each frontend, as a table.
+"""Table of the program's memory after given numbers of hostile connections on each frontend.
 
 Run from the repository's root: .venv/bin/python bench/hostile_memory.py [--collector off] [--program DIR]
-Each frontend gets a program of its own. The collector is the program's cyclic garbage collector: with it off,
-what reference counting does not free stays, and is measured. `--program` measures another checkout.
+Each frontend is measured in a separate process. The collector is the program's cyclic garbage collector: with
+it off, memory that reference counting does not free stays, and is measured. `--program` measures another
+checkout.
 """
 
 from __future__ import annotations
@@ -23,26 +24,26 @@
 from rig.connection_load import ConnectionEnd, Ending, PeerInput, run_connections  # noqa: E402
 
 STEPS = (1_500, 5_000, 15_000)
-"""Numbers of connections after which the program is measured."""
+"""Numbers of connections after which to measure."""
 
 BROKER_FILE = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-"""The program's own settings: with the channels frontend."""
+"""Broker file that enables the channels frontend."""
 
 ENDINGS: dict[str, tuple[Ending, ...]] = {
     "platform": ("wait", "half", "fin", "reset"),
     "channels": ("half", "fin", "reset"),
 }
-"""How peers end, by frontend; a session may stay silent once identified, so none waits there."""
+"""How peers end, by frontend. None waits on channels, where an identified session may stay silent."""
 
 MAX_OPEN = 200
-"""Connections that are open at once."""
+"""Maximum number of connections open at once."""
 
 CONNECTION_LIMIT_S = 6.0
-"""Longest time of a connection, in seconds."""
+"""Time limit of a connection."""
 
 
 class Measurement(NamedTuple):
-    """State of the program after so many connections."""
+    """Memory and descriptors of the program after this many connections."""
 
     connections: int
     resident_mib: float
@@ -50,7 +51,7 @@
 
 
 def random_input(rng: random.Random, port: int, frontend: str) -> PeerInput:
-    """Random bytes; on the channels frontend half of them come after a valid identification."""
+    """Random bytes; half of the inputs to the channels frontend begin with a valid identification."""
     data = rng.randbytes(rng.randrange(1, 400))
     if frontend == "channels" and rng.random() < 0.5:
         data = b"SSH-2.0-x\r\n" + data
@@ -60,7 +61,7 @@
 
 
 def measure(frontend: str, seed: int, steps: Sequence[int], **start_options: object) -> Iterator[Measurement]:
-    """Measure a new program at the start and after each step; `start_options` go to `started_proxy`."""
+    """Measure a new process at its start and after each step; `start_options` are for `started_proxy`."""
     rng = random.Random(seed)
     total = 0
     with (
@@ -81,7 +82,7 @@
 
 
 def main() -> int:
-    """Print the table."""
+    """Print the table; returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--collector", choices=("on", "off"), default="on")
--- a/bench/open_cost.py
+++ b/bench/open_cost.py
@@ -1,8 +1,9 @@
-"""What a connection costs the program in processor time, against another state of it, in one run.
+"""Processor time of a connection, compared with a commit of the program in one run.
 
 Run from the repository's root: .venv/bin/python bench/open_cost.py --against REF
-Both programs serve the same number of connections in turns, each opened, served with BYE and closed, so that
-what else the machine does falls on both. Time is what the scheduler booked to it (/proc/PID/schedstat).
+Both versions serve the same number of connections, each opened, served with BYE and closed, in alternating
+rounds, so that other load of the machine affects both. Time is the processor time of the process
+(/proc/PID/schedstat).
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 from rig.connection_load import PeerInput, run_connections  # noqa: E402
 
 ENDPOINTS = 8
-"""Endpoints of each program."""
+"""Number of endpoints of each version."""
 
 MAX_OPEN = 20
-"""Connections that are open at once."""
+"""Maximum number of connections open at once."""
 
 
 def accept_and_end(listener: EmulatedEndpoint) -> None:
-    """Accept and end every connection at once, until the listener is closed."""
+    """Accept each connection, answer UP and BYE and close it, until the listener is closed."""
     listener.sock.settimeout(None)
     with suppress(OSError):
         while True:
@@ -47,13 +48,13 @@
 
 
 def serve_endpoints(running: RunningProxy) -> None:
-    """Serve each endpoint of the program in a thread."""
+    """Run `accept_and_end` for each endpoint, in a thread of its own."""
     for listener in running.endpoints:
         threading.Thread(target=accept_and_end, args=(listener,), daemon=True).start()
 
 
 def request_inputs(rng: random.Random, port: int, count: int) -> Iterator[PeerInput]:
-    """So many clients, each with an id and a key of its own."""
+    """Inputs of `count` clients with random ids and keys."""
     for _ in range(count):
         request_id = rng.getrandbits(64)
         line = b"OPEN %016x %016x c=feed,t=acme,d=4000\r\n" % (request_id, rng.getrandbits(64))
@@ -61,7 +62,7 @@
 
 
 def connection_cost_us(running: RunningProxy, rng: random.Random, count: int) -> float:
-    """Microseconds of processor time for a connection, over `count` of them."""
+    """Serve `count` connections; returns the mean processor time of one in microseconds."""
     began_ns = processor_time_ns(running.process.pid)
     inputs = request_inputs(rng, running.port, count)
     ends = {result.ended for result in run_connections(inputs, max_open=MAX_OPEN)}
@@ -70,7 +71,7 @@
 
 
 def measure(commit: str, connections: int, rounds: int) -> dict[str, list[float]]:
-    """Costs of each round, in microseconds, of the commit ("before") and the work tree ("after")."""
+    """Cost of a connection in each round, in microseconds: commit ("before") and work tree ("after")."""
     with ExitStack() as stack:
         before = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         unpack_commit(commit, before)
@@ -84,16 +85,18 @@
         for number in range(rounds + 1):
             for name in sorted(programs, reverse=bool(number % 2)):
                 cost = connection_cost_us(programs[name], rng, connections)
-                if number:  # the first round warms both up
+                if number:  # the first round warms up both versions
                     costs[name].append(cost)
     return costs
 
 
 def main() -> int:
-    """Print the median cost of both states and their ratio."""
+    """Print the median cost of both versions and their ratio."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
-    parser.add_argument("--against", default="HEAD", help="a commit; default HEAD, against the work tree")
-    parser.add_argument("--opens", type=int, default=1500, help="in each round")
+    parser.add_argument(
+        "--against", default="HEAD", help="commit to compare the work tree with; default HEAD"
+    )
+    parser.add_argument("--opens", type=int, default=1500, help="connections per round")
     parser.add_argument("--rounds", type=int, default=7)
     options = parser.parse_args()
     costs = measure(options.against, options.opens, options.rounds)
--- a/bench/program_states.py
+++ b/bench/program_states.py
@@ -1,4 +1,4 @@
-"""Two states of the program side by side: a commit's files, and what a process of either costs."""
+"""Comparison of two versions of the program: files of a commit, and processor time of a process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def unpack_commit(commit: str, folder: Path) -> None:
-    """Write the program and its deploy files as they are in a commit; raises CalledProcessError."""
+    """Extract the program and its deploy files at a commit; raises CalledProcessError if git or tar fails."""
     archive = subprocess.run(
         ["git", "archive", commit, "linnetshift", "deploy"], cwd=ROOT, capture_output=True, check=True
     )
@@ -18,5 +18,5 @@
 
 
 def processor_time_ns(pid: int) -> int:
-    """Processor time that the scheduler booked to a process, in nanoseconds (/proc/PID/schedstat)."""
+    """Processor time of a process in nanoseconds (/proc/PID/schedstat)."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0])
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,9 +1,8 @@
-"""Ordinary connections by the ten thousand on both frontends: memory, objects, timers and descriptors.
+"""Memory, objects, timers and descriptors over many ordinary connections on both frontends.
 
 Run from the repository's root: .venv/bin/python bench/soak.py [--connections 100000] [--collector off]
-They are served to their end, left by the client, reset by the endpoint, rejected, timed out, asked to migrate
-by their endpoint, and migrated while endpoints drain in turns. The tenant's name tells the endpoint what to
-do.
+Connections end with the endpoint's BYE, reset or request to migrate, by the client, by a rejection or a
+time-out, or are migrated while one endpoint after the other drains. The tenant's name selects the case.
 """
 
 from __future__ import annotations
@@ -34,68 +33,68 @@
 from rig.connection_load import LINGER_RESET, PeerInput, run_connections  # noqa: E402
 
 BROKER_FILE = '[channels]\nenabled = true\nlisten = "127.0.0.1:PORT"\n'
-"""The program's own settings: with the channels frontend."""
+"""Broker file that enables the channels frontend."""
 
 CASE_WEIGHTS = {
-    "served": 900,  # the endpoint ends it with BYE
-    "left": 40,  # the client leaves once it is established
-    "broken": 20,  # the same
-    "dropped": 1,  # the endpoint resets it once it is established
+    "served": 900,  # the endpoint answers UP and BYE
+    "left": 40,  # the client closes once the connection is established
+    "broken": 20,  # as `left`
+    "dropped": 1,  # the endpoint resets the connection once it is established
     "full": 1,  # the endpoint answers BUSY
     "silent": 1,  # the endpoint never answers
     "sent": 30,  # the endpoint asks the client to migrate
-    "moved": 7,  # established until the proxy migrates it off a draining endpoint
+    "moved": 7,  # the proxy migrates it from a draining endpoint
 }
-"""Cases by the tenant's name, with their share of the connections in thousandths.
+"""Share of each case in thousandths, by the tenant's name.
 
-Cases that are a sign of congestion are rare: the program would otherwise rightly lower its concurrency limit,
-and most connections would only wait.
+Cases that indicate congestion are rare: otherwise the program would rightly lower its concurrency limit, and
+most connections would only be queued.
 """
 
 CASE_ANSWERS = {"served": b"UP r1\r\nLOAD 9\r\nBYE\r\n", "full": b"BUSY\r\n", "sent": b"UP r1\r\nMOVE\r\n"}
-"""What an endpoint answers before it closes."""
+"""Answer of an endpoint before it closes the connection."""
 
 OPEN_CASES = ("left", "broken", "moved")
-"""Cases in which the endpoint keeps the connection."""
+"""Cases in which the endpoint keeps the connection open."""
 
 DEADLINE_MS = 1000
-"""Deadline of a request, in milliseconds."""
+"""Deadline of an ordinary request."""
 
 UNANSWERED_DEADLINE_MS = 120
-"""Deadline of a request that its endpoint never answers, in milliseconds."""
+"""Deadline of a request that its endpoint never answers."""
 
 CHANNEL_CLOSE = b"\x61\0\0\0\0"
-"""Beginning of the CLOSE message of the first channel."""
+"""Start of the message that closes the first channel."""
 
 CHANNEL_OPEN_FAILURE = b"\x5c\0\0\0\0"
-"""Beginning of the message that the first channel could not be opened."""
+"""Start of the message that reports that the first channel could not be opened."""
 
 WINDOW_BYTES = 1 << 20
-"""Window that a channel is opened with."""
+"""Initial window size of a channel."""
 
 STEPS = 10
-"""Rows of the table; the frontends take turns."""
+"""Number of steps, each a row of the table; the frontends alternate."""
 
 ENDPOINTS = 6
-"""Endpoints of the program."""
+"""Number of endpoints."""
 
 MAX_OPEN = 100
-"""Connections that are open at once."""
+"""Maximum number of connections open at once."""
 
 CONNECTION_LIMIT_S = 30.0
-"""Longest time of a connection, in seconds."""
+"""Time limit of a connection."""
 
 DRAIN_INTERVAL_S = 1.0
-"""Time until the next endpoint drains, in seconds."""
+"""Time until the next endpoint drains."""
 
 SETTLE_S = 5.0
-"""Longest wait for the requests of a step to end, in seconds."""
+"""Longest wait for the requests of a step to end."""
 
 USAGE_POLL_S = 0.1
-"""Time between two looks at the resource usage, in seconds."""
+"""Interval at which the resource usage is polled."""
 
 LINGER_S = 1.0
-"""Time for connections that linger (half a second) to be closed, in seconds."""
+"""Time until lingering connections, which linger for half a second, are closed."""
 
 OBJECT_COUNTER = """
 import gc, os, runpy, threading
@@ -107,18 +106,18 @@
 if {is_off}: gc.disable()
 runpy.run_module("linnetshift", run_name="__main__")
 """
-"""Starts the program; whoever reads the pipe gets the number of objects that the collector knows of."""
+"""Starts the program; a reader of the pipe gets the number of objects tracked by the collector."""
 
 
 class SocketKind(Enum):
-    """What a socket of the endpoints is for."""
+    """Purpose of a socket of the endpoints."""
 
     LISTENER = auto()
     CONNECTION = auto()
 
 
 class EndpointThread(threading.Thread):
-    """All endpoints of the program, in one thread."""
+    """Serves all endpoints in one thread."""
 
     def __init__(self, running: RunningProxy) -> None:
         super().__init__(daemon=True)
@@ -128,7 +127,7 @@
             self.selector.register(listener.sock, selectors.EVENT_READ, SocketKind.LISTENER)
 
     def run(self) -> None:
-        """Serve for as long as the process lives."""
+        """Serve until the process exits."""
         while True:
             for key, _ in self.selector.select():
                 sock = key.fileobj
@@ -142,7 +141,7 @@
 
     @staticmethod
     def serve(sock: socket.socket) -> bool:
-        """Answer what a connection sent; whether it stays open."""
+        """Answer the request line of a connection; returns whether it stays open."""
         try:
             line = sock.recv(4096)
         except OSError:
@@ -165,7 +164,7 @@
 def client_inputs(
     rng: random.Random, frontend: str, running: RunningProxy, count: int
 ) -> Iterator[PeerInput]:
-    """So many clients of a frontend."""
+    """Inputs of `count` clients of a frontend, with random cases."""
     for case in rng.choices(list(CASE_WEIGHTS), list(CASE_WEIGHTS.values()), k=count):
         key = rng.getrandbits(64)
         deadline_ms = UNANSWERED_DEADLINE_MS if case == "silent" else DEADLINE_MS
@@ -177,18 +176,18 @@
 
 
 def answers_to_leave_at(case: str) -> tuple[bytes, ...]:
-    """Answers at which the client leaves, where it leaves by itself."""
+    """Answers at which the client closes the connection, in cases in which it does."""
     return (b"UP r1",) if case in ("left", "broken") else ()
 
 
 def line_protocol_input(port: int, case: str, request_id: int, key: int, deadline_ms: int) -> PeerInput:
-    """A client of the platform's protocol."""
+    """Input of a client of the line protocol."""
     line = b"OPEN %016x %016x c=feed,t=%s,d=%d\r\n" % (request_id, key, case.encode(), deadline_ms)
     return PeerInput(port, (line,), "wait", case, answers_to_leave_at(case))
 
 
 def channels_input(port: int, case: str, key: int, deadline_ms: int) -> PeerInput:
-    """A session with one channel, which leaves when the channel is closed."""
+    """Input of a session with one channel, which ends once the channel is closed."""
     message = bytes([CHANNEL_OPEN]) + ssh_string(b"invocation@linnetshift")
     message += struct.pack(">III", 0, WINDOW_BYTES, MAX_PACKET_BYTES)
     message += ssh_string(b"feed") + ssh_string(case.encode()) + struct.pack(">QQI", key, 0, deadline_ms)
@@ -198,7 +197,7 @@
 
 
 def drain_in_turns(running: RunningProxy, stop: threading.Event) -> None:
-    """Drain one endpoint after the other, so that their connections are migrated."""
+    """Drain one endpoint after the other until `stop` is set, so that connections are migrated."""
     uids = [listener.uid for listener in running.endpoints]
     number = 0
     while not stop.wait(DRAIN_INTERVAL_S):
@@ -208,7 +207,7 @@
 
 
 def row(running: RunningProxy, frontend: str, connections: int, ends: Counter[str]) -> str:
-    """One row of the table, after so many connections."""
+    """One row of the table, after this number of connections."""
     with open(running.config.parent / "objects") as pipe:
         objects = int(pipe.read())
     usage = running.resource_usage()
@@ -221,7 +220,7 @@
 
 
 def wait_until_settled(running: RunningProxy) -> None:
-    """Wait until the program has no request and lingering connections are closed."""
+    """Wait until the program has no requests and lingering connections are closed."""
     until_s = time.monotonic() + SETTLE_S
     while running.resource_usage()["broker.invocations"]["size"] and time.monotonic() < until_s:
         time.sleep(USAGE_POLL_S)
@@ -230,7 +229,7 @@
 
 @contextmanager
 def running_program(is_collector_off: bool) -> Iterator[RunningProxy]:
-    """The program with its endpoints, one of which always drains."""
+    """Run the program with its endpoints, one of which always drains."""
     start = sys.executable, "-c", OBJECT_COUNTER.format(is_off=is_collector_off)
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -247,13 +246,13 @@
 
 
 def discard_log(running: RunningProxy) -> None:
-    """Drop the program's log lines, which would otherwise fill this process."""
+    """Discard the program's log lines, whose queue would otherwise grow without bound."""
     while True:
         running.lines.get()
 
 
 def main() -> int:
-    """Print the table, row by row."""
+    """Print the table row by row; returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--connections", type=int, default=100_000)
     parser.add_argument("--collector", choices=("on", "off"), default="on")
