--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -107,7 +107,7 @@
         for action in wire.actions(reply):
             if action.name == "send":
                 request_id, _, address = action.fields
-                established = wire.established(request_id, SETUP_NS, 0, address)
+                established = wire.connection_established(request_id, SETUP_NS, 0, address)
                 self.exchange([wire.select_instance(0), established])
 
     def kill(self) -> None:
--- a/rig/decision_recordings/attempts.py
+++ b/rig/decision_recordings/attempts.py
@@ -65,7 +65,7 @@
         random = self.world.random
         if not request.has_client_left and random.random() < RETRY_SHARE:
             delay_ns = retry_after_ns * random.uniform(1.0, 1.3) + 50 * MILLISECOND
-            self.world.after(delay_ns, partial(self.clients.retry, request, RequestFlag.RETRY))
+            self.world.after(delay_ns, partial(self.clients.send_next_request, request, RequestFlag.RETRY))
 
     def fail(self, _instance: Instance, request_id: int) -> None:
         """Fail a request."""
@@ -78,7 +78,7 @@
             return
         self.finish(request, request.attempt, Outcome.OK)
         delay_ns = self.world.interval_ns(RETURN_AFTER_MIGRATION_PER_S)
-        self.world.after(delay_ns, partial(self.clients.retry, request, RequestFlag.RETURNED))
+        self.world.after(delay_ns, partial(self.clients.send_next_request, request, RequestFlag.RETURNED))
 
     def cancel(self, _instance: Instance, request_id: int, attempt: int) -> None:
         """Cancel an attempt, unless it has ended or its connection is established."""
@@ -116,7 +116,7 @@
         has_report = outcome in (Outcome.OK, Outcome.ERROR)
         report = self.endpoint_model.report(endpoint) if has_report else []
         elapsed_ns = world.now_ns - request.sent_ns
-        record = wire.attempt_result(
+        record = wire.attempt_ended(
             request.id, endpoint.address, is_closed, attempt, elapsed_ns, outcome, report
         )
         world.send_event(request.instance, record)
@@ -127,7 +127,7 @@
             endpoint.open_connections -= 1
         if request.is_established and outcome is Outcome.RESET:
             delay_ns = world.interval_ns(RETURN_AFTER_RESET_PER_S)
-            world.after(delay_ns, partial(self.clients.retry, request, RequestFlag.RETURNED))
+            world.after(delay_ns, partial(self.clients.send_next_request, request, RequestFlag.RETURNED))
 
     def end(self, request: Request) -> None:
         """Remove a request without an event to its instance."""
@@ -144,7 +144,7 @@
             self.finish(request, attempt, Outcome.CANCELLED)
             return
         elapsed_ns = self.world.now_ns - request.sent_ns
-        record = wire.established(request.id, elapsed_ns, attempt, endpoint.address)
+        record = wire.connection_established(request.id, elapsed_ns, attempt, endpoint.address)
         self.world.send_event(request.instance, record)
         endpoint.open_connections -= 1
         self.establish(request, endpoint)
--- a/rig/decision_recordings/clients.py
+++ b/rig/decision_recordings/clients.py
@@ -11,7 +11,7 @@
 LOAD_HINT_SHARE = 0.7
 """Share of the requests that have a load hint."""
 
-LEAVING_RATE_PER_S = 5.0
+WITHDRAWAL_RATE_PER_S = 5.0
 """Rate at which clients that withdraw their request do so; the mean delay is its inverse."""
 
 
@@ -41,17 +41,17 @@
             budget_ns=random.choice((budget, budget, 0)),
         )
 
-    def retry_of(self, former: Request, instance: int, flags: int) -> Request:
-        """A request of the client of a former one, with the same class, group and key, not sent yet."""
+    def next_request_of(self, former: Request, instance: int, flags: int) -> Request:
+        """A new request of a former request's client: same class, group and key; not sent yet."""
         request = self.new_request(instance, flags)
         request.service = former.service
         request.group = former.group
         request.key = former.key
         return request
 
-    def retry(self, former: Request, flags: int) -> None:
-        """Send a new request of the former request's client to a random live instance."""
-        self.send(self.retry_of(former, self.world.random_live_instance(), flags))
+    def send_next_request(self, former: Request, flags: int) -> None:
+        """Send a new request of a former request's client, as a retry or reconnect, to any live instance."""
+        self.send(self.next_request_of(former, self.world.random_live_instance(), flags))
 
     def send(self, request: Request) -> None:
         """Send a request; some of the clients withdraw it after a random delay."""
@@ -61,13 +61,13 @@
         world.requests[request.id] = request
         world.send_event(request.instance, wire.new_request(request))
         if world.random.random() < world.scenario.withdrawn_share:
-            world.after(world.interval_ns(LEAVING_RATE_PER_S), partial(self.leave, request))
+            world.after(world.interval_ns(WITHDRAWAL_RATE_PER_S), partial(self.withdraw, request))
 
-    def leave(self, request: Request) -> None:
+    def withdraw(self, request: Request) -> None:
         """Withdraw a request; the result of an attempt in flight is still sent."""
         if request.id in self.world.requests and not request.has_client_left:
             request.has_client_left = True
-            self.world.send_event(request.instance, wire.client_left(request.id))
+            self.world.send_event(request.instance, wire.request_withdrawn(request.id))
 
     def arrive(self) -> None:
         """Send the request of a new client, and schedule the next one."""
--- a/rig/decision_recordings/instances.py
+++ b/rig/decision_recordings/instances.py
@@ -64,7 +64,7 @@
             self.start(number)
         else:
             instance.is_live = False
-            world.after(SECOND // 2, partial(self._send_to_stopped, number, instance.start_count))
+            world.after(SECOND // 2, partial(self._send_to_killed, number, instance.start_count))
         if restart_after_s > 0.0:
             world.after(restart_after_s * SECOND, partial(self.start, number))
         for request in [r for r in world.requests.values() if r.instance == number]:
@@ -80,16 +80,16 @@
         is_passing = world.scenario.family.get("mode") == "pass"
         if not is_passing or endpoint is None or not request.is_established:
             delay_ns = world.interval_ns(RETURN_AFTER_STOP_PER_S)
-            world.after(delay_ns, partial(self.clients.retry, request, RequestFlag.RETURNED))
+            world.after(delay_ns, partial(self.clients.send_next_request, request, RequestFlag.RETURNED))
         elif is_restarted and world.random.random() < ADOPTED_SHARE:
             former_instance = request.instance
-            successor = self.clients.retry_of(request, former_instance, request.flags)
+            successor = self.clients.next_request_of(request, former_instance, request.flags)
             self.attempts.adopt(former_instance, successor, endpoint)
         else:
             flags = RequestFlag.MID_FLOW | RequestFlag.RETURNED * world.random.randrange(2)
-            self.clients.retry(request, flags)
+            self.clients.send_next_request(request, flags)
 
-    def _send_to_stopped(self, number: int, start_count: int) -> None:
+    def _send_to_killed(self, number: int, start_count: int) -> None:
         """Send an event to an instance that was killed and not restarted."""
         instance = self.world.instances[number]
         if not instance.is_live and instance.start_count == start_count:
@@ -110,12 +110,12 @@
 
     def set_timer(self, instance: Instance, delay_ns: int, token: int) -> None:
         """Set a timer."""
-        expire = partial(self._expire_timer, instance.number, instance.start_count, token)
-        self.world.after(delay_ns, expire)
+        fire = partial(self._fire_timer, instance.number, instance.start_count, token)
+        self.world.after(delay_ns, fire)
 
-    def _expire_timer(self, number: int, start_count: int, token: int) -> None:
+    def _fire_timer(self, number: int, start_count: int, token: int) -> None:
         if self.world.instances[number].start_count == start_count:
-            self.world.send_event(number, wire.timer_expired(token))
+            self.world.send_event(number, wire.timer_fired(token))
 
     # Timeline.
 
--- a/rig/decision_recordings/notes.py
+++ b/rig/decision_recordings/notes.py
@@ -98,13 +98,13 @@
         later_attempt = request.attempt + 1 & 0xFF
         columns = len(self.world.scenario.columns)
         return [
-            wire.established(UNKNOWN_REQUEST, MILLISECOND, 0, address),
-            wire.established(request.id, MILLISECOND, later_attempt, address),
-            wire.established(request.id, MILLISECOND, max(0, request.attempt), UNKNOWN_ADDRESS),
-            wire.attempt_result(UNKNOWN_REQUEST, address, False, 0, MILLISECOND, Outcome.ERROR),
-            wire.attempt_result(request.id, address, False, later_attempt, MILLISECOND, Outcome.RESET),
-            wire.client_left(UNKNOWN_REQUEST),
-            wire.timer_expired(self.world.random.randrange(40)),
+            wire.connection_established(UNKNOWN_REQUEST, MILLISECOND, 0, address),
+            wire.connection_established(request.id, MILLISECOND, later_attempt, address),
+            wire.connection_established(request.id, MILLISECOND, max(0, request.attempt), UNKNOWN_ADDRESS),
+            wire.attempt_ended(UNKNOWN_REQUEST, address, False, 0, MILLISECOND, Outcome.ERROR),
+            wire.attempt_ended(request.id, address, False, later_attempt, MILLISECOND, Outcome.RESET),
+            wire.request_withdrawn(UNKNOWN_REQUEST),
+            wire.timer_fired(self.world.random.randrange(40)),
             wire.health_check_result(Outcome.OK, MILLISECOND, UNKNOWN_ADDRESS, [1.0, 1.0]),
             wire.health_check_result(Outcome.OK, MILLISECOND, address, [1.0]),
             wire.health_check_result(Outcome.OK, MILLISECOND, address, [math.nan] * columns),
--- a/rig/decision_recordings/wire.py
+++ b/rig/decision_recordings/wire.py
@@ -63,14 +63,14 @@
     return struct.pack(">BI", 12, instance)
 
 
-def create(salt: int, settings: dict[str, Any]) -> bytes:
+def create(seed: int, settings: dict[str, Any]) -> bytes:
     """Start of an instance with the seed of its random numbers and its settings."""
     text = json.dumps(settings, sort_keys=True).encode()
-    return struct.pack(">BQI", 0, salt, len(text)) + text
+    return struct.pack(">BQI", 0, seed, len(text)) + text
 
 
 def stop() -> bytes:
-    """End of an instance."""
+    """Kill of an instance, which loses its state."""
     return b"\x09"
 
 
@@ -112,12 +112,12 @@
     )
 
 
-def established(request_id: int, elapsed_ns: int, attempt: int, address: bytes) -> bytes:
+def connection_established(request_id: int, elapsed_ns: int, attempt: int, address: bytes) -> bytes:
     """An attempt's connection is established, `elapsed_ns` after the send."""
     return struct.pack(">BIQB6s", 3, request_id, elapsed_ns, attempt, address)
 
 
-def attempt_result(
+def attempt_ended(
     request_id: int,
     address: bytes,
     is_closed: bool,
@@ -133,12 +133,12 @@
     return head + struct.pack(f">{len(report)}f", *report)
 
 
-def client_left(request_id: int) -> bytes:
+def request_withdrawn(request_id: int) -> bytes:
     """The client of a request has disconnected."""
     return struct.pack(">BI", 5, request_id)
 
 
-def timer_expired(token: int) -> bytes:
+def timer_fired(token: int) -> bytes:
     """A timer of the instance has expired."""
     return struct.pack(">BI", 6, token)
 
