--- a/bench/fleet_counts.py
+++ b/bench/fleet_counts.py
@@ -63,7 +63,7 @@
         """Times at which a proxy received a list, in seconds."""
 
         self.start_durations: dict[str, list[float]] = defaultdict(list)
-        """Times from a proxy's start until its first answer to a probe, in seconds."""
+        """Times from a proxy's start until its first readiness probe ended, in seconds."""
 
         self._starting: dict[str, float] = {}
         for line in lines:
--- a/bench/fleet_log.py
+++ b/bench/fleet_log.py
@@ -8,8 +8,8 @@
 or the key after it, which stays the same when the client reconnects. `--classes` prints for each class and
 step how many clients arrived, and how their connections ended.
 
-Each file of DIRECTORY is the log of the proxy with the file's name. A time in seconds before
-a line is used if there is one; otherwise times are relative to the first line of all logs.
+Each file of DIRECTORY is the log of the proxy with the file's name. A time in seconds before a line is used
+if there is one; otherwise times are relative to the first line of all logs.
 """
 
 from __future__ import annotations
