--- a/rig/decision_recordings/instances.py
+++ b/rig/decision_recordings/instances.py
@@ -83,8 +83,8 @@
             world.after(delay_ns, partial(self.clients.send_next_request, request, RequestFlag.RETURNED))
         elif is_restarted and world.random.random() < ADOPTED_SHARE:
             former_instance = request.instance
-            successor = self.clients.next_request_of(request, former_instance, request.flags)
-            self.attempts.adopt(former_instance, successor, endpoint)
+            next_request = self.clients.next_request_of(request, former_instance, request.flags)
+            self.attempts.adopt(former_instance, next_request, endpoint)
         else:
             flags = RequestFlag.MID_FLOW | RequestFlag.RETURNED * world.random.randrange(2)
             self.clients.send_next_request(request, flags)
