--- a/linnetshift/broker/active_request.py
+++ b/linnetshift/broker/active_request.py
@@ -51,7 +51,7 @@
     """
 
     client: Client
-    klass: int  # index of the request class in `Settings.classes`
+    class_number: int  # index of the request class in `Settings.classes`
     tenant: int  # number of the tenant in the settings
     key: int  # ranks the endpoints by weighted rendezvous hashing
     group: int  # clients of one group share state at an endpoint; 0: none given
@@ -98,7 +98,7 @@
         """The event that asks the balancer to place the request within `budget_ns`."""
         return Request(
             request_id=self.id,
-            klass=self.klass,
+            class_number=self.class_number,
             group=self.group,
             key=self.key,
             load_hint=self.load_hint,
@@ -111,7 +111,7 @@
         """The event that reports to the balancer a connection that `endpoint` served before."""
         return AdoptedConnection(
             request_id=self.id,
-            klass=self.klass,
+            class_number=self.class_number,
             group=self.group,
             key=self.key,
             load_hint=self.load_hint,
--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -106,7 +106,7 @@
             return False
         if not request.possibly_executed_at:
             return True
-        request_class = self.table.settings.classes[request.klass]
+        request_class = self.table.settings.classes[request.class_number]
         return request_class.may_retry(request.possibly_executed_at, now_ns)
 
     def _is_usable(self, endpoint: bytes) -> bool:
--- a/linnetshift/broker/request_table.py
+++ b/linnetshift/broker/request_table.py
@@ -56,7 +56,9 @@
         """
         request.id = next(self._ids)
         request.submitted_ns = self.clock()
-        breach = self.contracts.admit(request.tenant, request.klass, request.flags, request.submitted_ns)
+        breach = self.contracts.admit(
+            request.tenant, request.class_number, request.flags, request.submitted_ns
+        )
         if breach is not None:
             request.detach_client().reject(breach.retry_after_ns, breach.limit)
             return False
@@ -117,7 +119,7 @@
         if not first_executed_ns:
             return True
         retry_by_ns = self.clock() + self.settings.max_retry_after_ns
-        return self.settings.classes[request.klass].client_may_retry(first_executed_ns, retry_by_ns)
+        return self.settings.classes[request.class_number].client_may_retry(first_executed_ns, retry_by_ns)
 
     def _finish_unserved(self, request_id: int) -> Client | None:
         """Remove the request and abandon its attempt; returns the client, or None if it has been answered."""
--- a/linnetshift/frontends/channels/channel_open.py
+++ b/linnetshift/frontends/channels/channel_open.py
@@ -144,7 +144,7 @@
     wait_ns = open_request.wait_ms * MS or session.broker.settings.classes[class_number].deadline_ns
     return ActiveRequest(
         client=channel,
-        klass=class_number,
+        class_number=class_number,
         tenant=session.frontend.names.tenants.get(open_request.tenant, UNKNOWN_NUMBER),
         key=open_request.key,
         group=open_request.group,
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -150,10 +150,10 @@
             raise RequestLineError("the id of an open invocation")
         self.client_request_id = request_line.id
         self.frontend.open_request_ids.add(request_line.id)
-        wait_ns = request_line.wait_ns or self.broker.settings.classes[request_line.klass].deadline_ns
+        wait_ns = request_line.wait_ns or self.broker.settings.classes[request_line.class_number].deadline_ns
         self.request = ActiveRequest(
             client=self,
-            klass=request_line.klass,
+            class_number=request_line.class_number,
             tenant=request_line.tenant,
             key=request_line.key,
             group=request_line.group,
@@ -236,7 +236,7 @@
             fields["open"] = f"{self.client_request_id:x}"
         if self.request is not None:
             fields["key"] = f"{self.request.key:x}"
-            fields["class"] = self.broker.settings.classes[self.request.klass].name
+            fields["class"] = self.broker.settings.classes[self.request.class_number].name
         fields["peer"] = format_address(self.peer)
         fields["endpoint"] = self.endpoint.decode("utf-8", "replace")
         fields["attempts"] = self.request.attempts if self.request is not None else 0
--- a/linnetshift/frontends/line_protocol/request_line.py
+++ b/linnetshift/frontends/line_protocol/request_line.py
@@ -26,7 +26,7 @@
     """A parsed request line; class and tenant are their numbers in the `NameRegistry`."""
 
     id: int
-    klass: int
+    class_number: int
     tenant: int
     key: int
     group: int
@@ -55,14 +55,14 @@
     values = {name: value for name, _, value in fields}
     if len(values) < len(fields):
         raise RequestLineError("a name twice")  # an endpoint might use the other value
-    klass = names.classes.get(_decode(values.get(protocol.CLASS_FIELD, b"")))
-    if klass is None:
+    class_number = names.classes.get(_decode(values.get(protocol.CLASS_FIELD, b"")))
+    if class_number is None:
         raise RequestLineError("unknown class")
     adopted_endpoint = values.get(protocol.ADOPTED_FIELD, b"")
     wait_ms = _parse_wait_ms(values.get(protocol.DEADLINE_FIELD), bool(adopted_endpoint))
     return RequestLine(
         id=_parse_hexadecimal(tokens[1]),
-        klass=klass,
+        class_number=class_number,
         tenant=names.tenants.get(_decode(values.get(protocol.TENANT_FIELD, b"")), UNKNOWN_NUMBER),
         key=_parse_hexadecimal(tokens[2]),
         group=_parse_hexadecimal(values.get(protocol.GROUP_FIELD, b"0")),
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -90,7 +90,7 @@
 
     def _classes_in_use(self) -> set[int]:
         """Return the classes of open requests, and those that clients may still request."""
-        of_open_requests = {request.klass for request in self.broker.requests.values()}
+        of_open_requests = {request.class_number for request in self.broker.requests.values()}
         return of_open_requests | {*self.names.classes.values()}
 
     def _bind(self, files: ConfigurationFiles, listeners: BoundListeners) -> None:
--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -150,7 +150,7 @@
     def _handle_request(self, event: Request) -> None:
         if event.request_id in self.requests:
             return
-        request_class = self.settings.classes[event.klass]
+        request_class = self.settings.classes[event.class_number]
         deadline = self.now + (event.budget_ns or request_class.deadline_ns)
         pending = PendingRequest(event, deadline, event.load_hint, request_class)
         self.requests.add(pending)
@@ -220,7 +220,7 @@
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or event.request_id in self.requests:
             return
-        request_class = self.settings.classes[event.klass]
+        request_class = self.settings.classes[event.class_number]
         no_deadline = 0  # an established connection has none
         self.requests.adopt(PendingRequest(event, no_deadline, event.load_hint, request_class), endpoint)
 
--- a/linnetshift/routing/events.py
+++ b/linnetshift/routing/events.py
@@ -8,7 +8,7 @@
 - `endpoint` is an opaque byte string (the address on the wire) that can be compared and sorted.
 - `request_id` is an opaque integer, never used twice by one instance.
 - `attempt` is the number of an attempt of its request, from 0, in the order of sends.
-- `klass`, `tenant`, `zone` and `kind` are indexes into lists of the settings, from 0.
+- `class_number`, `tenant`, `zone` and `kind` are indexes into lists of the settings, from 0.
 - `report` holds the values of a load report in the order of `Settings.report_columns`; empty for none.
 - Fields for which a deployment has no value are 0.
 
@@ -121,7 +121,7 @@
     """A client's request for a connection; it must get exactly one final answer."""
 
     request_id: int
-    klass: int
+    class_number: int
     group: int  # connections of one group share work on an endpoint; 0: none
     key: int  # of the request's subject; requests with the same key are placed together
     load_hint: int  # expected load, in nanoseconds of work a second on a standard core
@@ -137,7 +137,7 @@
     """
 
     request_id: int
-    klass: int
+    class_number: int
     group: int
     key: int
     load_hint: int
--- a/linnetshift/routing/request_lifecycle.py
+++ b/linnetshift/routing/request_lifecycle.py
@@ -130,12 +130,12 @@
         for pending in overdue:
             if not retry_policy.may_replace_attempt(pending, self._context.now, connect_timeout_ns):
                 continue
-            klass = pending.request.klass
-            if klass not in alternatives:
-                alternatives[klass] = self._selection.possible_alternatives(
+            class_number = pending.request.class_number
+            if class_number not in alternatives:
+                alternatives[class_number] = self._selection.possible_alternatives(
                     pending.request_class, earliest_sent_at
                 )
-            if self._selection.has_alternative(pending, pending.attempt_sent_at, alternatives[klass]):
+            if self._selection.has_alternative(pending, pending.attempt_sent_at, alternatives[class_number]):
                 self._cancel(pending)
 
     def _cancel(self, pending: PendingRequest) -> None:
--- a/linnetshift/simulation/batch_decoder.py
+++ b/linnetshift/simulation/batch_decoder.py
@@ -137,8 +137,10 @@
 
 def _decode_request(frame: bytes, offset: int) -> tuple[Request, int]:
     """Decode `Request`, whose fields have another order on the wire."""
-    request_id, group, load_hint, klass, key, flags, tenant, budget_ns = _REQUEST.unpack_from(frame, offset)
-    event = Request(request_id, klass, group, key, load_hint, flags, tenant, budget_ns)
+    request_id, group, load_hint, class_number, key, flags, tenant, budget_ns = _REQUEST.unpack_from(
+        frame, offset
+    )
+    event = Request(request_id, class_number, group, key, load_hint, flags, tenant, budget_ns)
     return event, offset + _REQUEST.size
 
 
@@ -193,8 +195,8 @@
 def _decode_adopted_connection(frame: bytes, offset: int) -> tuple[AdoptedConnection, int]:
     """Decode `AdoptedConnection`; the budget is skipped, as it has no deadline."""
     fields = _ADOPTED_CONNECTION.unpack_from(frame, offset)
-    request_id, _budget_ns, load_hint, key, flags, group, endpoint, tenant, klass = fields
-    event = AdoptedConnection(request_id, klass, group, key, load_hint, flags, tenant, endpoint)
+    request_id, _budget_ns, load_hint, key, flags, group, endpoint, tenant, class_number = fields
+    event = AdoptedConnection(request_id, class_number, group, key, load_hint, flags, tenant, endpoint)
     return event, offset + _ADOPTED_CONNECTION.size
 
 
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -57,7 +57,7 @@
             endpoint=attempt.endpoint.decode("utf-8", "replace"),
             key=f"{request.key:x}",
             group=f"{request.group:x}",
-            **{"class": self.broker.settings.classes[request.klass].name},
+            **{"class": self.broker.settings.classes[request.class_number].name},
             flags=request.flags,
         )
         connection = EndpointConnection(self.loop, self.broker, attempt, address)
--- a/tests/fake_surroundings.py
+++ b/tests/fake_surroundings.py
@@ -44,7 +44,7 @@
     def make_request(self, wait_ns: int, flags: int, adopted_endpoint: bytes = b"") -> ActiveRequest:
         return ActiveRequest(
             client=self,
-            klass=0,
+            class_number=0,
             tenant=0,
             key=7,
             group=0,
--- a/tests/test_latency_objectives.py
+++ b/tests/test_latency_objectives.py
@@ -21,8 +21,8 @@
     return make_balancer(8, services=services, familyInfo={"messageAimNs": [20 * MS, 400 * MS]})
 
 
-def establish(balancer: Balancer, number: int, klass: int) -> bytes:
-    (send,) = only(balancer.step(2 * S, [request(number, klass=klass, key=5)]), Send)
+def establish(balancer: Balancer, number: int, class_number: int) -> bytes:
+    (send,) = only(balancer.step(2 * S, [request(number, class_number=class_number, key=5)]), Send)
     balancer.step(2 * S, [ConnectionEstablished(number, 0, send.endpoint, MS)])
     endpoint_id: bytes = send.endpoint
     return endpoint_id
@@ -63,7 +63,7 @@
     balancer = balancer_with_two_classes()
     request_ids = {}
     for key in range(200):
-        (send,) = only(balancer.step(2 * S, [request(key + 1, klass=LOOSE, key=key + 1)]), Send)
+        (send,) = only(balancer.step(2 * S, [request(key + 1, class_number=LOOSE, key=key + 1)]), Send)
         balancer.step(2 * S, [ConnectionEstablished(key + 1, 0, send.endpoint, MS)])
         request_ids[send.endpoint] = key + 1
     for message_time_ms, admits_all in ((300.0, True), (500.0, False)):
--- a/tests/test_request_line.py
+++ b/tests/test_request_line.py
@@ -20,7 +20,7 @@
 def test_all_fields_are_parsed() -> None:
     parsed = parse_request_line(b"OPEN 1f 2A c=feed,t=acme,r=1,again=1,d=250,at=e7,g=9,h=1.5\r\n", NAMES)
     assert (parsed.id, parsed.key, parsed.group) == (0x1F, 0x2A, 9)
-    assert (parsed.klass, parsed.tenant, parsed.flags) == (3, 5, RETRY | RETURNED)
+    assert (parsed.class_number, parsed.tenant, parsed.flags) == (3, 5, RETRY | RETURNED)
     assert (parsed.wait_ns, parsed.load_hint, parsed.adopted_endpoint) == (250 * MS, 1, b"e7")
 
 
