--- a/linnetshift/broker/attempts.py
+++ b/linnetshift/broker/attempts.py
@@ -11,7 +11,7 @@
 from linnetshift.broker.ports import Connector, Timers
 from linnetshift.broker.request_table import RequestTable
 from linnetshift.routing.events import (
-    NEVER_RAN,
+    NOT_EXECUTED_OUTCOMES,
     RETURNED,
     AttemptEnded,
     ConnectionEstablished,
@@ -75,7 +75,7 @@
                 endpoint=endpoint,
                 closed=True,
                 elapsed_ns=0,
-                outcome=Outcome.MOOT,
+                outcome=Outcome.NOT_SENT,
                 report=(),
             )
         )
@@ -136,7 +136,7 @@
 
     def _retry_adoption(self, request: ActiveRequest, outcome: Outcome) -> None:
         """Retry the endpoint until the deadline while it is unreachable: no other holds the connection."""
-        if outcome not in NEVER_RAN or self.clock() + ADOPTION_RETRY_NS >= request.deadline:
+        if outcome not in NOT_EXECUTED_OUTCOMES or self.clock() + ADOPTION_RETRY_NS >= request.deadline:
             self.table.fail(request.id)
             return
         request.overdue_timer = self.timers.call_later(ADOPTION_RETRY_NS, partial(self._adopt, request))
@@ -175,7 +175,7 @@
         """End the request if the attempt was established; else report the attempt, which may be retried."""
         request = attempt.request
         request.detach_connection()
-        if outcome not in NEVER_RAN and not request.possibly_executed_at:
+        if outcome not in NOT_EXECUTED_OUTCOMES and not request.possibly_executed_at:
             request.possibly_executed_at = attempt.began
         if attempt.is_established:
             client = self.table.remove(request)
--- a/linnetshift/routing/events.py
+++ b/linnetshift/routing/events.py
@@ -63,11 +63,11 @@
     """The connection broke while the attempt was in flight; the attempt may have executed."""
     CANCELLED = 6
     """Ended by `Cancel`; the attempt may have executed."""
-    MOOT = 7
-    """Not sent: the request was over, established, past its deadline or out of attempts."""
+    NOT_SENT = 7
+    """The request was over, established, past its deadline or out of attempts."""
 
 
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
+NOT_EXECUTED_OUTCOMES = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 """Outcomes that prove the attempt had no effect."""
 
 # Bits of `Request.flags`; plain integers, as an enumeration would add to the cost of every request.
--- a/linnetshift/routing/retry_policy.py
+++ b/linnetshift/routing/retry_policy.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from linnetshift.routing.endpoints import ERROR_THRESHOLD, Endpoint
-from linnetshift.routing.events import NEVER_RAN
+from linnetshift.routing.events import NOT_EXECUTED_OUTCOMES
 from linnetshift.routing.pending_requests import PendingRequest
 from linnetshift.routing.settings import Effect, RequestClass, Scope
 
@@ -92,7 +92,7 @@
 
     `sent_at` is when it was sent, in nanoseconds of the caller's clock.
     """
-    if outcome not in NEVER_RAN and pending.possibly_executed_on is None:
+    if outcome not in NOT_EXECUTED_OUTCOMES and pending.possibly_executed_on is None:
         pending.possibly_executed_on = endpoint
         pending.possibly_executed_at = sent_at
 
--- a/linnetshift/upstream/attempt_setup.py
+++ b/linnetshift/upstream/attempt_setup.py
@@ -64,7 +64,7 @@
         assert stream is not None
         if not self.broker.may_send(self.attempt):
             # Nothing is sent to the endpoint; the broker places the request again if that is allowed.
-            return AttemptResult(Reason.ABANDONED, Outcome.MOOT)
+            return AttemptResult(Reason.ABANDONED, Outcome.NOT_SENT)
         if not stream.is_present:
             # The endpoint closed the connection before it got the request, so it has executed nothing.
             return AttemptResult(Reason.ENDPOINT_LEFT, Outcome.CONNECT_FAILED)
--- a/rig/decision_recordings/model.py
+++ b/rig/decision_recordings/model.py
@@ -30,7 +30,7 @@
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    NOT_SENT = 7
 
 
 class Condition(Enum):
--- a/rig/decision_recordings/scenarios.py
+++ b/rig/decision_recordings/scenarios.py
@@ -147,7 +147,7 @@
             at(7, "set_fault", None, 0, 1),
             at(8, "set_fault", Outcome.ERROR, 4),
             at(9, "set_fault", Outcome.RESET, 5),
-            at(11, "set_fault", Outcome.MOOT, 6),
+            at(11, "set_fault", Outcome.NOT_SENT, 6),
             at(12, "set_fault", None, 2, 3, 4, 5, 6),
             at(14, "set_fault", Condition.SLOW, 7, 8, 9),
             at(17, "restart", 1),
@@ -191,7 +191,7 @@
         allowed={"probing": False, "peerMessages": False, "retryAfter": False},
         timeline=(
             *every(2, 8, 0.31, "end_attempts", Outcome.CANCELLED, 0.6),
-            *every(8, 14, 0.31, "end_attempts", Outcome.MOOT, 0.6),
+            *every(8, 14, 0.31, "end_attempts", Outcome.NOT_SENT, 0.6),
             *every(14, 18, 0.31, "end_attempts", Outcome.FULL, 0.6),
             at(9, "set_fault", Outcome.FULL, 0, 1, 2),
             at(19, "set_fault", Outcome.CANCELLED, 3, 4),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,7 +30,7 @@
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import (
     MID_FLOW,
-    NEVER_RAN,
+    NOT_EXECUTED_OUTCOMES,
     RETURNED,
     SLOW_NOTE,
     AttemptEnded,
@@ -223,7 +223,7 @@
                     self.answered += 1
                 case AttemptEnded(request, _, endpoint_id, closed, _, outcome, _) if not closed:
                     attempt = self.in_flight.pop(request)
-                    if outcome not in NEVER_RAN:
+                    if outcome not in NOT_EXECUTED_OUTCOMES:
                         execution = PossibleExecution(endpoint_id, attempt.sent_at)
                         self.possible_executions.setdefault(request, execution)
             self.feed([event])
