--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -157,7 +157,7 @@
         if not event.flags & (RETRY | RETURNED):
             self.health_checks.increase_budget()
         self.group_sizes.record_client(event.group)
-        if event.flags & RETURNED and self.endpoints.is_fewer_than_balancers():
+        if event.flags & RETURNED and self.endpoints.has_fewer_endpoints_than_balancers():
             self._skip_ranks(pending)
         self.health_checks.record_arrival()
         self.admission.review()
--- a/linnetshift/routing/endpoint_selection.py
+++ b/linnetshift/routing/endpoint_selection.py
@@ -191,7 +191,7 @@
         """
         group = pending.request.group
         ranked = self._ranking.ranked(key_hash(pending.request))
-        if group and not self._requests.are_few():
+        if group and not self._requests.are_too_few_to_judge():
             return iter(sorted(ranked, key=lambda endpoint: group not in endpoint.established_by_group))
         endpoints = list(ranked)
         skipped = pending.skipped_ranks
--- a/linnetshift/routing/endpoints.py
+++ b/linnetshift/routing/endpoints.py
@@ -194,7 +194,7 @@
             return endpoint.weight
         return self._highest_weight_of_kind[endpoint.kind]
 
-    def is_fewer_than_balancers(self) -> bool:
+    def has_fewer_endpoints_than_balancers(self) -> bool:
         """Whether there are fewer endpoints than balancers: each sees too few connections to judge by.
 
         Preferred to the number of its own connections, which fluctuates.
--- a/linnetshift/routing/health_checks.py
+++ b/linnetshift/routing/health_checks.py
@@ -100,7 +100,7 @@
         """
         if not self._context.settings.may_health_check:
             return False
-        if not self.reports_load and (endpoint.established or not self._requests.are_few()):
+        if not self.reports_load and (endpoint.established or not self._requests.are_too_few_to_judge()):
             return False
         is_report_recent = self._context.now - endpoint.load_reported_at < LOAD_REPORT_TTL_NS
         if is_report_recent or pending.health_checks_sent >= CHECKS_PER_REQUEST:
--- a/linnetshift/routing/pending_requests.py
+++ b/linnetshift/routing/pending_requests.py
@@ -88,7 +88,7 @@
         self.waiting = deque()
         return waiting
 
-    def are_few(self) -> bool:
+    def are_too_few_to_judge(self) -> bool:
         """Whether there are at most as many requests and connections as endpoints, too few to judge by."""
         return len(self._by_id) <= len(self._endpoints)
 
--- a/linnetshift/routing/ranking.py
+++ b/linnetshift/routing/ranking.py
@@ -112,7 +112,7 @@
         """
         settings = self._context.settings
         zone_spread = 1.0
-        if self._endpoints.is_fewer_than_balancers():
+        if self._endpoints.has_fewer_endpoints_than_balancers():
             zone_spread = self._group_sizes.zone_spread([endpoint.zone for endpoint in listed])
         other_zone_weight = settings.cross_zone_weight**zone_spread
         return np.array([1.0 if e.zone == settings.zone else other_zone_weight for e in listed])
--- a/tests/test_pending_requests.py
+++ b/tests/test_pending_requests.py
@@ -66,9 +66,9 @@
 
 def test_requests_are_few_up_to_one_per_endpoint() -> None:
     parts = Parts(endpoints=2)
-    for number, are_few in ((1, True), (2, True), (3, False)):
+    for number, are_too_few_to_judge in ((1, True), (2, True), (3, False)):
         parts.pending(number)
-        assert parts.requests.are_few() is are_few
+        assert parts.requests.are_too_few_to_judge() is are_too_few_to_judge
 
 
 def test_only_the_first_attempt_of_an_open_connection_is_mid_flow() -> None:
