--- a/linnetshift/broker/broker.py
+++ b/linnetshift/broker/broker.py
@@ -151,7 +151,7 @@
         """Handle the end of a health check; `report` holds the load report's columns, or is empty."""
         self.endpoint_views.handle_health_check_result(endpoint, outcome, elapsed_ns, report)
 
-    def record_refusal(self, endpoint: bytes) -> None:
+    def record_unavailable(self, endpoint: bytes) -> None:
         """Record that an endpoint refused a connection, so its process has ended."""
         self.endpoint_views.record_unavailable(endpoint)
 
@@ -182,9 +182,9 @@
         """Handle a client that left or has migrated; no effect on a request that is over."""
         self.attempts.handle_client_ended(request, reset)
 
-    def answer_unserved(self, request: ActiveRequest) -> None:
+    def answer_without_balancer(self, request: ActiveRequest) -> None:
         """Answer without waiting for the balancer: reject if a retry is harmless, else fail."""
-        self.request_table.answer_unserved(request)
+        self.request_table.answer_without_balancer(request)
 
     def is_retry_safe(self, request: ActiveRequest) -> bool:
         """Whether the client may be told that a retry is harmless."""
@@ -226,9 +226,9 @@
         """Ask the client of an established connection to migrate; `reason` is for the log."""
         self.connection_review.migrate(request_id, reason)
 
-    def loads(self) -> dict[bytes, list[ConnectionLoad]]:
+    def connection_loads(self) -> dict[bytes, list[ConnectionLoad]]:
         """Loads of the established connections, by endpoint."""
-        return self.connection_review.loads()
+        return self.connection_review.connection_loads()
 
     def review_unresponsive_endpoints(self) -> None:
         """Migrate the clients of unresponsive endpoints; called several times a second."""
--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -48,7 +48,7 @@
                 by_endpoint.setdefault(attempt.endpoint, []).append((attempt, attempt.upstream))
         return by_endpoint
 
-    def loads(self) -> dict[bytes, list[ConnectionLoad]]:
+    def connection_loads(self) -> dict[bytes, list[ConnectionLoad]]:
         """Loads of the established connections, by endpoint."""
         return {
             endpoint: [
@@ -81,7 +81,9 @@
         if not self.table.settings.reports_message_time:
             return
         first_attempts = {endpoint: connections[0][0] for endpoint, connections in by_endpoint.items()}
-        for endpoint, elapsed_ms in self.endpoints.latency_estimator.review(self.loads(), self.clock()):
+        for endpoint, elapsed_ms in self.endpoints.latency_estimator.review(
+            self.connection_loads(), self.clock()
+        ):
             self._notify(first_attempts[endpoint], SLOW_NOTE, elapsed_ms)
 
     def record_load_report(self, attempt: Attempt, figure: float) -> None:
--- a/linnetshift/broker/request_table.py
+++ b/linnetshift/broker/request_table.py
@@ -103,7 +103,7 @@
         if client is not None:
             client.fail()
 
-    def answer_unserved(self, request: ActiveRequest) -> None:
+    def answer_without_balancer(self, request: ActiveRequest) -> None:
         """Answer without waiting for the balancer: reject if a retry is harmless, else fail."""
         if self.is_retry_safe(request):
             self.reject(request.id)
--- a/linnetshift/lifecycle/graceful_shutdown.py
+++ b/linnetshift/lifecycle/graceful_shutdown.py
@@ -161,7 +161,7 @@
     def _answer_remaining(self) -> None:
         """Send every client its last message: an answer, or that it is to migrate."""
         for request in self.broker.unanswered():
-            self.broker.answer_unserved(request)
+            self.broker.answer_without_balancer(request)
         for request in self.broker.established():
             self.broker.migrate(request.id, MIGRATION_REASON)
         self.clients.notify_idle_clients()
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -95,7 +95,7 @@
 
     def peer_resources(self) -> PeerResources:
         """Return the resources that this process holds, for the other one to count towards its limits."""
-        return PeerResources(self.loop.stream_count, self.broker.migrated, self.broker.loads())
+        return PeerResources(self.loop.stream_count, self.broker.migrated, self.broker.connection_loads())
 
     def update_peer_resources(self, peer_resources: PeerResources) -> None:
         """Count the other process's resources towards this one's limits."""
--- a/linnetshift/upstream/attempt_setup.py
+++ b/linnetshift/upstream/attempt_setup.py
@@ -57,7 +57,7 @@
         is_connected = yield from connection.connect(connection.address, timeout_ns)
         if not is_connected:
             if connection.was_refused:
-                self.broker.record_refusal(self.attempt.endpoint)
+                self.broker.record_unavailable(self.attempt.endpoint)
             reason = Reason.ABANDONED if connection.is_released else Reason.UNREACHABLE
             return AttemptResult(reason, Outcome.CONNECT_FAILED)
         stream = connection.stream
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -80,6 +80,6 @@
             endpoint,
             broker.settings.report_columns,
             partial(broker.handle_health_check_result, endpoint),
-            partial(broker.record_refusal, endpoint),
+            partial(broker.record_unavailable, endpoint),
         )
         checker.start(checker.run(address))
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -76,7 +76,7 @@
         self.record("migrate")
         self.requests = [request for request in self.requests if request.id != number]
 
-    def answer_unserved(self, request: Any) -> None:
+    def answer_without_balancer(self, request: Any) -> None:
         self.record("answer")
         self.unanswered_requests.remove(request)
 
--- a/tests/test_unconfirmed_endpoints.py
+++ b/tests/test_unconfirmed_endpoints.py
@@ -102,7 +102,7 @@
     broker = surroundings.broker
     first = surroundings.submit().attempt
     assert first is not None
-    broker.record_refusal(first.endpoint)
+    broker.record_unavailable(first.endpoint)
     surroundings.now += 7 * S
     broker.review_unconfirmed_endpoints()
     broker.process_events()
@@ -116,7 +116,7 @@
     surroundings = FakeSurroundings()
     attempt = surroundings.submit(wait_ns=60 * S).attempt
     assert attempt is not None
-    surroundings.broker.record_refusal(attempt.endpoint)
+    surroundings.broker.record_unavailable(attempt.endpoint)
     surroundings.now += 7 * S
     attempt.deadline = surroundings.now + S
     assert surroundings.broker.may_send(attempt)
