--- a/linnetshift/broker/active_request.py
+++ b/linnetshift/broker/active_request.py
@@ -27,7 +27,7 @@
     def resume(self) -> None:
         """Ignore the call."""
 
-    def reject(self, retry_after_ns: int, breach: str) -> None:
+    def reject(self, retry_after_ns: int, exceeded_limit: str) -> None:
         """Ignore the final answer."""
 
     def fail(self) -> None:
--- a/linnetshift/broker/contracts.py
+++ b/linnetshift/broker/contracts.py
@@ -30,7 +30,7 @@
     RETRIES = "retries"
 
 
-class Breach(NamedTuple):
+class ExceededLimit(NamedTuple):
     """The limit that a request would exceed, and the time after which a retry may be admitted."""
 
     limit: Limit
@@ -47,17 +47,17 @@
     concurrency: int | None = None  # maximum number of concurrent requests and connections
     active: int = 0  # requests and connections admitted and not yet released
 
-    def admit(self, service: int, is_retry: bool, now_ns: int) -> Breach | None:
-        """Admit one request, or return the first limit that it would exceed; a breach takes no token."""
+    def admit(self, service: int, is_retry: bool, now_ns: int) -> ExceededLimit | None:
+        """Admit one request, or return the first limit that it would exceed; then no token is taken."""
         if self.services is not None and service not in self.services:
-            return Breach(Limit.SERVICE, PROHIBITED_RETRY_AFTER_NS)
+            return ExceededLimit(Limit.SERVICE, PROHIBITED_RETRY_AFTER_NS)
         if self.concurrency is not None and self.active >= self.concurrency:
-            return Breach(Limit.CONCURRENCY, CONCURRENCY_RETRY_AFTER_NS)
+            return ExceededLimit(Limit.CONCURRENCY, CONCURRENCY_RETRY_AFTER_NS)
         retries = self.retries if is_retry else None
         buckets = ((Limit.RATE, self.rate), (Limit.RETRIES, retries))
         for limit, bucket in buckets:
             if bucket is not None and (wait_ns := bucket.wait_ns(now_ns)):
-                return Breach(limit, wait_ns)
+                return ExceededLimit(limit, wait_ns)
         for _, bucket in buckets:
             if bucket is not None:
                 bucket.take()
@@ -79,13 +79,13 @@
         """Without teams, there are no limits."""
         self.teams = dict(teams or {})
 
-    def admit(self, team: int, service: int, flags: int, now_ns: int) -> Breach | None:
+    def admit(self, team: int, service: int, flags: int, now_ns: int) -> ExceededLimit | None:
         """Admit a request, or return the limit that it would exceed; an admitted request must be released."""
         if not self.teams:
             return None
         contract = self.teams.get(team)
         if contract is None:
-            return Breach(Limit.TEAM, PROHIBITED_RETRY_AFTER_NS)
+            return ExceededLimit(Limit.TEAM, PROHIBITED_RETRY_AFTER_NS)
         return contract.admit(service, bool(flags & RETRY), now_ns)
 
     def carry_over(self, former: Contracts, active: Mapping[int, int]) -> None:
--- a/linnetshift/broker/ports.py
+++ b/linnetshift/broker/ports.py
@@ -76,8 +76,11 @@
     def resume(self) -> None:
         """Continue reading, as the endpoint's side is no longer congested."""
 
-    def reject(self, retry_after_ns: int, breach: str) -> None:
-        """Give the final answer: not done, a retry is harmless; `breach` is a contract's limit or empty."""
+    def reject(self, retry_after_ns: int, exceeded_limit: str) -> None:
+        """Give the final answer: not done, a retry is harmless.
+
+        `exceeded_limit` is a contract's limit or empty.
+        """
 
     def fail(self) -> None:
         """Give the final answer: not served, and the request may have had effects."""
--- a/linnetshift/broker/request_table.py
+++ b/linnetshift/broker/request_table.py
@@ -56,11 +56,11 @@
         """
         request.id = next(self._ids)
         request.submitted_ns = self.clock()
-        breach = self.contracts.admit(
+        exceeded_limit = self.contracts.admit(
             request.tenant, request.class_number, request.flags, request.submitted_ns
         )
-        if breach is not None:
-            request.detach_client().reject(breach.retry_after_ns, breach.limit)
+        if exceeded_limit is not None:
+            request.detach_client().reject(exceeded_limit.retry_after_ns, exceeded_limit.limit)
             return False
         self.requests[request.id] = request
         return True
--- a/linnetshift/frontends/channels/channel.py
+++ b/linnetshift/frontends/channels/channel.py
@@ -125,12 +125,15 @@
             self.session.write(encode_window_adjust(self.recipient_channel, self.bytes_to_grant))
             self.bytes_to_grant = 0
 
-    def reject(self, retry_after_ns: int, breach: str) -> None:
-        """Answer that a retry is safe: it was not executed; `breach` names a contract limit or is empty."""
+    def reject(self, retry_after_ns: int, exceeded_limit: str) -> None:
+        """Answer that a retry is safe, as it was not executed.
+
+        `exceeded_limit` names a contract limit or is empty.
+        """
         text = retry_after_text(ceil_ms(retry_after_ns))
-        if breach:
+        if exceeded_limit:
             reason = OpenFailureReason.ADMINISTRATIVELY_PROHIBITED
-            self._fail_open(reason, f"{breach}: {text}", Reason.REJECTED)
+            self._fail_open(reason, f"{exceeded_limit}: {text}", Reason.REJECTED)
         else:
             self._fail_open(OpenFailureReason.RESOURCE_SHORTAGE, text, Reason.REJECTED)
 
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -95,9 +95,9 @@
         """Resume relaying, since the endpoint is no longer congested."""
         self.post(Resume())
 
-    def reject(self, retry_after_ns: int, breach: str) -> None:
+    def reject(self, retry_after_ns: int, exceeded_limit: str) -> None:
         """Answer that the request was not executed."""
-        self.post(Rejected(retry_after_ns, breach))
+        self.post(Rejected(retry_after_ns, exceeded_limit))
 
     def fail(self) -> None:
         """Answer that the request failed."""
--- a/linnetshift/frontends/line_protocol/messages.py
+++ b/linnetshift/frontends/line_protocol/messages.py
@@ -17,7 +17,7 @@
     """The request was not executed, so a retry is safe."""
 
     retry_after_ns: int
-    breach: str  # the contract limit that was exceeded; the line protocol has no field for it
+    exceeded_limit: str  # the contract limit that was exceeded; the line protocol has no field for it
 
 
 class Failed(NamedTuple):
--- a/tests/fake_surroundings.py
+++ b/tests/fake_surroundings.py
@@ -80,8 +80,8 @@
 
     def resume(self) -> None: ...
 
-    def reject(self, retry_after_ns: int, breach: str) -> None:
-        self.client_calls.append(("reject", retry_after_ns, breach))
+    def reject(self, retry_after_ns: int, exceeded_limit: str) -> None:
+        self.client_calls.append(("reject", retry_after_ns, exceeded_limit))
 
     def fail(self) -> None:
         self.client_calls.append("fail")
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -81,10 +81,10 @@
     contracts = Contracts({0: contract})
     if limit != "service":
         assert contracts.admit(0, 0, flags, 1 * S) is None
-    breach = contracts.admit(0, 0, flags, 1 * S)
-    assert (breach is None) is (not limit)
-    if breach is not None:
-        assert (breach.limit, breach.retry_after_ns) == (limit, retry_after_ns)
+    exceeded_limit = contracts.admit(0, 0, flags, 1 * S)
+    assert (exceeded_limit is None) is (not limit)
+    if exceeded_limit is not None:
+        assert (exceeded_limit.limit, exceeded_limit.retry_after_ns) == (limit, retry_after_ns)
         assert limit == "service" or contracts.admit(0, 0, flags, 1 * S + retry_after_ns) is None
 
 
--- a/tests/test_broker_parts.py
+++ b/tests/test_broker_parts.py
@@ -117,9 +117,9 @@
     later.carry_over(former, {0: 1})
     assert later.admit(0, 0, 0, 1 * S) is None
     assert later.teams[0].active == 2
-    breach = later.admit(0, 0, 0, 2 * S)
-    assert breach is not None
-    assert breach.limit == "concurrency"
+    exceeded_limit = later.admit(0, 0, 0, 2 * S)
+    assert exceeded_limit is not None
+    assert exceeded_limit.limit == "concurrency"
     assert later.admit(2, 0, 0, 1 * S) is None
 
 
