--- a/linnetshift/routing/endpoint_selection.py
+++ b/linnetshift/routing/endpoint_selection.py
@@ -53,7 +53,7 @@
             if is_mid_flow:
                 return endpoint
             if endpoint in pending.endpoints_tried:
-                if already_tried is None and endpoint not in pending.endpoints_that_erred:
+                if already_tried is None and endpoint not in pending.endpoints_with_errors:
                     already_tried = endpoint
             elif self.is_avoided(endpoint, pending.request_class):
                 if last_resort is None and self._is_last_resort(endpoint, pending.request_class):
@@ -111,7 +111,7 @@
             if endpoint not in pending.endpoints_tried:
                 if self._may_be_chosen(endpoint, pending.request_class):
                     return True
-            elif endpoint.answered_sent_at > sent_at and endpoint not in pending.endpoints_that_erred:
+            elif endpoint.last_accepted_sent_at > sent_at and endpoint not in pending.endpoints_with_errors:
                 return True
         return False
 
@@ -121,7 +121,7 @@
             endpoint
             for endpoint in self._endpoints.values()
             if endpoint.accepts_new
-            and (endpoint.answered_sent_at > since or self._may_be_chosen(endpoint, request_class))
+            and (endpoint.last_accepted_sent_at > since or self._may_be_chosen(endpoint, request_class))
         ]
 
     def _may_be_chosen(self, endpoint: Endpoint, request_class: RequestClass) -> bool:
--- a/linnetshift/routing/endpoints.py
+++ b/linnetshift/routing/endpoints.py
@@ -68,12 +68,12 @@
     ejected_at: int = 0
     load: float = 0.0  # share of its capacity in use, as last reported
     load_reported_at: int = NEVER_REPORTED_NS
-    sends_since_report: int = 0  # this balancer's attempts there since the reported load changed
-    sends_before_report: int = 0  # the same between the two latest changes
+    sends_since_load_change: int = 0  # this balancer's attempts there since the reported load changed
+    sends_before_load_change: int = 0  # the same between the two latest changes
     health_check_sent_at: int = 0  # send time of the health check in flight; 0: none
     unresponsive_reports: dict[int, int] = field(default_factory=dict)  # time of the report, by balancer
     last_established_at: int = 0
-    answered_sent_at: int = 0  # send time of the latest attempt that it accepted
+    last_accepted_sent_at: int = 0  # send time of the latest attempt that it accepted
     consecutive_errors: int = 0  # errors in a row; only the first one of each request counts
     half_open_request: int = NO_REQUEST  # request whose attempt tests it after an ejection
     is_recovery_due: bool = False  # ready again: gets the next request, or might get none for long
--- a/linnetshift/routing/health_checks.py
+++ b/linnetshift/routing/health_checks.py
@@ -156,8 +156,8 @@
         connections = report[self._connections_column] if self._connections_column != NO_COLUMN else 0.0
         if load != endpoint.load:
             endpoint.load = load
-            endpoint.sends_before_report = endpoint.sends_since_report
-            endpoint.sends_since_report = 0
+            endpoint.sends_before_load_change = endpoint.sends_since_load_change
+            endpoint.sends_since_load_change = 0
         if MIN_REPORTED_CONNECTIONS < connections < MAX_REPORTED_CONNECTIONS:
             self.load_per_connection += REPORT_WEIGHT * (load / connections - self.load_per_connection)
         if load <= MAX_LOAD:
@@ -171,5 +171,5 @@
         burst of arrivals the other balancers are assumed to send as many as this one.
         """
         balancers = min(self._context.settings.balancers, max(1.0, self._arrivals.value))
-        sends = endpoint.sends_since_report + endpoint.sends_before_report / 2
+        sends = endpoint.sends_since_load_change + endpoint.sends_before_load_change / 2
         return endpoint.load + sends * balancers * self.load_per_connection
--- a/linnetshift/routing/outlier_detection.py
+++ b/linnetshift/routing/outlier_detection.py
@@ -43,7 +43,7 @@
         """
         now = self._context.now
         endpoint.last_established_at = now
-        endpoint.answered_sent_at = max(endpoint.answered_sent_at, now - elapsed_ns)
+        endpoint.last_accepted_sent_at = max(endpoint.last_accepted_sent_at, now - elapsed_ns)
         endpoint.unresponsive_reports.clear()
         if endpoint.half_open_request == request_id:
             endpoint.half_open_request = NO_REQUEST
--- a/linnetshift/routing/pending_requests.py
+++ b/linnetshift/routing/pending_requests.py
@@ -34,7 +34,7 @@
     is_established: bool = False
     health_checks_sent: int = 0  # before its placement
     endpoints_tried: list[Endpoint] = field(default_factory=list)
-    endpoints_that_erred: list[Endpoint] = field(default_factory=list)
+    endpoints_with_errors: list[Endpoint] = field(default_factory=list)
     skipped_ranks: int = 0  # number of best ranks that a returning client skips
     warming_endpoint: bytes = b""  # endpoint that a slow-start token was drawn for
     possibly_executed_on: Endpoint | None = None  # by the first attempt that may have had an effect
@@ -111,7 +111,7 @@
         pending.endpoints_tried.append(endpoint)
         endpoint.in_flight += 1
         endpoint.is_recovery_due = False
-        endpoint.sends_since_report += 1
+        endpoint.sends_since_load_change += 1
         self.setups_in_flight += 1
 
     def establish(self, pending: PendingRequest, endpoint: Endpoint) -> None:
--- a/linnetshift/routing/request_lifecycle.py
+++ b/linnetshift/routing/request_lifecycle.py
@@ -89,8 +89,8 @@
             self._requests.remove(pending)
             return
         if event.outcome == Outcome.ERROR:
-            is_first = not pending.endpoints_that_erred
-            pending.endpoints_that_erred.append(endpoint)
+            is_first = not pending.endpoints_with_errors
+            pending.endpoints_with_errors.append(endpoint)
             self._outlier_detection.record_error(endpoint, is_first)
         if retry_policy.is_request_at_fault(pending):
             self._requests.remove(pending)
--- a/linnetshift/routing/retry_policy.py
+++ b/linnetshift/routing/retry_policy.py
@@ -99,5 +99,5 @@
 
 def is_request_at_fault(pending: PendingRequest) -> bool:
     """Whether enough endpoints that otherwise work returned an error for the request to be the cause."""
-    working = sum(not endpoint.returns_errors() for endpoint in pending.endpoints_that_erred)
+    working = sum(not endpoint.returns_errors() for endpoint in pending.endpoints_with_errors)
     return working >= ERROR_THRESHOLD
--- a/tests/test_endpoint_selection.py
+++ b/tests/test_endpoint_selection.py
@@ -36,9 +36,9 @@
     assert parts.selection.choose(pending, is_mid_flow=False) is second
     pending.endpoints_tried = [first, second]
     assert parts.selection.choose(pending, is_mid_flow=False) is first
-    pending.endpoints_that_erred = [first]
+    pending.endpoints_with_errors = [first]
     assert parts.selection.choose(pending, is_mid_flow=False) is second
-    pending.endpoints_that_erred = [first, second]
+    pending.endpoints_with_errors = [first, second]
     assert parts.selection.choose(pending, is_mid_flow=False) is None
 
 
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -88,7 +88,7 @@
         check_with_result(parts, endpoint, 10.0, 0.8)
     assert parts.health_checks.load_per_connection == pytest.approx(0.08, rel=0.05)
     assert not parts.health_checks.should_avoid(endpoint)
-    endpoint.sends_since_report = 1
+    endpoint.sends_since_load_change = 1
     assert parts.health_checks.should_avoid(endpoint)
 
 
--- a/tests/test_pending_requests.py
+++ b/tests/test_pending_requests.py
@@ -16,7 +16,8 @@
     endpoint.is_recovery_due = True
     pending = parts.pending(1)
     parts.requests.begin_attempt(pending, endpoint)
-    assert (parts.requests.setups_in_flight, endpoint.in_flight, endpoint.sends_since_report) == (1, 1, 1)
+    assert (parts.requests.setups_in_flight, endpoint.in_flight) == (1, 1)
+    assert endpoint.sends_since_load_change == 1
     assert pending.last_attempt == 0
     assert pending.endpoints_tried == [endpoint]
     assert not endpoint.is_recovery_due
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -86,7 +86,7 @@
 def test_request_is_at_fault_when_two_endpoints_that_work_return_an_error() -> None:
     parts = Parts()
     pending = parts.pending(1)
-    pending.endpoints_that_erred = [parts.endpoint(0), parts.endpoint(1)]
+    pending.endpoints_with_errors = [parts.endpoint(0), parts.endpoint(1)]
     assert retry_policy.is_request_at_fault(pending)
     parts.endpoint(1).consecutive_errors = 2
     assert not retry_policy.is_request_at_fault(pending)
