--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -11,7 +11,7 @@
 from linnetshift.broker.latency_estimator import ConnectionLoad
 from linnetshift.broker.ports import UpstreamConnection
 from linnetshift.broker.request_table import RequestTable
-from linnetshift.routing.events import LOAD_NOTE, SLOW_NOTE, ConnectionNote, Outcome
+from linnetshift.routing.events import LOAD_NOTE, MESSAGE_TIME_NOTE, ConnectionNote, Outcome
 
 # A client is migrated when one of its messages has had no reply for this long: a connection without replies
 # must be ended or migrated within 7 s.
@@ -84,7 +84,7 @@
         for endpoint, elapsed_ms in self.endpoints.latency_estimator.review(
             self.connection_loads(), self.clock()
         ):
-            self._notify(first_attempts[endpoint], SLOW_NOTE, elapsed_ms)
+            self._notify(first_attempts[endpoint], MESSAGE_TIME_NOTE, elapsed_ms)
 
     def record_load_report(self, attempt: Attempt, figure: float) -> None:
         """Record a load report: the connection's load in us/s, or the endpoint's message time in ms.
@@ -99,7 +99,7 @@
             endpoint, figure, self.clock()
         ):
             self.endpoints.deployment_facts.observe(Fact.MESSAGE_TIMES, MessageTimes.REPORTED)
-            self._notify(attempt, SLOW_NOTE, figure)
+            self._notify(attempt, MESSAGE_TIME_NOTE, figure)
             return
         attempt.load_us_per_s = figure
         self._notify(attempt, LOAD_NOTE, figure)
--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -15,10 +15,10 @@
 from linnetshift.routing.endpoints import EndpointTable
 from linnetshift.routing.events import (
     LOAD_NOTE,
+    MESSAGE_TIME_NOTE,
     MID_FLOW,
     RETRY,
     RETURNED,
-    SLOW_NOTE,
     AdoptedConnection,
     AttemptEnded,
     ConnectionEstablished,
@@ -190,7 +190,7 @@
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or not 0.0 <= event.value < MAX_NOTE_VALUE:
             return
-        if event.kind == SLOW_NOTE:
+        if event.kind == MESSAGE_TIME_NOTE:
             self._message_latency.handle_report(endpoint, int(event.value * NS_PER_MS))
         elif event.kind == LOAD_NOTE:
             pending = self.requests.get(event.request_id)
--- a/linnetshift/routing/events.py
+++ b/linnetshift/routing/events.py
@@ -85,8 +85,8 @@
 # Values of `ConnectionNote.kind`.
 LOAD_NOTE = 1
 """The connection's load changed; the value is in microseconds of work a second."""
-SLOW_NOTE = 2
-"""Messages are slow at the connection's endpoint; the value is the time that one takes, in milliseconds."""
+MESSAGE_TIME_NOTE = 2
+"""The value is the time that a message takes at the connection's endpoint, in milliseconds."""
 
 
 class EndpointEntry(NamedTuple):
@@ -161,7 +161,7 @@
     request_id: int
     attempt: int
     endpoint: bytes
-    kind: int  # `LOAD_NOTE` or `SLOW_NOTE`, which gives the unit of the value
+    kind: int  # `LOAD_NOTE` or `MESSAGE_TIME_NOTE`, which gives the unit of the value
     value: float
 
 
--- a/tests/test_deployment_settings.py
+++ b/tests/test_deployment_settings.py
@@ -14,7 +14,7 @@
 from linnetshift.routing.actions import HealthCheck, Migrate, Send
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import (
-    SLOW_NOTE,
+    MESSAGE_TIME_NOTE,
     ConnectionEstablished,
     ConnectionNote,
     HealthCheckResult,
@@ -72,7 +72,7 @@
 def test_group_of_slow_endpoint_uses_next_ranked_one() -> None:
     balancer = make_balancer(8)
     (group_endpoint,) = establish(balancer, 12, 1)[1]
-    balancer.step(4 * S, [ConnectionNote(1, 0, group_endpoint, SLOW_NOTE, 60.0)])
+    balancer.step(4 * S, [ConnectionNote(1, 0, group_endpoint, MESSAGE_TIME_NOTE, 60.0)])
     (send,) = only(balancer.step(4 * S + MS, [request(500, group=1)]), Send)
     assert send.endpoint != group_endpoint
 
@@ -191,11 +191,11 @@
     balancer = make_balancer(8)
     establish(balancer, 40, 4)
     balancer.step(4 * S, [listed(*(entry(n, started_ns=4 * S if n < 5 else 0) for n in range(8)))])
-    slow_notes = [ConnectionNote(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5)]
+    slow_notes = [ConnectionNote(1, 0, endpoint(n), MESSAGE_TIME_NOTE, 90.0) for n in range(5)]
     balancer.step(5 * S, slow_notes)
     balancer.step(6 * S + MS, slow_notes)
     assert balancer.admission.load_shedding.admitted_share == 1.0
-    warm_notes = [ConnectionNote(1, 0, endpoint(n), SLOW_NOTE, 90.0) for n in range(5, 8)]
+    warm_notes = [ConnectionNote(1, 0, endpoint(n), MESSAGE_TIME_NOTE, 90.0) for n in range(5, 8)]
     balancer.step(7 * S + 2 * MS, slow_notes + warm_notes)
     balancer.step(8 * S + 3 * MS, slow_notes + warm_notes)
     assert balancer.admission.load_shedding.admitted_share < 1.0
@@ -247,7 +247,9 @@
             served += 1
             # A message of 5 ms is slow in no deployment, whether or not an objective is configured.
             assert not only(
-                balancer.step(balancer.now, [ConnectionNote(number, 0, send.endpoint, SLOW_NOTE, 5.0)]),
+                balancer.step(
+                    balancer.now, [ConnectionNote(number, 0, send.endpoint, MESSAGE_TIME_NOTE, 5.0)]
+                ),
                 Migrate,
             )
     assert served == 40
--- a/tests/test_latency_objectives.py
+++ b/tests/test_latency_objectives.py
@@ -10,7 +10,7 @@
 
 from linnetshift.routing.actions import Migrate, Send
 from linnetshift.routing.balancer import Balancer
-from linnetshift.routing.events import SLOW_NOTE, ConnectionEstablished, ConnectionNote
+from linnetshift.routing.events import MESSAGE_TIME_NOTE, ConnectionEstablished, ConnectionNote
 
 STRICT, LOOSE = 0, 1
 
@@ -38,7 +38,7 @@
     # Fault: a loose class avoided endpoints within its objective, due to the objective of a strict one.
     balancer = balancer_with_two_classes()
     home = establish(balancer, 1, LOOSE)
-    balancer.step(3 * S, [ConnectionNote(1, 0, home, SLOW_NOTE, message_time_ms)])
+    balancer.step(3 * S, [ConnectionNote(1, 0, home, MESSAGE_TIME_NOTE, message_time_ms)])
     assert (establish(balancer, 2, STRICT) == home) is strict_placed
     assert (establish(balancer, 3, LOOSE) == home) is loose_placed
 
@@ -51,7 +51,7 @@
     migrated: set[int] = set()
     for second in range(3, 15):
         # Over the strict objective (20 ms), far below the loose one (400 ms).
-        actions = balancer.step(second * S, [ConnectionNote(1, 0, home, SLOW_NOTE, 30.0)])
+        actions = balancer.step(second * S, [ConnectionNote(1, 0, home, MESSAGE_TIME_NOTE, 30.0)])
         migrated.update(migration.request_id for migration in only(actions, Migrate))
     assert migrated
     assert all(number % 10 == 0 for number in migrated)
@@ -69,7 +69,7 @@
     for message_time_ms, admits_all in ((300.0, True), (500.0, False)):
         for _ in range(3):
             notes = [
-                ConnectionNote(request_id, 0, endpoint_id, SLOW_NOTE, message_time_ms)
+                ConnectionNote(request_id, 0, endpoint_id, MESSAGE_TIME_NOTE, message_time_ms)
                 for endpoint_id, request_id in request_ids.items()
             ]
             balancer.step(balancer.now + S, list(notes))
--- a/tests/test_many_balancers.py
+++ b/tests/test_many_balancers.py
@@ -14,8 +14,8 @@
 
 from linnetshift.routing.actions import Reject, Send
 from linnetshift.routing.events import (
+    MESSAGE_TIME_NOTE,
     RETURNED,
-    SLOW_NOTE,
     ConnectionEstablished,
     ConnectionNote,
     EndpointEntry,
@@ -56,7 +56,7 @@
 
 
 def slow_note(request_id: int, endpoint_id: bytes, latency_ms: float) -> ConnectionNote:
-    return ConnectionNote(request_id, 0, endpoint_id, SLOW_NOTE, latency_ms)
+    return ConnectionNote(request_id, 0, endpoint_id, MESSAGE_TIME_NOTE, latency_ms)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -19,7 +19,7 @@
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import (
     LOAD_NOTE,
-    SLOW_NOTE,
+    MESSAGE_TIME_NOTE,
     AdoptedConnection,
     AttemptEnded,
     ConnectionEstablished,
@@ -151,10 +151,10 @@
     balancer = make_balancer(8)
     send = single_send(balancer.step(2 * S, [request(1, group=5)]))
     balancer.step(2 * S + MS, [ConnectionEstablished(1, 0, send.endpoint, MS)])
-    balancer.step(2 * S + 2 * MS, [ConnectionNote(1, 0, send.endpoint, SLOW_NOTE, 30.0)])
+    balancer.step(2 * S + 2 * MS, [ConnectionNote(1, 0, send.endpoint, MESSAGE_TIME_NOTE, 30.0)])
     (other,) = only(balancer.step(2 * S + 3 * MS, [request(2, group=5)]), Send)
     assert other.endpoint != send.endpoint
-    balancer.step(2 * S + 4 * MS, [ConnectionNote(1, 0, send.endpoint, SLOW_NOTE, 5.0)])
+    balancer.step(2 * S + 4 * MS, [ConnectionNote(1, 0, send.endpoint, MESSAGE_TIME_NOTE, 5.0)])
     (next_send,) = only(balancer.step(2 * S + 5 * MS, [request(3, group=5)]), Send)
     assert next_send.endpoint == send.endpoint
 
@@ -168,7 +168,7 @@
         balancer.step(2 * S + 3 * MS, [ConnectionEstablished(1, 0, send.endpoint, 1), TimerFired(12345)])
         == []
     )
-    assert balancer.step(2 * S + 4 * MS, [ConnectionNote(1, 0, endpoint(200), SLOW_NOTE, 1e9)]) == []
+    assert balancer.step(2 * S + 4 * MS, [ConnectionNote(1, 0, endpoint(200), MESSAGE_TIME_NOTE, 1e9)]) == []
     assert not balancer.requests
     assert all(not e.in_flight and not e.established for e in balancer.endpoints.values())
 
@@ -178,7 +178,7 @@
     balancer = make_balancer(8)
     send = single_send(balancer.step(2 * S, [request(1, group=5)]))
     balancer.step(2 * S + MS, [ConnectionEstablished(1, 0, send.endpoint, MS)])
-    for kind in (LOAD_NOTE, SLOW_NOTE, 77):
+    for kind in (LOAD_NOTE, MESSAGE_TIME_NOTE, 77):
         assert balancer.step(3 * S, [ConnectionNote(1, 0, send.endpoint, kind, value)]) == []
     (next_send,) = only(balancer.step(3 * S + MS, [request(2, group=5)]), Send)
     assert next_send.endpoint == send.endpoint
@@ -245,13 +245,17 @@
     slow_endpoint = established[0].endpoint
     connection_count = len(balancer.endpoints[slow_endpoint].established)
     migrations = only(
-        balancer.step(3 * S, [ConnectionNote(established[0].request_id, 0, slow_endpoint, SLOW_NOTE, 45.0)]),
+        balancer.step(
+            3 * S, [ConnectionNote(established[0].request_id, 0, slow_endpoint, MESSAGE_TIME_NOTE, 45.0)]
+        ),
         Migrate,
     )
     assert 0 < len(migrations) <= connection_count * 0.05 + 1
     balancer = make_balancer(1)
     established = establish(balancer, 50)
-    assert not only(balancer.step(3 * S, [ConnectionNote(0, 0, endpoint(0), SLOW_NOTE, 45.0)]), Migrate)
+    assert not only(
+        balancer.step(3 * S, [ConnectionNote(0, 0, endpoint(0), MESSAGE_TIME_NOTE, 45.0)]), Migrate
+    )
 
 
 def test_every_balancer_sheds_same_keys_when_most_endpoints_are_slow() -> None:
@@ -263,7 +267,9 @@
         now = 3 * S
         for _ in range(4):
             now += S
-            balancer.step(now, [ConnectionNote(r, 0, e, SLOW_NOTE, 500.0) for e, r in by_endpoint.items()])
+            balancer.step(
+                now, [ConnectionNote(r, 0, e, MESSAGE_TIME_NOTE, 500.0) for e, r in by_endpoint.items()]
+            )
         rejected = only(balancer.step(now + MS, [request(500 + n, group=n + 1) for n in range(300)]), Reject)
         assert 150 < len(rejected) < 280
         assert all(r.retry_after_ns > 0 for r in rejected)
@@ -401,7 +407,8 @@
     slow_endpoint = established[0].endpoint
     for _ in range(40):  # connections that are not admitted migrate first
         balancer.step(
-            balancer.now + S, [ConnectionNote(established[0].request_id, 0, slow_endpoint, SLOW_NOTE, 500.0)]
+            balancer.now + S,
+            [ConnectionNote(established[0].request_id, 0, slow_endpoint, MESSAGE_TIME_NOTE, 500.0)],
         )
         if not balancer.endpoints[slow_endpoint].established:
             break
@@ -411,7 +418,9 @@
         ):
             before = len(balancer.endpoints[slow_endpoint].established)
             migrations = only(
-                balancer.step(balancer.now + S, [ConnectionNote(0, 0, slow_endpoint, SLOW_NOTE, 60.0)]),
+                balancer.step(
+                    balancer.now + S, [ConnectionNote(0, 0, slow_endpoint, MESSAGE_TIME_NOTE, 60.0)]
+                ),
                 Migrate,
             )
             assert migrations
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,10 +29,10 @@
 )
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import (
+    MESSAGE_TIME_NOTE,
     MID_FLOW,
     NOT_EXECUTED_OUTCOMES,
     RETURNED,
-    SLOW_NOTE,
     AttemptEnded,
     ConnectionEstablished,
     ConnectionNote,
@@ -362,7 +362,7 @@
     def report_latency(self, latency_ms: float) -> None:
         simulation = self.simulation
         notes = [
-            ConnectionNote(request, 0, endpoint_id, SLOW_NOTE, latency_ms)
+            ConnectionNote(request, 0, endpoint_id, MESSAGE_TIME_NOTE, latency_ms)
             for request, endpoint_id in simulation.established.items()
         ]
         for note in notes:
