--- a/linnetshift/config/names.py
+++ b/linnetshift/config/names.py
@@ -51,10 +51,10 @@
         """The tables themselves, not copies."""
         return NumberedNames(self.tenants, self.zones, self.kinds)
 
-    def adopt(self, later: NameRegistry) -> dict[str, int]:
+    def update_from(self, later: NameRegistry) -> dict[str, int]:
         """Add the names of reloaded settings in place, as other parts hold references to this registry.
 
-        Returns the numbers of discontinued classes, by name. These stay known until `forget_classes` removes
+        Returns the numbers of discontinued classes, by name. These stay known until `remove_classes` removes
         them, as clients learn of the change later.
         """
         for known, listed in zip(self.numbered_names(), later.numbered_names(), strict=True):
@@ -63,7 +63,7 @@
         self.classes = {**discontinued, **later.classes}
         return discontinued
 
-    def forget_classes(self, discontinued: dict[str, int], offered: tuple[int, ...]) -> None:
+    def remove_classes(self, discontinued: dict[str, int], offered: tuple[int, ...]) -> None:
         """Remove discontinued classes, except those offered again or replaced since."""
         for name, number in discontinued.items():
             if number not in offered and self.classes.get(name) == number:
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -123,13 +123,13 @@
         self.config = files.proxy
         self.broker_config = files.broker
         self.activation.address = files.broker.channels
-        discontinued = self.names.adopt(files.proxy.names)
+        discontinued = self.names.update_from(files.proxy.names)
         self.broker.configure(files.proxy.settings, files.broker.contracts)
-        self.loop.call_later(DISCONTINUED_CLASS_GRACE_NS, partial(self._forget_classes, discontinued))
+        self.loop.call_later(DISCONTINUED_CLASS_GRACE_NS, partial(self._remove_classes, discontinued))
         if files.proxy.cached_list.event.version > self.discovery.version:
             self.handle_list_update(files.proxy.cached_list)
         self.discovery.reconfigure(files.proxy.discovery, WatchTimeouts.of(files.proxy.settings))
         return discontinued
 
-    def _forget_classes(self, discontinued: dict[str, int]) -> None:
-        self.names.forget_classes(discontinued, self.config.settings.offered_numbers)
+    def _remove_classes(self, discontinued: dict[str, int]) -> None:
+        self.names.remove_classes(discontinued, self.config.settings.offered_numbers)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -168,7 +168,7 @@
 def test_registry_adopts_later_names_in_place() -> None:
     first = registry(zones=["a"])
     zones = first.zones
-    assert first.adopt(registry(first, zones=["b"])) == {}
+    assert first.update_from(registry(first, zones=["b"])) == {}
     assert zones is first.zones
     assert zones == {"a": 0, "b": 1}
 
@@ -177,12 +177,12 @@
     names, later = registry(), registry()
     name, number = next(iter(names.classes.items()))
     later.classes = {"later": number + 1}
-    discontinued = names.adopt(later)
+    discontinued = names.update_from(later)
     assert discontinued == {name: number}
     assert names.classes == {name: number, "later": number + 1}
-    names.forget_classes(discontinued, (number, number + 1))  # offered again since
+    names.remove_classes(discontinued, (number, number + 1))  # offered again since
     assert name in names.classes
-    names.forget_classes(discontinued, (number + 1,))
+    names.remove_classes(discontinued, (number + 1,))
     assert names.classes == {"later": number + 1}
 
 
