--- a/linnetshift/admin/connection.py
+++ b/linnetshift/admin/connection.py
@@ -103,7 +103,7 @@
         self.stream.close()
         self.report_closed(Reason.REQUEST_TIMEOUT if has_timed_out else Reason.ANSWERED, response.status)
 
-    def faulted(self, error: Exception) -> None:
+    def handle_fault(self, error: Exception) -> None:
         """Contain a fault of one call: it must not end the process."""
         log.exception(error)
         self.owner.handle_call_ended(self)
--- a/linnetshift/admin/server.py
+++ b/linnetshift/admin/server.py
@@ -30,7 +30,7 @@
     """
 
     def __init__(self, loop: Loop, operations: Operations) -> None:
-        """A server without a listener; `use_acceptor` sets one."""
+        """A server without a listener; `replace_acceptor` sets one."""
         self.loop = loop
         self.operations = operations
         # Dictionaries, as they keep the order of insertion: the oldest first.
@@ -45,10 +45,10 @@
         return self.acceptor.address if self.acceptor is not None else None
 
     def open_acceptor(self, address: Address) -> Acceptor:
-        """Listen on the address, for `use_acceptor`; raises OSError if it can't be bound."""
-        return Acceptor(self.loop, address, self.handle_connection, make_room=self.make_room)
+        """Listen on the address, for `replace_acceptor`; raises OSError if it can't be bound."""
+        return Acceptor(self.loop, address, self.handle_connection, free_descriptor=self.free_descriptor)
 
-    def use_acceptor(self, acceptor: Acceptor | None) -> None:
+    def replace_acceptor(self, acceptor: Acceptor | None) -> None:
         """Replace the listener, or remove it with None; calls in progress are still answered."""
         if self.acceptor is not None:
             self.acceptor.close()
@@ -66,9 +66,9 @@
 
     # ---- descriptors ------------------------------------------------------------------------
 
-    def make_room(self) -> bool:
+    def free_descriptor(self) -> bool:
         """Free a descriptor: evict a connection without a request, else release a reserved descriptor."""
-        if self.loop.make_room():
+        if self.loop.free_descriptor():
             return True
         if not self.reserved_descriptors:
             return False
--- a/linnetshift/event_loop/actor.py
+++ b/linnetshift/event_loop/actor.py
@@ -82,11 +82,11 @@
             self.coroutine.send(message)
         except StopIteration:
             self.end()
-        # `faulted` either contains the fault or ends the program.
+        # `handle_fault` either contains the fault or ends the program.
         except Exception as error:  # noqa: BLE001
             self.coroutine = None  # first, so that messages caused by the fault are dropped
             try:
-                self.faulted(error)
+                self.handle_fault(error)
             finally:
                 self.end()
 
@@ -99,7 +99,7 @@
         if self.stream is not None:
             self.stream.close()
 
-    def faulted(self, error: Exception) -> None:
+    def handle_fault(self, error: Exception) -> None:
         """Handle an exception that the coroutine raised; the actor is ended afterwards.
 
         Actors that serve one connection override it to contain the fault; by default it ends the program.
--- a/linnetshift/event_loop/connection_limits.py
+++ b/linnetshift/event_loop/connection_limits.py
@@ -104,7 +104,7 @@
         self.silent_connections: dict[EvictableConnection, None] = {}
         self.sending_connections: dict[EvictableConnection, None] = {}
         self.peer_descriptors = 0  # open in the other process during a hot restart
-        loop.make_room = self.make_room
+        loop.free_descriptor = self.free_descriptor
 
     def add(self, connection: EvictableConnection) -> None:
         """Track a connection without a request; evict others while too many are open.
@@ -112,7 +112,7 @@
         A usual client is not evicted: its request line arrives at once, and `remove` ends the tracking.
         """
         self.silent_connections[connection] = None
-        while self.is_over_limit() and self.count() > 1 and self.make_room():
+        while self.is_over_limit() and self.count() > 1 and self.free_descriptor():
             pass
 
     def is_over_limit(self) -> bool:
@@ -147,7 +147,7 @@
         """The number of tracked connections and its bound, by its name in `/ops/census`."""
         return {"strangers": ResourceUsage(self.count(), max_connections)}
 
-    def make_room(self) -> bool:
+    def free_descriptor(self) -> bool:
         """Evict the first connection in eviction order; returns whether there was one."""
         connection = next((oldest for tracked in self.eviction_order() for oldest in tracked), None)
         if connection is None:
--- a/linnetshift/event_loop/loop.py
+++ b/linnetshift/event_loop/loop.py
@@ -46,7 +46,7 @@
         self.stopped = False
         self.stream_count = 0  # open streams
         # Called when no descriptor is free: closes a connection and returns True, or returns False.
-        self.make_room: Callable[[], bool] = lambda: False
+        self.free_descriptor: Callable[[], bool] = lambda: False
         # The earliest time at which the descriptors of the last poll may have become ready: the start of the
         # poll if it returned at once, else its end.
         self.ready_since = self.now()
--- a/linnetshift/event_loop/outbound_connection.py
+++ b/linnetshift/event_loop/outbound_connection.py
@@ -38,7 +38,7 @@
     stream: Stream | None = None
     was_refused = False  # ECONNREFUSED: no process listens at the address
 
-    def faulted(self, error: Exception) -> None:
+    def handle_fault(self, error: Exception) -> None:
         """Contain a fault of one connection: it must not end the process."""
         log.exception(error)
         if self.stream is not None:
@@ -81,7 +81,7 @@
             try:
                 return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             except OSError as error:
-                if not self.loop.make_room():
+                if not self.loop.free_descriptor():
                     log.info("socket-unavailable", endpoint=address, error=error.strerror)
                     return None
 
--- a/linnetshift/frontends/channels/session.py
+++ b/linnetshift/frontends/channels/session.py
@@ -116,7 +116,7 @@
         self.stream.close()
         self._report_end()
 
-    def faulted(self, error: Exception) -> None:
+    def handle_fault(self, error: Exception) -> None:
         """Contain an internal error: only this session ends."""
         log.exception(error)
         self.end_reason = Reason.FAULT
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -130,7 +130,7 @@
         yield from self._close(reason)
         self._report_end(reason)
 
-    def faulted(self, error: Exception) -> None:
+    def handle_fault(self, error: Exception) -> None:
         """Contain an internal error: only this connection ends."""
         log.exception(error)
         if self.request is not None:
--- a/linnetshift/frontends/listener.py
+++ b/linnetshift/frontends/listener.py
@@ -43,17 +43,17 @@
         address: Address,
         on_accept: Callable[[socket.socket, Address], None],
         inherited: socket.socket | None = None,
-        make_room: Callable[[], bool] | None = None,
+        free_descriptor: Callable[[], bool] | None = None,
     ) -> None:
         """Start accepting, on a new socket bound to `address` unless one is inherited; raises OSError.
 
-        `on_accept` takes ownership of the socket that it is passed. `make_room` is called when no descriptor
-        is free, and returns whether one may be free now; by default it is the loop's.
+        `on_accept` takes ownership of the socket that it is passed. `free_descriptor` is called when no
+        descriptor is free, and returns whether one may be free now; by default it is the loop's.
         """
         self.loop = loop
         self.address = address
         self.on_accept = on_accept
-        self.make_room = make_room or loop.make_room
+        self.free_descriptor = free_descriptor or loop.free_descriptor
         self.is_paused = False
         self.is_inherited = inherited is not None
         self.listener = inherited if inherited is not None else _open_listener(address)
@@ -98,7 +98,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno in DESCRIPTOR_SHORTAGE_ERRNOS and self.make_room():
+                if error.errno in DESCRIPTOR_SHORTAGE_ERRNOS and self.free_descriptor():
                     continue
                 if error.errno in RESOURCE_SHORTAGE_ERRNOS:
                     self._pause_for(ACCEPT_PAUSE_NS)
@@ -152,7 +152,7 @@
     def listen(self, address: Address, inherited: socket.socket | None = None) -> None:
         """Listen on `address` unless this frontend already does; raises OSError."""
         if address != self.address:
-            self.use_acceptor(Acceptor(self.loop, address, self.handle_connection, inherited))
+            self.replace_acceptor(Acceptor(self.loop, address, self.handle_connection, inherited))
 
     def set_paused(self, is_paused: bool) -> None:
         """Stop accepting, which leaves new connections to the successor, or resume."""
@@ -160,7 +160,7 @@
         if self.acceptor is not None:
             self.acceptor.set_paused(is_paused)
 
-    def use_acceptor(self, acceptor: Acceptor) -> None:
+    def replace_acceptor(self, acceptor: Acceptor) -> None:
         """Replace and close the current acceptor; accepted connections stay open."""
         self.close()
         self.is_draining = False
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -101,7 +101,7 @@
             self._process_event(event)
         self._disconnect()
 
-    def faulted(self, error: Exception) -> None:
+    def handle_fault(self, error: Exception) -> None:
         """Log the fault and disconnect; no message of a peer may end this process."""
         log.exception(error)
         self._disconnect()
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -112,9 +112,9 @@
 
     def _switch_listeners(self, files: ConfigurationFiles, listeners: BoundListeners) -> None:
         for frontend, acceptor in listeners.frontends:
-            frontend.use_acceptor(acceptor)
+            frontend.replace_acceptor(acceptor)
         if listeners.admin is not None or files.proxy.admin is None:
-            self.admin_server.use_acceptor(listeners.admin)
+            self.admin_server.replace_acceptor(listeners.admin)
         if files.broker.channels is None and self.activation.frontend.address is not None:
             self.activation.migrate_channels()
 
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -183,7 +183,7 @@
         self.frontend.listen(self.config.listen, self.platform_listener)
         self.activation.start(self.reloader.broker_config.vrrp, imported.was_vrrp_active)
         if self.config.admin is not None:
-            self.admin_server.use_acceptor(self.admin_server.open_acceptor(self.config.admin))
+            self.admin_server.replace_acceptor(self.admin_server.open_acceptor(self.config.admin))
 
     def log_settings(self) -> None:
         """Log the settings in use as they were parsed."""
--- a/tests/test_configuration_reloader.py
+++ b/tests/test_configuration_reloader.py
@@ -108,8 +108,8 @@
     replace_read_files(monkeypatch, return_value=files)
     reloader.reload()
     assert reloader.config is files.proxy
-    reloader.frontend.use_acceptor.assert_called_once_with(acceptor_class.return_value)
-    reloader.admin_server.use_acceptor.assert_called_once_with(
+    reloader.frontend.replace_acceptor.assert_called_once_with(acceptor_class.return_value)
+    reloader.admin_server.replace_acceptor.assert_called_once_with(
         reloader.admin_server.open_acceptor.return_value
     )
     reloader.handle_list_update.assert_called_once_with(files.proxy.cached_list)
@@ -132,8 +132,8 @@
         reloader.reload()
     assert reloader.config is config_before
     assert [record.getMessage() for record in caplog.records] == ["configuration-rejected"]
-    reloader.frontend.use_acceptor.assert_not_called()
-    reloader.admin_server.use_acceptor.assert_not_called()
+    reloader.frontend.replace_acceptor.assert_not_called()
+    reloader.admin_server.replace_acceptor.assert_not_called()
     reloader.broker.configure.assert_not_called()
     opened = reloader.admin_server.open_acceptor
     assert opened.return_value.close.call_count == opened.call_count
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -27,7 +27,7 @@
 @pytest.fixture
 def acceptor(accepted: list[socket.socket]) -> Iterator[Acceptor]:
     open_acceptor = Acceptor(
-        Loop(), ANY_PORT, lambda sock, _peer: accepted.append(sock), make_room=lambda: False
+        Loop(), ANY_PORT, lambda sock, _peer: accepted.append(sock), free_descriptor=lambda: False
     )
     yield open_acceptor
     open_acceptor.close()
--- a/tests/test_memory_after_connections_end.py
+++ b/tests/test_memory_after_connections_end.py
@@ -314,7 +314,7 @@
         while True:
             yield
 
-    def faulted(self, error: Exception) -> None:
+    def handle_fault(self, error: Exception) -> None:
         self.error = str(error)
 
 
