--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from linnetshift.broker.active_request import Attempt
-from linnetshift.broker.deployment_facts import Fact, MessageTimes
+from linnetshift.broker.deployment_facts import FactKind, MessageTimes
 from linnetshift.broker.endpoint_views import EndpointViews
 from linnetshift.broker.event_inbox import EventInbox
 from linnetshift.broker.latency_estimator import ConnectionLoad
@@ -98,7 +98,7 @@
         if self.table.settings.reports_message_time and estimator.record_if_message_time(
             endpoint, figure, self.clock()
         ):
-            self.endpoints.deployment_facts.observe(Fact.MESSAGE_TIMES, MessageTimes.REPORTED)
+            self.endpoints.deployment_facts.observe(FactKind.MESSAGE_TIMES, MessageTimes.REPORTED)
             self._notify(attempt, MESSAGE_TIME_NOTE, figure)
             return
         attempt.load_us_per_s = figure
--- a/linnetshift/broker/contracts.py
+++ b/linnetshift/broker/contracts.py
@@ -67,9 +67,9 @@
     def carry_over(self, former: Contract) -> None:
         """Copy the token levels of `former`; a bucket that `former` lacks starts full."""
         if self.rate is not None and former.rate is not None:
-            self.rate.copy_level(former.rate)
+            self.rate.continue_from(former.rate)
         if self.retries is not None and former.retries is not None:
-            self.retries.copy_level(former.retries)
+            self.retries.continue_from(former.retries)
 
 
 class Contracts:
--- a/linnetshift/broker/deployment_facts.py
+++ b/linnetshift/broker/deployment_facts.py
@@ -17,7 +17,7 @@
 DRAIN_SETTLING_NS = 1_000_000_000
 
 
-class Fact(StrEnum):
+class FactKind(StrEnum):
     """The subject of a fact; the values appear in the log."""
 
     DRAIN = "drain"
@@ -50,17 +50,17 @@
 
     def __init__(self) -> None:
         """Start without facts."""
-        self.known: dict[Fact, str] = {}
-        self.unreported: list[tuple[Fact, str]] = []
+        self.known: dict[FactKind, str] = {}
+        self.unreported: list[tuple[FactKind, str]] = []
         self.draining_since_ns: dict[bytes, int] = {}  # when the list first reported the drain
 
-    def observe(self, fact: Fact, value: str) -> None:
+    def observe(self, fact: FactKind, value: str) -> None:
         """Record a fact; it is reported once, and again whenever its value changes."""
         if self.known.get(fact) != value:
             self.known[fact] = value
             self.unreported.append((fact, value))
 
-    def take_unreported(self) -> list[tuple[Fact, str]]:
+    def take_unreported(self) -> list[tuple[FactKind, str]]:
         """Facts observed or changed since the last call, oldest first."""
         unreported = self.unreported
         self.unreported = []
@@ -93,16 +93,16 @@
         """
         for endpoint, since_ns in self.draining_since_ns.items():
             if now_ns - since_ns > DRAIN_SETTLING_NS and endpoint in connected:
-                self.observe(Fact.DRAIN, DrainBehaviour.KEEPS_SERVING)
+                self.observe(FactKind.DRAIN, DrainBehaviour.KEEPS_SERVING)
                 return
 
     def record_migration_request(self) -> None:
         """Record that an endpoint asked a client to migrate."""
-        self.observe(Fact.DRAIN, DrainBehaviour.MIGRATES_CLIENTS)
+        self.observe(FactKind.DRAIN, DrainBehaviour.MIGRATES_CLIENTS)
 
     def record_health_report(self, has_figures: bool) -> None:
         """Record whether the answer to a health check that asked for a load report contains one."""
-        self.observe(Fact.REPORTS, HealthReports.FIGURES if has_figures else HealthReports.NONE)
+        self.observe(FactKind.REPORTS, HealthReports.FIGURES if has_figures else HealthReports.NONE)
 
     def resource_usage(self, max_names: int) -> dict[str, ResourceUsage]:
         """Sizes and bounds, under their names in `GET /ops/census`; `max_names` bounds known endpoints."""
--- a/linnetshift/routing/rendezvous_hashing.py
+++ b/linnetshift/routing/rendezvous_hashing.py
@@ -39,7 +39,7 @@
     return int.from_bytes(blake2b(endpoint, digest_size=8).digest(), "big")
 
 
-def costs(key_hash: int, hashes: npt.NDArray[np.uint64]) -> npt.NDArray[np.float64]:
+def endpoint_costs(key_hash: int, hashes: npt.NDArray[np.uint64]) -> npt.NDArray[np.float64]:
     """Return the cost -log(h) of a key at each endpoint, given the endpoints' hashes.
 
     h is the top 52 bits of the mixed hash plus one half, scaled to lie strictly between 0 and 1.
@@ -58,5 +58,5 @@
     key_hash: int, hashes: npt.NDArray[np.uint64], inverse_weights: npt.NDArray[np.float64]
 ) -> list[int]:
     """Return the indices of the endpoints for a key, best first; ties keep the given order."""
-    order: list[int] = np.argsort(costs(key_hash, hashes) * inverse_weights, kind="stable").tolist()
+    order: list[int] = np.argsort(endpoint_costs(key_hash, hashes) * inverse_weights, kind="stable").tolist()
     return order
--- a/linnetshift/util/token_bucket.py
+++ b/linnetshift/util/token_bucket.py
@@ -48,7 +48,7 @@
         self.level -= taken
         return taken
 
-    def copy_level(self, other: TokenBucket) -> None:
+    def continue_from(self, other: TokenBucket) -> None:
         """Continue from the level of `other`, which this bucket replaces."""
         self.level = other.level
         self.refilled_at_ns = other.refilled_at_ns
--- a/tests/test_deployment_facts.py
+++ b/tests/test_deployment_facts.py
@@ -9,7 +9,7 @@
 from conftest import S, endpoint, entry
 from proxy_harness import started_proxy
 
-from linnetshift.broker.deployment_facts import DeploymentFacts, DrainBehaviour, Fact
+from linnetshift.broker.deployment_facts import DeploymentFacts, DrainBehaviour, FactKind
 from linnetshift.routing.events import EndpointState
 
 DRAINING = entry(1, state=EndpointState.DRAINING)
@@ -55,7 +55,7 @@
     deployment_facts.record_migration_request()
     assert deployment_facts.take_unreported() == [("drain", "sends-away")]
     assert not deployment_facts.take_unreported()
-    deployment_facts.observe(Fact.DRAIN, DrainBehaviour.KEEPS_SERVING)
+    deployment_facts.observe(FactKind.DRAIN, DrainBehaviour.KEEPS_SERVING)
     assert deployment_facts.take_unreported() == [("drain", "serves-on")]
 
 
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -11,7 +11,7 @@
 from linnetshift.routing.actions import Send
 from linnetshift.routing.balancer import Balancer
 from linnetshift.routing.events import EndpointState, ListForm
-from linnetshift.routing.rendezvous_hashing import HASH_MASK, costs, mix64
+from linnetshift.routing.rendezvous_hashing import HASH_MASK, endpoint_costs, mix64
 from linnetshift.routing.settings import Settings
 
 
@@ -78,7 +78,7 @@
 
 def test_costs_are_finite_and_positive_for_extreme_hashes() -> None:
     for key in (0, 1, HASH_MASK):
-        key_costs = costs(key, np.array([0, 1, HASH_MASK, (key * 3) & HASH_MASK], dtype=np.uint64))
+        key_costs = endpoint_costs(key, np.array([0, 1, HASH_MASK, (key * 3) & HASH_MASK], dtype=np.uint64))
         assert np.all(np.isfinite(key_costs))
         assert np.all(key_costs > 0.0)
 
--- a/tests/test_token_bucket.py
+++ b/tests/test_token_bucket.py
@@ -34,6 +34,6 @@
 def test_replacement_bucket_continues_from_the_level_of_the_former_one(level: float) -> None:
     former = TokenBucket(rate_per_s=1.0, capacity=2.0, level=level, refilled_at_ns=3 * S)
     later = TokenBucket(rate_per_s=9.0, capacity=9.0)
-    later.copy_level(former)
+    later.continue_from(former)
     assert (later.level, later.refilled_at_ns) == (level, 3 * S)
     assert (later.rate_per_s, later.capacity) == (9.0, 9.0)
