--- a/linnetshift/admin/operations.py
+++ b/linnetshift/admin/operations.py
@@ -21,9 +21,9 @@
         """Whether too many endpoints are drained for this one to be drained too."""
 
     def set_administrative_drain(
-        self, endpoint: bytes, is_drained: bool, done: Callable[[bool], None]
+        self, endpoint: bytes, is_drained: bool, on_applied: Callable[[bool], None]
     ) -> None:
         """Drain an endpoint, or restore it when `is_drained` is false.
 
-        `done` is called once the change is in effect, with whether the endpoint was ever listed.
+        `on_applied` is called once the change is in effect, with whether the endpoint was ever listed.
         """
--- a/linnetshift/decision_loop.py
+++ b/linnetshift/decision_loop.py
@@ -24,9 +24,9 @@
 
 
 class ConfirmProcessing(NamedTuple):
-    """Call `done` once the balancer has processed all events that are queued now."""
+    """Call `callback` once the balancer has processed all events that are queued now."""
 
-    done: Callable[[], None]
+    callback: Callable[[], None]
 
 
 class Review(NamedTuple):
@@ -62,9 +62,9 @@
         """Schedule processing for when the events of this turn are all queued."""
         self.post(PROCESS_EVENTS)
 
-    def when_processed(self, done: Callable[[], None]) -> None:
-        """Schedule `done` to be called once the balancer has processed all events that are queued now."""
-        self.post(ConfirmProcessing(done))
+    def call_when_processed(self, callback: Callable[[], None]) -> None:
+        """Schedule `callback` to be called once the balancer has processed all events that are queued now."""
+        self.post(ConfirmProcessing(callback))
 
     def set_balancer_timer(self, delay_ns: int, token: int) -> None:
         """Schedule the balancer's timer with this token to fire after the delay."""
@@ -82,9 +82,9 @@
                 case Timeout(tag=Review(number)):
                     self.set_timer(REVIEW_INTERVAL_NS, Review(number + 1))
                     self._review(number)
-                case ConfirmProcessing(done):
+                case ConfirmProcessing(callback):
                     self._process_events()
-                    done()
+                    callback()
                 case ProcessEvents():
                     self._process_events()
 
--- a/linnetshift/lifecycle/hot_restart.py
+++ b/linnetshift/lifecycle/hot_restart.py
@@ -24,20 +24,20 @@
 
 
 class CompletionCounter:
-    """Calls `done` once a known number of steps is complete."""
+    """Calls `on_applied` once a known number of steps is complete."""
 
-    __slots__ = ("done", "remaining")
+    __slots__ = ("on_applied", "remaining")
 
-    def __init__(self, steps: int, done: Callable[[], None]) -> None:
+    def __init__(self, steps: int, on_applied: Callable[[], None]) -> None:
         """`steps` is at least one."""
         self.remaining = steps
-        self.done = done
+        self.on_applied = on_applied
 
     def complete_one(self) -> None:
         """Count one step as complete."""
         self.remaining -= 1
         if not self.remaining:
-            self.done()
+            self.on_applied()
 
 
 class HotRestart:
@@ -140,14 +140,18 @@
             self.operations.resume_accepting()
 
     def apply_administrative_drain(
-        self, endpoint: bytes, is_drained: bool, done: Callable[[], None], source: PeerProcess | None = None
+        self,
+        endpoint: bytes,
+        is_drained: bool,
+        on_applied: Callable[[], None],
+        source: PeerProcess | None = None,
     ) -> None:
         """Drain the endpoint, or restore it, in every process but `source`, which sent the drain.
 
-        `done` is called once all live processes have applied it.
+        `on_applied` is called once all live processes have applied it.
         """
         peers = [peer_process for peer_process in self.peer_processes if peer_process is not source]
-        counter = CompletionCounter(1 + len(peers), done)
+        counter = CompletionCounter(1 + len(peers), on_applied)
         self.operations.apply_administrative_drain(endpoint, is_drained, counter.complete_one)
         for peer_process in peers:
             peer_process.apply_administrative_drain(endpoint, is_drained, counter.complete_one)
--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -80,8 +80,13 @@
         self.frontend.set_paused(is_paused)
         self.activation.frontend.set_paused(is_paused)
 
-    def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
-        """Drain the endpoint in this process, or restore it; `done` is called once that has taken effect."""
+    def apply_administrative_drain(
+        self, endpoint: bytes, is_drained: bool, on_applied: Callable[[], None]
+    ) -> None:
+        """Drain the endpoint in this process, or restore it.
+
+        `on_applied` is called once that has taken effect.
+        """
         is_known = (
             self.broker.drain_endpoint(endpoint) if is_drained else self.broker.restore_endpoint(endpoint)
         )
@@ -91,7 +96,7 @@
             out=is_drained,
             known=is_known,
         )
-        self.decision_loop.when_processed(done)
+        self.decision_loop.call_when_processed(on_applied)
 
     def peer_resources(self) -> PeerResources:
         """Return the resources that this process holds, for the other one to count towards its limits."""
--- a/linnetshift/lifecycle/peer_process.py
+++ b/linnetshift/lifecycle/peer_process.py
@@ -60,9 +60,13 @@
         """Continue without the process."""
 
     def apply_administrative_drain(
-        self, endpoint: bytes, is_drained: bool, done: Callable[[], None], source: PeerProcess | None = None
+        self,
+        endpoint: bytes,
+        is_drained: bool,
+        on_applied: Callable[[], None],
+        source: PeerProcess | None = None,
     ) -> None:
-        """Apply the drain in every process but `source`; `done` is called once all have applied it."""
+        """Apply the drain in every process but `source`; `on_applied` is called once all have applied it."""
 
 
 class PeerProcess(StallDetector):
@@ -115,16 +119,18 @@
         """Report the resources that this process holds."""
         self.send(Heartbeat(self.operations.peer_resources()))
 
-    def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
-        """Have the other process apply the drain; `done` is called once it has, or has disconnected."""
+    def apply_administrative_drain(
+        self, endpoint: bytes, is_drained: bool, on_applied: Callable[[], None]
+    ) -> None:
+        """Have the other process apply the drain; `on_applied` is called once it has, or has disconnected."""
         is_connected = self.coroutine is not None and self.has_exchanged_state
         if not is_connected or len(self.unconfirmed_drains) >= MAX_UNCONFIRMED_DRAINS:
             # Nothing to wait for: a state requested later, by it or by the successor of one that hangs,
             # includes the drain.
-            done()
+            on_applied()
             return
         number = next(self.drain_numbers)
-        self.unconfirmed_drains[number] = done
+        self.unconfirmed_drains[number] = on_applied
         self.send(AdministrativeDrain(endpoint, is_drained, number))
 
     def _process_event(self, event: Any) -> None:
@@ -175,9 +181,9 @@
                 confirm = partial(self.send, AdministrativeDrainConfirmed(number))
                 self.coordinator.apply_administrative_drain(endpoint, is_drained, confirm, self)
             case AdministrativeDrainConfirmed(number):
-                done = self.unconfirmed_drains.pop(number, None)
-                if done is not None:
-                    done()
+                on_applied = self.unconfirmed_drains.pop(number, None)
+                if on_applied is not None:
+                    on_applied()
             case Heartbeat(peer_resources):
                 self.operations.update_peer_resources(peer_resources)
 
@@ -194,6 +200,6 @@
         self.stream.close()
         unconfirmed = list(self.unconfirmed_drains.values())
         self.unconfirmed_drains = {}
-        for done in unconfirmed:  # a process that has exited sends no more requests to endpoints
-            done()
+        for on_applied in unconfirmed:  # a process that has exited sends no more requests to endpoints
+            on_applied()
         self.coordinator.handle_peer_disconnected(self)
--- a/linnetshift/lifecycle/restart_operations.py
+++ b/linnetshift/lifecycle/restart_operations.py
@@ -20,8 +20,13 @@
     def resume_accepting(self) -> None:
         """Accept connections again, as the successor is gone."""
 
-    def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
-        """Drain the endpoint, or restore it, in this process alone; `done` is called once that is done."""
+    def apply_administrative_drain(
+        self, endpoint: bytes, is_drained: bool, on_applied: Callable[[], None]
+    ) -> None:
+        """Drain the endpoint, or restore it, in this process alone.
+
+        `on_applied` is called once that has taken effect.
+        """
 
     def peer_resources(self) -> PeerResources:
         """Return the resources that this process holds, for the other one to count towards its limits."""
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -257,13 +257,13 @@
         return drains.is_full() and not drains.is_drained(endpoint)
 
     def set_administrative_drain(
-        self, endpoint: bytes, is_drained: bool, done: Callable[[bool], None]
+        self, endpoint: bytes, is_drained: bool, on_applied: Callable[[bool], None]
     ) -> None:
         """Drain an endpoint or restore it, here and in every other process of this proxy.
 
-        `done` is called once the change is in effect, with whether the endpoint is known.
+        `on_applied` is called once the change is in effect, with whether the endpoint is known.
         """
         if not self.broker.administrative_drains.is_known(endpoint):
-            done(False)
+            on_applied(False)
             return
-        self.hot_restart.apply_administrative_drain(endpoint, is_drained, lambda: done(True))
+        self.hot_restart.apply_administrative_drain(endpoint, is_drained, lambda: on_applied(True))
--- a/tests/test_admin_routes.py
+++ b/tests/test_admin_routes.py
@@ -25,7 +25,7 @@
         return endpoint == b"full"
 
     def set_administrative_drain(
-        self, endpoint: bytes, is_drained: bool, done: Callable[[bool], None]
+        self, endpoint: bytes, is_drained: bool, on_applied: Callable[[bool], None]
     ) -> None:
         raise AssertionError("only the connection applies a change")
 
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -48,7 +48,7 @@
 def test_confirmation_follows_the_processing_of_all_queued_events() -> None:
     decision_loop, broker = start_decision_loop()
     decision_loop.schedule_processing()
-    decision_loop.when_processed(lambda: broker.calls.append("done"))
+    decision_loop.call_when_processed(lambda: broker.calls.append("done"))
     assert broker.calls == []
     decision_loop.process_mailbox()
     assert broker.calls == ["process_events", "process_events", "done"]
@@ -57,7 +57,7 @@
 def test_no_event_is_processed_before_the_first_call_to_discovery_has_ended() -> None:
     decision_loop, broker = start_decision_loop(waits_for_discovery=True)
     decision_loop.schedule_processing()
-    decision_loop.when_processed(lambda: broker.calls.append("done"))
+    decision_loop.call_when_processed(lambda: broker.calls.append("done"))
     decision_loop.process_mailbox()
     assert broker.calls == ["done"]
     decision_loop.handle_discovery_ready()
@@ -70,7 +70,7 @@
     decision_loop, broker = start_decision_loop()
     broker.fault = ValueError("a fault")
     with caplog.at_level(logging.ERROR, "linnetshift"):
-        decision_loop.when_processed(lambda: broker.calls.append("done"))
+        decision_loop.call_when_processed(lambda: broker.calls.append("done"))
         decision_loop.process_mailbox()
     assert [record.getMessage() for record in caplog.records] == ["fault"]
     assert broker.calls == ["process_events", "done"]
--- a/tests/test_peer_process.py
+++ b/tests/test_peer_process.py
@@ -37,9 +37,11 @@
     def resume_accepting(self) -> None:
         self.accepting_calls.append("resume_accepting")
 
-    def apply_administrative_drain(self, endpoint: bytes, is_drained: bool, done: Callable[[], None]) -> None:
+    def apply_administrative_drain(
+        self, endpoint: bytes, is_drained: bool, on_applied: Callable[[], None]
+    ) -> None:
         self.drains.append((endpoint, is_drained))
-        done()
+        on_applied()
 
     def peer_resources(self) -> PeerResources:
         return PeerResources(streams=self.streams)
