--- a/tests/fake_surroundings.py
+++ b/tests/fake_ports.py
@@ -14,7 +14,7 @@
 from linnetshift.routing.settings import Settings
 
 
-class FakeSurroundings:
+class FakePorts:
     """Fake timers, discovery, connector and client, which record what the broker calls them with."""
 
     is_congested = False
--- a/tests/test_broker_parts.py
+++ b/tests/test_broker_parts.py
@@ -4,7 +4,7 @@
 
 import pytest
 from conftest import S, balancer, endpoint, entry, listed, raw_settings
-from fake_surroundings import FakeSurroundings
+from fake_ports import FakePorts
 
 from linnetshift.broker.active_request import DETACHED_CLIENT
 from linnetshift.broker.contracts import Contract, Contracts
@@ -28,12 +28,12 @@
 from linnetshift.util.token_bucket import TokenBucket
 
 
-def make_inbox(surroundings: FakeSurroundings) -> EventInbox:
-    return EventInbox(surroundings)
+def make_inbox(ports: FakePorts) -> EventInbox:
+    return EventInbox(ports)
 
 
 def test_inbox_returns_endpoint_lists_first_and_other_events_in_order() -> None:
-    inbox = make_inbox(FakeSurroundings())
+    inbox = make_inbox(FakePorts())
     change = listed(entry(1), form=ListForm.DELTA)
     posted: list[Event] = [TimerFired(1), RequestWithdrawn(2), change, TimerFired(3)]
     for event in posted:
@@ -43,10 +43,10 @@
 
 
 def test_inbox_schedules_processing_once_per_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    surroundings = FakeSurroundings()
+    ports = FakePorts()
     scheduled: list[None] = []
-    monkeypatch.setattr(surroundings, "schedule_processing", lambda: scheduled.append(None))
-    inbox = make_inbox(surroundings)
+    monkeypatch.setattr(ports, "schedule_processing", lambda: scheduled.append(None))
+    inbox = make_inbox(ports)
     for _ in range(2):
         inbox.post(TimerFired(1))
         inbox.post(TimerFired(2))
@@ -57,7 +57,7 @@
 @pytest.fixture
 def views() -> EndpointViews:
     endpoint_views = EndpointViews(
-        Settings.parse(raw_settings()), lambda: 5 * S, make_inbox(FakeSurroundings()), ListLease(5 * S)
+        Settings.parse(raw_settings()), lambda: 5 * S, make_inbox(FakePorts()), ListLease(5 * S)
     )
     endpoint_views.handle_endpoint_list(listed(entry(1, started_ns=S), entry(2)))
     endpoint_views.inbox.take()
@@ -125,16 +125,16 @@
 
 @pytest.mark.parametrize("answer", ["reject", "fail", "overdue"])
 def test_final_answer_releases_the_request_and_its_client(answer: str) -> None:
-    surroundings = FakeSurroundings()
-    request = surroundings.submit(1 * S)
-    table = surroundings.broker.request_table
+    ports = FakePorts()
+    request = ports.submit(1 * S)
+    table = ports.broker.request_table
     if answer == "overdue":
-        surroundings.broker.balancer.step = lambda now_ns, events: []  # type: ignore[method-assign]
-        surroundings.advance_to(2 * S + OVERDUE_NS)
+        ports.broker.balancer.step = lambda now_ns, events: []  # type: ignore[method-assign]
+        ports.advance_to(2 * S + OVERDUE_NS)
     else:
         getattr(table, answer)(request.id)
     table.fail(request.id)  # no effect: already answered
-    assert len(surroundings.client_calls) == 1
+    assert len(ports.client_calls) == 1
     assert request.client is DETACHED_CLIENT
     assert not table.requests
     assert not table.unanswered()
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -10,7 +10,7 @@
 import pytest
 from conftest import MS, S, endpoint, entry, listed, raw_settings
 from connections import WAIT_S, ChannelsClient
-from fake_surroundings import FakeSurroundings
+from fake_ports import FakePorts
 from proxy_harness import ROOT, proxy_in_thread, settings, started_proxy
 
 from linnetshift.admin import server
@@ -43,25 +43,23 @@
 
 def test_maps_of_endpoints_stay_bounded_when_endpoints_are_replaced(small_bounds: None) -> None:
     # Machines are replaced under new ids. Otherwise each stays in four maps, and in a fifth if it was slow.
-    surroundings = FakeSurroundings()
+    ports = FakePorts()
     for number in range(100):
-        surroundings.broker.handle_endpoint_list(listed(*entries(number), form=ListForm.DELTA))
-        surroundings.broker.latency_estimator.record_reset(endpoint(number), surroundings.now)
-        surroundings.broker.latency_estimator.record_response_time(
-            endpoint(number), None, 5, surroundings.now
-        )
-        surroundings.broker.handle_endpoint_list(
+        ports.broker.handle_endpoint_list(listed(*entries(number), form=ListForm.DELTA))
+        ports.broker.latency_estimator.record_reset(endpoint(number), ports.now)
+        ports.broker.latency_estimator.record_response_time(endpoint(number), None, 5, ports.now)
+        ports.broker.handle_endpoint_list(
             listed(*entries(number, state=EndpointState.REMOVED), form=ListForm.DELTA)
         )
-        surroundings.broker.process_events()
-        assert over_bound(surroundings.broker.resource_usage(16)) == []
-    listed_endpoints = surroundings.broker.administrative_drains.listed
+        ports.broker.process_events()
+        assert over_bound(ports.broker.resource_usage(16)) == []
+    listed_endpoints = ports.broker.administrative_drains.listed
     assert list(listed_endpoints)[-1] == endpoint(99)
     assert len(listed_endpoints) == 16
-    assert set(surroundings.broker.endpoint_views.zones) <= set(listed_endpoints)
-    assert set(surroundings.broker.latency_estimator.reset_at_ns) <= set(listed_endpoints)
-    assert set(surroundings.broker.endpoint_views.started_ns) <= set(listed_endpoints)
-    assert set(surroundings.broker.latency_estimator.weights) <= set(listed_endpoints)
+    assert set(ports.broker.endpoint_views.zones) <= set(listed_endpoints)
+    assert set(ports.broker.latency_estimator.reset_at_ns) <= set(listed_endpoints)
+    assert set(ports.broker.endpoint_views.started_ns) <= set(listed_endpoints)
+    assert set(ports.broker.latency_estimator.weights) <= set(listed_endpoints)
 
 
 def test_too_long_list_is_truncated_but_known_endpoints_are_updated(small_bounds: None) -> None:
@@ -84,22 +82,22 @@
 
 
 def test_drains_outlast_removal_from_list_and_are_rejected_over_the_limit(small_bounds: None) -> None:
-    surroundings = FakeSurroundings()
-    surroundings.broker.handle_endpoint_list(listed(*entries(*range(8))))
+    ports = FakePorts()
+    ports.broker.handle_endpoint_list(listed(*entries(*range(8))))
     for number in range(4):
-        assert surroundings.broker.drain_endpoint(endpoint(number))
-    assert not surroundings.broker.drain_endpoint(endpoint(4))
-    assert surroundings.broker.drain_endpoint(endpoint(0))
+        assert ports.broker.drain_endpoint(endpoint(number))
+    assert not ports.broker.drain_endpoint(endpoint(4))
+    assert ports.broker.drain_endpoint(endpoint(0))
     for number in range(100, 200):
-        surroundings.broker.handle_endpoint_list(listed(*entries(number)))
+        ports.broker.handle_endpoint_list(listed(*entries(number)))
     assert all(
-        surroundings.broker.administrative_drains.is_drained(endpoint(number))
-        and surroundings.broker.administrative_drains.is_known(endpoint(number))
+        ports.broker.administrative_drains.is_drained(endpoint(number))
+        and ports.broker.administrative_drains.is_known(endpoint(number))
         for number in range(4)
     )
-    assert surroundings.broker.restore_endpoint(endpoint(0))
-    assert surroundings.broker.administrative_drains.restored
-    assert over_bound(surroundings.broker.resource_usage(16)) == []
+    assert ports.broker.restore_endpoint(endpoint(0))
+    assert ports.broker.administrative_drains.restored
+    assert over_bound(ports.broker.resource_usage(16)) == []
 
 
 def settings_with_objectives(*objectives_ns: int) -> Settings:
--- a/tests/test_unconfirmed_endpoints.py
+++ b/tests/test_unconfirmed_endpoints.py
@@ -7,7 +7,7 @@
 
 import pytest
 from conftest import S, endpoint, entry, listed
-from fake_surroundings import FakeSurroundings
+from fake_ports import FakePorts
 from proxy_harness import started_proxy
 from running_proxy import ranked
 
@@ -98,40 +98,40 @@
 
 
 def test_request_is_not_sent_to_a_suspended_endpoint_listed_as_ready() -> None:
-    surroundings = FakeSurroundings()
-    broker = surroundings.broker
-    first = surroundings.submit().attempt
+    ports = FakePorts()
+    broker = ports.broker
+    first = ports.submit().attempt
     assert first is not None
     broker.record_unavailable(first.endpoint)
-    surroundings.now += 7 * S
+    ports.now += 7 * S
     broker.review_unconfirmed_endpoints()
     broker.process_events()
-    second = surroundings.submit(wait_ns=60 * S).attempt
+    second = ports.submit(wait_ns=60 * S).attempt
     assert second is not None
     assert second.endpoint != first.endpoint
     assert broker.may_send(second)
 
 
 def test_request_line_is_not_sent_if_the_endpoint_is_suspended_during_the_attempt() -> None:
-    surroundings = FakeSurroundings()
-    attempt = surroundings.submit(wait_ns=60 * S).attempt
+    ports = FakePorts()
+    attempt = ports.submit(wait_ns=60 * S).attempt
     assert attempt is not None
-    surroundings.broker.record_unavailable(attempt.endpoint)
-    surroundings.now += 7 * S
-    attempt.deadline = surroundings.now + S
-    assert surroundings.broker.may_send(attempt)
-    surroundings.broker.review_unconfirmed_endpoints()
-    assert not surroundings.broker.may_send(attempt)
+    ports.broker.record_unavailable(attempt.endpoint)
+    ports.now += 7 * S
+    attempt.deadline = ports.now + S
+    assert ports.broker.may_send(attempt)
+    ports.broker.review_unconfirmed_endpoints()
+    assert not ports.broker.may_send(attempt)
 
 
 def test_endpoint_that_migrated_a_client_is_suspended() -> None:
-    surroundings = FakeSurroundings()
-    attempt = surroundings.submit(wait_ns=60 * S).attempt
+    ports = FakePorts()
+    attempt = ports.submit(wait_ns=60 * S).attempt
     assert attempt is not None
-    surroundings.broker.handle_attempt_ended(attempt, Outcome.CANCELLED)
-    surroundings.now += 7 * S
-    surroundings.broker.review_unconfirmed_endpoints()
-    assert surroundings.broker.endpoint_views.unconfirmed.is_suspended(attempt.endpoint)
+    ports.broker.handle_attempt_ended(attempt, Outcome.CANCELLED)
+    ports.now += 7 * S
+    ports.broker.review_unconfirmed_endpoints()
+    assert ports.broker.endpoint_views.unconfirmed.is_suspended(attempt.endpoint)
 
 
 def test_endpoint_that_ended_and_returned_gets_no_request_while_discovery_does_not_answer(
@@ -157,13 +157,13 @@
 
 
 def test_endpoint_of_a_cancelled_attempt_is_not_suspended() -> None:
-    surroundings = FakeSurroundings()
-    broker = surroundings.broker
-    request = surroundings.submit()
+    ports = FakePorts()
+    broker = ports.broker
+    request = ports.submit()
     attempt = request.attempt
     assert attempt is not None
     broker.perform(Cancel(request.id, attempt.number))
-    surroundings.now += 7 * S
+    ports.now += 7 * S
     broker.review_unconfirmed_endpoints()
     assert not broker.endpoint_views.unconfirmed.is_suspended(attempt.endpoint)
 
