--- a/linnetshift/event_loop/stream.py
+++ b/linnetshift/event_loop/stream.py
@@ -113,7 +113,7 @@
         return bool(self.unsent)
 
     @property
-    def untaken_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """Number of bytes that were read and not taken."""
         return self.stop - self.start
 
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -143,7 +143,7 @@
 
         `received_at` is when the loop saw the line, in ns of its clock.
         """
-        if self.stream.untaken_bytes:
+        if self.stream.buffered_bytes:
             raise RequestLineError(EARLY_INPUT)
         if request_line.id in self.frontend.open_request_ids:
             # Endpoints treat it as a duplicate of the open request: each attempt would be answered with ERR.
@@ -202,7 +202,7 @@
             # The client may have ended only its sending side and still be reading.
             self.stream.send(protocol.BUSY_LINE if is_retry_safe else protocol.ERROR_LINE)
             return Reason.WITHDRAWN
-        if self.stream.untaken_bytes and not request.is_answered:
+        if self.stream.buffered_bytes and not request.is_answered:
             # Left unread, the input would hide the end of the client's side; no endpoint could use it.
             self.broker.handle_client_ended(request, False)
             return self.answer_bad_line(EARLY_INPUT)
--- a/linnetshift/frontends/line_protocol/request_reader.py
+++ b/linnetshift/frontends/line_protocol/request_reader.py
@@ -94,7 +94,7 @@
         if mask & select.EPOLLOUT:
             self.stream.flush()
         self.received_at = self.connection.loop.ready_since
-        untaken_before = self.stream.untaken_bytes
+        buffered_before = self.stream.buffered_bytes
         self.client_end = self.stream.fill()
-        if self.stream.untaken_bytes > untaken_before:
+        if self.stream.buffered_bytes > buffered_before:
             self.frontend.connection_limiter.handle_partial_request(self.connection)
