--- a/linnetshift/lifecycle/local_process.py
+++ b/linnetshift/lifecycle/local_process.py
@@ -113,4 +113,4 @@
         for _ in range(min(newly_migrated, self.connection_limiter.max_descriptors)):
             estimator.migrations.record_migrated_out(self.loop.now())
         self.migrated_by_peer = peer_resources.migrated
-        self.broker.balancer.ranking.predecessor_connections = sum(map(len, peer_resources.loads.values()))
+        self.broker.balancer.ranking.peer_connections = sum(map(len, peer_resources.loads.values()))
--- a/linnetshift/routing/ranking.py
+++ b/linnetshift/routing/ranking.py
@@ -59,7 +59,7 @@
         self._slow_start = slow_start
         self._group_sizes = group_sizes
         self._cached: Candidates | None = None
-        self.predecessor_connections = 0
+        self.peer_connections = 0
         # Weight 1 is a standard core. Estimated from the reported loads of connections; 0.0 before the first.
         self.connections_per_weight = 0.0
 
@@ -130,7 +130,7 @@
         self._slow_start.tokens_per_s = token_rate(
             settings,
             first_arrivals_per_s=self._slow_start.first_arrivals_per_s.decayed(self._context.now),
-            established_count=self.predecessor_connections + own_connections,
+            established_count=self.peer_connections + own_connections,
             capacity=self.connections_per_weight * total / settings.balancers,
             endpoint_count=len(listed),
         )
--- a/tests/test_handed_over_state.py
+++ b/tests/test_handed_over_state.py
@@ -68,7 +68,7 @@
 
 
 def connections_at_peers(balancer: Balancer) -> int:
-    return balancer.ranking.predecessor_connections
+    return balancer.ranking.peer_connections
 
 
 BROKER_FILE = """
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -130,6 +130,6 @@
         parts = Parts(endpoints=1)
         for number in range(7):
             parts.connection(number, parts.endpoint(0))
-        parts.ranking.predecessor_connections = predecessor
+        parts.ranking.peer_connections = predecessor
         parts.ranking.candidates()
         assert parts.slow_start.tokens_per_s == pytest.approx(rate)
