--- a/linnetshift/admin/server.py
+++ b/linnetshift/admin/server.py
@@ -26,7 +26,7 @@
 class AdminServer:
     """Accepts administrative connections while the configuration has an address for them.
 
-    Owns the connections and the reserved descriptors.
+    Owns the connections and the reserved descriptors, for at most the life of the process.
     """
 
     def __init__(self, loop: Loop, operations: Operations) -> None:
--- a/linnetshift/discovery/watch.py
+++ b/linnetshift/discovery/watch.py
@@ -197,7 +197,7 @@
     def _open_watch(self) -> None:
         """Start a long poll for the next change, or a call for the full list if the address is new.
 
-        It must follow the last answer at once: after 200 ms discovery queues it as a new watch.
+        It must follow the last answer at once: after 200 ms discovery treats the call as a new watch.
         """
         # A shared discovery queues calls, and also serves those that were given up. With a constant timeout,
         # such calls would keep it overloaded, and every call might be given up before its turn.
