--- a/linnetshift/broker/connection_review.py
+++ b/linnetshift/broker/connection_review.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from linnetshift.broker.active_request import Attempt
-from linnetshift.broker.deployment_facts import Fact, MessageTimes
+from linnetshift.broker.deployment_facts import FactKind, MessageTimes
 from linnetshift.broker.endpoint_views import EndpointViews
 from linnetshift.broker.event_inbox import EventInbox
 from linnetshift.broker.latency_estimator import ConnectionLoad
 from linnetshift.broker.ports import UpstreamConnection
 from linnetshift.broker.request_table import RequestTable
-from linnetshift.routing.events import LOAD_NOTE, SLOW_NOTE, ConnectionNote, Outcome
+from linnetshift.routing.events import LOAD_NOTE, MESSAGE_TIME_NOTE, ConnectionNote, Outcome
 
 # A client is migrated when one of its messages has had no reply for this long: a connection without replies
 # must be ended or migrated within 7 s.
@@ -48,7 +48,7 @@
                 by_endpoint.setdefault(attempt.endpoint, []).append((attempt, attempt.upstream))
         return by_endpoint
 
-    def loads(self) -> dict[bytes, list[ConnectionLoad]]:
+    def connection_loads(self) -> dict[bytes, list[ConnectionLoad]]:
         """Loads of the established connections, by endpoint."""
         return {
             endpoint: [
@@ -81,8 +81,10 @@
         if not self.table.settings.reports_message_time:
             return
         first_attempts = {endpoint: connections[0][0] for endpoint, connections in by_endpoint.items()}
-        for endpoint, elapsed_ms in self.endpoints.latency_estimator.review(self.loads(), self.clock()):
-            self._notify(first_attempts[endpoint], SLOW_NOTE, elapsed_ms)
+        for endpoint, elapsed_ms in self.endpoints.latency_estimator.review(
+            self.connection_loads(), self.clock()
+        ):
+            self._notify(first_attempts[endpoint], MESSAGE_TIME_NOTE, elapsed_ms)
 
     def record_load_report(self, attempt: Attempt, figure: float) -> None:
         """Record a load report: the connection's load in us/s, or the endpoint's message time in ms.
@@ -96,8 +98,8 @@
         if self.table.settings.reports_message_time and estimator.record_if_message_time(
             endpoint, figure, self.clock()
         ):
-            self.endpoints.deployment_facts.observe(Fact.MESSAGE_TIMES, MessageTimes.REPORTED)
-            self._notify(attempt, SLOW_NOTE, figure)
+            self.endpoints.deployment_facts.observe(FactKind.MESSAGE_TIMES, MessageTimes.REPORTED)
+            self._notify(attempt, MESSAGE_TIME_NOTE, figure)
             return
         attempt.load_us_per_s = figure
         self._notify(attempt, LOAD_NOTE, figure)
--- a/linnetshift/frontends/line_protocol/client_connection.py
+++ b/linnetshift/frontends/line_protocol/client_connection.py
@@ -95,9 +95,9 @@
         """Resume relaying, since the endpoint is no longer congested."""
         self.post(Resume())
 
-    def reject(self, retry_after_ns: int, breach: str) -> None:
+    def reject(self, retry_after_ns: int, exceeded_limit: str) -> None:
         """Answer that the request was not executed."""
-        self.post(Rejected(retry_after_ns, breach))
+        self.post(Rejected(retry_after_ns, exceeded_limit))
 
     def fail(self) -> None:
         """Answer that the request failed."""
@@ -130,7 +130,7 @@
         yield from self._close(reason)
         self._report_end(reason)
 
-    def faulted(self, error: Exception) -> None:
+    def handle_fault(self, error: Exception) -> None:
         """Contain an internal error: only this connection ends."""
         log.exception(error)
         if self.request is not None:
@@ -143,17 +143,17 @@
 
         `received_at` is when the loop saw the line, in ns of its clock.
         """
-        if self.stream.untaken_bytes:
+        if self.stream.buffered_bytes:
             raise RequestLineError(EARLY_INPUT)
         if request_line.id in self.frontend.open_request_ids:
             # Endpoints treat it as a duplicate of the open request: each attempt would be answered with ERR.
             raise RequestLineError("the id of an open invocation")
         self.client_request_id = request_line.id
         self.frontend.open_request_ids.add(request_line.id)
-        wait_ns = request_line.wait_ns or self.broker.settings.classes[request_line.klass].deadline_ns
+        wait_ns = request_line.wait_ns or self.broker.settings.classes[request_line.class_number].deadline_ns
         self.request = ActiveRequest(
             client=self,
-            klass=request_line.klass,
+            class_number=request_line.class_number,
             tenant=request_line.tenant,
             key=request_line.key,
             group=request_line.group,
@@ -202,7 +202,7 @@
             # The client may have ended only its sending side and still be reading.
             self.stream.send(protocol.BUSY_LINE if is_retry_safe else protocol.ERROR_LINE)
             return Reason.WITHDRAWN
-        if self.stream.untaken_bytes and not request.is_answered:
+        if self.stream.buffered_bytes and not request.is_answered:
             # Left unread, the input would hide the end of the client's side; no endpoint could use it.
             self.broker.handle_client_ended(request, False)
             return self.answer_bad_line(EARLY_INPUT)
@@ -236,7 +236,7 @@
             fields["open"] = f"{self.client_request_id:x}"
         if self.request is not None:
             fields["key"] = f"{self.request.key:x}"
-            fields["class"] = self.broker.settings.classes[self.request.klass].name
+            fields["class"] = self.broker.settings.classes[self.request.class_number].name
         fields["peer"] = format_address(self.peer)
         fields["endpoint"] = self.endpoint.decode("utf-8", "replace")
         fields["attempts"] = self.request.attempts if self.request is not None else 0
--- a/linnetshift/lifecycle/reload.py
+++ b/linnetshift/lifecycle/reload.py
@@ -90,7 +90,7 @@
 
     def _classes_in_use(self) -> set[int]:
         """Return the classes of open requests, and those that clients may still request."""
-        of_open_requests = {request.klass for request in self.broker.requests.values()}
+        of_open_requests = {request.class_number for request in self.broker.requests.values()}
         return of_open_requests | {*self.names.classes.values()}
 
     def _bind(self, files: ConfigurationFiles, listeners: BoundListeners) -> None:
@@ -112,9 +112,9 @@
 
     def _switch_listeners(self, files: ConfigurationFiles, listeners: BoundListeners) -> None:
         for frontend, acceptor in listeners.frontends:
-            frontend.use_acceptor(acceptor)
+            frontend.replace_acceptor(acceptor)
         if listeners.admin is not None or files.proxy.admin is None:
-            self.admin_server.use_acceptor(listeners.admin)
+            self.admin_server.replace_acceptor(listeners.admin)
         if files.broker.channels is None and self.activation.frontend.address is not None:
             self.activation.migrate_channels()
 
@@ -123,13 +123,13 @@
         self.config = files.proxy
         self.broker_config = files.broker
         self.activation.address = files.broker.channels
-        discontinued = self.names.adopt(files.proxy.names)
+        discontinued = self.names.update_from(files.proxy.names)
         self.broker.configure(files.proxy.settings, files.broker.contracts)
-        self.loop.call_later(DISCONTINUED_CLASS_GRACE_NS, partial(self._forget_classes, discontinued))
+        self.loop.call_later(DISCONTINUED_CLASS_GRACE_NS, partial(self._remove_classes, discontinued))
         if files.proxy.cached_list.event.version > self.discovery.version:
             self.handle_list_update(files.proxy.cached_list)
         self.discovery.reconfigure(files.proxy.discovery, WatchTimeouts.of(files.proxy.settings))
         return discontinued
 
-    def _forget_classes(self, discontinued: dict[str, int]) -> None:
-        self.names.forget_classes(discontinued, self.config.settings.offered_numbers)
+    def _remove_classes(self, discontinued: dict[str, int]) -> None:
+        self.names.remove_classes(discontinued, self.config.settings.offered_numbers)
--- a/linnetshift/proxy.py
+++ b/linnetshift/proxy.py
@@ -183,7 +183,7 @@
         self.frontend.listen(self.config.listen, self.platform_listener)
         self.activation.start(self.reloader.broker_config.vrrp, imported.was_vrrp_active)
         if self.config.admin is not None:
-            self.admin_server.use_acceptor(self.admin_server.open_acceptor(self.config.admin))
+            self.admin_server.replace_acceptor(self.admin_server.open_acceptor(self.config.admin))
 
     def log_settings(self) -> None:
         """Log the settings in use as they were parsed."""
@@ -257,13 +257,13 @@
         return drains.is_full() and not drains.is_drained(endpoint)
 
     def set_administrative_drain(
-        self, endpoint: bytes, is_drained: bool, done: Callable[[bool], None]
+        self, endpoint: bytes, is_drained: bool, on_applied: Callable[[bool], None]
     ) -> None:
         """Drain an endpoint or restore it, here and in every other process of this proxy.
 
-        `done` is called once the change is in effect, with whether the endpoint is known.
+        `on_applied` is called once the change is in effect, with whether the endpoint is known.
         """
         if not self.broker.administrative_drains.is_known(endpoint):
-            done(False)
+            on_applied(False)
             return
-        self.hot_restart.apply_administrative_drain(endpoint, is_drained, lambda: done(True))
+        self.hot_restart.apply_administrative_drain(endpoint, is_drained, lambda: on_applied(True))
--- a/linnetshift/routing/balancer.py
+++ b/linnetshift/routing/balancer.py
@@ -15,10 +15,10 @@
 from linnetshift.routing.endpoints import EndpointTable
 from linnetshift.routing.events import (
     LOAD_NOTE,
+    MESSAGE_TIME_NOTE,
     MID_FLOW,
     RETRY,
     RETURNED,
-    SLOW_NOTE,
     AdoptedConnection,
     AttemptEnded,
     ConnectionEstablished,
@@ -150,14 +150,14 @@
     def _handle_request(self, event: Request) -> None:
         if event.request_id in self.requests:
             return
-        request_class = self.settings.classes[event.klass]
+        request_class = self.settings.classes[event.class_number]
         deadline = self.now + (event.budget_ns or request_class.deadline_ns)
         pending = PendingRequest(event, deadline, event.load_hint, request_class)
         self.requests.add(pending)
         if not event.flags & (RETRY | RETURNED):
             self.health_checks.increase_budget()
         self.group_sizes.record_client(event.group)
-        if event.flags & RETURNED and self.endpoints.is_fewer_than_balancers():
+        if event.flags & RETURNED and self.endpoints.has_fewer_endpoints_than_balancers():
             self._skip_ranks(pending)
         self.health_checks.record_arrival()
         self.admission.review()
@@ -190,7 +190,7 @@
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or not 0.0 <= event.value < MAX_NOTE_VALUE:
             return
-        if event.kind == SLOW_NOTE:
+        if event.kind == MESSAGE_TIME_NOTE:
             self._message_latency.handle_report(endpoint, int(event.value * NS_PER_MS))
         elif event.kind == LOAD_NOTE:
             pending = self.requests.get(event.request_id)
@@ -220,7 +220,7 @@
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None or event.request_id in self.requests:
             return
-        request_class = self.settings.classes[event.klass]
+        request_class = self.settings.classes[event.class_number]
         no_deadline = 0  # an established connection has none
         self.requests.adopt(PendingRequest(event, no_deadline, event.load_hint, request_class), endpoint)
 
--- a/linnetshift/routing/events.py
+++ b/linnetshift/routing/events.py
@@ -8,7 +8,7 @@
 - `endpoint` is an opaque byte string (the address on the wire) that can be compared and sorted.
 - `request_id` is an opaque integer, never used twice by one instance.
 - `attempt` is the number of an attempt of its request, from 0, in the order of sends.
-- `klass`, `tenant`, `zone` and `kind` are indexes into lists of the settings, from 0.
+- `class_number`, `tenant`, `zone` and `kind` are indexes into lists of the settings, from 0.
 - `report` holds the values of a load report in the order of `Settings.report_columns`; empty for none.
 - Fields for which a deployment has no value are 0.
 
@@ -63,11 +63,11 @@
     """The connection broke while the attempt was in flight; the attempt may have executed."""
     CANCELLED = 6
     """Ended by `Cancel`; the attempt may have executed."""
-    MOOT = 7
-    """Not sent: the request was over, established, past its deadline or out of attempts."""
+    NOT_SENT = 7
+    """The request was over, established, past its deadline or out of attempts."""
 
 
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
+NOT_EXECUTED_OUTCOMES = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 """Outcomes that prove the attempt had no effect."""
 
 # Bits of `Request.flags`; plain integers, as an enumeration would add to the cost of every request.
@@ -85,8 +85,8 @@
 # Values of `ConnectionNote.kind`.
 LOAD_NOTE = 1
 """The connection's load changed; the value is in microseconds of work a second."""
-SLOW_NOTE = 2
-"""Messages are slow at the connection's endpoint; the value is the time that one takes, in milliseconds."""
+MESSAGE_TIME_NOTE = 2
+"""The value is the time that a message takes at the connection's endpoint, in milliseconds."""
 
 
 class EndpointEntry(NamedTuple):
@@ -121,7 +121,7 @@
     """A client's request for a connection; it must get exactly one final answer."""
 
     request_id: int
-    klass: int
+    class_number: int
     group: int  # connections of one group share work on an endpoint; 0: none
     key: int  # of the request's subject; requests with the same key are placed together
     load_hint: int  # expected load, in nanoseconds of work a second on a standard core
@@ -137,7 +137,7 @@
     """
 
     request_id: int
-    klass: int
+    class_number: int
     group: int
     key: int
     load_hint: int
@@ -161,7 +161,7 @@
     request_id: int
     attempt: int
     endpoint: bytes
-    kind: int  # `LOAD_NOTE` or `SLOW_NOTE`, which gives the unit of the value
+    kind: int  # `LOAD_NOTE` or `MESSAGE_TIME_NOTE`, which gives the unit of the value
     value: float
 
 
--- a/linnetshift/routing/health_checks.py
+++ b/linnetshift/routing/health_checks.py
@@ -100,7 +100,7 @@
         """
         if not self._context.settings.may_health_check:
             return False
-        if not self.reports_load and (endpoint.established or not self._requests.are_few()):
+        if not self.reports_load and (endpoint.established or not self._requests.are_too_few_to_judge()):
             return False
         is_report_recent = self._context.now - endpoint.load_reported_at < LOAD_REPORT_TTL_NS
         if is_report_recent or pending.health_checks_sent >= CHECKS_PER_REQUEST:
@@ -156,8 +156,8 @@
         connections = report[self._connections_column] if self._connections_column != NO_COLUMN else 0.0
         if load != endpoint.load:
             endpoint.load = load
-            endpoint.sends_before_report = endpoint.sends_since_report
-            endpoint.sends_since_report = 0
+            endpoint.sends_before_load_change = endpoint.sends_since_load_change
+            endpoint.sends_since_load_change = 0
         if MIN_REPORTED_CONNECTIONS < connections < MAX_REPORTED_CONNECTIONS:
             self.load_per_connection += REPORT_WEIGHT * (load / connections - self.load_per_connection)
         if load <= MAX_LOAD:
@@ -171,5 +171,5 @@
         burst of arrivals the other balancers are assumed to send as many as this one.
         """
         balancers = min(self._context.settings.balancers, max(1.0, self._arrivals.value))
-        sends = endpoint.sends_since_report + endpoint.sends_before_report / 2
+        sends = endpoint.sends_since_load_change + endpoint.sends_before_load_change / 2
         return endpoint.load + sends * balancers * self.load_per_connection
--- a/linnetshift/routing/retry_policy.py
+++ b/linnetshift/routing/retry_policy.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from linnetshift.routing.endpoints import ERROR_THRESHOLD, Endpoint
-from linnetshift.routing.events import NEVER_RAN
+from linnetshift.routing.events import NOT_EXECUTED_OUTCOMES
 from linnetshift.routing.pending_requests import PendingRequest
 from linnetshift.routing.settings import Effect, RequestClass, Scope
 
@@ -92,12 +92,12 @@
 
     `sent_at` is when it was sent, in nanoseconds of the caller's clock.
     """
-    if outcome not in NEVER_RAN and pending.possibly_executed_on is None:
+    if outcome not in NOT_EXECUTED_OUTCOMES and pending.possibly_executed_on is None:
         pending.possibly_executed_on = endpoint
         pending.possibly_executed_at = sent_at
 
 
 def is_request_at_fault(pending: PendingRequest) -> bool:
     """Whether enough endpoints that otherwise work returned an error for the request to be the cause."""
-    working = sum(not endpoint.returns_errors() for endpoint in pending.endpoints_that_erred)
+    working = sum(not endpoint.returns_errors() for endpoint in pending.endpoints_with_errors)
     return working >= ERROR_THRESHOLD
--- a/linnetshift/upstream/attempt_setup.py
+++ b/linnetshift/upstream/attempt_setup.py
@@ -57,14 +57,14 @@
         is_connected = yield from connection.connect(connection.address, timeout_ns)
         if not is_connected:
             if connection.was_refused:
-                self.broker.record_refusal(self.attempt.endpoint)
+                self.broker.record_unavailable(self.attempt.endpoint)
             reason = Reason.ABANDONED if connection.is_released else Reason.UNREACHABLE
             return AttemptResult(reason, Outcome.CONNECT_FAILED)
         stream = connection.stream
         assert stream is not None
         if not self.broker.may_send(self.attempt):
             # Nothing is sent to the endpoint; the broker places the request again if that is allowed.
-            return AttemptResult(Reason.ABANDONED, Outcome.MOOT)
+            return AttemptResult(Reason.ABANDONED, Outcome.NOT_SENT)
         if not stream.is_present:
             # The endpoint closed the connection before it got the request, so it has executed nothing.
             return AttemptResult(Reason.ENDPOINT_LEFT, Outcome.CONNECT_FAILED)
--- a/linnetshift/upstream/connector.py
+++ b/linnetshift/upstream/connector.py
@@ -57,7 +57,7 @@
             endpoint=attempt.endpoint.decode("utf-8", "replace"),
             key=f"{request.key:x}",
             group=f"{request.group:x}",
-            **{"class": self.broker.settings.classes[request.klass].name},
+            **{"class": self.broker.settings.classes[request.class_number].name},
             flags=request.flags,
         )
         connection = EndpointConnection(self.loop, self.broker, attempt, address)
@@ -80,6 +80,6 @@
             endpoint,
             broker.settings.report_columns,
             partial(broker.handle_health_check_result, endpoint),
-            partial(broker.record_refusal, endpoint),
+            partial(broker.record_unavailable, endpoint),
         )
         checker.start(checker.run(address))
--- a/tests/fake_surroundings.py
+++ b/tests/fake_ports.py
@@ -14,7 +14,7 @@
 from linnetshift.routing.settings import Settings
 
 
-class FakeSurroundings:
+class FakePorts:
     """A broker with fake timers, discovery, connector and client, which record the broker's calls."""
 
     is_congested = False
@@ -44,7 +44,7 @@
     def make_request(self, wait_ns: int, flags: int, adopted_endpoint: bytes = b"") -> ActiveRequest:
         return ActiveRequest(
             client=self,
-            klass=0,
+            class_number=0,
             tenant=0,
             key=7,
             group=0,
@@ -80,8 +80,8 @@
 
     def resume(self) -> None: ...
 
-    def reject(self, retry_after_ns: int, breach: str) -> None:
-        self.client_calls.append(("reject", retry_after_ns, breach))
+    def reject(self, retry_after_ns: int, exceeded_limit: str) -> None:
+        self.client_calls.append(("reject", retry_after_ns, exceeded_limit))
 
     def fail(self) -> None:
         self.client_calls.append("fail")
--- a/tests/test_pending_requests.py
+++ b/tests/test_pending_requests.py
@@ -16,7 +16,8 @@
     endpoint.is_recovery_due = True
     pending = parts.pending(1)
     parts.requests.begin_attempt(pending, endpoint)
-    assert (parts.requests.setups_in_flight, endpoint.in_flight, endpoint.sends_since_report) == (1, 1, 1)
+    assert (parts.requests.setups_in_flight, endpoint.in_flight) == (1, 1)
+    assert endpoint.sends_since_load_change == 1
     assert pending.last_attempt == 0
     assert pending.endpoints_tried == [endpoint]
     assert not endpoint.is_recovery_due
@@ -66,9 +67,9 @@
 
 def test_requests_are_few_up_to_one_per_endpoint() -> None:
     parts = Parts(endpoints=2)
-    for number, are_few in ((1, True), (2, True), (3, False)):
+    for number, are_too_few_to_judge in ((1, True), (2, True), (3, False)):
         parts.pending(number)
-        assert parts.requests.are_few() is are_few
+        assert parts.requests.are_too_few_to_judge() is are_too_few_to_judge
 
 
 def test_only_the_first_attempt_of_an_open_connection_is_mid_flow() -> None:
